--- /dev/null
+++ b/internal/affinity/tielog/golden_test.go
@@ -0,0 +1,168 @@
+package tielog
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"testing"
+	"time"
+
+	"appleledge/internal/affinity"
+	"appleledge/internal/golden"
+	"appleledge/internal/store"
+)
+
+const (
+	goldenBoot = "5f1c3a52-6c1e-4c0f-9d55-0123456789ab"
+	goldenPast = "01234567-89ab-4cde-8f01-23456789abcd" // an earlier run of the machine
+	goldenName = "000000000df9ea80-a1a2a3a4a5a6a7a8"    // what a log's files begin with
+)
+
+// goldenOptions are of a clock that the machine's is ahead of by a second.
+func goldenOptions(dir, boot string) Options {
+	return Options{Dir: dir, FS: store.OS{}, Sync: true, Lasts: 10 * time.Second, Now: func() time.Duration { return 30 * time.Second }, Boot: boot,
+		Stamp: func(t time.Duration) int64 { return int64(t + time.Second) }, Clock: func(n int64) time.Duration { return time.Duration(n) - time.Second }}
+}
+
+func goldenRecords() []affinity.Record {
+	return []affinity.Record{
+		{Kind: affinity.Began, Key: affinity.Key{1, 2}, At: 3 * time.Second, Pod: 4, Zone: 5},
+		{Kind: affinity.EndedServed, Key: affinity.Key{6, 7}, At: 8 * time.Second, Pod: 9, Zone: 10},
+		{Kind: affinity.EndedFailed, Key: affinity.Key{11, 12}, At: 13 * time.Second, Pod: 14, Zone: 15},
+		{Kind: affinity.Cleared, Key: affinity.Key{16, 17}, At: 18 * time.Second, Pod: 19, Zone: 20},
+	}
+}
+
+// goldenFiles are the committed files, by the names that they have in a folder.
+var goldenFiles = map[string]string{goldenName + "-000001.ties": "tielog/first", goldenName + "-000002.ties": "tielog/second"}
+
+// put puts a committed file into a folder.
+func put(t *testing.T, dir, name, from string) {
+	t.Helper()
+	if err := os.WriteFile(filepath.Join(dir, name), golden.Read(t, from), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A log's first file has two batches of records and its second one another.
+func TestGoldenFilesAreWritten(t *testing.T) {
+	dir := t.TempDir()
+	l := open(t, goldenOptions(dir, goldenBoot))
+	if !regexp.MustCompile(`^0000000737be7600-[0-9a-f]{16}$`).MatchString(l.prefix) { // 31 s in nanoseconds, and chance
+		t.Errorf("its files' names begin with %q", l.prefix)
+	}
+	l.prefix = goldenName
+	for i, batch := range [][]affinity.Record{goldenRecords()[:2], goldenRecords()[2:], goldenRecords()[:1]} {
+		if i == 2 {
+			if err := l.Close(); err != nil {
+				t.Fatal(err)
+			}
+		}
+		for _, r := range batch {
+			l.Append(r)
+		}
+		if err := l.Flush(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	names, err := store.OS{}.Names(dir)
+	if err != nil || len(names) != len(goldenFiles) {
+		t.Errorf("the folder holds %v, %v", names, err)
+	}
+	for name, as := range goldenFiles {
+		data, err := os.ReadFile(filepath.Join(dir, name))
+		if err != nil {
+			t.Error(err)
+		}
+		golden.Equal(t, as, data)
+	}
+}
+
+func TestGoldenFilesAreRead(t *testing.T) {
+	dir := t.TempDir()
+	for name, as := range goldenFiles {
+		put(t, dir, name, as)
+	}
+	want := append(goldenRecords(), goldenRecords()[0])
+	if got := read(t, goldenOptions(dir, goldenBoot)); !reflect.DeepEqual(got, Found{Records: want}) {
+		t.Errorf("the committed files read as %+v", got)
+	}
+	for i := range want {
+		want[i].At = affinity.LongAgo
+	}
+	if got := read(t, goldenOptions(dir, goldenPast)); !reflect.DeepEqual(got, Found{Records: want}) {
+		t.Errorf("in another run of the machine they read as %+v", got)
+	}
+}
+
+// What an inspection says in JSON of whole files, of one that is damaged and cut, and was kept aside, and of a newer and a foreign one.
+func TestGoldenInspection(t *testing.T) {
+	dir := t.TempDir()
+	for name, as := range goldenFiles {
+		put(t, dir, name, as)
+	}
+	damaged := bytes.Clone(golden.Read(t, "tielog/first"))
+	damaged[headerSize] ^= 1
+	for name, content := range map[string][]byte{
+		"b.ties": damaged[:len(damaged)-3], "c.ties": []byte("appleledge-ties 2 and what follows"), "d.ties": []byte("noise"), "e.txt": nil,
+	} {
+		if err := os.WriteFile(filepath.Join(dir, name), content, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	found, err := open(t, goldenOptions(dir, goldenBoot)).Read()
+	if want := []string{filepath.Join(dir, "b.ties.damaged")}; err == nil || found.Damaged != 1 || !reflect.DeepEqual(found.Aside, want) {
+		t.Errorf("before the newer file %+v was read, and then %v", found, err)
+	}
+	reports, err := Inspect(store.OS{}, dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.MarshalIndent(reports, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, r := range reports {
+		text = fmt.Appendf(text, "\n%s: %v", r.Name, r.Records)
+	}
+	golden.Equal(t, "tielog/inspection", append(text, '\n'))
+}
+
+// The secret that is made is chance; what is written of it has the form of the committed one.
+func TestGoldenSecret(t *testing.T) {
+	secret := affinity.Secret{0xf1, 0xf2, 0xf3, 0xf4, 0xf5, 0xf6, 0xf7, 0xf8, 0xf9, 0xfa, 0xfb, 0xfc, 0xfd, 0xfe, 0xff, '\n'}
+	save := func(s affinity.Secret) []byte {
+		t.Helper()
+		f := store.File{Path: filepath.Join(t.TempDir(), "any"), FS: store.OS{}}
+		if err := f.Save(s[:]); err != nil {
+			t.Fatal(err)
+		}
+		data, err := os.ReadFile(f.Path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return data
+	}
+	golden.Equal(t, "tielog/secret", save(secret))
+	made := t.TempDir()
+	s, err := Secret(goldenOptions(made, goldenBoot))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if data, err := os.ReadFile(filepath.Join(made, "secret")); err != nil || !bytes.Equal(data, save(s)) {
+		t.Errorf("the secret that was made is kept as %q, %v", data, err)
+	}
+	dir := t.TempDir()
+	put(t, dir, "secret", "tielog/secret")
+	if got, err := Secret(goldenOptions(dir, goldenBoot)); err != nil || got != secret {
+		t.Errorf("the committed secret reads as %x, %v", got, err)
+	}
+	golden.Equal(t, "tielog/key", fmt.Appendf(nil, "%016x\n", secret.Key("a repeat key")))
+}
