--- /dev/null
+++ b/internal/fleet/kept/golden_test.go
@@ -0,0 +1,90 @@
+package kept
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"appleledge/internal/bans"
+	"appleledge/internal/fleet/recovery"
+	"appleledge/internal/golden"
+	"appleledge/internal/membership/listing"
+	"appleledge/internal/store"
+)
+
+// full is a document in which each field has a value of its own.
+func full() Document {
+	return Document{
+		Form: 1, Agent: "n0 127.0.0.1:8081", Run: "5f1c3a52-6c1e-4c0f-9d55-0123456789ab", SinceBoot: 61_000, Writes: 7, Version: 41, Use: 0.51,
+		Servers: []listing.Entry{
+			{ID: "s-1", Addr: "127.0.0.1:9001", Zone: "zone-a", Kind: "twin-core", Cell: 2, State: "Ready", Weight: 1.25, StartedMS: 1_790_000_000_001},
+			{ID: "s-2", Addr: "127.0.0.1:9002", Zone: "zone-b", Kind: "quad-core", Cell: 3, State: "Terminating", Weight: 2.5, StartedMS: 1_790_000_000_002},
+		},
+		Capacity: map[string]float64{"s-1": 45, "s-2": 46.5},
+		Usual:    map[string]float64{"form-check": 40, "refund-record": 0.75},
+		Bans:     bans.State{Out: map[string]int64{"s-3": 1_790_000_000_003}, Back: map[string]int64{"s-1": 1_790_000_000_004}, Seen: []string{"s-1", "s-2", "s-3"}},
+	}
+}
+
+// The whole file, with the store's first line.
+func TestGoldenFile(t *testing.T) {
+	written := full()
+	written.Form = 0 // which is set as it is kept
+	text, err := written.Text()
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := store.File{Path: filepath.Join(t.TempDir(), "any"), FS: store.OS{}}
+	if err := f.Save(text); err != nil {
+		t.Fatal(err)
+	}
+	data, err := os.ReadFile(f.Path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "kept/document", data)
+
+	if err := os.WriteFile(f.Path, golden.Read(t, "kept/document"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	text, err = f.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	read, err := Parse(text)
+	if err != nil || !reflect.DeepEqual(read, full()) {
+		t.Fatalf("the committed document reads as %+v, %v", read, err)
+	}
+	if trust, why := read.Judge(Now{Agent: read.Agent, Run: read.Run, SinceBoot: 62 * time.Second}); trust != Complete || why != "it was written 1s ago" {
+		t.Errorf("it is trusted %v: %s", trust, why)
+	}
+	want := recovery.Before{Use: 0.51, Usual: []float64{0.75, 40}, Servers: []recovery.BeforeServer{
+		{ID: "s-1", Cell: 2, Ready: true, Capacity: 45}, {ID: "s-2", Cell: 3, Capacity: 46.5}}}
+	if got := read.Before([]string{"refund-record", "form-check"}); !reflect.DeepEqual(got, want) {
+		t.Errorf("a recovery goes by %+v", got)
+	}
+}
+
+// The least document: what may be left out is not written.
+func TestGoldenLeastDocument(t *testing.T) {
+	least := Document{Form: 1, Agent: "n1", Run: "run"}
+	text, err := least.Text()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "kept/least.json", text)
+	if read, err := Parse(golden.Read(t, "kept/least.json")); err != nil || !reflect.DeepEqual(read, least) {
+		t.Errorf("the committed document reads as %+v, %v", read, err)
+	}
+}
+
+// What the log says of trust.
+func TestGoldenTrust(t *testing.T) {
+	got := ""
+	for trust := None; trust <= Complete; trust++ {
+		got += trust.String() + "\n"
+	}
+	golden.Equal(t, "kept/trust", []byte(got))
+}
