--- /dev/null
+++ b/internal/generation/golden_test.go
@@ -0,0 +1,172 @@
+package generation
+
+import (
+	"encoding/json"
+	"errors"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"appleledge/internal/fleetconfig"
+	"appleledge/internal/golden"
+	"appleledge/internal/store"
+)
+
+// full is a configuration with all that there is, which fits the names of these tests.
+func full() *fleetconfig.Config {
+	n := 7
+	return normal(fleetconfig.Config{
+		Pools: []fleetconfig.Pool{{Name: "p", Selector: fleetconfig.Selector{Kinds: []string{"twin-core"}, Zones: []string{"a"}, Pods: []int{1, 2},
+			IDs: []string{"s-1", "s-2"}, Networks: []netip.Prefix{netip.MustParsePrefix("127.0.1.0/24")}}}},
+		Routes: []fleetconfig.Route{{Name: "r", Priority: 3, Class: "form-check", Tenant: "glasgow", PathPrefix: "/form", Headers: map[string]string{"X-Attrs": "4"},
+			To: []fleetconfig.Target{{Pool: "p", Weight: 5}, {Pool: "all", Weight: 6}}}},
+		Limits: []fleetconfig.Limit{{Name: "l", Class: "refund-record", Tenant: "lerwick", InFlight: &n, Rate: 8.5, Burst: 9, Attempts: 2,
+			ComeBack: fleetconfig.Time(300 * time.Millisecond)}},
+		Drains:    []fleetconfig.Drain{{Name: "d", Share: 0.25, Selector: fleetconfig.Selector{Zones: []string{"b"}}}},
+		Deadlines: []fleetconfig.Deadline{{Name: "t", Class: "form-check", Tenant: "wick", AtMost: fleetconfig.Time(450 * time.Millisecond)}},
+		Rollout:   &fleetconfig.Rollout{Step: 0.5, Wait: fleetconfig.Time(2 * time.Second)},
+		Watch:     &fleetconfig.Watch{For: fleetconfig.Time(20 * time.Second), FalseAlarms: 0.002},
+	})
+}
+
+// fullState is a state in which each field has a value of its own.
+func fullState() *State {
+	c, before := full(), toPool("wick", 40)
+	return &State{
+		Format: 1, Number: 12, Config: c.JSON(), Hash: c.Hash(), Previous: before.JSON(), Staged: "hash of what is staged",
+		Watching: &Watching{Step: 1, Before: []Share{{101, 1}, {102, 2}, {103, 3}, {104, 4}, {105, 5}, {106, 6}},
+			Limited: []float64{0.125, 0.25, 0.375, 0.5, 0.625, 0.75}},
+		Barred: map[string]string{"a hash": "and its harm", "another hash": "and its harm too"},
+		History: []Record{
+			{Number: 1, Hash: "h1", What: Applied, By: "ann", Why: "w1", UnixMS: 1_790_000_000_001},
+			{Number: 2, Hash: "h2", What: Kept, By: "ben", Why: "w2", UnixMS: 1_790_000_000_002},
+			{Number: 3, Hash: "h3", What: RolledBack, By: "cas", Why: "w3", UnixMS: 1_790_000_000_003},
+			{Number: 4, Hash: "h4", What: Harmed, By: "dan", Why: "w4", UnixMS: 1_790_000_000_004},
+			{Number: 5, Hash: "h5", What: Restarted, By: "eve", Why: "w5", UnixMS: 1_790_000_000_005},
+			{Number: 6, Hash: "h6", What: Dropped, By: "fay", Why: "w6", UnixMS: 1_790_000_000_006},
+			{Number: 7, Hash: "h7", What: Applied},
+		},
+	}
+}
+
+// kept is a state's whole file, as agents keep it.
+func kept(t *testing.T, s *State) []byte {
+	t.Helper()
+	doc, err := json.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := store.File{Path: filepath.Join(t.TempDir(), "any"), FS: store.OS{}}
+	if err := f.Save(doc); err != nil {
+		t.Fatal(err)
+	}
+	data, err := os.ReadFile(f.Path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// committed reads a state's committed file, as agents do.
+func committed(t *testing.T, name string) *State {
+	t.Helper()
+	f := store.File{Path: filepath.Join(t.TempDir(), "any"), FS: store.OS{}}
+	if err := os.WriteFile(f.Path, golden.Read(t, name), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	doc, err := f.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := DecodeState(doc)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+func TestGoldenState(t *testing.T) {
+	golden.Equal(t, "generation/state", kept(t, fullState()))
+	if got := committed(t, "generation/state"); !reflect.DeepEqual(got, fullState()) {
+		t.Errorf("the committed state reads as %+v", got)
+	}
+	c := fleetconfig.Config{} // the least: what may be left out is not written
+	least := &State{Format: 1, Config: c.JSON(), Hash: c.Hash()}
+	golden.Equal(t, "generation/least-state", kept(t, least))
+	if got := committed(t, "generation/least-state"); !reflect.DeepEqual(got, least) {
+		t.Errorf("the committed least state reads as %+v", got)
+	}
+}
+
+// A newer form is told by its number alone, whatever else is in it. The committed file was made by hand: this program can't write one.
+func TestGoldenNewerState(t *testing.T) {
+	if _, err := DecodeState(golden.Read(t, "generation/newer-state.json")); !errors.Is(err, ErrNewer) {
+		t.Errorf("got %v", err)
+	}
+}
+
+// goldenManager has kept a change, rolled one back for its harm and one by an operator's word; it watches one, at the second step of its
+// rollout, and has another staged.
+func goldenManager(t *testing.T) *Manager {
+	x := newTrial(1, 300)
+	x.m.options.UnixMS = goldenMS
+	x.run(65 * time.Second)
+	apply(t, x.m, x.now, toPool("glasgow", 50))
+	x.run(35 * time.Second)
+	apply(t, x.m, x.now, toPool("wick", 100))
+	x.bad = pooled(1, 0.01)
+	x.run(10 * time.Second)
+	x.bad = pooled(0.01, 0.01)
+	apply(t, x.m, x.now, toPool("lerwick", 100))
+	x.run(time.Second)
+	if err := x.m.Rollback(x.now, "ann", "a word"); err != nil {
+		t.Fatal(err)
+	}
+	limited := inFlightLimit(40, "wick")
+	limited.Limits[0].InFlight, limited.Limits[0].Rate, limited.Limits[0].Burst = nil, 90, 90
+	limited.Drains = []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Zones: []string{"b"}}}}
+	limited.Rollout = &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Time(2 * time.Second)}
+	apply(t, x.m, x.now, limited)
+	x.run(3 * time.Second)
+	ready, err := compileFor(full(), x.m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := x.m.Stage(ready, x.m.version, "ben", limited.Hash(), true); err != nil {
+		t.Fatal(err)
+	}
+	return x.m
+}
+
+func goldenMS(now time.Duration) int64 { return 1_790_000_000_000 + now.Milliseconds() }
+
+func TestGoldenStateOfAManager(t *testing.T) {
+	m := goldenManager(t)
+	golden.Equal(t, "generation/state-of-a-manager", kept(t, m.State()))
+	for _, word := range []string{Applied, Kept, RolledBack, Harmed} {
+		if m.counts[word] == 0 {
+			t.Errorf("nothing was %s", word)
+		}
+	}
+	read := committed(t, "generation/state-of-a-manager")
+	if w := read.Watching; w == nil || w.Step != 1 || read.Staged == "" || read.Previous == nil || len(read.Barred) != 1 {
+		t.Fatalf("the committed state reads as %+v", read)
+	}
+	next := newManager()
+	next.options.UnixMS = goldenMS
+	fleet, _ := m.Servers()
+	next.Listed(fleet)
+	if err := next.Restore(time.Minute, read); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "generation/state-taken-over", kept(t, next.State()))
+	status, err := json.MarshalIndent(next.Status(time.Minute), "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "generation/status-taken-over.json", append(status, []byte("\n"+strings.Join(next.Moved(), " ")+"\n")...))
+}
