--- /dev/null
+++ b/internal/fleet/word/golden_test.go
@@ -0,0 +1,13 @@
+package word
+
+import (
+	"fmt"
+	"testing"
+
+	"appleledge/internal/golden"
+)
+
+// The kinds of facts and the names of servers in them are as they were.
+func TestGoldenFacts(t *testing.T) {
+	golden.Equal(t, "fleet/word/facts.txt", fmt.Appendf(nil, "drains %d\nanswers %d\ns-1 %016x\n", Drains, Answers, Server("s-1")))
+}
