--- /dev/null
+++ b/internal/admin/golden_test.go
@@ -0,0 +1,148 @@
+package admin
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"testing"
+	"time"
+
+	"appleledge/internal/fleetconfig"
+	"appleledge/internal/generation"
+	"appleledge/internal/golden"
+	"appleledge/internal/plan"
+	"appleledge/internal/store/faultfs"
+)
+
+// Each value of a call has the committed bytes with all its fields set, and these are read as the same value.
+func TestGoldenValues(t *testing.T) {
+	config, err := fleetconfig.Decode(golden.Read(t, "fleetconfig/config.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	p, err := plan.Decode(golden.Read(t, "plan/full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, v := range map[string]any{
+		"status": &Status{Agent: "n0", Status: generation.Status{Number: 1, Hash: "h-2", Before: "h-3", Staged: "h-4", Watched: true, WatchFor: 5.5,
+			Out: 0.625, Drained: 7, Refused: 8, Open: map[uint64]int{9: 10, 11: 12}, Barred: 13, Servers: 14},
+			Lock: &Lock{By: "ann", LeftS: 15.5}, Durable: true, Problem: "a problem"},
+		"config":           &Config{Number: 16, Hash: "h-17", Config: config},
+		"history":          &[]generation.Record{{Number: 18, Hash: "h-19", What: generation.Harmed, By: "bob", Why: "a reason", UnixMS: 1700000000020}},
+		"plan-request":     &PlanRequest{Config: config, MostTaken: 0.21},
+		"apply-request":    &ApplyRequest{Plan: p, By: "cat", Why: "another reason", Force: true},
+		"applied":          &Applied{Number: 22, Hash: "h-23", Durable: true, Problem: "another problem"},
+		"rollback-request": &RollbackRequest{By: "dan", Why: "a third reason"},
+		"lock-request":     &LockRequest{By: "eve", For: "24m"},
+		"lock":             &Lock{By: "fay", LeftS: 25.5},
+		"problem":          &Problem{Kind: KindMoved, Error: "a third problem", Moved: []string{"s-26", "s-27"}},
+	} {
+		data, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Equal(t, "admin/"+name+".json", data)
+		got := reflect.New(reflect.TypeOf(v).Elem()).Interface()
+		if err := fleetconfig.Strict(bytes.NewReader(golden.Read(t, "admin/"+name+".json")), got); err != nil || !reflect.DeepEqual(got, v) {
+			t.Errorf("%s is read as %+v, %v", name, got, err)
+		}
+	}
+}
+
+// roundTrip answers the client's requests without a socket.
+type roundTrip func(*http.Request) (*http.Response, error)
+
+func (r roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return r(q) }
+
+// broken is a disk that takes nothing, and an engine that has ended.
+type broken struct{ err error }
+
+func (b broken) Save([]byte) error { return b.err }
+func (b broken) Command(context.Context, func(time.Duration, *generation.Manager)) error {
+	return b.err
+}
+
+// What a client sends and what the agent answers, over the life of a change, is as it was, to the byte.
+func TestGoldenExchange(t *testing.T) {
+	x := start(t, faultfs.New(1), 6)
+	x.Now = func() time.Time { return time.UnixMilli(1700000000123) }
+	handler := (&Server{Changes: x.Changes}).handler()
+	var transcript bytes.Buffer
+	client := &Client{http.Client{Transport: roundTrip(func(q *http.Request) (*http.Response, error) {
+		body := []byte{}
+		if q.Body != nil {
+			var err error
+			if body, err = io.ReadAll(q.Body); err != nil {
+				return nil, err
+			}
+		}
+		w := httptest.NewRecorder()
+		handler.ServeHTTP(w, httptest.NewRequest(q.Method, q.URL.Path, bytes.NewReader(body)))
+		fmt.Fprintf(&transcript, "%s %s\n%s\n%d %s\n%s\n", q.Method, q.URL, body, w.Code, w.Header().Get("Content-Type"), w.Body)
+		return w.Result(), nil
+	})}}
+	call := func(status int, method, path string, body, into any) {
+		t.Helper()
+		err := client.Call(t.Context(), method, path, body, into)
+		got := http.StatusOK
+		if e, ok := errors.AsType[*CallError](err); ok {
+			got = e.Status
+			fmt.Fprintf(&transcript, "error: %v\n\n", err)
+		} else if err != nil {
+			t.Fatal(err)
+		}
+		if got != status {
+			t.Errorf("%s %s: %d, %v, not %d", method, path, got, err, status)
+		}
+	}
+	var status Status
+	var config Config
+	var history []generation.Record
+	var p plan.Plan
+	var applied Applied
+	var lock Lock
+	look := func() {
+		t.Helper()
+		call(200, "GET", PathStatus, nil, &status)
+		call(200, "GET", PathConfig, nil, &config)
+		call(200, "GET", PathHistory, nil, &history)
+	}
+	look()
+	call(200, "POST", PathCheck, PlanRequest{Config: drainPod(1)}, &config)
+	call(422, "POST", PathCheck, PlanRequest{Config: &fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d"}}}}, &config)
+	call(200, "POST", PathPlan, PlanRequest{Config: drainPod(1), MostTaken: 0.25}, &p)
+	call(200, "POST", PathLock, LockRequest{By: "ann", For: "5m"}, &lock)
+	call(403, "POST", PathLock, LockRequest{By: "bob", For: "5m"}, &lock)
+	call(403, "POST", PathApply, ApplyRequest{Plan: &p, By: "bob"}, &applied)
+	call(200, "POST", PathApply, ApplyRequest{Plan: &p, By: "ann", Why: "pod 1 is ill"}, &applied)
+	look()
+	call(409, "POST", PathApply, ApplyRequest{Plan: &p, By: "ann"}, &applied)
+	call(200, "DELETE", PathLock, LockRequest{By: "ann"}, &struct{}{})
+	call(200, "POST", PathRollback, RollbackRequest{By: "bob", Why: "it is well"}, &applied)
+	call(403, "POST", PathRollback, RollbackRequest{By: "bob"}, &applied)
+	call(400, "POST", PathRollback, RollbackRequest{}, &applied)
+	call(400, "POST", PathPlan, PlanRequest{}, &p)
+	call(400, "POST", PathPlan, map[string]int{"other": 1}, &p)
+	call(400, "POST", PathApply, ApplyRequest{By: "bob"}, &applied)
+	call(400, "POST", PathLock, LockRequest{By: "bob", For: "long"}, &lock)
+	altered := p
+	altered.Agent = "n1"
+	call(400, "POST", PathApply, ApplyRequest{Plan: &altered, By: "bob"}, &applied)
+	call(200, "POST", PathPlan, PlanRequest{Config: drainPod(2), MostTaken: 0.25}, &p)
+	x.Keeper = broken{errors.New("no space left")}
+	call(507, "POST", PathApply, ApplyRequest{Plan: &p, By: "bob"}, &applied)
+	look()
+	x.Keeper = nil
+	call(200, "POST", PathApply, ApplyRequest{Plan: &p, By: "bob"}, &applied)
+	look()
+	x.Engine = broken{errors.New("the agent ends")}
+	call(503, "GET", PathStatus, nil, &status)
+	golden.Equal(t, "admin/exchange.txt", transcript.Bytes())
+}
