--- a/internal/agent/golden_fleet_test.go
+++ b/internal/agent/golden_fleet_test.go
@@ -1,11 +1,14 @@
 package agent
 
 import (
+	"bytes"
 	"encoding/json"
+	"slices"
 	"testing"
 
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/golden"
+	"appleledge/internal/testbed"
 )
 
 // What is held of overload is shown to operators as it was, each figure in its place.
@@ -22,3 +25,22 @@
 	}
 	golden.Equal(t, "operator/overload.json", data)
 }
+
+// A platform's file that states what agents need to talk to each other is read key by key. Most of its keys are fields without a tag.
+func TestGoldenPlatformFile(t *testing.T) {
+	for _, may := range []bool{false, true} {
+		text := golden.Read(t, "agent/platform-peers.json")
+		if !may {
+			text = bytes.Replace(text, []byte(`"Peers":true`), []byte(`"Peers":false`), 1)
+		}
+		cfg, err := parseConfig(text, testbed.NoEnv)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if cfg.MayTell != may || cfg.PeerListen != "10.0.0.4:7946" || !slices.Equal(cfg.Peers, []string{"10.0.0.4:7946", "10.0.0.5:7947"}) ||
+			cfg.Name != "n7" || cfg.Listen != "127.0.0.1:8001" || cfg.Discovery != "127.0.0.1:8002" || cfg.Operator != "127.0.0.1:8003" ||
+			cfg.Seed != 0x0123456789abcdef || cfg.Cores != 1.5 || cfg.MemoryMB != 193 || cfg.Sockets != 1025 {
+			t.Errorf("read as %+v", cfg)
+		}
+	}
+}
