--- a/internal/generation/golden_newer_test.go
+++ b/internal/generation/golden_newer_test.go
@@ -6,7 +6,7 @@
 )
 
 // A state of a newer form is told by its key "format", which is read through a field without a tag.
-func TestGoldenNewerState(t *testing.T) {
+func TestGoldenStateFormNumber(t *testing.T) {
 	if _, err := DecodeState([]byte(`{"format":2,"number":"of another kind"}`)); !errors.Is(err, ErrNewer) {
 		t.Errorf("a state of a newer form: %v", err)
 	}
