--- a/internal/rig/processes/fleet.go
+++ b/internal/rig/processes/fleet.go
@@ -441,6 +441,7 @@
 	testbed.Eventually(a.fleet.t, fmt.Sprintf("agent %d is ready", a.Number), func() bool {
 		select {
 		case err := <-a.ended:
+			a.cmd = nil // nobody else is to wait for its end
 			a.fleet.t.Fatalf("agent %d has ended: %v\n%s", a.Number, err, a.Log)
 		default:
 		}
