--- a/cmd/appleledge/fleet_overload_test.go
+++ b/cmd/appleledge/fleet_overload_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"os"
-	"runtime"
 	"syscall"
 	"testing"
 	"time"
@@ -56,8 +55,6 @@
 	const calm, heavy = 40.0, 240.0 // servers do some 110 a second
 	all := func(int) bool { return true }
 	strict := os.Getenv("FLEET_MEASURE") != ""
-	// A fleet has a core for each agent: with eight fleets on eight cores, each case was the load that another took for a stall.
-	room := make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/agents))
 	lose := func(part float64) func(*processes.Fleet) {
 		return func(f *processes.Fleet) {
 			f.Net.Set(func(_, _ int) processes.Weather { return processes.Weather{Lose: part} })
@@ -109,8 +106,6 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			room <- struct{}{}
-			t.Cleanup(func() { <-room })
 			if c.with == nil {
 				c.with = all
 			}
