--- /dev/null
+++ b/internal/telemetry/golden_test.go
@@ -0,0 +1,147 @@
+package telemetry
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"appleledge/internal/affinity"
+	"appleledge/internal/engine"
+	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/recovery"
+	"appleledge/internal/fleet/share"
+	"appleledge/internal/generation"
+	"appleledge/internal/golden"
+	"appleledge/internal/join"
+	"appleledge/internal/pool"
+	"appleledge/internal/storm"
+	"appleledge/internal/testbed"
+	"appleledge/internal/wire"
+	"appleledge/logic"
+)
+
+var goldenClasses = []string{"form-check", "refund-record"}
+
+func goldenPeers() *peer.Status {
+	return &peer.Status{Listening: true, Alive: 2, States: []peer.State{peer.Unknown, peer.Alive, peer.Alive, peer.Suspect, peer.Suspect, peer.Suspect,
+		peer.Dead, peer.Dead, peer.Dead, peer.Dead, peer.Left, peer.Left, peer.Left, peer.Left, peer.Left},
+		Counts: peer.Counts{Probes: 401, Unanswered: 402, Suspected: 403, Died: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Taken: 408,
+		Dropped: map[string]uint64{"forged": 409, "not of now": 410}}
+}
+
+func goldenShares() *share.Status {
+	return &share.Status{Trust: 0.51, Limit: 502, Capacity: 503, Use: 0.54, Gain: 0.55, Chances: []float64{0.56, 0.57}, Refused: 0.58,
+		Asked: share.Asked{All: 509, LetIn: 510, Open: 511, Extra: 512, Good: 513, Late: 514, Heard: 515, Alive: 516},
+		Held:  []string{"s-1", "s-2", "s-3"},
+		Counts: share.Counts{Refused: [][2]uint64{{517, 518}, {519, 520}}, Alone: 521, Late: 522, Unsent: 523, Told: 524,
+			Picture: share.PictureCounts{Bounded: 525, Malformed: 526}}}
+}
+
+// Each part of the page from fixed counts, none of which is zero; maps come in any order, so the lines of a part are sorted.
+func TestGoldenFigures(t *testing.T) {
+	s := &Server{Peers: goldenPeers, Shares: goldenShares}
+	var all strings.Builder
+	part := func(write func(page)) {
+		var out bytes.Buffer
+		write(page{&out})
+		all.WriteString(sortedLines(out.String()))
+	}
+	part(func(p page) {
+		s.pool(p, pool.Counts{Open: 30, Idle: 12, Dials: 103, Failed: 104, Reused: 105, Dead: 106, NoRoom: 107})
+	})
+	times := func(from time.Duration) engine.Times {
+		return engine.Times{Count: uint64(from), Sum: from * time.Second, Quantiles: map[float64]time.Duration{
+			0.5: from * time.Millisecond, 0.9: 2 * from * time.Millisecond, 0.99: 3 * from * time.Millisecond}}
+	}
+	part(func(p page) {
+		s.tally(p, engine.Tally{Classes: goldenClasses, Answers: [][4]uint64{{111, 112, 113, 114}, {115, 116, 117, 118}}, Left: []uint64{119, 120},
+			Open: 121, Written: 122, Attempts: [8]uint64{131, 132, 133, 134, 135, 136, 137, 138}, Sends: [3]uint64{141, 142, 143}, Cold: 144,
+			GivenUp: [5]uint64{151, 152, 153, 154, 155}, Times: []engine.Times{times(161), times(171)}})
+	})
+	part(func(p page) {
+		s.joins(p, engine.Load{Joins: join.Counts{Flights: 181, Joined: 182, Alone: 183, Parted: 184, Again: 185, Private: 186, Shared: 187,
+			Waiting: 188, Groups: 189}})
+	})
+	for state := storm.Calm; state <= storm.Recovering; state++ {
+		part(func(p page) {
+			s.door(p, storm.Counts{State: state, Since: 201, Why: "why", Limit: 202, InFlight: 203, Refused: [][2]uint64{{204, 205}, {206, 207}},
+				Late: 208, Bound: 209, Storms: 210}, goldenClasses)
+		})
+	}
+	part(func(p page) {
+		s.generation(p, generation.Status{Number: 221, Watched: true, Drained: 222, Refused: 223, Barred: 224, Servers: 225,
+			Counts: map[string]uint64{generation.Applied: 226, generation.Kept: 227, generation.RolledBack: 228, generation.Harmed: 229}})
+	})
+	part(func(p page) {
+		s.ties(p, affinity.Counts{Entries: 241, Tied: 242, Lost: 243, Overflowed: 244, Evicted: 245, Unprotected: 246, Undurable: 247, Restored: 248})
+	})
+	for phase := recovery.Full; phase <= recovery.Proving; phase++ {
+		part(func(p page) {
+			s.recovery(p, &recovery.Status{Phase: phase, Why: "why", Since: 261, Rate: 262, Warm: 0.63, Servers: 264, Heard: 265,
+				Counts: recovery.Counts{Recoveries: 266, Trials: 267, Vain: 268, Refused: []uint64{269, 270}, LetIn: []uint64{271, 272}}}, goldenClasses)
+		})
+	}
+	part(s.peers)
+	part(func(p page) { s.overload(p, goldenClasses) })
+	golden.Equal(t, "telemetry/figures.prom", []byte(all.String()))
+}
+
+func sortedLines(text string) string {
+	return strings.Join(slices.Sorted(strings.Lines(text)), "")
+}
+
+// The whole page as it is served: its content type, and the series of an engine with an attempt in flight, without values.
+func TestGoldenSeries(t *testing.T) {
+	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	core, conns, _ := newEngine(t, site)
+	member := engine.Member{Server: logic.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}
+	core.Tell(engine.Listed{Members: []engine.Member{member}})
+	testbed.Eventually(t, "the engine is ready", core.Ready)
+	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Caller: make(ear, 1), Carrier: waits{}})
+	testbed.Eventually(t, "the attempt is out", func() bool { return core.Load().InFlight["s-1"] == 1 })
+	s := &Server{Engine: core, Pool: conns, Peers: goldenPeers, Shares: goldenShares, Log: slog.New(slog.DiscardHandler)}
+	ctx, stop := context.WithCancel(t.Context())
+	served := make(chan error, 1)
+	l := testbed.Listen(t)
+	go func(l net.Listener) { served <- s.Serve(ctx, l) }(l)
+	defer func() { stop(); <-served }()
+	resp, err := http.Get("http://" + l.Addr().String() + "/metrics")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	series := map[string]bool{}
+	for line := range strings.Lines(string(text)) {
+		if strings.HasPrefix(line, "process_") { // what there is hangs on the machine
+			continue
+		}
+		if strings.HasPrefix(line, "go_") { // the same of the compiler
+			continue
+		}
+		series[line[:strings.LastIndexByte(line, ' ')]+"\n"] = true
+	}
+	golden.Equal(t, "telemetry/series.txt", []byte(resp.Header.Get("Content-Type")+"\n"+strings.Join(slices.Sorted(maps.Keys(series)), "")))
+}
+
+// waits is a carrier whose attempts end with the engine.
+type waits struct{}
+
+func (waits) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
+	<-ctx.Done()
+	return engine.Outcome{Attempt: a, Result: logic.TimedOut, Report: logic.NoReport}
+}
