--- /dev/null
+++ b/internal/membership/listing/golden_test.go
@@ -0,0 +1,104 @@
+package listing
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"appleledge/internal/engine"
+	"appleledge/internal/golden"
+	"appleledge/logic"
+)
+
+func goldenEntries() map[string]Entry {
+	return map[string]Entry{
+		"s-1": {ID: "s-1", Addr: "10.0.0.1:8001", Zone: "edinburgh-dc", Kind: "twin-core", Cell: 1, State: "Ready", Weight: 1.5, StartedMS: 1764580000123},
+		"s-2": {ID: "s-2", Addr: "10.0.0.2:8002", Zone: "lerwick-dc", Kind: "quad-core", Cell: 2, State: "Ready", Weight: 2.5, StartedMS: 1764580000456},
+		"s-3": {ID: "s-3", Addr: "10.0.0.3:8003", Zone: "elsewhere", Kind: "octo-core", Cell: 3, State: "Terminating", Weight: 3.5},
+		"s-4": {ID: "s-4", Addr: "10.0.0.4:8004", Zone: "lerwick-dc", Kind: "twin-core", Cell: 4, State: "Ready", Weight: 4.5, StartedMS: 1764580000789},
+	}
+}
+
+func TestGoldenLists(t *testing.T) {
+	e := goldenEntries()
+	drains := e["s-1"]
+	drains.State = "Terminating"
+	for name, want := range map[string]List{
+		"full":    {Version: 41, Full: true, Servers: []Entry{e["s-1"], e["s-2"], e["s-3"]}},
+		"change":  {Version: 42, Servers: []Entry{e["s-4"]}},
+		"drain":   {Version: 43, Servers: []Entry{drains}},
+		"removal": {Version: 44, Servers: []Entry{{ID: "s-2", State: "Gone"}}},
+		"nothing": {Version: 44, Servers: []Entry{}},
+		"null":    {},
+	} {
+		got, err := Parse(golden.Read(t, "listing/"+name+".json"))
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %v\n got  %+v\n want %+v", name, err, got, want)
+		}
+	}
+}
+
+// goldenReader has a clock that starts at 1970, and lists whose clock is 100 ms ahead.
+func goldenReader() Reader {
+	var now time.Duration
+	return Reader{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.DrivenClock(&now), Off: 100 * time.Millisecond}
+}
+
+func TestGoldenMembers(t *testing.T) {
+	for name, want := range map[string][]engine.Member{
+		"full": {
+			{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: logic.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000023 * time.Millisecond}},
+			{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: logic.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000356 * time.Millisecond}},
+			{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: logic.Server{ID: "s-3", State: logic.Draining, Zone: -1, Cell: 3, Weight: 3.5}}},
+		"removal": {{Server: logic.Server{ID: "s-2", State: logic.Gone, Zone: -1}}},
+	} {
+		l, err := Parse(golden.Read(t, "listing/"+name+".json"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		members, bad := goldenReader().Members(l)
+		if !reflect.DeepEqual(members, want) || len(bad) > 0 {
+			t.Errorf("%s: %v\n got  %+v\n want %+v", name, bad, members, want)
+		}
+	}
+}
+
+// Entries that can't be used, by what is logged of them.
+func TestGoldenMalformedEntries(t *testing.T) {
+	l, err := Parse(golden.Read(t, "listing/malformed.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	members, bad := goldenReader().Members(l)
+	if len(members) != 1 || members[0].ID != "s-2" {
+		t.Errorf("%+v", members)
+	}
+	want := []string{"s-5", "s-6", "s-7"}
+	for i, b := range bad {
+		if i >= len(want) || b.ID != want[i] || b.Err == nil {
+			t.Errorf("entry %d: %q, %v", i, b.ID, b.Err)
+		}
+	}
+	if len(bad) != len(want) {
+		t.Errorf("%d entries are malformed", len(bad))
+	}
+}
+
+// Entries are also written, for agents that start with what others knew.
+func TestGoldenEntry(t *testing.T) {
+	r := goldenReader()
+	r.Off = 0
+	member := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: logic.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5,
+		Started: 1764580000456 * time.Millisecond}}
+	var out []byte
+	for _, state := range []logic.State{logic.Ready, logic.Draining, logic.Gone} {
+		member.State = state
+		text, err := json.Marshal(r.Entry(member))
+		if err != nil {
+			t.Fatal(err)
+		}
+		out = append(append(out, text...), '\n')
+	}
+	golden.Equal(t, "listing/entries.jsonl", out)
+}
--- /dev/null
+++ b/internal/membership/platform/golden_test.go
@@ -0,0 +1,159 @@
+package platform
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"appleledge/internal/engine"
+	"appleledge/internal/golden"
+	"appleledge/internal/membership"
+	"appleledge/internal/membership/listing"
+	"appleledge/internal/testbed"
+	"appleledge/logic"
+)
+
+// goldenAnswers answers calls with committed lists, by the version that they are asked from, and others with silence. It keeps what
+// was asked byte by byte, each call once: one that is late is made again.
+func goldenAnswers(t *testing.T, lists map[string]string) (addr string, asked func() string) {
+	t.Helper()
+	l := testbed.Listen(t)
+	answers := map[string][]byte{}
+	for since, name := range lists {
+		answers[since] = golden.Read(t, "listing/"+name+".json")
+	}
+	var mu sync.Mutex
+	var heads []string
+	serve := func(c net.Conn) {
+		defer c.Close()
+		for r := bufio.NewReader(c); ; {
+			head, err := readHead(r)
+			if err != nil {
+				return
+			}
+			mu.Lock()
+			if text := string(head); !strings.Contains(text, "timeout_ms=0") && !slices.Contains(heads, text) {
+				heads = append(heads, text)
+			}
+			mu.Unlock()
+			since := ""
+			if from := regexp.MustCompile(`since=(\d+)`).FindSubmatch(head); from != nil {
+				since = string(from[1])
+			}
+			if body, ok := answers[since]; ok {
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nDate: Mon, 01 Dec 2025 09:06:40 GMT\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+			}
+		}
+	}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go serve(c)
+		}
+	}()
+	return l.Addr().String(), func() string {
+		mu.Lock()
+		defer mu.Unlock()
+		return strings.ReplaceAll(strings.Join(heads, ""), l.Addr().String(), "ADDR")
+	}
+}
+
+func readHead(r *bufio.Reader) (head []byte, err error) {
+	for !bytes.HasSuffix(head, []byte("\r\n\r\n")) {
+		line, err := r.ReadSlice('\n')
+		if err != nil {
+			return nil, err
+		}
+		head = append(head, line...)
+	}
+	return head, nil
+}
+
+// A pushed list from the committed answers: what the sink is told, what is asked, and what is logged.
+func TestGoldenPushedList(t *testing.T) {
+	addr, asked := goldenAnswers(t, map[string]string{"": "full", "41": "change", "42": "drain", "43": "removal", "44": "malformed"})
+	var log testbed.LockedBuffer
+	var now time.Duration
+	to := testbed.NewSink()
+	d := New(Options{Addr: addr, Zones: []string{"edinburgh-dc", "lerwick-dc"}}, engine.DrivenClock(&now),
+		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
+	follow(t, d, to)
+	first := engine.Member{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: logic.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000123 * time.Millisecond}}
+	second := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: logic.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000456 * time.Millisecond}}
+	third := engine.Member{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: logic.Server{ID: "s-3", State: logic.Draining, Zone: -1, Cell: 3, Weight: 3.5}}
+	fourth := engine.Member{Addr: "10.0.0.4:8004", Kind: "twin-core", Server: logic.Server{ID: "s-4", Zone: 1, Cell: 4, Weight: 4.5, Started: 1764580000789 * time.Millisecond}}
+	drains := first
+	drains.State = logic.Draining
+	for i, want := range []membership.Update{
+		{Full: true, Members: []engine.Member{first, second, third}},
+		{Members: []engine.Member{fourth}},
+		{Members: []engine.Member{drains}},
+		{Members: []engine.Member{{Server: logic.Server{ID: "s-2", State: logic.Gone, Zone: -1}}}},
+		{Members: []engine.Member{second}, Stand: []string{"s-5", "s-6", "s-7"}},
+	} {
+		if got := next(t, to); !reflect.DeepEqual(got, want) {
+			t.Errorf("update %d:\n got  %+v\n want %+v", i, got, want)
+		}
+	}
+	testbed.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=45") })
+	golden.Equal(t, "platform/pushed_requests.txt", []byte(asked()))
+	golden.Equal(t, "platform/pushed.log", []byte(log.String()))
+}
+
+// An asked list: how long a watch waits is drawn, so the number is left out.
+func TestGoldenAskedList(t *testing.T) {
+	addr, asked := goldenAnswers(t, map[string]string{"": "full", "41": "nothing"})
+	var now time.Duration
+	d := New(Options{Addr: addr, Asked: true}, engine.DrivenClock(&now), slog.New(slog.DiscardHandler))
+	follow(t, d, testbed.NewSink())
+	d.Ask()
+	testbed.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=44") })
+	golden.Equal(t, "platform/asked_requests.txt", []byte(regexp.MustCompile(`timeout_ms=\d+`).ReplaceAllString(asked(), "timeout_ms=N")))
+}
+
+// What is logged when discovery is out of reach and back, when the clock is off, and when nothing is said of a whole list.
+func TestGoldenLog(t *testing.T) {
+	var log testbed.LockedBuffer
+	var now time.Duration
+	d := New(Options{Addr: "127.0.0.1:1", Dated: true, Known: listing.List{Version: 40}}, engine.DrivenClock(&now),
+		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
+	d.to = testbed.NewSink()
+	d.outOfReach(context.DeadlineExceeded)
+	full, err := listing.Parse(golden.Read(t, "listing/full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, a := range []answer{
+		{whole: true, list: full, date: "Thu, 01 Jan 1970 01:00:00 GMT"},
+		{whole: true, list: listing.List{Version: 42}},
+		{list: listing.List{Version: 40}},
+		{err: http.ErrServerClosed},
+	} {
+		if err := d.taken(a); err != nil {
+			fmt.Fprintln(&log, err)
+		}
+	}
+	fmt.Fprintln(&log, d.catchUp()) // the query of a call for what is new now
+	golden.Equal(t, "platform/outage.log", []byte(log.String()))
+}
+
+func withoutTime(_ []string, a slog.Attr) slog.Attr {
+	if a.Key == slog.TimeKey {
+		return slog.Attr{}
+	}
+	return a
+}
