--- /dev/null
+++ b/cmd/appleledgectl/golden_texts_test.go
@@ -0,0 +1,18 @@
+package main
+
+import (
+	"fmt"
+	"testing"
+
+	"appleledge/internal/affinity"
+	"appleledge/internal/golden"
+)
+
+// The kinds of records, by the numbers that the log of ties has.
+func TestGoldenTexts(t *testing.T) {
+	var out []byte
+	for _, kind := range []affinity.Kind{affinity.Began, affinity.Cleared, affinity.EndedServed, affinity.EndedFailed} {
+		out = fmt.Appendf(out, "kind %d %s\n", kind, kindNames[kind])
+	}
+	golden.Equal(t, "texts/appleledgectl.txt", out)
+}
--- /dev/null
+++ b/internal/handover/golden_texts_test.go
@@ -0,0 +1,16 @@
+package handover
+
+import (
+	"fmt"
+	"testing"
+
+	"appleledge/internal/golden"
+)
+
+func TestGoldenTexts(t *testing.T) {
+	var out []byte
+	for i, p := range []Phase{Starting, Serving, Leaving, Leaving + 1} {
+		out = fmt.Appendf(out, "phase %d %d %v\n", i, p, p)
+	}
+	golden.Equal(t, "texts/handover.txt", out)
+}
--- /dev/null
+++ b/internal/httpfront/framing/golden_texts_test.go
@@ -0,0 +1,13 @@
+package framing
+
+import (
+	"fmt"
+	"testing"
+
+	"appleledge/internal/golden"
+)
+
+// Verdicts are the bodies of answers to requests that could be read in two ways.
+func TestGoldenTexts(t *testing.T) {
+	golden.Equal(t, "texts/framing.txt", fmt.Appendf(nil, "both %q\nlengths %q\nfolded %q\ncoding %q\nlost %q\n", Both, Lengths, Folded, Coding, Lost))
+}
--- /dev/null
+++ b/logic/golden_texts_test.go
@@ -0,0 +1,21 @@
+package logic
+
+import (
+	"fmt"
+	"testing"
+
+	"appleledge/internal/golden"
+)
+
+// Names of results and reasons, for logs, figures and metrics, by their numbers.
+func TestGoldenTexts(t *testing.T) {
+	var out []byte
+	for i, r := range []Result{OK, Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent} {
+		out = fmt.Appendf(out, "result %d %d %s\n", i, r, Results[r])
+	}
+	for i, r := range []Reason{Overload, Withheld, NoServer, NoBudget, Spent} {
+		out = fmt.Appendf(out, "reason %d %d %s\n", i, r, Reasons[r])
+	}
+	out = fmt.Appendf(out, "%d results, %d reasons\n", len(Results), len(Reasons))
+	golden.Equal(t, "texts/logic.txt", out)
+}
