--- /dev/null
+++ b/internal/agent/golden_texts_test.go
@@ -0,0 +1,107 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"appleledge/internal/engine"
+	"appleledge/internal/fleet/recovery"
+	"appleledge/internal/golden"
+	"appleledge/internal/storm"
+	"appleledge/internal/testbed"
+	"appleledge/internal/wire"
+	"appleledge/logic"
+)
+
+// The keys that the platform may leave out of a configuration.
+func TestGoldenOptionalKeys(t *testing.T) {
+	golden.Equal(t, "agent/optional_keys.txt", fmt.Appendf(nil, "%q\n", optional))
+}
+
+// stormy is a door that counts what the test says.
+type stormy struct{}
+
+func (stormy) Arrive(time.Duration, storm.Ask) (*storm.Pass, storm.Refusal) {
+	return nil, storm.Refusal{}
+}
+func (stormy) Done(time.Duration, *storm.Pass, storm.End) {}
+func (stormy) Counts() storm.Counts {
+	return storm.Counts{State: storm.Storm, Since: 1, Why: "hardly anything is served in time", Limit: 2.25, InFlight: 3,
+		Refused: [][2]uint64{{4, 5}, {6, 7}, {8, 9}}, Late: 10, Bound: 11, Storms: 12}
+}
+
+// The line of the storm watch, but for its time and how long the state has lasted.
+func TestGoldenStormLine(t *testing.T) {
+	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	balancer, err := logic.New(site.Logic, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, clock := goldenCounters(t), engine.NewClock()
+	core := engine.New(balancer, clock, f.conns, slog.New(slog.DiscardHandler))
+	core.Count(site.Logic.Classes)
+	core.Guard(stormy{})
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { defer close(done); core.Run(ctx) }()
+	log := &testbed.LockedBuffer{}
+	logged := make(chan struct{})
+	go func() {
+		defer close(logged)
+		logStorms(ctx, core, clock, time.Hour, slog.New(slog.NewTextHandler(log, nil)))
+	}()
+	testbed.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
+	stop()
+	<-done
+	<-logged
+	line := regexp.MustCompile(`time=\S+`).ReplaceAllString(strings.SplitAfter(log.String(), "\n")[0], "time=TIME")
+	golden.Equal(t, "agent/storm.log", []byte(regexp.MustCompile(`for=\S+`).ReplaceAllString(line, "for=TIME")))
+}
+
+// The line of a recovery, at a time that stands still: a fleet of three after a loss of power, one of which has answered.
+func TestGoldenRecoveryLine(t *testing.T) {
+	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	balancer, err := logic.New(site.Logic, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := 20 * time.Second
+	clock := engine.DrivenClock(&now)
+	core := engine.New(balancer, clock, goldenCounters(t).conns, slog.New(slog.DiscardHandler))
+	core.Count(site.Logic.Classes)
+	var classes []recovery.Class
+	for _, c := range site.Logic.Classes {
+		classes = append(classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == logic.Safe})
+	}
+	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdFrom: 0.32, ColdFor: 8 * time.Second, Overload: 3, MaxAfter: time.Second}, nil)
+	before := recovery.Before{Usual: []float64{40, 20, 10}, Use: 0.5}
+	for i := range 3 {
+		before.Servers = append(before.Servers, recovery.BeforeServer{ID: fmt.Sprint("s-", i), Cell: i, Ready: true, Capacity: 45})
+	}
+	r.Begin(18*time.Second, before, "power")
+	r.Outcome(19*time.Second, "s-1", true, false, 20, 0.8)
+	core.Return(r, func() bool { return true }, func() {})
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { defer close(done); core.Run(ctx) }()
+	log := &testbed.LockedBuffer{}
+	k := &keeping{set: Recovery{LogEvery: time.Hour}, core: core, log: slog.New(slog.NewTextHandler(log, nil))}
+	said := make(chan struct{})
+	go func() { defer close(said); k.say(ctx, clock) }()
+	testbed.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
+	stop()
+	<-done
+	<-said
+	golden.Equal(t, "agent/recovery.log", []byte(regexp.MustCompile(`time=\S+`).ReplaceAllString(strings.SplitAfter(log.String(), "\n")[0], "time=TIME")))
+}
