--- /dev/null
+++ b/internal/storm/decisions_test.go
@@ -0,0 +1,170 @@
+package storm
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"appleledge/internal/golden"
+)
+
+type traceCaller struct {
+	ask      Ask
+	worth    int // tries that it still makes
+	at       time.Duration
+	patience time.Duration
+}
+
+type tracePass struct {
+	p      *Pass
+	caller traceCaller
+	at     time.Duration
+	end    End
+}
+
+// decisionTrace is a toy fleet of so many places behind a Watch, with clients that come again: calm, then asked for more than it
+// can do, then dark, then back.
+func decisionTrace(seed int) *golden.Trace {
+	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
+	classes := []Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 10, Aim: 200e6, Safe: true}, {Worth: 4, Aim: 300e6}}
+	w := New(Options{Classes: classes, Shares: []float64{0.3, 0.3, 0.4}, MaxAfter: 500 * time.Millisecond, Remember: 300, Seed: uint64(seed)})
+	var out []tracePass
+	var again, due []traceCaller
+	now, was, owed := time.Hour, Calm, 0.0
+	atWork, keys := 0, 0
+	phases := []struct{ rate, speed, lost float64 }{ // 2.5 s each
+		{80, 1, 0.01}, {80, 1, 0.45}, {80, 1, 0}, {900, 1, 0.02}, {300, 0.5, 0.1}, {150, 0.01, 1}, {150, 0.01, 1}, {100, 1, 0.02}, {100, 0.01, 1}, {40, 1, 0},
+		{30, 1, 0}, {30, 1, 0}, {60, 1, 0.5}, {60, 1, 0}, {700, 0.4, 0.3}, {100, 0.5, 0.05}, {150, 0.01, 1}, {80, 1, 0}, {40, 1, 0}, {30, 1, 0}, {30, 1, 0}, {30, 1, 0}}
+	phase := func() int { return min(int((now-time.Hour)/(2500*time.Millisecond)), len(phases)-1) }
+	come := func(c traceCaller) {
+		c.ask.Deadline = now + c.patience
+		p, r := w.Arrive(now, c.ask)
+		tr.Add(now, p == nil, r.After, r.Limit, r.Repeat)
+		if p == nil {
+			tr.Count("turned away")
+			tr.CountIf(r.Repeat, "repeats turned away")
+			if c.worth--; c.worth > 0 {
+				c.at = now + time.Duration(float64(r.After)*(0.8+rnd.Share()*0.5)) + rnd.Millis(0, 20)
+				c.ask.Again = rnd.Chance(0.4)
+				again = append(again, c)
+			}
+			return
+		}
+		class, took, by := p.Ended(now + 7)
+		tr.Add(p.Among, p.Repeat, p.Bound, class, took, int(by))
+		tr.Count("let in")
+		tr.CountIf(p.Repeat, "repeats let in")
+		if rnd.Chance(0.02) {
+			w.Withdraw(now, p)
+			tr.Count("withdrawn")
+			c.worth--
+			c.at = now + rnd.Millis(1, 100)
+			again = append(again, c)
+			return
+		}
+		ph := phases[phase()]
+		x := tracePass{p: p, caller: c, end: Served}
+		took = time.Duration(float64(rnd.Millis(30, 120)) * (1 + max(0, float64(atWork)-40)/15) / max(ph.speed, 0.01))
+		switch {
+		case rnd.Chance(ph.lost):
+			x.end, took = Failed, rnd.Millis(5, 900)
+		case rnd.Chance(0.02):
+			x.end, took = Refused, rnd.Millis(1, 20)
+		case rnd.Chance(0.02):
+			x.end, took = Left, rnd.Millis(1, 200)
+		case took > c.patience:
+			x.end, took = Failed, c.patience
+		}
+		x.at = now + took
+		atWork++
+		out = append(out, x)
+	}
+	for step := range 14 * 1000 {
+		now += 5 * time.Millisecond
+		rest := out[:0:0]
+		for _, x := range out {
+			if x.at > now {
+				rest = append(rest, x)
+				continue
+			}
+			atWork--
+			w.Done(now, x.p, x.end)
+			tr.Count("ends of kind " + strconv.Itoa(int(x.end)))
+			if rnd.Chance(0.02) {
+				w.Done(now, x.p, Failed) // the first word counts
+			}
+			if x.caller.worth--; (x.end == Refused || x.end == Failed) && x.caller.worth > 0 {
+				x.caller.ask.Bound = x.end == Failed && rnd.Chance(0.2)
+				x.caller.at = now + rnd.Millis(1, 150)
+				again = append(again, x.caller)
+			}
+		}
+		out = rest
+		due = due[:0]
+		again = slices.DeleteFunc(again, func(c traceCaller) bool {
+			if c.at <= now {
+				due = append(due, c)
+			}
+			return c.at <= now
+		})
+		for _, c := range due {
+			come(c)
+		}
+		owed += phases[phase()].rate * 0.005 * 2 * rnd.Share()
+		for ; owed >= 1; owed-- {
+			keys++
+			c := traceCaller{ask: Ask{Class: rnd.Below(4), Tenant: rnd.Below(4) - 1}, worth: 4, patience: rnd.Millis(250, 900)}
+			if now-time.Hour > 7*time.Second && now-time.Hour < 45*time.Second && rnd.Chance(0.3) {
+				c.patience = rnd.Millis(20, 200) // less than an answer takes
+			}
+			if rnd.Chance(0.5) {
+				c.ask.Tenant = 0
+			}
+			if rnd.Chance(0.8) {
+				c.ask.Key = "k" + strconv.Itoa(keys)
+			}
+			come(c)
+		}
+		if rnd.Chance(0.01) {
+			p := NewPass(now, Ask{Class: 1, Key: "e" + strconv.Itoa(step)}, ByFleet)
+			w.Elsewhere(now+1, p, End(rnd.Below(4)))
+			come(traceCaller{ask: Ask{Class: 1, Key: "e" + strconv.Itoa(step)}, worth: 1, patience: time.Second})
+		}
+		if step == 6500 {
+			next := append(append([]Class{}, classes...), Class{Worth: 2, Aim: 100e6})
+			next[0].Worth = 20
+			w.Retune(next)
+		}
+		c := w.Counts()
+		if c.State != was {
+			tr.Count(fmt.Sprintf("from state %d to %d", int(was), int(c.State)))
+			was = c.State
+		}
+		if step%10 == 0 {
+			tr.Add(now, int(c.State), c.Since, c.Limit, c.InFlight, c.Late, c.Bound, c.Storms)
+			for i := range c.Refused {
+				tr.Add(c.Refused[i][0], c.Refused[i][1])
+			}
+			tr.CountIf(c.Late > 0, "looks after a late one")
+			tr.CountIf(c.Bound > 0, "looks after a bound one over the limit")
+			tr.CountIf(c.Limit > 0 && c.Limit < math.Inf(1), "looks at a limit")
+		}
+	}
+	return tr
+}
+
+// The decisions of a seeded run are committed as a hash: not one of them may change.
+func TestDecisionsStayEqual(t *testing.T) {
+	var traces []*golden.Trace
+	for seed := 1; seed <= 3; seed++ {
+		tr := decisionTrace(seed)
+		traces = append(traces, tr)
+		golden.Equal(t, fmt.Sprint("decisions/storm-seed-", seed), tr.Text())
+	}
+	golden.Occurred(t, traces, "let in", "turned away", "repeats let in", "repeats turned away", "withdrawn",
+		"ends of kind 0", "ends of kind 1", "ends of kind 2", "ends of kind 3", "from state 0 to 1", "from state 1 to 0", "from state 1 to 2",
+		"from state 2 to 3", "from state 3 to 0", "from state 3 to 2", "looks after a late one", "looks after a bound one over the limit", "looks at a limit")
+}
