--- /dev/null
+++ b/internal/fleet/share/decisions_test.go
@@ -0,0 +1,269 @@
+package share
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"appleledge/internal/golden"
+	"appleledge/internal/storm"
+	"appleledge/logic"
+)
+
+type traceServer struct {
+	id       string
+	capacity float64
+	atWork   float64
+	down     bool
+	hangs    bool
+}
+
+type traceCall struct {
+	door    int
+	p       *storm.Pass
+	server  *traceServer
+	class   int
+	tenant  int
+	key     string
+	tries   int
+	further bool
+	at      time.Duration
+	result  logic.Result
+}
+
+type traceBody struct {
+	from, to int
+	body     []byte
+	at       time.Duration
+}
+
+// decisionTrace is four doors before a toy fleet of twelve servers, which tell each other with some delay and some loss: calm, then too
+// much asked, then servers that hang or break, an agent that is gone, one that tells nonsense, and calm again.
+func decisionTrace(seed int) *golden.Trace {
+	tr, rnd := golden.NewTrace(2000), golden.Random(seed)
+	classes := []storm.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
+	shares := []float64{0.2, 0.3, 0.5}
+	alive := []bool{true, true, true, true}
+	var doors []*Door
+	for i := range 4 {
+		watch := storm.New(storm.Options{Classes: classes, Shares: shares, MaxAfter: time.Second, Remember: 200, Seed: uint64(seed*10 + i)})
+		d := New(Options{Self: 0, Agents: 1, Classes: classes, Shares: shares, MaxAfter: time.Second, Seed: uint64(seed*10 + i)}, watch)
+		d.Among(i, 4)
+		d.Lives(alive)
+		doors = append(doors, d)
+	}
+	var servers []*traceServer
+	for i := range 12 {
+		s := &traceServer{id: "s" + strconv.Itoa(i), capacity: 40}
+		servers = append(servers, s)
+		for _, d := range doors {
+			d.Listed(s.id, true, true)
+		}
+	}
+	var calls, again []traceCall
+	var bodies []traceBody
+	now, owed, keys := time.Hour, 0.0, 0
+	mute := seed == 3 // servers that do not say what they do
+	send := func(c traceCall) {
+		c.server = servers[rnd.Below(len(servers))]
+		s, d := c.server, doors[c.door]
+		d.Sent(now, s.id, c.further)
+		s.atWork++
+		c.result, c.at = logic.OK, now+time.Duration(float64(rnd.Millis(20, 80))*(1+max(0, s.atWork-3)/3))
+		switch {
+		case s.hangs:
+			c.result, c.at = logic.TimedOut, now+900*time.Millisecond
+		case s.down:
+			c.result, c.at = logic.ConnectFailed, now+rnd.Millis(1, 50)
+		case s.atWork > 20:
+			c.result, c.at = logic.Rejected, now+rnd.Millis(1, 5)
+		case rnd.Chance(0.01):
+			c.result = logic.Failed
+		case c.at > now+time.Second:
+			c.result, c.at = logic.TimedOut, now+time.Second
+		}
+		calls = append(calls, c)
+	}
+	ask := func(c traceCall) {
+		a := storm.Ask{Class: c.class, Tenant: c.tenant, Key: c.key, Again: c.tries > 0 && rnd.Chance(0.3), Bound: rnd.Chance(0.01), Deadline: now + rnd.Millis(50, 900)}
+		p, refusal := doors[c.door].Arrive(now, a)
+		tr.Add(now, c.door, p == nil, refusal.After, refusal.Limit, refusal.Repeat)
+		tr.CountIf(p == nil, "turned away")
+		if p == nil {
+			if c.tries++; c.tries < 3 {
+				c.at = now + refusal.After + rnd.Millis(1, 50)
+				c.door = rnd.Below(4)
+				again = append(again, c)
+			}
+			return
+		}
+		_, _, by := p.Ended(now)
+		tr.Add(p.Repeat, p.Bound, int(by))
+		tr.Count("let in on account " + strconv.Itoa(int(by)))
+		c.p = p
+		send(c)
+	}
+	rates := []float64{150, 300, 900, 1200, 700, 300, 200, 600, 1000, 150}
+	for step := range 4000 {
+		now += 10 * time.Millisecond
+		switch step {
+		case 1200, 1320: // all hang, and go on
+			for _, s := range servers {
+				s.hangs = step == 1200
+			}
+		case 1900:
+			servers[3].hangs, servers[4].down = true, true
+		case 2300:
+			servers[3].hangs, servers[4].down = false, false
+			alive[3] = false
+			for _, d := range doors {
+				d.Lives(slices.Clone(alive))
+			}
+		case 2600:
+			for _, d := range doors {
+				d.Listed("s5", false, false)
+				d.Listed("s6", true, false)
+				d.Listed("new", true, true)
+			}
+		case 2900:
+			alive[3] = true
+			for _, d := range doors {
+				d.Lives(slices.Clone(alive))
+			}
+		case 3100: // a claim beyond all bounds
+			b := Body{Digests: []Digest{{Agent: 2, First: []float64{9000, 9000, 9000}, Again: []float64{1, 1, 1}, Tenants: []float64{5, 5, 9000}, All: 30000, LetIn: 10}},
+				Reports: []Report{{Server: Server("s1"), Use: 1, Capacity: 4000}}, Voices: []Voice{{Server: Server("s2"), Agent: 2}}}
+			bodies = append(bodies, traceBody{from: 2, to: 0, body: b.append(nil), at: now}, traceBody{from: 2, to: 1, body: []byte{0, 9, 9}, at: now},
+				traceBody{from: 1, to: 1, body: b.append(nil), at: now})
+		case 3700:
+			for _, d := range doors {
+				d.Retune(append(slices.Clone(classes), storm.Class{Worth: 2, Aim: 200e6}))
+			}
+		}
+		rest := bodies[:0:0]
+		for _, b := range bodies {
+			if b.at > now {
+				rest = append(rest, b)
+				continue
+			}
+			err := doors[b.to].Take(now, b.from, b.body)
+			tr.CountIf(err == nil, "bodies taken")
+			tr.CountIf(err != nil, "bodies that are none")
+		}
+		bodies = rest
+		ended := []traceCall{}
+		calls = slices.DeleteFunc(calls, func(c traceCall) bool {
+			if c.at <= now {
+				ended = append(ended, c)
+			}
+			return c.at <= now
+		})
+		for _, c := range ended {
+			c.server.atWork--
+			rep := logic.NoReport
+			if c.result == logic.OK && rnd.Chance(0.9) {
+				rep.Util = min(1, 0.05+c.server.atWork/6)
+				if rep.Rate = rep.Util * c.server.capacity; mute {
+					rep.Rate = -1
+				}
+			}
+			d := doors[c.door]
+			d.Ended(now, c.server.id, c.result, rep)
+			tr.Count("ends of result " + strconv.Itoa(int(c.result)))
+			switch {
+			case c.result == logic.OK:
+				d.Done(now, c.p, storm.Served)
+			case !c.further && d.MayRetry(now):
+				tr.Count("further attempts")
+				tr.Add(now, "further")
+				c.further = true
+				send(c)
+			case c.result == logic.Rejected:
+				d.Done(now, c.p, storm.Refused)
+			default:
+				d.Done(now, c.p, storm.Failed)
+			}
+		}
+		due := []traceCall{}
+		again = slices.DeleteFunc(again, func(c traceCall) bool {
+			if c.at <= now {
+				due = append(due, c)
+			}
+			return c.at <= now
+		})
+		for _, c := range due {
+			ask(c)
+		}
+		for owed += rates[step/400] * 0.01 * 2 * rnd.Share(); owed >= 1; owed-- {
+			keys++
+			c := traceCall{door: rnd.Below(4), class: rnd.Below(3), tenant: rnd.Below(4) - 1}
+			if rnd.Chance(0.4) {
+				c.tenant = 0
+			}
+			if rnd.Chance(0.7) {
+				c.key = "k" + strconv.Itoa(keys)
+			}
+			ask(c)
+		}
+		for i, d := range doors {
+			if step%2 == i%2 || !alive[i] {
+				continue
+			}
+			if body, to := d.Tell(now, 400); body != nil {
+				tr.Add(now, i, to, string(body))
+				tr.Count("bodies told to " + strconv.Itoa(to))
+				for range to {
+					other := (i + 1 + rnd.Below(3)) % 4
+					if rnd.Chance(0.9) && !(step > 3300 && step < 3500) { // no word at all for 2 s
+						bodies = append(bodies, traceBody{i, other, body, now + rnd.Millis(1, 40)})
+					}
+				}
+			}
+			if held := d.Held(now); step%5 == 0 && held != nil {
+				tr.Add(now, i, held)
+				tr.Count("looks that hold servers out")
+			}
+			if step%20 < 2 {
+				st := d.Status(now)
+				tr.Add(now, i, st.Trust, st.Limit, st.Capacity, st.Use, st.Gain, st.Refused, st.Held, st.Asked.All, st.Asked.LetIn, st.Asked.Open,
+					st.Asked.Extra, st.Asked.Good, st.Asked.Late, st.Asked.Heard, st.Asked.Alive, st.Counts.Alone, st.Counts.Late, st.Counts.Unsent,
+					st.Counts.Told, st.Counts.Picture.Digests, st.Counts.Picture.Reports, st.Counts.Picture.Voices, st.Counts.Picture.Bounded,
+					st.Counts.Picture.Malformed)
+				for _, x := range slices.Concat(st.Chances, st.Asked.First, st.Asked.Again, st.Asked.Tenants) {
+					tr.Add(x)
+				}
+				for _, x := range st.Counts.Refused {
+					tr.Add(x[0], x[1])
+					tr.CountIf(x[0] > 0, "looks after a first try was refused for the fleet")
+					tr.CountIf(x[1] > 0, "looks after a repeat was refused for the fleet")
+				}
+				tr.CountIf(st.Limit > 0, "looks at a limit")
+				tr.CountIf(st.Trust > 0 && st.Trust < 1, "looks at trust in part")
+				tr.CountIf(st.Trust == 1, "looks at full trust")
+				tr.CountIf(st.Gain != 1, "looks at a corrected limit")
+				tr.CountIf(st.Counts.Late > 0, "looks after a late one")
+				tr.CountIf(st.Counts.Unsent > 0, "looks after an attempt was not sent")
+				tr.CountIf(st.Counts.Picture.Bounded > 0, "looks after a claim was bounded")
+				tr.CountIf(st.Counts.Picture.Voices > 0, "looks after a voice")
+			}
+		}
+	}
+	return tr
+}
+
+// The decisions of a seeded run are committed as a hash: not one of them may change.
+func TestDecisionsStayEqual(t *testing.T) {
+	var traces []*golden.Trace
+	for seed := 1; seed <= 3; seed++ {
+		tr := decisionTrace(seed)
+		traces = append(traces, tr)
+		golden.Equal(t, fmt.Sprint("decisions/share-seed-", seed), tr.Text())
+	}
+	golden.Occurred(t, traces, "turned away", "let in on account 0", "let in on account 1", "bodies taken", "bodies that are none", "bodies told to 1",
+		"bodies told to 2", "further attempts", "ends of result 0", "ends of result 1", "ends of result 2", "ends of result 3", "ends of result 4",
+		"looks that hold servers out", "looks after a first try was refused for the fleet", "looks after a repeat was refused for the fleet",
+		"looks at a limit", "looks at trust in part", "looks at full trust", "looks at a corrected limit", "looks after a late one",
+		"looks after an attempt was not sent", "looks after a claim was bounded", "looks after a voice")
+}
