--- /dev/null
+++ b/internal/bans/decisions_test.go
@@ -0,0 +1,80 @@
+package bans
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"appleledge/internal/golden"
+)
+
+// decisionTrace is servers that are listed, taken off, held out and taken back, more than are kept, and goes on in another process.
+func decisionTrace(seed int) *golden.Trace {
+	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
+	s, now := New(8), time.Hour
+	said := func(err error) {
+		tr.Add(now, err == nil, errors.Is(err, ErrUnknown), errors.Is(err, ErrFull))
+		tr.CountIf(err == nil, "done")
+		tr.CountIf(errors.Is(err, ErrUnknown), "unknown")
+		tr.CountIf(errors.Is(err, ErrFull), "too many")
+	}
+	for step := range 6000 {
+		now += rnd.Millis(0, 30)
+		id := "s" + strconv.Itoa(rnd.Below(20+step/1000%3*20))
+		switch rnd.Below(6) {
+		case 0:
+			started := time.Duration(0)
+			if rnd.Chance(0.3) {
+				started = now - rnd.Millis(0, 2000)
+			}
+			s.Listed(id, started)
+		case 1:
+			s.Unlisted(id)
+		case 2:
+			said(s.Down(now, id))
+		case 3:
+			said(s.Up(now, id))
+		case 4:
+			start := s.Started(id, now-rnd.Millis(0, 4000))
+			tr.Add(s.Out(id), start)
+		case 5:
+			tr.Add(s.Held())
+		}
+		if step%200 == 199 {
+			st := s.State(func(d time.Duration) int64 { return int64(d) })
+			tr.Add(st.Seen)
+			for _, times := range []map[string]int64{st.Out, st.Back} {
+				ids := []string{}
+				for id := range times {
+					ids = append(ids, id)
+				}
+				slices.Sort(ids)
+				for _, id := range ids {
+					tr.Add(id, time.Duration(times[id]))
+				}
+			}
+			tr.CountIf(len(st.Back) > 0, "looks at those taken back")
+			if step%1000 == 999 { // the list names what it did before; all ids find room, as the order in which more are forgotten is a map's
+				next := New(100)
+				next.Restore(st, func(ms int64) time.Duration { return time.Duration(ms) })
+				tr.Add(next.Held())
+				tr.Count("restored")
+			}
+		}
+	}
+	return tr
+}
+
+// The decisions of a seeded run are committed as a hash: not one of them may change.
+func TestDecisionsStayEqual(t *testing.T) {
+	var traces []*golden.Trace
+	for seed := 1; seed <= 3; seed++ {
+		tr := decisionTrace(seed)
+		traces = append(traces, tr)
+		golden.Equal(t, fmt.Sprint("decisions/bans-seed-", seed), tr.Text())
+	}
+	golden.Occurred(t, traces, "done", "unknown", "too many", "looks at those taken back", "restored")
+}
