--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -49,6 +49,7 @@
 	events                                    int
 	balancers                                 int
 	warmKeys, copies, weights, mute, overload bool
+	lasting                                   bool // some servers are ill for good, and the list can't be had for long
 	perSecond                                 int
 }
 
@@ -474,7 +475,7 @@
 
 // subscribed answers a subscription: with the whole list, or not at all.
 func (x *trace) subscribed() {
-	if x.rnd.chance(0.4) {
+	if x.lasting && x.handled < x.events/2 || x.rnd.chance(0.4) {
 		x.counts["calls to the list that failed"]++
 		x.handle(logic.ListUnavailable{})
 		return
@@ -538,6 +539,10 @@
 		l = x.whole(l.Drop)
 	}
 	x.handle(l)
+	if x.lasting {
+		x.after(x.rnd.millis(2000, 4000), x.change)
+		return
+	}
 	x.after(x.rnd.millis(30, 400), x.change)
 }
 
@@ -560,8 +565,10 @@
 	phase := x.handled * 10 / x.events
 	x.background = []float64{0.1, 0.4, 0.4, 0.75, 1.1, 0.95, 0.3, 0.5, 1.3, 0.2}[min(phase, 9)]
 	ill := []float64{0, 0.1, 0.15, 0.05, 0.1, 0.3, 0.9, 0.1, 0.1, 0.1}[min(phase, 9)]
-	for _, s := range x.servers {
-		if x.rnd.chance(0.2) {
+	for i, s := range x.servers {
+		if x.lasting && i%6 == 0 {
+			s.mode = 1 + i/6%(traceModes-1)
+		} else if x.rnd.chance(0.2) {
 			if s.mode = traceWell; x.rnd.chance(ill) {
 				s.mode = x.rnd.between(1, traceModes-1)
 			}
@@ -609,9 +616,16 @@
 		x.newServer()
 	}
 	x.feed(b.Start(x.at))
+	if x.lasting {
+		x.handle(x.whole(0))
+	}
 	x.after(0, x.faults)
 	x.after(0, x.arrive)
-	x.after(time.Second, x.change)
+	if x.lasting {
+		x.after(30*time.Second, x.change)
+	} else {
+		x.after(time.Second, x.change)
+	}
 	x.after(x.rnd.millis(2000, 3000), func() { x.handle(logic.ListUnavailable{}) })
 	rounds, emptied, released := 0, false, false
 	for x.handled < x.events {
@@ -650,6 +664,8 @@
 		{servers: 200, seed: 3, balancers: 100, warmKeys: true, mute: true, weights: true, perSecond: 900},
 		{servers: 200, seed: 4, balancers: 4000, copies: true, overload: true, perSecond: 300},
 		{servers: 200, seed: 5, balancers: 4000, weights: true, perSecond: 200},
+		{servers: 30, seed: 1, balancers: 3, copies: true, perSecond: 100, lasting: true},
+		{servers: 30, seed: 2, balancers: 30, warmKeys: true, weights: true, perSecond: 60, lasting: true},
 		{servers: 3000, seed: 1, balancers: 600, warmKeys: true, copies: true, weights: true, overload: true, perSecond: 1200},
 		{servers: 3000, seed: 2, balancers: 3000, copies: true, perSecond: 500},
 		{servers: 3000, seed: 3, balancers: 20, warmKeys: true, weights: true, perSecond: 1500},
