--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -49,6 +49,8 @@
 	events                                    int
 	balancers                                 int
 	warmKeys, copies, weights, mute, overload bool
+	calm                                      bool // the servers are well and known, all the time
+	blackouts                                 bool // at times no server answers
 	lasting                                   bool // some servers are ill for good, and the list can't be had for long
 	perSecond                                 int
 }
@@ -574,6 +576,20 @@
 			}
 		}
 	}
+	if x.calm {
+		x.background = 0.4
+		for _, s := range x.servers {
+			s.mode = traceWell
+		}
+	}
+	if x.blackouts && (x.at-time.Hour)%(4*time.Second) > 2*time.Second { // busy servers, of which none answers for a while
+		x.background = 0.78
+		for _, s := range x.servers {
+			if s.mode = traceWell; (x.at-time.Hour)%(4*time.Second) > 3*time.Second {
+				s.mode = traceHangs
+			}
+		}
+	}
 	x.after(150*time.Millisecond, x.faults)
 }
 
@@ -666,6 +682,8 @@
 		{servers: 200, seed: 5, balancers: 4000, weights: true, perSecond: 200},
 		{servers: 30, seed: 1, balancers: 3, copies: true, perSecond: 100, lasting: true},
 		{servers: 30, seed: 2, balancers: 30, warmKeys: true, weights: true, perSecond: 60, lasting: true},
+		{servers: 30, seed: 3, balancers: 3, copies: true, perSecond: 200, blackouts: true},
+		{servers: 1000, seed: 1, balancers: 10, copies: true, perSecond: 2000, calm: true},
 		{servers: 3000, seed: 1, balancers: 600, warmKeys: true, copies: true, weights: true, overload: true, perSecond: 1200},
 		{servers: 3000, seed: 2, balancers: 3000, copies: true, perSecond: 500},
 		{servers: 3000, seed: 3, balancers: 20, warmKeys: true, weights: true, perSecond: 1500},
