--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,8 +10,8 @@
 	"os"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 func main() {
@@ -25,7 +25,7 @@
 func run(in io.Reader, w io.Writer) error {
 	var now time.Duration
 	var line []byte
-	instances := map[string]*logic.Balancer{}
+	instances := map[string]*balancer.Balancer{}
 	decoder, out := wire.NewDecoder(in), bufio.NewWriterSize(w, 1<<16)
 	for {
 		m, err := decoder.Next()
@@ -35,12 +35,12 @@
 		if err != nil {
 			return err
 		}
-		var actions []logic.Action
+		var actions []balancer.Action
 		switch m.Kind {
 		case wire.Turn:
 			now = m.Now
 		case wire.Launch:
-			b, err := logic.New(m.Settings, m.Seed)
+			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("line %d: %w", decoder.Line(), err)
 			}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
@@ -27,7 +28,6 @@
 	"appleledge/internal/store"
 	"appleledge/internal/terms"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 const (
@@ -85,7 +85,7 @@
 	Membership membership.Options
 	// Join says, for the classes of the platform's configuration, which requests are answered together; nil: none. An
 	// error is a setting that does not fit them.
-	Join     func([]logic.Class) (Joins, error)
+	Join     func([]balancer.Class) (Joins, error)
 	Storm    *Storm        // nil: storms are not noticed
 	Ties     *Ties         // nil: where refunds go is not remembered
 	Figures  time.Duration // between two lines of the log with what is counted; 0: none
@@ -158,7 +158,7 @@
 // serve is Run on a listener that is open.
 func serve(ctx context.Context, cfg Config, reloads Reloads, listener net.Listener, log *slog.Logger, with Extras) error {
 	defer listener.Close()
-	balancer, err := logic.New(cfg.Site.Logic, cfg.Seed)
+	policy, err := balancer.New(cfg.Site.Logic, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -173,7 +173,7 @@
 	toBackends, fromClients := shareSockets(cfg.Sockets - with.sockets() - cfg.operatorSockets())
 	clk := engine.NewClock().Shifted(with.ClockOff)
 	conns := pool.New(cfg.Site.ConnectTimeout, cfg.Site.ConnIdle, toBackends)
-	core := engine.New(balancer, clk, conns, log)
+	core := engine.New(policy, clk, conns, log)
 	keep, err := with.openKept(cfg, clk, log)
 	if err != nil {
 		return err
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -6,11 +6,11 @@
 	"math"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/figures"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/pool"
-	"appleledge/logic"
 )
 
 // counters are the parts of an agent that count.
@@ -64,10 +64,10 @@
 		add("send_"+name, t.Sends[kind])
 	}
 	add("send_cold", t.Cold)
-	for result, name := range logic.Results {
+	for result, name := range balancer.Results {
 		add("end_"+name, t.Attempts[result])
 	}
-	for why, name := range logic.Reasons {
+	for why, name := range balancer.Reasons {
 		add("given_up_"+name, t.GivenUp[why])
 	}
 	add("dials", p.Dials)
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/generation"
 	"appleledge/internal/intake"
 	"appleledge/internal/store"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 // Generations says how configurations of the fleet are taken and kept.
@@ -55,11 +55,11 @@
 }
 
 // namesOf are the platform's names, with these classes by their numbers. Those that were dropped keep theirs.
-func namesOf(site wire.Site, classes []logic.Class) generation.Names {
+func namesOf(site wire.Site, classes []balancer.Class) generation.Names {
 	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, Headers: intake.Routable}
 	for _, c := range classes {
 		names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
-		if c.Effect == logic.Keyed {
+		if c.Effect == balancer.Keyed {
 			names.Keyed = append(names.Keyed, c.Name)
 		}
 	}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/membership/listing"
@@ -20,7 +21,6 @@
 	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 // The platform's configuration with every key. Its settings are those of wire/settings.json, whose test compares all of them.
@@ -66,15 +66,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	balancer, err := logic.New(site.Logic, 1)
+	policy, err := balancer.New(site.Logic, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conns := pool.New(time.Second, time.Minute, 10)
-	core := engine.New(balancer, clock, conns, quiet)
+	core := engine.New(policy, clock, conns, quiet)
 	core.Count(site.Logic.Classes)
 	core.TurnedAway(&engine.Call{ID: "r"})
-	conns.Update(true, []engine.Member{{Server: logic.Server{ID: "s-1"}, Addr: testbed.Refusing(t)}})
+	conns.Update(true, []engine.Member{{Server: balancer.Server{ID: "s-1"}, Addr: testbed.Refusing(t)}})
 	if _, err := conns.Get(t.Context(), conns.Backend("s-1")); err == nil {
 		t.Fatal("a connection to where nothing listens")
 	}
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/golden"
 	"appleledge/internal/storm"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 // The keys that the platform may leave out of a configuration.
@@ -41,12 +41,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	balancer, err := logic.New(site.Logic, 1)
+	policy, err := balancer.New(site.Logic, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f, clock := goldenCounters(t), engine.NewClock()
-	core := engine.New(balancer, clock, f.conns, slog.New(slog.DiscardHandler))
+	core := engine.New(policy, clock, f.conns, slog.New(slog.DiscardHandler))
 	core.Count(site.Logic.Classes)
 	core.Guard(stormy{})
 	ctx, stop := context.WithCancel(context.Background())
@@ -72,17 +72,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	balancer, err := logic.New(site.Logic, 1)
+	policy, err := balancer.New(site.Logic, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 20 * time.Second
 	clock := engine.DrivenClock(&now)
-	core := engine.New(balancer, clock, goldenCounters(t).conns, slog.New(slog.DiscardHandler))
+	core := engine.New(policy, clock, goldenCounters(t).conns, slog.New(slog.DiscardHandler))
 	core.Count(site.Logic.Classes)
 	var classes []recovery.Class
 	for _, c := range site.Logic.Classes {
-		classes = append(classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == logic.Safe})
+		classes = append(classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
 	}
 	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdFrom: 0.32, ColdFor: 8 * time.Second, Overload: 3, MaxAfter: time.Second}, nil)
 	before := recovery.Before{Usual: []float64{40, 20, 10}, Use: 0.5}
--- a/internal/agent/join.go
+++ b/internal/agent/join.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpfront"
 	"appleledge/internal/join"
-	"appleledge/logic"
 )
 
 // joining is what switched-on joins are at work with.
@@ -19,7 +19,7 @@
 }
 
 // join switches on what the settings say; the result is nil where that is nothing.
-func (x Extras) join(core *engine.Engine, site logic.Settings) (*joining, error) {
+func (x Extras) join(core *engine.Engine, site balancer.Settings) (*joining, error) {
 	if x.Join == nil {
 		return nil, nil
 	}
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"appleledge/internal/affinity/tielog"
+	"appleledge/internal/balancer"
 	"appleledge/internal/bans"
 	"appleledge/internal/engine"
 	ondisk "appleledge/internal/fleet/kept"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/store"
-	"appleledge/logic"
 )
 
 // Recovery says how what the agent knows is kept over a loss of power.
@@ -166,7 +166,7 @@
 	o := recovery.Options{Agents: site.Balancers, Self: site.Me, ColdFrom: site.ColdFrom, ColdFor: site.ColdFor, Overload: site.Overload,
 		MaxAfter: site.MaxRetryAfter, AskFor: askFor, Seed: cfg.Seed}
 	for _, c := range site.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == logic.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
 	}
 	r := recovery.New(o, behind)
 	before := k.before.Before(k.classes(site.Classes))
@@ -189,7 +189,7 @@
 	}
 }
 
-func (k *keeping) classes(classes []logic.Class) (names []string) {
+func (k *keeping) classes(classes []balancer.Class) (names []string) {
 	for _, c := range classes {
 		names = append(names, c.Name)
 	}
--- a/internal/agent/scale_test.go
+++ b/internal/agent/scale_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/pool"
-	"appleledge/logic"
 )
 
 // large is what an agent holds of a fleet of 10,000: the table of members, the pool and the module, on a driven clock.
@@ -18,7 +18,7 @@
 	now     time.Duration
 	table   *membership.Table
 	pool    *pool.Pool
-	module  *logic.Balancer
+	module  *balancer.Balancer
 	members []engine.Member
 	next    int
 	asked   int
@@ -26,9 +26,9 @@
 }
 
 func newLarge(tb testing.TB, n int) *large {
-	set := logic.Settings{Balancers: 2, Tick: time.Millisecond, MaxAttempts: 2, WarmKeys: true, ListWeights: true,
-		ColdFrom: 0.3, ColdFor: 10 * time.Second, Classes: []logic.Class{{Name: "form-check", Effect: logic.Safe, Aim: 600e6, Deadline: 2e9, Worth: 1}}}
-	m, err := logic.New(set, 1)
+	set := balancer.Settings{Balancers: 2, Tick: time.Millisecond, MaxAttempts: 2, WarmKeys: true, ListWeights: true,
+		ColdFrom: 0.3, ColdFor: 10 * time.Second, Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Safe, Aim: 600e6, Deadline: 2e9, Worth: 1}}}
+	m, err := balancer.New(set, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 func (l *large) fresh() engine.Member {
 	l.next++
 	return engine.Member{Addr: fmt.Sprintf("10.%d.%d.%d:8081", l.next>>16&255, l.next>>8&255, l.next&255),
-		Server: logic.Server{ID: fmt.Sprintf("s-%08x", l.next), Cell: l.next / 5, Weight: 1 + float64(l.next%7)}}
+		Server: balancer.Server{ID: fmt.Sprintf("s-%08x", l.next), Cell: l.next / 5, Weight: 1 + float64(l.next%7)}}
 }
 
 // tell hands on what has changed, as the hub and the engine do, and notes how long each part took.
@@ -57,11 +57,11 @@
 		}
 		began := time.Now()
 		l.pool.Update(false, part)
-		servers := make([]logic.Server, len(part))
+		servers := make([]balancer.Server, len(part))
 		for i, m := range part {
 			servers[i] = m.Server
 		}
-		l.module.Handle(l.now, logic.ServerList{Servers: servers})
+		l.module.Handle(l.now, balancer.ServerList{Servers: servers})
 		l.parts = append(l.parts, time.Since(began))
 	}
 }
@@ -73,7 +73,7 @@
 	for range n {
 		i := l.next % len(l.members)
 		gone := l.members[i]
-		gone.State = logic.Gone
+		gone.State = balancer.Gone
 		l.members[i] = l.fresh()
 		u.Members = append(u.Members, gone, l.members[i])
 	}
@@ -85,13 +85,13 @@
 func (l *large) ask() {
 	l.asked++
 	id := fmt.Sprint("r", l.asked)
-	for _, a := range l.module.Handle(l.now, logic.Request{ID: id, Key: fmt.Sprint("k", l.asked%5000), Deadline: l.now + 1e9}) {
-		if a.Kind == logic.Send {
-			l.module.Handle(l.now, logic.Outcome{Request: id, Server: a.Server, Result: logic.OK, Took: 20 * time.Millisecond, Closed: true,
-				Report: logic.Report{Util: 0.5, Rate: 50, Errors: -1, InFlight: -1, Queue: -1}})
+	for _, a := range l.module.Handle(l.now, balancer.Request{ID: id, Key: fmt.Sprint("k", l.asked%5000), Deadline: l.now + 1e9}) {
+		if a.Kind == balancer.Send {
+			l.module.Handle(l.now, balancer.Outcome{Request: id, Server: a.Server, Result: balancer.OK, Took: 20 * time.Millisecond, Closed: true,
+				Report: balancer.Report{Util: 0.5, Rate: 50, Errors: -1, InFlight: -1, Queue: -1}})
 		}
 	}
-	l.module.Handle(l.now, logic.TimerFired{})
+	l.module.Handle(l.now, balancer.TimerFired{})
 }
 
 func heapMB() float64 {
--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -6,9 +6,9 @@
 	"math"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // newStorm is a watch for storms by the platform's settings.
@@ -19,12 +19,12 @@
 	return storm.New(o)
 }
 
-func stormClasses(classes []logic.Class) (out []storm.Class) {
+func stormClasses(classes []balancer.Class) (out []storm.Class) {
 	for _, c := range classes {
 		if c.Dropped {
 			c.Worth = 0
 		}
-		out = append(out, storm.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == logic.Safe})
+		out = append(out, storm.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
 	}
 	return out
 }
--- a/internal/agent/ties.go
+++ b/internal/agent/ties.go
@@ -9,8 +9,8 @@
 
 	"appleledge/internal/affinity"
 	"appleledge/internal/affinity/tielog"
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
 // Ties says how it is remembered where keyed requests went.
@@ -46,7 +46,7 @@
 	set := *x.Ties
 	window := time.Duration(0)
 	for _, c := range cfg.Site.Logic.Classes {
-		if c.Effect == logic.Keyed {
+		if c.Effect == balancer.Keyed {
 			window = max(window, c.Window)
 		}
 	}
--- a/logic/api.go
+++ b/internal/balancer/api.go
@@ -1,7 +1,7 @@
-// Package logic holds the decisions of a client-side load balancer: which server gets a request, when an
+// Package balancer holds the decisions of a client-side load balancer: which server gets a request, when an
 // attempt is given up or repeated, and what is refused. Every client process has a Balancer of its own; they
 // share nothing. A Balancer does no I/O and reads no clock: events go in with the time, actions come out.
-package logic
+package balancer
 
 import (
 	"errors"
--- a/logic/cold_fleet_test.go
+++ b/internal/balancer/cold_fleet_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"container/heap"
--- a/logic/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package balancer_test
 
 import (
 	"container/heap"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/golden"
-	"appleledge/logic"
 )
 
 // The trace of decisions: seeded events go through a Balancer, toy servers answer what it sends, and every action with its
@@ -57,14 +57,14 @@
 
 // traceServer is a toy server: it works on slots requests at full speed, longer on more, and turns away what is far too much.
 type traceServer struct {
-	entry  logic.Server
+	entry  balancer.Server
 	base   time.Duration
 	slots  float64
 	mode   int
 	own    float64 // requests of this balancer at work
 	done   float64 // of it, a second, smoothed
 	doneAt time.Duration
-	told   [4]logic.Report // the latest reports, taken at intervals: answers carry old ones too
+	told   [4]balancer.Report // the latest reports, taken at intervals: answers carry old ones too
 	tellAt time.Duration
 }
 
@@ -87,7 +87,7 @@
 }
 
 type traceRequest struct {
-	ev       logic.Request
+	ev       balancer.Request
 	tries    int
 	attempts []*traceAttempt
 	closed   bool
@@ -117,7 +117,7 @@
 
 type trace struct {
 	traceCase
-	b          *logic.Balancer
+	b          *balancer.Balancer
 	rnd        traceRandom
 	at         time.Duration
 	queue      traceQueue
@@ -131,7 +131,7 @@
 	requests   map[string]*traceRequest
 	ejected    map[string]bool
 	background float64
-	classes    []logic.Class
+	classes    []balancer.Class
 	retuned    time.Duration
 	surgeTo    time.Duration // more is asked until then
 	names      int
@@ -144,7 +144,7 @@
 }
 
 // feed adds the actions to the hash, field by field, and carries them out.
-func (x *trace) feed(actions []logic.Action) {
+func (x *trace) feed(actions []balancer.Action) {
 	// The actions hold until the next call: what follows from them is put into the queue, none is handled in here.
 	for _, a := range actions {
 		l := x.line[:0]
@@ -160,21 +160,21 @@
 		x.line = l
 		x.counts["action "+traceKinds[a.Kind]]++
 		switch a.Kind {
-		case logic.Send:
+		case balancer.Send:
 			x.sent(a.Request, a.Server, a.After, a.Cold)
-		case logic.Refuse, logic.Fail:
+		case balancer.Refuse, balancer.Fail:
 			x.counts[traceKinds[a.Kind]+" for "+traceReasons[a.Why]]++
-			x.final(a.Request, a.Kind == logic.Fail, a.After)
-		case logic.SetTimer:
+			x.final(a.Request, a.Kind == balancer.Fail, a.After)
+		case balancer.SetTimer:
 			token := a.Token
-			x.after(a.After, func() { x.handle(logic.TimerFired{Token: token}) })
-		case logic.Subscribe:
+			x.after(a.After, func() { x.handle(balancer.TimerFired{Token: token}) })
+		case balancer.Subscribe:
 			x.after(x.rnd.millis(5, 50), x.subscribed)
 		}
 	}
 }
 
-func (x *trace) handle(ev logic.Event) {
+func (x *trace) handle(ev balancer.Event) {
 	x.feed(x.b.Handle(x.at, ev))
 	x.handled++
 	if x.handled%16 == 0 {
@@ -223,10 +223,10 @@
 // load is the use of a server's slots by this balancer and all others.
 func (x *trace) load(s *traceServer) float64 { return x.background + s.own/s.slots }
 
-func (x *trace) tell(s *traceServer) logic.Report {
+func (x *trace) tell(s *traceServer) balancer.Report {
 	if x.at >= s.tellAt {
 		copy(s.told[1:], s.told[:3])
-		r := logic.NoReport
+		r := balancer.NoReport
 		r.Util = min(1, x.load(s))
 		r.Rate = r.Util * s.slots / s.base.Seconds()
 		r.Errors, r.InFlight, r.Queue = 0, s.own, max(0, s.own-s.slots)
@@ -234,7 +234,7 @@
 	}
 	switch n := x.rnd.below(20); {
 	case x.mute || n == 0:
-		return logic.NoReport
+		return balancer.NoReport
 	case n == 1:
 		r := s.told[0]
 		r.Util = math.NaN()
@@ -270,25 +270,25 @@
 	if x.rnd.chance(0.02) {
 		took *= 12 // a costly request
 	}
-	result := logic.OK
+	result := balancer.OK
 	switch mode := s.mode; {
 	case load > 2.2 && x.rnd.chance(0.7):
-		result, took = logic.Rejected, x.rnd.millis(1, 3)
+		result, took = balancer.Rejected, x.rnd.millis(1, 3)
 	case mode == traceFails && x.rnd.chance(0.9), x.rnd.chance(0.01):
-		result, took = logic.Failed, x.rnd.millis(2, 30)
+		result, took = balancer.Failed, x.rnd.millis(2, 30)
 	case mode == traceSlow:
 		took *= 15
 	case mode == traceHangs:
 		took = time.Hour
 	case mode == traceTurnsAway && x.rnd.chance(0.9):
-		result, took = logic.Rejected, x.rnd.millis(1, 5)
+		result, took = balancer.Rejected, x.rnd.millis(1, 5)
 	case mode == traceUnreachable:
-		result, took = logic.ConnectFailed, x.rnd.millis(10, 60)
+		result, took = balancer.ConnectFailed, x.rnd.millis(10, 60)
 	case mode == traceBreaks && x.rnd.chance(0.8):
-		result, took = logic.Reset, x.rnd.millis(5, 50)
+		result, took = balancer.Reset, x.rnd.millis(5, 50)
 	}
 	if x.rnd.chance(0.002) {
-		result, took = logic.NotSent, 0
+		result, took = balancer.NotSent, 0
 	}
 	if limit == 0 {
 		limit = r.ev.Deadline - x.at
@@ -300,51 +300,51 @@
 				if a.out && !r.closed {
 					r.ev.Deadline = x.at + time.Second
 					x.counts["uploads written"]++
-					x.handle(logic.Written{Request: id, Attempt: n, Deadline: r.ev.Deadline})
+					x.handle(balancer.Written{Request: id, Attempt: n, Deadline: r.ev.Deadline})
 				}
 			})
 		}
 		took, limit = took+written, limit+time.Second
 	}
 	if took > limit {
-		result, took = logic.TimedOut, limit
+		result, took = balancer.TimedOut, limit
 	}
-	if result == logic.OK && x.rnd.chance(0.05) {
+	if result == balancer.OK && x.rnd.chance(0.05) {
 		x.after(took/2, func() {
 			if a.out && !r.closed {
 				r.closed = true
 				x.counts["streamed answers"]++
-				x.handle(logic.Streaming{Request: id, Attempt: n})
+				x.handle(balancer.Streaming{Request: id, Attempt: n})
 			}
 		})
 	}
 	x.after(took, func() { x.end(r, n, result) })
-	if s.entry.State == logic.Gone && x.rnd.chance(0.5) {
-		x.after(took/3, func() { x.end(r, n, logic.Reset) })
+	if s.entry.State == balancer.Gone && x.rnd.chance(0.5) {
+		x.after(took/3, func() { x.end(r, n, balancer.Reset) })
 	}
 }
 
-func (x *trace) end(r *traceRequest, n int, result logic.Result) {
+func (x *trace) end(r *traceRequest, n int, result balancer.Result) {
 	a := r.attempts[n]
 	if !a.out {
 		if x.rnd.chance(0.05) { // told twice, which is passed over
-			x.handle(logic.Outcome{Request: r.ev.ID, Attempt: n, Server: a.srv.entry.ID, Result: result, Report: logic.NoReport})
+			x.handle(balancer.Outcome{Request: r.ev.ID, Attempt: n, Server: a.srv.entry.ID, Result: result, Report: balancer.NoReport})
 		}
 		return
 	}
 	a.out = false
 	a.srv.own--
 	x.counts["outcomes of result "+strconv.Itoa(int(result))]++
-	if result == logic.Failed || result == logic.TimedOut || result == logic.Reset || result == logic.Cancelled {
+	if result == balancer.Failed || result == balancer.TimedOut || result == balancer.Reset || result == balancer.Cancelled {
 		r.mayRun = a
 	}
-	rep := logic.NoReport
-	if result == logic.OK || result == logic.Failed || result == logic.Rejected {
+	rep := balancer.NoReport
+	if result == balancer.OK || result == balancer.Failed || result == balancer.Rejected {
 		rep = x.tell(a.srv)
 	}
-	served := result == logic.OK && !r.closed
+	served := result == balancer.OK && !r.closed
 	r.closed = r.closed || served
-	x.handle(logic.Outcome{Request: r.ev.ID, Attempt: n, Server: a.srv.entry.ID, Result: result, Took: x.at - a.sent,
+	x.handle(balancer.Outcome{Request: r.ev.ID, Attempt: n, Server: a.srv.entry.ID, Result: result, Took: x.at - a.sent,
 		Closed: r.closed, Report: rep})
 	if served {
 		x.withdraw(r)
@@ -353,7 +353,7 @@
 		switch y := x.rnd.below(10); {
 		case y < 7:
 			x.counts["attempts asked for"]++
-			x.handle(logic.Retry{Request: r.ev.ID, Among: x.among(0.5)})
+			x.handle(balancer.Retry{Request: r.ev.ID, Among: x.among(0.5)})
 		case y < 9:
 			x.gone(r)
 		}
@@ -364,7 +364,7 @@
 func (x *trace) withdraw(r *traceRequest) {
 	for n, a := range r.attempts {
 		if a.out && x.rnd.chance(0.8) {
-			x.after(x.rnd.millis(0, 5), func() { x.end(r, n, logic.Cancelled) })
+			x.after(x.rnd.millis(0, 5), func() { x.end(r, n, balancer.Cancelled) })
 		}
 	}
 }
@@ -375,7 +375,7 @@
 	}
 	r.closed = true
 	x.counts["clients gone"]++
-	x.handle(logic.ClientGone{Request: r.ev.ID})
+	x.handle(balancer.ClientGone{Request: r.ev.ID})
 	x.withdraw(r)
 }
 
@@ -391,7 +391,7 @@
 	x.after(after+x.rnd.millis(1, 60), func() {
 		again.Again = true
 		if r.mayRun != nil {
-			again.Before = logic.Before{May: true, Since: r.mayRun.sent, Zone: r.mayRun.srv.entry.Zone, Cell: r.mayRun.srv.entry.Cell}
+			again.Before = balancer.Before{May: true, Since: r.mayRun.sent, Zone: r.mayRun.srv.entry.Zone, Cell: r.mayRun.srv.entry.Cell}
 		}
 		x.counts["clients come again"]++
 		x.ask(again, r.tries+1)
@@ -411,7 +411,7 @@
 	return slices.Compact(ids)
 }
 
-func (x *trace) ask(e logic.Request, tries int) {
+func (x *trace) ask(e balancer.Request, tries int) {
 	x.ids++
 	e.ID = "r" + strconv.Itoa(x.ids)
 	e.Deadline = x.at + x.rnd.millis(300, 1500)
@@ -425,7 +425,7 @@
 }
 
 func (x *trace) arrive() {
-	e := logic.Request{Class: x.rnd.below(len(x.classes)), Tenant: x.rnd.between(-1, 3)}
+	e := balancer.Request{Class: x.rnd.below(len(x.classes)), Tenant: x.rnd.between(-1, 3)}
 	if x.rnd.chance(0.4) {
 		e.Tenant = 0 // more than its share
 	}
@@ -441,9 +441,9 @@
 	x.ask(e, 0)
 	if x.rnd.chance(0.01) { // the same once more, and a class that is not known, which are passed over
 		x.handle(x.requests["r"+strconv.Itoa(x.ids)].ev)
-		x.handle(logic.Request{ID: "no class", Class: 99})
-		x.handle(logic.Probed{Server: x.servers[0].entry.ID, Report: logic.NoReport})
-		x.handle(logic.PeerMessage{From: 1})
+		x.handle(balancer.Request{ID: "no class", Class: 99})
+		x.handle(balancer.Probed{Server: x.servers[0].entry.ID, Report: balancer.NoReport})
+		x.handle(balancer.PeerMessage{From: 1})
 	}
 	pause := float64(time.Second) / float64(x.perSecond) * 2 * x.rnd.share()
 	if x.at < x.surgeTo {
@@ -455,20 +455,20 @@
 func (x *trace) newServer() *traceServer {
 	x.names++
 	s := &traceServer{base: x.rnd.millis(20, 60), slots: float64(x.rnd.between(4, 16))}
-	s.entry = logic.Server{ID: "s" + strconv.Itoa(x.names), Zone: x.rnd.below(3), Cell: x.rnd.below(1 + len(x.servers)/4), Weight: s.slots}
+	s.entry = balancer.Server{ID: "s" + strconv.Itoa(x.names), Zone: x.rnd.below(3), Cell: x.rnd.below(1 + len(x.servers)/4), Weight: s.slots}
 	if x.rnd.chance(0.02) {
 		s.entry.Weight = []float64{0, -1, math.NaN(), 1e12}[x.rnd.below(4)]
 	}
 	x.servers = append(x.servers, s)
 	x.byID[s.entry.ID] = s
 	for i := range s.told {
-		s.told[i] = logic.NoReport
+		s.told[i] = balancer.NoReport
 	}
 	return s
 }
 
-func (x *trace) whole(drop float64) logic.ServerList {
-	l := logic.ServerList{Full: true, Drop: drop}
+func (x *trace) whole(drop float64) balancer.ServerList {
+	l := balancer.ServerList{Full: true, Drop: drop}
 	for _, s := range x.servers {
 		l.Servers = append(l.Servers, s.entry)
 	}
@@ -479,7 +479,7 @@
 func (x *trace) subscribed() {
 	if x.lasting && x.handled < x.events/2 || x.rnd.chance(0.4) {
 		x.counts["calls to the list that failed"]++
-		x.handle(logic.ListUnavailable{})
+		x.handle(balancer.ListUnavailable{})
 		return
 	}
 	x.handle(x.whole(0))
@@ -491,7 +491,7 @@
 	if x.rnd.chance(0.15) {
 		n = 20
 	}
-	l := logic.ServerList{}
+	l := balancer.ServerList{}
 	if x.rnd.chance(0.1) {
 		l.Drop = 0.2
 	}
@@ -499,24 +499,24 @@
 		s := x.servers[x.rnd.below(len(x.servers))]
 		switch x.rnd.below(8) {
 		case 0:
-			s.entry.State = logic.Draining
+			s.entry.State = balancer.Draining
 			x.counts["drains"]++
 		case 1:
 			if len(x.servers) < x.traceCase.servers*3/4 {
 				break
 			}
 			x.counts["removals"]++
-			s.entry.State = logic.Gone
+			s.entry.State = balancer.Gone
 			x.servers = slices.DeleteFunc(x.servers, func(o *traceServer) bool { return o == s })
 		case 2, 3:
-			s.entry.Started, s.mode, s.entry.State = x.at, traceWell, logic.Ready
+			s.entry.Started, s.mode, s.entry.State = x.at, traceWell, balancer.Ready
 			x.counts["restarts"]++
 		case 4:
 			s.entry.Cell, s.entry.Zone = x.rnd.below(4), x.rnd.below(3)
 		case 5:
 			s.entry.Weight = float64(x.rnd.between(1, 20))
 		case 6:
-			s.entry.State = logic.Ready
+			s.entry.State = balancer.Ready
 		default:
 			if len(x.servers) > x.traceCase.servers*5/4 {
 				break
@@ -527,14 +527,14 @@
 			}
 			if x.rnd.chance(0.1) {
 				l.Servers = append(l.Servers, s.entry) // named and taken back in one change
-				s.entry.State = logic.Gone
+				s.entry.State = balancer.Gone
 				x.servers = x.servers[:len(x.servers)-1]
 			}
 			x.counts["new servers"]++
 		}
 		l.Servers = append(l.Servers, s.entry)
 		if x.rnd.chance(0.05) {
-			l.Servers = append(l.Servers, s.entry, logic.Server{ID: "never seen", State: logic.Gone})
+			l.Servers = append(l.Servers, s.entry, balancer.Server{ID: "never seen", State: balancer.Gone})
 		}
 	}
 	if x.rnd.chance(0.1) {
@@ -550,7 +550,7 @@
 
 // release restarts most servers at once.
 func (x *trace) release() {
-	l := logic.ServerList{}
+	l := balancer.ServerList{}
 	for _, s := range x.servers {
 		if x.rnd.chance(0.7) {
 			s.entry.Started, s.mode = x.at, traceWell
@@ -598,31 +598,31 @@
 	next := slices.Clone(x.classes)
 	switch round {
 	case 0:
-		next[1].Effect, next[2].Dropped = logic.Unsafe, true
-		next = append(next, logic.Class{Name: "new", Effect: logic.Keyed, Group: logic.GroupZone, Window: 300e6, Aim: 250e6, Deadline: 1e9, Worth: 4})
+		next[1].Effect, next[2].Dropped = balancer.Unsafe, true
+		next = append(next, balancer.Class{Name: "new", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 300e6, Aim: 250e6, Deadline: 1e9, Worth: 4})
 	default:
-		next[1].Effect, next[2].Dropped, next[0].Worth = logic.Safe, false, 3
+		next[1].Effect, next[2].Dropped, next[0].Worth = balancer.Safe, false, 3
 	}
 	x.retuned, x.classes = x.at, next
 	x.counts["changes of classes"]++
-	x.handle(logic.Retune{Classes: next, MaxAttempts: 4 - round, ParallelCopies: x.copies})
+	x.handle(balancer.Retune{Classes: next, MaxAttempts: 4 - round, ParallelCopies: x.copies})
 }
 
 func (x *trace) run(t *testing.T) string {
-	x.classes = []logic.Class{
-		{Name: "a", Effect: logic.Safe, Aim: 300e6, Deadline: 1500e6, Worth: 1},
-		{Name: "b", Effect: logic.Safe, Aim: 400e6, Deadline: 2e9, Worth: 5},
-		{Name: "c", Effect: logic.Unsafe, Aim: 300e6, Deadline: 2e9, Worth: 10},
-		{Name: "d", Effect: logic.Keyed, Group: logic.GroupAll, Window: 500e6, Aim: 300e6, Deadline: 2e9, Worth: 3},
-		{Name: "e", Effect: logic.Keyed, Group: logic.GroupZone, Window: 900e6, Aim: 300e6, Deadline: 2e9, Worth: 3},
-		{Name: "f", Effect: logic.Keyed, Group: logic.GroupCell, Window: 900e6, Aim: 300e6, Deadline: 2e9, Worth: 2}}
-	set := logic.Settings{Balancers: x.balancers, Me: x.seed, Tick: 5 * time.Millisecond, Classes: x.classes, Zone: 1, CrossZonePrice: 0.02,
+	x.classes = []balancer.Class{
+		{Name: "a", Effect: balancer.Safe, Aim: 300e6, Deadline: 1500e6, Worth: 1},
+		{Name: "b", Effect: balancer.Safe, Aim: 400e6, Deadline: 2e9, Worth: 5},
+		{Name: "c", Effect: balancer.Unsafe, Aim: 300e6, Deadline: 2e9, Worth: 10},
+		{Name: "d", Effect: balancer.Keyed, Group: balancer.GroupAll, Window: 500e6, Aim: 300e6, Deadline: 2e9, Worth: 3},
+		{Name: "e", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 900e6, Aim: 300e6, Deadline: 2e9, Worth: 3},
+		{Name: "f", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 900e6, Aim: 300e6, Deadline: 2e9, Worth: 2}}
+	set := balancer.Settings{Balancers: x.balancers, Me: x.seed, Tick: 5 * time.Millisecond, Classes: x.classes, Zone: 1, CrossZonePrice: 0.02,
 		ListWeights: x.weights, Subscribe: true, WarmKeys: x.warmKeys, MaxAttempts: 3, ParallelCopies: x.copies, MaxRetryAfter: 100 * time.Millisecond,
 		ColdFrom: 0.2, ColdFor: 3 * time.Second, Shares: []float64{0.2, 0.3, 0.5}, OverShareWorth: 0.3}
 	if x.overload {
 		set.Overload, set.MustAskIn = 3, 2*time.Second
 	}
-	b, err := logic.New(set, uint64(x.seed))
+	b, err := balancer.New(set, uint64(x.seed))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -642,7 +642,7 @@
 	} else {
 		x.after(time.Second, x.change)
 	}
-	x.after(x.rnd.millis(2000, 3000), func() { x.handle(logic.ListUnavailable{}) })
+	x.after(x.rnd.millis(2000, 3000), func() { x.handle(balancer.ListUnavailable{}) })
 	rounds, emptied, released := 0, false, false
 	for x.handled < x.events {
 		if part := x.handled * 100 / x.events; rounds == 0 && part >= 45 || rounds == 1 && part >= 70 {
@@ -650,7 +650,7 @@
 			rounds++
 		} else if !emptied && part >= 80 { // nobody is left for a moment
 			emptied = true
-			x.handle(logic.ServerList{Full: true})
+			x.handle(balancer.ServerList{Full: true})
 			x.after(100*time.Millisecond, func() { x.handle(x.whole(0)) })
 		}
 		if !released && x.handled*100/x.events >= 30 {
--- a/logic/logic.go
+++ b/internal/balancer/logic.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // The interface of this module, its settings, events and actions, is in api.go.
 
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"appleledge/logic/weighted"
+	"appleledge/internal/balancer/weighted"
 )
 
 // The module's own constants. All are shares, counts or multiples; times come from the settings.
--- a/logic/members.go
+++ b/internal/balancer/members.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"appleledge/logic/weighted"
+	"appleledge/internal/balancer/weighted"
 
 	"github.com/cespare/xxhash/v2"
 )
--- a/logic/state.go
+++ b/internal/balancer/state.go
@@ -1,10 +1,10 @@
-package logic
+package balancer
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"appleledge/logic/weighted"
+	"appleledge/internal/balancer/weighted"
 )
 
 // pool is what servers are drawn from, and race what finds the home of a key.
--- a/internal/engine/chooser.go
+++ b/internal/engine/chooser.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/recent"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // Chooser is a Caller that carries the attempts itself: a proxy that asks where each request goes. Attempts are made
@@ -60,7 +60,7 @@
 		if c.Try <= old.Try || old.Try == 0 {
 			return false // nothing says that the earlier try is over
 		}
-		e.outcome(Outcome{Attempt: old.last, Result: logic.Cancelled, Report: logic.NoReport})
+		e.outcome(Outcome{Attempt: old.last, Result: balancer.Cancelled, Report: balancer.NoReport})
 		if old.closed.Load() {
 			e.reject(c, Answer{Kind: Conflict})
 			return true
@@ -68,7 +68,7 @@
 	}
 	old.release()
 	old.Caller, old.chooser, old.Try, old.Among = c.Caller, c.chooser, c.Try, c.Among
-	e.decide(logic.Retry{Request: c.ID, Among: old.among()})
+	e.decide(balancer.Retry{Request: c.ID, Among: old.among()})
 	return true
 }
 
@@ -80,7 +80,7 @@
 // worded here, where the request is known. One that comes as a further try, while nothing is remembered of the ones before
 // (the memory was full, or the agent has started anew), may have run: if it must not run twice it has failed.
 func (e *Engine) takesNew(c *Call) bool {
-	if c.Effect != logic.Safe && e.neverRan != nil {
+	if c.Effect != balancer.Safe && e.neverRan != nil {
 		now := e.clock.Now()
 		_, known := e.neverRan.Get(now, c.ID)
 		if c.Try > 1 && !known {
@@ -105,7 +105,7 @@
 
 // cameToNothing remembers that no try of a chooser's call can have run, so that a further one is as good as the first.
 func (e *Engine) cameToNothing(c *Call) {
-	if e.neverRan != nil && c.chooser != nil && c.Effect != logic.Safe {
+	if e.neverRan != nil && c.chooser != nil && c.Effect != balancer.Safe {
 		now := e.clock.Now()
 		e.neverRan.Put(now, c.ID, struct{}{}, now+e.keep)
 	}
@@ -120,7 +120,7 @@
 func (e *Engine) choose(c *Call, a *Attempt, tie TieCommit) {
 	c.last = a
 	a.expiry = time.AfterFunc(a.Until-a.Sent, func() {
-		e.Tell(Outcome{Attempt: a, Result: logic.TimedOut, Report: logic.NoReport})
+		e.Tell(Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport})
 	})
 	if tie == nil {
 		c.chooser.Choose(a)
@@ -147,13 +147,13 @@
 	}
 	e.withdraw(a)
 	if c := a.Call; !c.closed.Load() {
-		e.decide(logic.Retry{Request: c.ID, Among: c.among()})
+		e.decide(balancer.Retry{Request: c.ID, Among: c.among()})
 	}
 }
 
 // withdraw ends an attempt that no proxy has seen.
 func (e *Engine) withdraw(a *Attempt) {
-	e.outcome(Outcome{Attempt: a, Result: logic.NotSent, Report: logic.NoReport})
+	e.outcome(Outcome{Attempt: a, Result: balancer.NotSent, Report: balancer.NoReport})
 	a.Call.carried--
 }
 
@@ -171,14 +171,14 @@
 		c.closed.Store(true)
 		e.cameToNothing(c)
 		e.passed(c, storm.Left)
-		e.decide(logic.ClientGone{Request: c.ID})
+		e.decide(balancer.ClientGone{Request: c.ID})
 		e.forget(c)
 	}
 }
 
 // remember keeps how a call ended whose effect must not be repeated by a later try.
 func (e *Engine) remember(c *Call, kind AnswerKind) {
-	if e.ended == nil || c.chooser == nil || c.Effect == logic.Safe {
+	if e.ended == nil || c.chooser == nil || c.Effect == balancer.Safe {
 		return
 	}
 	if kind == Refused {
--- a/internal/engine/chooser_test.go
+++ b/internal/engine/chooser_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
-	"appleledge/logic"
 )
 
 // noDeadline hides the test's deadline, which can't be asked for in a bubble.
@@ -73,16 +73,16 @@
 	keep     = time.Hour
 )
 
-func classes() []logic.Class {
-	return []logic.Class{
-		{Name: "safe", Effect: logic.Safe, Aim: 600e6, Deadline: deadline, Worth: 1},
-		{Name: "keyed", Effect: logic.Keyed, Group: logic.GroupCell, Window: window, Aim: 600e6, Deadline: deadline, Worth: 3},
-		{Name: "unsafe", Effect: logic.Unsafe, Aim: 600e6, Deadline: deadline, Worth: 10},
+func classes() []balancer.Class {
+	return []balancer.Class{
+		{Name: "safe", Effect: balancer.Safe, Aim: 600e6, Deadline: deadline, Worth: 1},
+		{Name: "keyed", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: window, Aim: 600e6, Deadline: deadline, Worth: 3},
+		{Name: "unsafe", Effect: balancer.Unsafe, Aim: 600e6, Deadline: deadline, Worth: 10},
 	}
 }
 
 func newMachine(t *rapid.T) *machine {
-	b, err := logic.New(logic.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 4, Classes: classes()}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 4, Classes: classes()}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,8 +104,8 @@
 func (m *machine) list() {
 	l := Listed{Full: true}
 	for i := range 6 {
-		state := logic.State(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(m.t, "state"))
-		l.Members = append(l.Members, Member{Server: logic.Server{ID: fmt.Sprint(i), Cell: i / 2, State: state}})
+		state := balancer.State(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(m.t, "state"))
+		l.Members = append(l.Members, Member{Server: balancer.Server{ID: fmt.Sprint(i), Cell: i / 2, State: state}})
 	}
 	m.e.handle(l)
 }
@@ -181,9 +181,9 @@
 	m.sentBound(a)
 	for _, before := range m.ran[p.id] {
 		switch class := classes()[m.class[p.id]]; class.Effect {
-		case logic.Unsafe:
+		case balancer.Unsafe:
 			m.t.Fatalf("%s is sent to %s and may have run at %s", p.id, a.Server, before.attempt.Server)
-		case logic.Keyed:
+		case balancer.Keyed:
 			if first := before.attempt; before.stray || first.Server[0]/2 != a.Server[0]/2 || a.Sent-first.Sent >= class.Window {
 				m.t.Fatalf("%s is sent to %s at %v and may have run at %s at %v", p.id, a.Server, a.Sent, first.Server, first.Sent)
 			}
@@ -228,7 +228,7 @@
 	p := &proxied{m: m, id: id}
 	call := &Call{ID: id, Class: class, Deadline: m.e.clock.Now() + c.Deadline, Effect: c.Effect, Caller: p,
 		Try: rapid.IntRange(0, 3).Draw(m.t, "try")}
-	if c.Effect == logic.Keyed {
+	if c.Effect == balancer.Keyed {
 		call.Window = c.Window
 	}
 	m.tries = append(m.tries, p)
@@ -249,8 +249,8 @@
 	if p == nil || p.attempt == nil {
 		return
 	}
-	result := rapid.SampledFrom([]logic.Result{logic.OK, logic.Failed, logic.Rejected, logic.ConnectFailed, logic.Reset,
-		logic.Cancelled, logic.TimedOut}).Draw(m.t, "result")
+	result := rapid.SampledFrom([]balancer.Result{balancer.OK, balancer.Failed, balancer.Rejected, balancer.ConnectFailed, balancer.Reset,
+		balancer.Cancelled, balancer.TimedOut}).Draw(m.t, "result")
 	elsewhere := rapid.IntRange(0, 9).Draw(m.t, "elsewhere") == 0
 	switch {
 	case p.attempt.over:
@@ -258,10 +258,10 @@
 		for _, r := range m.ran[p.id] {
 			r.stray = r.stray || r.attempt == p.attempt
 		}
-	case result == logic.Rejected, result == logic.ConnectFailed:
+	case result == balancer.Rejected, result == balancer.ConnectFailed:
 		m.neverRan(p)
 	}
-	m.e.handle(Outcome{Attempt: p.attempt, Result: result, Report: logic.NoReport, Elsewhere: elsewhere})
+	m.e.handle(Outcome{Attempt: p.attempt, Result: result, Report: balancer.NoReport, Elsewhere: elsewhere})
 }
 
 func (m *machine) check() {
@@ -336,7 +336,7 @@
 		m := newMachine(rt)
 		m.class["0"] = 1
 		call := func(p *proxied, try int) *Call {
-			return &Call{ID: "0", Class: 1, Effect: logic.Keyed, Window: window, Deadline: m.e.clock.Now() + deadline, Caller: p, Try: try}
+			return &Call{ID: "0", Class: 1, Effect: balancer.Keyed, Window: window, Deadline: m.e.clock.Now() + deadline, Caller: p, Try: try}
 		}
 		first, second, third := &proxied{m: m, id: "0"}, &proxied{m: m, id: "0"}, &proxied{m: m, id: "0"}
 		m.e.handle(arrived{call(first, 1)})
@@ -354,7 +354,7 @@
 func TestElsewhereTeachesNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newMachine(rt)
-		m.e.handle(Listed{Full: true, Members: []Member{{Server: logic.Server{ID: "0"}}, {Server: logic.Server{ID: "1"}}}})
+		m.e.handle(Listed{Full: true, Members: []Member{{Server: balancer.Server{ID: "0"}}, {Server: balancer.Server{ID: "1"}}}})
 		got := map[string]int{}
 		for i := range 100 {
 			p := &proxied{m: m, id: fmt.Sprint(i)}
@@ -363,9 +363,9 @@
 				rt.Fatalf("request %d got %v", i, p.answers)
 			}
 			got[p.attempt.Server]++
-			out := Outcome{Attempt: p.attempt, Result: logic.OK, Report: logic.NoReport}
+			out := Outcome{Attempt: p.attempt, Result: balancer.OK, Report: balancer.NoReport}
 			if p.attempt.Server == "0" {
-				out.Result, out.Elsewhere = logic.Failed, true
+				out.Result, out.Elsewhere = balancer.Failed, true
 			}
 			m.e.handle(out)
 			m.e.handle(gaveUp{p.id, p})
--- a/internal/engine/door.go
+++ b/internal/engine/door.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // Door says which calls are let in to the module.
@@ -29,7 +29,7 @@
 		return true
 	}
 	a := storm.Ask{Class: c.Class, Tenant: c.Tenant, Key: c.RepeatKey, Again: c.Again, Bound: c.Try > 1 || c.before.May, Deadline: c.Deadline}
-	if a.Key == "" && c.Effect == logic.Safe && c.Key != "" {
+	if a.Key == "" && c.Effect == balancer.Safe && c.Key != "" {
 		a.Key = strconv.Itoa(c.Class) + " " + strconv.Itoa(c.Tenant) + " " + c.Key
 	}
 	p, told := e.door.Arrive(e.clock.Now(), a)
--- a/internal/engine/door_test.go
+++ b/internal/engine/door_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/join"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // keeper is a door that keeps what it is told, and turns away what is not bound when it is shut.
@@ -42,7 +42,7 @@
 // What a door turns away is answered at once with when to come back, and the module never hears of it; it is told of each
 // end of what it let in, once; and a further try that a proxy makes of a request is bound, as an earlier one may have run.
 func TestDoor(t *testing.T) {
-	b, err := logic.New(logic.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 1, Classes: classes()}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 1, Classes: classes()}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,20 +50,20 @@
 	e := New(b, DrivenClock(&now), noFleet{}, slog.New(slog.DiscardHandler))
 	e.Guard(k)
 	e.Begin()
-	e.Step(Listed{Full: true, Members: []Member{{Server: logic.Server{ID: "s"}}}})
+	e.Step(Listed{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
 	call := func(id string, try int) (*Call, *ear) {
 		heard := &ear{}
-		c := &Call{ID: id, Class: 1, Effect: logic.Keyed, Window: window, Deadline: now + deadline, RepeatKey: "key-" + id, Carrier: s, Caller: heard, Try: try}
+		c := &Call{ID: id, Class: 1, Effect: balancer.Keyed, Window: window, Deadline: now + deadline, RepeatKey: "key-" + id, Carrier: s, Caller: heard, Try: try}
 		e.Step(Arrival(c))
 		return c, heard
 	}
 	served, heard := call("served", 0)
-	e.Step(Outcome{Attempt: s.attempts[0], Result: logic.OK, Report: logic.NoReport})
+	e.Step(Outcome{Attempt: s.attempts[0], Result: balancer.OK, Report: balancer.NoReport})
 	left, _ := call("left", 0)
 	e.Step(clientLeft{left})
 	e.Step(clientLeft{left})
 	failed, _ := call("failed", 0)
-	e.Step(Outcome{Attempt: s.attempts[2], Result: logic.Reset, Report: logic.NoReport})
+	e.Step(Outcome{Attempt: s.attempts[2], Result: balancer.Reset, Report: balancer.NoReport})
 	if want := []storm.End{storm.Served, storm.Left, storm.Failed}; !slices.Equal(k.ends, want) || len(*heard) != 1 || !served.Closed() || !failed.Closed() {
 		t.Errorf("the door was told %v, want %v", k.ends, want)
 	}
@@ -84,7 +84,7 @@
 // A request of which no try could have run, and whose next try did, is not taken for one that never ran once its end is
 // forgotten: it must not run twice.
 func TestNeverRanIsNoLongerSo(t *testing.T) {
-	b, err := logic.New(logic.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 1, Classes: classes()}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 1, Classes: classes()}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,10 +92,10 @@
 	e := New(b, DrivenClock(&now), noFleet{}, slog.New(slog.DiscardHandler))
 	e.RememberEnded(1, keep)
 	e.Begin()
-	e.Step(Listed{Full: true, Members: []Member{{Server: logic.Server{ID: "s"}}}})
+	e.Step(Listed{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
 	try := func(id string, number int, full bool) *proxied {
 		p := &proxied{m: &machine{ran: map[string][]*run{}, class: map[string]int{}}, id: id}
-		e.Step(Arrival(&Call{ID: id, Class: 2, Effect: logic.Unsafe, Deadline: now + deadline, Caller: p, Try: number, Full: full}))
+		e.Step(Arrival(&Call{ID: id, Class: 2, Effect: balancer.Unsafe, Deadline: now + deadline, Caller: p, Try: number, Full: full}))
 		return p
 	}
 	if p := try("x", 1, true); len(p.answers) != 1 || p.answers[0].Kind != Refused {
@@ -106,7 +106,7 @@
 		if p.attempt == nil {
 			t.Fatalf("%s is answered %+v", id, p.answers)
 		}
-		e.Step(Outcome{Attempt: p.attempt, Result: logic.Reset, Report: logic.NoReport})
+		e.Step(Outcome{Attempt: p.attempt, Result: balancer.Reset, Report: balancer.NoReport})
 		try(id, 3, false)
 	}
 	if p := try("x", 4, false); p.attempt != nil || len(p.answers) != 1 || p.answers[0].Kind != Failed {
@@ -118,11 +118,11 @@
 // is sent for it any more, and how its attempt ends then is heard by nobody.
 func TestLastWord(t *testing.T) {
 	for name, tt := range map[string]struct {
-		first logic.Result // how the first attempt ended before; -1: it is still out
+		first balancer.Result // how the first attempt ended before; -1: it is still out
 		want  AnswerKind
 	}{
 		"in flight":              {-1, Failed},
-		"turned away, in flight": {logic.Rejected, Failed}, // sent once more
+		"turned away, in flight": {balancer.Rejected, Failed}, // sent once more
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newTied(t, func(*tiedEngine) {})
@@ -136,7 +136,7 @@
 			if len(*heard) != 1 || (*heard)[0].Kind != tt.want {
 				t.Fatalf("answers %+v", *heard)
 			}
-			x.end(x.out.attempts[sent-1], logic.Reset)
+			x.end(x.out.attempts[sent-1], balancer.Reset)
 			x.now += deadline
 			x.Step(nil)
 			if len(*heard) != 1 || len(x.out.attempts) != sent || len(x.calls) != 0 {
@@ -154,7 +154,7 @@
 	})
 	calls, heard := make([]*Call, 3), make([]ear, 3)
 	for i := range calls {
-		calls[i] = &Call{ID: string(rune('a' + i)), Effect: logic.Safe, Deadline: x.now + deadline, Carrier: x.out, Caller: &heard[i], Like: &join.Digest{}}
+		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Safe, Deadline: x.now + deadline, Carrier: x.out, Caller: &heard[i], Like: &join.Digest{}}
 		x.Step(Arrival(calls[i]))
 	}
 	if len(x.out.attempts) != 1 {
@@ -162,7 +162,7 @@
 	}
 	x.Step(lastWord{calls[0]})
 	x.Step(lastWord{calls[1]})
-	x.end(x.out.attempts[0], logic.OK)
+	x.end(x.out.attempts[0], balancer.OK)
 	for i, want := range []AnswerKind{Refused, Refused, Served} {
 		if len(heard[i]) != 1 || heard[i][0].Kind != want {
 			t.Errorf("%d heard %+v, want one of kind %v", i, heard[i], want)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"appleledge/internal/affinity"
+	"appleledge/internal/balancer"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/generation"
 	"appleledge/internal/join"
 	"appleledge/internal/recent"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // Call is a client's request, by whatever front it came. A front fills it in and hands it to Engine.Arrive; the
@@ -25,16 +25,16 @@
 type Call struct {
 	ID            string
 	Class, Tenant int
-	Key           string        // what the request is about; may be empty
-	Deadline      time.Duration // when the request is ended, on the engine's clock
-	Again         bool          // the client's own repeat
-	Effect        logic.Effect  // of its class
-	Window        time.Duration // of a keyed class: how long after the first attempt another may begin; else 0
-	RepeatKey     string        // by which servers tell repeats; may be empty
-	Settings      int           // the number of the settings under which the class is what it is
-	Attempts      int           // that it may have; 0: as many as the module says
-	Payload       any           // what the front took, for the carrier
-	Carrier       Carrier       // of its attempts; nil where the caller is a Chooser
+	Key           string          // what the request is about; may be empty
+	Deadline      time.Duration   // when the request is ended, on the engine's clock
+	Again         bool            // the client's own repeat
+	Effect        balancer.Effect // of its class
+	Window        time.Duration   // of a keyed class: how long after the first attempt another may begin; else 0
+	RepeatKey     string          // by which servers tell repeats; may be empty
+	Settings      int             // the number of the settings under which the class is what it is
+	Attempts      int             // that it may have; 0: as many as the module says
+	Payload       any             // what the front took, for the carrier
+	Carrier       Carrier         // of its attempts; nil where the caller is a Chooser
 	Caller        Caller
 	Like          *join.Digest // what it asks, where it may be answered together with others; else nil
 	Upload        Upload       // what still comes of it, while it is sent on; nil where it is there whole
@@ -63,8 +63,8 @@
 	counted    bool          // the tally has it as open
 	flies      bool          // it is a flight of joined calls, and nobody's own
 	bound      generation.Bound
-	key        affinity.Key // of a keyed call, where ties are kept
-	before     logic.Before // what may have run of it under another id
+	key        affinity.Key    // of a keyed call, where ties are kept
+	before     balancer.Before // what may have run of it under another id
 }
 
 // Closed reports whether the call needs no answer any more. It may be asked from any goroutine.
@@ -167,8 +167,8 @@
 // Outcome is how an attempt ended. Every attempt gets exactly one.
 type Outcome struct {
 	Attempt *Attempt
-	Result  logic.Result
-	Report  logic.Report
+	Result  balancer.Result
+	Report  balancer.Report
 	Payload any  // of an OK: what the client gets
 	Private bool // of an OK: the backend says that it is for this caller alone
 	// Elsewhere says that the result is that of a server which the module did not choose. What the chosen one did is
@@ -178,7 +178,7 @@
 
 // Member is a server of the list.
 type Member struct {
-	logic.Server
+	balancer.Server
 	Addr string // host and port
 	Kind string // of machine, as the list names it; may be empty
 }
@@ -226,7 +226,7 @@
 	// Retuned brings settings that have changed, and their number; what is switched on beside the module hears of the classes
 	// as it needs them.
 	Retuned struct {
-		logic.Retune
+		balancer.Retune
 		Number int
 		Joins  []join.Class
 		Door   []storm.Class
@@ -260,7 +260,7 @@
 // Engine is the one goroutine that owns the module: events come in by a channel, and it carries out what the
 // module decides. It does no I/O itself and waits for nothing but the next event or timer.
 type Engine struct {
-	balancer  *logic.Balancer
+	balancer  *balancer.Balancer
 	clock     Clock
 	fleet     Fleet
 	subscribe func()
@@ -291,7 +291,7 @@
 const eventQueue = 1024
 
 // New returns an engine round the module. It does nothing before Run.
-func New(b *logic.Balancer, c Clock, f Fleet, log *slog.Logger) *Engine {
+func New(b *balancer.Balancer, c Clock, f Fleet, log *slog.Logger) *Engine {
 	return &Engine{balancer: b, clock: c, fleet: f, log: log, subscribe: func() {},
 		events: make(chan Event, eventQueue), done: make(chan struct{}), calls: map[string]*Call{}, tally: &tally{}}
 }
@@ -326,7 +326,7 @@
 	Joins          join.Counts
 	Door           storm.Counts
 	Tally          Tally
-	Picture        logic.Picture
+	Picture        balancer.Picture
 	Generation     generation.Status
 	Ties           affinity.Counts
 	Recovery       *recovery.Status // nil where none is switched on
@@ -468,7 +468,7 @@
 	case Listed:
 		e.list(ev)
 	case ListUnavailable:
-		e.decide(logic.ListUnavailable{})
+		e.decide(balancer.ListUnavailable{})
 	case Retuned:
 		e.retuned(ev)
 	case uploaded:
@@ -499,7 +499,7 @@
 }
 
 // decide asks the module and carries out what it says.
-func (e *Engine) decide(ev logic.Event) { e.do(e.balancer.Handle(e.clock.Now(), ev)) }
+func (e *Engine) decide(ev balancer.Event) { e.do(e.balancer.Handle(e.clock.Now(), ev)) }
 
 // arrive takes a new call. A second one under the id of one that is not over could not be told from it.
 func (e *Engine) arrive(c *Call) {
@@ -537,7 +537,7 @@
 	}
 	e.passed(c, storm.Left)
 	e.unbind(c, generation.Left)
-	e.decide(logic.ClientGone{Request: c.ID})
+	e.decide(balancer.ClientGone{Request: c.ID})
 	e.forget(c)
 }
 
@@ -555,7 +555,7 @@
 		e.leave(c)
 		return
 	}
-	e.decide(logic.ClientGone{Request: c.ID})
+	e.decide(balancer.ClientGone{Request: c.ID})
 }
 
 // ask brings a call to the module, past the door.
@@ -568,7 +568,7 @@
 	if !e.admit(c) {
 		return
 	}
-	e.decide(logic.Request{Was: c.Settings < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Again: c.Again,
+	e.decide(balancer.Request{Was: c.Settings < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Again: c.Again,
 		Among: c.among(), OnDemand: c.chooser != nil || c.Upload != nil, Uploads: c.Upload != nil,
 		Attempts: fewest(c.Attempts, c.bound.Attempts), Before: c.before})
 }
@@ -620,9 +620,9 @@
 	if s := e.sharer(); s != nil && !a.Barred {
 		s.Ended(e.clock.Now(), a.Server, o.Result, o.Report)
 	}
-	served := o.Result == logic.OK
+	served := o.Result == balancer.OK
 	if o.Elsewhere {
-		o.Result, o.Report = logic.Cancelled, logic.NoReport
+		o.Result, o.Report = balancer.Cancelled, balancer.NoReport
 	}
 	c.ended(o)
 	if e.ties != nil {
@@ -633,17 +633,17 @@
 	switch {
 	case served:
 		e.finish(c, Answer{Kind: Served, Payload: o.Payload, Private: o.Private})
-	case spent && (c.ranSince == 0 || c.Effect == logic.Safe): // what it would need is gone
+	case spent && (c.ranSince == 0 || c.Effect == balancer.Safe): // what it would need is gone
 		e.finish(c, Answer{Kind: Refused})
 	case spent:
 		e.finish(c, Answer{Kind: Failed})
-	case o.Elsewhere && c.Effect != logic.Safe: // the group in which it may be repeated is not known
+	case o.Elsewhere && c.Effect != balancer.Safe: // the group in which it may be repeated is not known
 		e.finish(c, Answer{Kind: Failed})
 	}
-	e.decide(logic.Outcome{Request: c.ID, Attempt: a.Number, Server: a.Server, Result: o.Result,
+	e.decide(balancer.Outcome{Request: c.ID, Attempt: a.Number, Server: a.Server, Result: o.Result,
 		Took: e.clock.Now() - max(a.Sent, a.begun), Closed: c.closed.Load(), Report: o.Report})
 	if c.Upload != nil && !c.closed.Load() {
-		e.decide(logic.Retry{Request: c.ID, Among: c.among()})
+		e.decide(balancer.Retry{Request: c.ID, Among: c.among()})
 	}
 	e.forget(c)
 }
@@ -652,7 +652,7 @@
 func (e *Engine) uploaded(u uploaded) {
 	if a := u.attempt; !a.over {
 		a.begun = e.clock.Now()
-		e.decide(logic.Written{Request: a.Call.ID, Attempt: a.Number, Deadline: u.deadline})
+		e.decide(balancer.Written{Request: a.Call.ID, Attempt: a.Number, Deadline: u.deadline})
 	}
 }
 
@@ -683,11 +683,11 @@
 	if e.drop = l.Drop; e.returning != nil {
 		l = e.returning.listed(e.clock.Now(), l)
 	}
-	servers := make([]logic.Server, len(l.Members))
+	servers := make([]balancer.Server, len(l.Members))
 	for i, m := range l.Members {
 		servers[i] = m.Server
 	}
-	e.decide(logic.ServerList{Full: l.Full, Servers: servers, Drop: l.Drop})
+	e.decide(balancer.ServerList{Full: l.Full, Servers: servers, Drop: l.Drop})
 	if e.returning != nil {
 		e.remask()
 	}
@@ -697,27 +697,27 @@
 }
 
 // do carries out the module's actions. It makes no use of Cancel, Probe and Tell so far.
-func (e *Engine) do(actions []logic.Action) {
+func (e *Engine) do(actions []balancer.Action) {
 	for _, a := range actions {
 		switch a.Kind {
-		case logic.Send:
+		case balancer.Send:
 			e.send(a)
-		case logic.Refuse:
+		case balancer.Refuse:
 			e.tally.givenUp(a.Why)
 			e.finish(e.calls[a.Request], Answer{Kind: Refused, RetryAfter: a.After})
-		case logic.Fail:
+		case balancer.Fail:
 			e.tally.givenUp(a.Why)
 			e.finish(e.calls[a.Request], Answer{Kind: Failed})
-		case logic.SetTimer:
+		case balancer.SetTimer:
 			heap.Push(&e.timers, timer{due: e.clock.Now() + a.After, token: a.Token})
-		case logic.Subscribe:
+		case balancer.Subscribe:
 			e.subscribe()
 		}
 	}
 }
 
 // send starts an attempt in a goroutine of its own, so that a dead dial holds up nothing else.
-func (e *Engine) send(act logic.Action) {
+func (e *Engine) send(act balancer.Action) {
 	c := e.calls[act.Request]
 	e.tally.sent(c, act.Cold)
 	before := c.ranSince
@@ -750,7 +750,7 @@
 }
 
 // attempt is the next attempt of the request.
-func (c *Call) attempt(act logic.Action, now time.Duration) *Attempt {
+func (c *Call) attempt(act balancer.Action, now time.Duration) *Attempt {
 	a := &Attempt{Call: c, Number: c.sends, Server: act.Server, Sent: now, Until: c.Deadline}
 	if act.After > 0 {
 		a.Until = min(a.Until, now+act.After)
@@ -770,7 +770,7 @@
 func (c *Call) ended(o Outcome) {
 	c.out--
 	switch o.Result {
-	case logic.NotSent, logic.ConnectFailed, logic.Rejected:
+	case balancer.NotSent, balancer.ConnectFailed, balancer.Rejected:
 		if c.ranSince == o.Attempt.Sent {
 			c.ranSince = 0
 		}
@@ -807,7 +807,7 @@
 // fire tells the module of the timers that are due, and lets joined calls go on.
 func (e *Engine) fire() {
 	for len(e.timers) > 0 && e.timers[0].due <= e.clock.Now() {
-		e.decide(logic.TimerFired{Token: heap.Pop(&e.timers).(timer).token})
+		e.decide(balancer.TimerFired{Token: heap.Pop(&e.timers).(timer).token})
 	}
 	if e.joins != nil {
 		e.settle()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"appleledge/logic"
+	"appleledge/internal/balancer"
 )
 
 // Backends drop a keyed request's repeats for its window only, counted from the first attempt that may have run:
@@ -14,21 +14,21 @@
 	const deadline, window = 9 * time.Second, 2 * time.Second
 	for name, c := range map[string]struct {
 		window time.Duration
-		first  logic.Result
+		first  balancer.Result
 		want   time.Duration
 	}{
-		"may have run": {window, logic.Reset, time.Second + window},
-		"never ran":    {window, logic.ConnectFailed, deadline},
-		"turned away":  {window, logic.Rejected, deadline},
-		"not keyed":    {0, logic.Reset, deadline},
+		"may have run": {window, balancer.Reset, time.Second + window},
+		"never ran":    {window, balancer.ConnectFailed, deadline},
+		"turned away":  {window, balancer.Rejected, deadline},
+		"not keyed":    {0, balancer.Reset, deadline},
 	} {
 		r := &Call{Deadline: deadline, Window: c.window}
-		first := r.attempt(logic.Action{Server: "b"}, time.Second)
+		first := r.attempt(balancer.Action{Server: "b"}, time.Second)
 		if first.WriteBy != deadline {
 			t.Errorf("%s: the first may begin until %v", name, first.WriteBy)
 		}
 		r.ended(Outcome{Attempt: first, Result: c.first})
-		second := r.attempt(logic.Action{Server: "b"}, 2*time.Second)
+		second := r.attempt(balancer.Action{Server: "b"}, 2*time.Second)
 		if second.WriteBy != c.want || second.Number != 1 || second.Until != deadline || r.out != 1 {
 			t.Errorf("%s: %+v with %d out", name, second, r.out)
 		}
@@ -37,7 +37,7 @@
 
 func TestAttemptEndsWithItsOwnTimeout(t *testing.T) {
 	r := &Call{Deadline: 9 * time.Second}
-	if a := r.attempt(logic.Action{After: time.Second}, time.Second); a.Until != 2*time.Second || a.WriteBy != a.Until {
+	if a := r.attempt(balancer.Action{After: time.Second}, time.Second); a.Until != 2*time.Second || a.WriteBy != a.Until {
 		t.Errorf("%+v", a)
 	}
 }
@@ -46,7 +46,7 @@
 func TestTimersInOrder(t *testing.T) {
 	l := &Engine{clock: NewClock()}
 	for _, after := range []time.Duration{5 * time.Second, time.Second, 3 * time.Second} {
-		l.do([]logic.Action{{Kind: logic.SetTimer, After: after, Token: uint64(after / time.Second)}})
+		l.do([]balancer.Action{{Kind: balancer.SetTimer, After: after, Token: uint64(after / time.Second)}})
 	}
 	for _, want := range []uint64{1, 3, 5} {
 		if got := heap.Pop(&l.timers).(timer); got.token != want {
--- a/internal/engine/governed.go
+++ b/internal/engine/governed.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
-	"appleledge/logic"
 )
 
 // governed is what the engine keeps for a configuration in force: its manager, and the list as it was told, since drains of
@@ -116,7 +116,7 @@
 		clear(g.told)
 	}
 	for _, m := range l.Members {
-		if m.State == logic.Gone {
+		if m.State == balancer.Gone {
 			delete(g.told, m.ID)
 			changed[m.ID] = nil
 			continue
@@ -134,7 +134,7 @@
 }
 
 func (g *governed) server(m Member) *fleetconfig.Server {
-	s := &fleetconfig.Server{ID: m.ID, Addr: m.Addr, Kind: m.Kind, Pod: m.Cell, Weight: m.Weight, Draining: m.State == logic.Draining}
+	s := &fleetconfig.Server{ID: m.ID, Addr: m.Addr, Kind: m.Kind, Pod: m.Cell, Weight: m.Weight, Draining: m.State == balancer.Draining}
 	if m.Zone >= 0 && m.Zone < len(g.zones) {
 		s.Zone = g.zones[m.Zone]
 	}
@@ -145,8 +145,8 @@
 }
 
 func (g *governed) drained(m Member) Member {
-	if m.State == logic.Ready && g.manager.Drained(m.ID) {
-		m.State = logic.Draining
+	if m.State == balancer.Ready && g.manager.Drained(m.ID) {
+		m.State = balancer.Draining
 	}
 	return m
 }
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/bans"
-	"appleledge/logic"
 )
 
 // held is what the engine keeps of servers that operators hold out: the set, and the list as it was told, since bans lie
@@ -50,7 +50,7 @@
 	h.drop = l.Drop
 	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
-		if m.State == logic.Gone {
+		if m.State == balancer.Gone {
 			delete(h.told, m.ID)
 			h.set.Unlisted(m.ID)
 		} else {
@@ -65,8 +65,8 @@
 // overlay is a member as the fleet and the module are to see it.
 func (h *held) overlay(m Member) Member {
 	m.Started = h.set.Started(m.ID, m.Started)
-	if m.State == logic.Ready && h.set.Out(m.ID) {
-		m.State = logic.Draining
+	if m.State == balancer.Ready && h.set.Out(m.ID) {
+		m.State = balancer.Draining
 	}
 	return m
 }
--- a/internal/engine/joins.go
+++ b/internal/engine/joins.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/join"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // joins is what the engine keeps of calls that are answered together. A member of the table is a call as it came; the
@@ -30,7 +30,7 @@
 
 // join reports whether the call has become a member. Whatever its front says, one that must not run twice never does.
 func (e *Engine) join(c *Call) bool {
-	if c.chooser != nil || c.Upload != nil || c.Effect != logic.Safe || c.bound.Servers() != nil {
+	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Safe || c.bound.Servers() != nil {
 		return false // what is bound to a pool asks of other servers than what is not
 	}
 	m, verdict := e.joins.table.Arrive(e.clock.Now(), join.Ask[*Call]{Of: c, What: *c.Like, Class: c.Class, Tenant: c.Tenant,
@@ -115,7 +115,7 @@
 	for _, f := range c.Drop { // nobody waits for it, as if its client had left
 		if !f.Work.closed.Swap(true) {
 			e.passed(f.Work, storm.Left)
-			e.decide(logic.ClientGone{Request: f.Work.ID})
+			e.decide(balancer.ClientGone{Request: f.Work.ID})
 			e.forget(f.Work)
 		}
 	}
--- a/internal/engine/returning.go
+++ b/internal/engine/returning.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/bans"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/logic"
 )
 
 // returning is what the engine keeps for a recovery: the list as it was told, since starts that the recovery sees otherwise lie over
@@ -104,13 +104,13 @@
 	}
 	for _, m := range l.Members {
 		was, there := r.told[m.ID]
-		changed = changed || !there && m.State != logic.Gone || there && was.State != m.State
-		if m.State == logic.Gone {
+		changed = changed || !there && m.State != balancer.Gone || there && was.State != m.State
+		if m.State == balancer.Gone {
 			delete(r.told, m.ID)
 		} else {
 			r.told[m.ID] = m
 		}
-		r.Recovery.Listed(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == logic.Ready, Gone: m.State == logic.Gone,
+		r.Recovery.Listed(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready, Gone: m.State == balancer.Gone,
 			Started: m.Started}, heard)
 	}
 	if r.Settled(now); changed {
@@ -126,7 +126,7 @@
 
 // remask tells the module of servers whose start is seen otherwise than before.
 func (e *Engine) remask() {
-	var servers []logic.Server
+	var servers []balancer.Server
 	for _, id := range e.returning.Moved() {
 		if m, there := e.returning.told[id]; there {
 			m.Started = e.returning.Started(id, m.Started)
@@ -134,14 +134,14 @@
 		}
 	}
 	if len(servers) > 0 {
-		e.decide(logic.ServerList{Servers: servers, Drop: e.drop})
+		e.decide(balancer.ServerList{Servers: servers, Drop: e.drop})
 	}
 }
 
 // returned tells the recovery how an attempt ended.
 func (e *Engine) returned(o Outcome) {
-	broke := o.Result == logic.ConnectFailed || o.Result == logic.Reset
-	answered := o.Result == logic.OK || o.Result == logic.Failed || o.Result == logic.Rejected
+	broke := o.Result == balancer.ConnectFailed || o.Result == balancer.Reset
+	answered := o.Result == balancer.OK || o.Result == balancer.Failed || o.Result == balancer.Rejected
 	e.returning.Outcome(e.clock.Now(), o.Attempt.Server, answered, broke, o.Report.Rate, o.Report.Util)
 	e.found()
 	e.remask()
@@ -150,7 +150,7 @@
 // repeats says of a repeat of what may have run whether it may go out at all, and if so, that only over a connection from before:
 // who holds the other end of it has run on, and knows what it was sent. Elsewhere nobody may be left who drops it.
 func (r *returning) repeats(c *Call, a *Attempt, since time.Duration) {
-	if c.Effect != logic.Keyed || since == 0 {
+	if c.Effect != balancer.Keyed || since == 0 {
 		return
 	}
 	a.OnlySince = since
--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/word"
-	"appleledge/logic"
 )
 
 // returningEngine is an engine with ties and a recovery, whose list is of now.
@@ -24,7 +24,7 @@
 	x := returningEngine(t, func(*tiedEngine) {})
 	first, _ := x.call("k", nil)
 	pod := cellOf(first)
-	x.end(first, logic.Failed)
+	x.end(first, balancer.Failed)
 	if again := x.out.attempts[len(x.out.attempts)-1]; again == first || cellOf(again) != pod || again.OnlySince != first.Sent || again.Barred {
 		t.Fatalf("%+v after %+v", again, first)
 	}
@@ -49,7 +49,7 @@
 		heard = &ear{}
 		x.ids++
 		before := len(x.out.attempts)
-		x.Step(Arrival(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: logic.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key,
+		x.Step(Arrival(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key,
 			Again: marked, Carrier: x.out, Caller: heard}))
 		return len(x.out.attempts) > before, heard
 	}
@@ -60,7 +60,7 @@
 	if sent, _ := again(x, "of now", false); !sent {
 		t.Error("a first try is not sent")
 	}
-	x.end(x.out.attempts[len(x.out.attempts)-1], logic.ConnectFailed) // it never ran
+	x.end(x.out.attempts[len(x.out.attempts)-1], balancer.ConnectFailed) // it never ran
 	if sent, _ := again(x, "of now", true); !sent {
 		t.Error("the repeat of a try that came since is not sent")
 	}
@@ -80,7 +80,7 @@
 				if a.Server == "s1" {
 					n++
 				}
-				x.end(a, logic.OK)
+				x.end(a, balancer.OK)
 			}
 		}
 		return n
@@ -98,7 +98,7 @@
 	if uses() == 0 {
 		t.Error("word holds for ever")
 	}
-	if x.list(Listed{Members: []Member{{Server: logic.Server{ID: "s2", Cell: 1, State: logic.Draining}}}}); len(told) != 1 || told[0].ID != word.Server("s2") {
+	if x.list(Listed{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != word.Server("s2") {
 		t.Errorf("the others are told %v", told)
 	}
 }
--- a/internal/engine/shared.go
+++ b/internal/engine/shared.go
@@ -5,8 +5,8 @@
 	"maps"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/fleet/word"
-	"appleledge/logic"
 )
 
 // Sharer is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package share.
@@ -14,7 +14,7 @@
 	// MayRetry reports whether an attempt beyond a call's first may go out.
 	MayRetry(now time.Duration) bool
 	Sent(now time.Duration, server string, further bool)
-	Ended(now time.Duration, server string, r logic.Result, rep logic.Report)
+	Ended(now time.Duration, server string, r balancer.Result, rep balancer.Report)
 	Listed(id string, there, ready bool)
 	Lives(alive []bool)
 	// Take takes what another agent tells. An error is a body that can't be read.
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/latency"
-	"appleledge/logic"
 )
 
 // tallyTurn is how far back the times of a Tally reach, to twice that.
@@ -23,15 +23,15 @@
 
 // Tally is what became of calls and attempts since the engine was made, at one moment.
 type Tally struct {
-	Classes  []string                   // names, by number
-	Answers  [][4]uint64                // by class and AnswerKind; calls that are joined count one by one
-	Left     []uint64                   // by class: calls whose client left first
-	Open     int                        // calls that have not ended
-	Written  uint64                     // attempts that were written whole to a server
-	Attempts [len(logic.Results)]uint64 // by logic.Result
-	Sends    [len(SendKinds)]uint64     // by kind
-	Cold     uint64                     // of all these, to servers that had started lately
-	GivenUp  [len(logic.Reasons)]uint64
+	Classes  []string                      // names, by number
+	Answers  [][4]uint64                   // by class and AnswerKind; calls that are joined count one by one
+	Left     []uint64                      // by class: calls whose client left first
+	Open     int                           // calls that have not ended
+	Written  uint64                        // attempts that were written whole to a server
+	Attempts [len(balancer.Results)]uint64 // by logic.Result
+	Sends    [len(SendKinds)]uint64        // by kind
+	Cold     uint64                        // of all these, to servers that had started lately
+	GivenUp  [len(balancer.Reasons)]uint64
 	Times    []Times // of served calls, by class, where they are kept
 }
 
@@ -50,7 +50,7 @@
 }
 
 // Name states the classes by number, as they come and go; what was counted of an earlier one stands.
-func (e *Engine) Name(classes []logic.Class) {
+func (e *Engine) Name(classes []balancer.Class) {
 	t := e.tally
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +65,7 @@
 }
 
 // Count makes the engine keep the times of calls of these classes, for Load. It is called before Run.
-func (e *Engine) Count(classes []logic.Class) {
+func (e *Engine) Count(classes []balancer.Class) {
 	e.Name(classes)
 	if len(e.tally.windows) > 0 {
 		return
@@ -164,13 +164,13 @@
 	}
 }
 
-func (t *tally) givenUp(why logic.Reason) {
+func (t *tally) givenUp(why balancer.Reason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.GivenUp[why]++
 }
 
-func (t *tally) attempt(r logic.Result) {
+func (t *tally) attempt(r balancer.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.Attempts[r]++
--- a/internal/engine/ties_test.go
+++ b/internal/engine/ties_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"appleledge/internal/affinity"
+	"appleledge/internal/balancer"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
-	"appleledge/logic"
 )
 
 // tieLog keeps what it is told.
@@ -31,7 +31,7 @@
 }
 
 func newTied(t *testing.T, change func(*tiedEngine)) *tiedEngine {
-	b, err := logic.New(logic.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 4, Classes: classes()}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 4, Classes: classes()}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,13 +40,13 @@
 	x.Tie(affinity.New(affinity.Options{Most: 100, Window: window, Tail: time.Minute}), affinity.Secret{}, x.log)
 	change(x)
 	x.Begin()
-	x.list(Listed{Full: true, Members: x.members(logic.Ready)})
+	x.list(Listed{Full: true, Members: x.members(balancer.Ready)})
 	return x
 }
 
-func (x *tiedEngine) members(first logic.State) (out []Member) {
+func (x *tiedEngine) members(first balancer.State) (out []Member) {
 	for i := range 4 {
-		m := Member{Server: logic.Server{ID: fmt.Sprint("s", i), Cell: i / 2}}
+		m := Member{Server: balancer.Server{ID: fmt.Sprint("s", i), Cell: i / 2}}
 		if m.Cell == 0 {
 			m.State = first
 		}
@@ -63,7 +63,7 @@
 	}
 	x.ids++
 	before := len(x.out.attempts)
-	x.Step(Arrival(&Call{ID: fmt.Sprint(x.ids), Class: 1, Effect: logic.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key,
+	x.Step(Arrival(&Call{ID: fmt.Sprint(x.ids), Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key,
 		Carrier: x.out, Caller: caller}))
 	if len(x.out.attempts) == before {
 		return nil, heard
@@ -71,8 +71,8 @@
 	return x.out.attempts[before], heard
 }
 
-func (x *tiedEngine) end(a *Attempt, result logic.Result) {
-	x.Step(Outcome{Attempt: a, Result: result, Report: logic.NoReport})
+func (x *tiedEngine) end(a *Attempt, result balancer.Result) {
+	x.Step(Outcome{Attempt: a, Result: result, Report: balancer.NoReport})
 }
 
 func cellOf(a *Attempt) int { return int(a.Server[1]-'0') / 2 }
@@ -101,34 +101,34 @@
 	nothing := func(*tiedEngine) {}
 	for name, tt := range map[string]struct {
 		setup, meanwhile func(*tiedEngine)
-		first            logic.Result
+		first            balancer.Result
 		want             string
 	}{
-		"at once":                       {nothing, nothing, logic.TimedOut, "same pod"},
+		"at once":                       {nothing, nothing, balancer.TimedOut, "same pod"},
 		"while the first is out":        {nothing, nothing, -1, "same pod"},
-		"of one that was served":        {nothing, nothing, logic.OK, "same pod"},
-		"of one that never ran":         {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(logic.Draining)[:2]}) }, logic.Rejected, "other pod"},
-		"after the window":              {nothing, func(x *tiedEngine) { x.now += window }, logic.TimedOut, "failed"},
-		"whose pod drains":              {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(logic.Draining)[:2]}) }, logic.TimedOut, "failed"},
-		"whose pod is gone":             {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(logic.Gone)[:2]}) }, logic.TimedOut, "failed"},
-		"that the door would turn away": {func(x *tiedEngine) { x.Guard(x.door) }, func(x *tiedEngine) { x.door.shut = true }, logic.TimedOut, "same pod"},
-		"that a limit would turn away":  {limited, limit, logic.TimedOut, "failed"},
+		"of one that was served":        {nothing, nothing, balancer.OK, "same pod"},
+		"of one that never ran":         {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Draining)[:2]}) }, balancer.Rejected, "other pod"},
+		"after the window":              {nothing, func(x *tiedEngine) { x.now += window }, balancer.TimedOut, "failed"},
+		"whose pod drains":              {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Draining)[:2]}) }, balancer.TimedOut, "failed"},
+		"whose pod is gone":             {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Gone)[:2]}) }, balancer.TimedOut, "failed"},
+		"that the door would turn away": {func(x *tiedEngine) { x.Guard(x.door) }, func(x *tiedEngine) { x.door.shut = true }, balancer.TimedOut, "same pod"},
+		"that a limit would turn away":  {limited, limit, balancer.TimedOut, "failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 8 { // draws are by chance
 				x := newTied(t, tt.setup)
-				x.list(Listed{Members: x.members(logic.Ready)})
+				x.list(Listed{Members: x.members(balancer.Ready)})
 				// The first goes to pod 0, whose servers are the only ones that are ready.
-				far := x.members(logic.Ready)[2:]
+				far := x.members(balancer.Ready)[2:]
 				for i := range far {
-					far[i].State = logic.Draining
+					far[i].State = balancer.Draining
 				}
 				x.list(Listed{Members: far})
 				first, _ := x.call("k", nil)
 				if first == nil || cellOf(first) != 0 {
 					t.Fatalf("the first went to %+v", first)
 				}
-				x.list(Listed{Members: x.members(logic.Ready)[2:]})
+				x.list(Listed{Members: x.members(balancer.Ready)[2:]})
 				if tt.first >= 0 {
 					first.Call.Close() // its client has left: no further attempt of its own
 					x.end(first, tt.first)
@@ -160,10 +160,10 @@
 	x := newTied(t, func(x *tiedEngine) { x.RememberEnded(10, time.Minute) })
 	first, _ := x.call("k", nil)
 	first.Call.Close()
-	x.end(first, logic.TimedOut)
+	x.end(first, balancer.TimedOut)
 	for key, want := range map[string]AnswerKind{"k": Failed, "new": Refused} {
 		p := &proxied{id: key, m: &machine{ran: map[string][]*run{}}}
-		x.Step(Arrival(&Call{ID: "p" + key, Class: 1, Effect: logic.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key, Caller: p, Full: true}))
+		x.Step(Arrival(&Call{ID: "p" + key, Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key, Caller: p, Full: true}))
 		if len(p.answers) != 1 || p.answers[0].Kind != want {
 			t.Errorf("%s: %+v, want %v", key, p.answers, want)
 		}
@@ -178,9 +178,9 @@
 		t.Fatalf("%+v", x.log.records)
 	}
 	a.Call.Close()
-	x.end(a, logic.ConnectFailed)
+	x.end(a, balancer.ConnectFailed)
 	b, _ := x.call("k", nil)
-	x.end(b, logic.OK)
+	x.end(b, balancer.OK)
 	var kinds []affinity.Kind
 	for _, r := range x.log.records {
 		kinds = append(kinds, r.Kind)
--- a/internal/engine/worded.go
+++ b/internal/engine/worded.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/word"
-	"appleledge/logic"
 )
 
 // worded is what the engine keeps for the word of other agents: what they hold servers for, and the list as it was told, since what is
@@ -89,8 +89,8 @@
 }
 
 func (w *worded) overlay(m Member) Member {
-	if m.State == logic.Ready && w.held[word.Server(m.ID)] {
-		m.State = logic.Draining
+	if m.State == balancer.Ready && w.held[word.Server(m.ID)] {
+		m.State = balancer.Draining
 	}
 	return m
 }
@@ -113,17 +113,17 @@
 		id := word.Server(m.ID)
 		was, there := w.told[m.ID]
 		switch {
-		case m.State == logic.Gone:
+		case m.State == balancer.Gone:
 			w.gone(m.ID)
 			continue
-		case m.State == logic.Draining && (!there || was.State != logic.Draining):
+		case m.State == balancer.Draining && (!there || was.State != balancer.Draining):
 			w.tell(peer.Fact{Kind: word.Drains, ID: id})
-		case m.State == logic.Ready && heard && (!there || was != m):
+		case m.State == balancer.Ready && heard && (!there || was != m):
 			w.holds.Ready(now, id)
 		}
 		w.told[m.ID], w.names[id] = m, m.ID
 		if w.sharer != nil {
-			w.sharer.Listed(m.ID, true, m.State == logic.Ready)
+			w.sharer.Listed(m.ID, true, m.State == balancer.Ready)
 		}
 	}
 	if heard {
--- a/internal/extproc/bench_test.go
+++ b/internal/extproc/bench_test.go
@@ -23,12 +23,12 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 // benchServer is the variable that makes the test binary a server for the benchmark, in a process of its own so that its
@@ -113,13 +113,13 @@
 		if err != nil {
 			return err
 		}
-		balancer, err := logic.New(site.Logic, 1)
+		policy, err := balancer.New(site.Logic, 1)
 		if err != nil {
 			return err
 		}
 		log := slog.New(slog.DiscardHandler)
 		clock, pool := engine.NewClock(), pool.New(time.Second, time.Minute, 100)
-		e := engine.New(balancer, clock, pool, log)
+		e := engine.New(policy, clock, pool, log)
 		set := testSet()
 		set.MaxOpen, set.MaxStreams, set.MaxConnections = benchStreams, benchStreams, 64
 		s := New(Options{Settings: set, Engine: e, Clock: clock, Pool: pool, ReportFields: site.ReportFields,
@@ -128,7 +128,7 @@
 		go e.Run(ctx)
 		var members []engine.Member
 		for i := range 14 {
-			members = append(members, member(i, logic.Ready))
+			members = append(members, member(i, balancer.Ready))
 		}
 		e.Tell(engine.Listed{Full: true, Members: members})
 		go s.Serve(ctx, l)
--- a/internal/extproc/equivalence_test.go
+++ b/internal/extproc/equivalence_test.go
@@ -21,6 +21,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/test/bufconn"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/httpfront"
@@ -28,7 +29,6 @@
 	"appleledge/internal/places"
 	"appleledge/internal/pool"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 // recorded is one arrival of a recorded stream.
@@ -55,7 +55,7 @@
 
 // played is how an attempt of a recorded stream ends.
 type played struct {
-	result logic.Result
+	result balancer.Result
 	took   time.Duration
 	load   string
 }
@@ -70,15 +70,15 @@
 	p.took = min(p.took, 350*time.Millisecond)
 	switch x := random.IntN(100); {
 	case x < 5:
-		p.result = logic.Failed
+		p.result = balancer.Failed
 	case x < 10:
-		p.result = logic.Rejected
+		p.result = balancer.Rejected
 	case x < 13:
-		p.result, p.load = logic.ConnectFailed, ""
+		p.result, p.load = balancer.ConnectFailed, ""
 	case x < 16:
-		p.result, p.load = logic.Reset, ""
+		p.result, p.load = balancer.Reset, ""
 	default:
-		p.result = logic.OK
+		p.result = balancer.OK
 	}
 	return p
 }
@@ -108,12 +108,12 @@
 		time.Sleep(after)
 		e.Tell(ev)
 	}
-	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, logic.Draining)}})
-	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, logic.Gone)}})
+	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Draining)}})
+	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Gone)}})
 	tell(200*time.Millisecond, engine.ListUnavailable{})
-	restarted := member(2, logic.Ready)
+	restarted := member(2, balancer.Ready)
 	restarted.Started = clock.Now()
-	tell(200*time.Millisecond, engine.Listed{Members: []engine.Member{restarted, member(9, logic.Ready)}})
+	tell(200*time.Millisecond, engine.Listed{Members: []engine.Member{restarted, member(9, balancer.Ready)}})
 }
 
 // scripted is a carrier that plays the recording.
@@ -126,11 +126,11 @@
 	s.got.send(a.Call.ID, a.Number, a.Server)
 	p := s.stream[a.Call.ID].outcome(a.Number, a.Server)
 	time.Sleep(p.took)
-	out := engine.Outcome{Attempt: a, Result: p.result, Report: logic.NoReport}
+	out := engine.Outcome{Attempt: a, Result: p.result, Report: balancer.NoReport}
 	if p.load != "" {
 		out.Report, _ = httpcarrier.ParseReport(p.load, []string{"util", "qps", "eps"})
 	}
-	if p.result == logic.OK {
+	if p.result == balancer.OK {
 		out.Payload = &httpcarrier.Response{}
 	}
 	return out
@@ -147,12 +147,12 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{clock: engine.NewClock(), site: testSite(t)}
 	w.site.Logic.ParallelCopies = false // a proxy carries one copy of a request
-	balancer, err := logic.New(w.site.Logic, seed)
+	policy, err := balancer.New(w.site.Logic, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.pool = pool.New(time.Second, time.Minute, 100)
-	w.engine = engine.New(balancer, w.clock, w.pool, slog.New(slog.DiscardHandler))
+	w.engine = engine.New(policy, w.clock, w.pool, slog.New(slog.DiscardHandler))
 	return w
 }
 
@@ -164,7 +164,7 @@
 	t.Cleanup(func() { stop(); <-done })
 	var members []engine.Member
 	for i := range 9 {
-		members = append(members, member(i, logic.Ready))
+		members = append(members, member(i, balancer.Ready))
 	}
 	w.engine.Tell(engine.Listed{Full: true, Members: members})
 	go changes(w.engine, w.clock)
@@ -255,7 +255,7 @@
 				p := q.outcome(number, server)
 				time.Sleep(p.took)
 				a.answer(p.message())
-				if p.result == logic.OK {
+				if p.result == balancer.OK {
 					got.end(q.id, http.StatusOK, "")
 					return
 				}
@@ -268,13 +268,13 @@
 // message is the outcome as a proxy tells of it.
 func (p played) message() *extprocv3.ProcessingRequest {
 	switch p.result {
-	case logic.OK:
+	case balancer.OK:
 		return whole("200", "x-server-load", p.load)
-	case logic.Failed:
+	case balancer.Failed:
 		return whole("500", "x-server-load", p.load)
-	case logic.Rejected:
+	case balancer.Rejected:
 		return whole("503", "x-not-processed", "1", "x-server-load", p.load)
-	case logic.ConnectFailed:
+	case balancer.ConnectFailed:
 		return ownReply("upstream_reset_before_response_started{remote_connection_failure}")
 	}
 	return ownReply("upstream_reset_before_response_started{connection_termination}")
--- a/internal/extproc/faults_test.go
+++ b/internal/extproc/faults_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/standinproxy"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // effect is one execution of a refund at a server.
@@ -84,7 +84,7 @@
 		srv := httptest.NewServer(&faulty{witness, i, i / 2})
 		defer srv.Close()
 		members = append(members, engine.Member{Addr: srv.Listener.Addr().String(),
-			Server: logic.Server{ID: fmt.Sprint("s", i), Cell: i / 2, Weight: 1}})
+			Server: balancer.Server{ID: fmt.Sprint("s", i), Cell: i / 2, Weight: 1}})
 	}
 	r := newRig(t, options{})
 	r.engine.Tell(engine.Listed{Full: true, Members: members})
--- a/internal/extproc/fuzz_test.go
+++ b/internal/extproc/fuzz_test.go
@@ -11,10 +11,10 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
 	"appleledge/internal/pool"
-	"appleledge/logic"
 )
 
 // FuzzProcessingRequest feeds what a proxy may send to all that reads it. Nothing panics; what is refused is refused
@@ -34,7 +34,7 @@
 	}
 	site, clock := testSite(f), engine.NewClock()
 	pool := pool.New(time.Second, time.Second, 10)
-	pool.Update(true, []engine.Member{member(0, logic.Ready), member(1, logic.Ready)})
+	pool.Update(true, []engine.Member{member(0, balancer.Ready), member(1, balancer.Ready)})
 	s := &Server{Options: Options{Settings: testSet(), Clock: clock, Pool: pool, ReportFields: site.ReportFields,
 		Rules: intake.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Log: slog.New(slog.DiscardHandler)}}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -57,7 +57,7 @@
 			}
 			class := site.Logic.Classes[call.Class]
 			if call.ID == "" || len(call.ID) > 128 || call.Deadline <= began || call.Deadline > clock.Now()+class.Deadline ||
-				class.Effect == logic.Keyed && (call.RepeatKey == "" || call.Window != class.Window) || len(call.Among) > 2 {
+				class.Effect == balancer.Keyed && (call.RepeatKey == "" || call.Window != class.Window) || len(call.Among) > 2 {
 				t.Errorf("accepted %+v", call)
 			}
 		}
--- a/internal/extproc/harness_test.go
+++ b/internal/extproc/harness_test.go
@@ -20,13 +20,13 @@
 	healthv1 "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/settings"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 // rig is a processor on a loopback socket, with an engine, a module and a fleet of its own.
@@ -72,7 +72,7 @@
 	if o.site != nil {
 		o.site(&site)
 	}
-	balancer, err := logic.New(site.Logic, 1)
+	policy, err := balancer.New(site.Logic, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	log := slog.New(slog.NewTextHandler(r.log, nil))
 	clock := engine.NewClock()
 	r.pool = pool.New(time.Second, time.Minute, 100)
-	r.engine = engine.New(balancer, clock, r.pool, log)
+	r.engine = engine.New(policy, clock, r.pool, log)
 	var longest time.Duration
 	for _, c := range site.Logic.Classes {
 		longest = max(longest, c.Deadline)
@@ -113,13 +113,13 @@
 func (r *rig) list(n int) {
 	var members []engine.Member
 	for i := range n {
-		members = append(members, member(i, logic.Ready))
+		members = append(members, member(i, balancer.Ready))
 	}
 	r.engine.Tell(engine.Listed{Full: true, Members: members})
 }
 
-func member(i int, state logic.State) engine.Member {
-	return engine.Member{Addr: endpoint(i), Server: logic.Server{ID: fmt.Sprint("s", i), Cell: i / 2, State: state, Weight: 1}}
+func member(i int, state balancer.State) engine.Member {
+	return engine.Member{Addr: endpoint(i), Server: balancer.Server{ID: fmt.Sprint("s", i), Cell: i / 2, State: state, Weight: 1}}
 }
 
 // endpoint is the address of a server that no test connects to.
--- a/internal/extproc/message.go
+++ b/internal/extproc/message.go
@@ -16,9 +16,9 @@
 	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
-	"appleledge/logic"
 )
 
 // Names of the endpoint picker protocol.
@@ -296,7 +296,7 @@
 
 // localReply reads how the proxy itself ended the try, where its attributes tell. A reason that is not known may mean
 // anything, so that the request may have run.
-func localReply(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) (result logic.Result, own bool) {
+func localReply(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) (result balancer.Result, own bool) {
 	details := codeDetails(req, h)
 	switch {
 	case strings.HasPrefix(details, "upstream_reset_before_response_started{"),
@@ -304,14 +304,14 @@
 		_, reason, _ := strings.Cut(details, "{")
 		for _, never := range neverSent {
 			if strings.HasPrefix(reason, never) && strings.Contains(details, "_before_") {
-				return logic.ConnectFailed, true
+				return balancer.ConnectFailed, true
 			}
 		}
-		return logic.Reset, true
+		return balancer.Reset, true
 	case details == "upstream_response_timeout", details == "upstream_per_try_timeout", details == "response_timeout":
-		return logic.TimedOut, true
+		return balancer.TimedOut, true
 	case details == "no_healthy_upstream", details == "cluster_not_found", details == "route_not_found":
-		return logic.NotSent, true // the proxy did not know the server, which says nothing of it
+		return balancer.NotSent, true // the proxy did not know the server, which says nothing of it
 	}
 	return 0, false
 }
--- a/internal/extproc/server_test.go
+++ b/internal/extproc/server_test.go
@@ -17,11 +17,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/settings"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 func TestDecision(t *testing.T) {
@@ -335,7 +335,7 @@
 		drained, left = 1, endpoint(0)
 	}
 	// The fleet knows of the drain already, the module does not: its decisions for that server must not get out.
-	r.pool.Update(false, []engine.Member{member(drained, logic.Draining)})
+	r.pool.Update(false, []engine.Member{member(drained, balancer.Draining)})
 	var open []asked // left open, so that the other server looks ever better to the module
 	for range 8 {
 		b := ask(t, client, request{id: newID(), class: "form-check"})
@@ -349,8 +349,8 @@
 	if c := r.server.Counts.Snapshot(); c.Unusable == 0 {
 		t.Errorf("the module never chose it, so that nothing was tested: %+v", c)
 	}
-	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, logic.Draining)}})
-	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, logic.Gone)}})
+	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Draining)}})
+	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Gone)}})
 	for _, b := range append(open, a) {
 		b.answer(whole("200"))
 	}
@@ -452,7 +452,7 @@
 
 func (never) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	<-ctx.Done()
-	return engine.Outcome{Attempt: a, Result: logic.TimedOut, Report: logic.NoReport}
+	return engine.Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport}
 }
 
 // The proxy's own count of its tries tells that the one before was given up, though its stream's end has not come: that
--- a/internal/extproc/stream.go
+++ b/internal/extproc/stream.go
@@ -13,10 +13,10 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/pool"
-	"appleledge/logic"
 )
 
 // mostTold is how much the engine may have told a stream that has not looked yet: an attempt, and the final answer when
@@ -212,16 +212,16 @@
 	if code >= 100 && code < http.StatusOK {
 		return // an interim one
 	}
-	out := engine.Outcome{Attempt: st.attempt, Result: logic.Reset, Report: logic.NoReport}
+	out := engine.Outcome{Attempt: st.attempt, Result: balancer.Reset, Report: balancer.NoReport}
 	if code != 0 { // else it is no answer that a backend can have made
 		out.Result = httpcarrier.Judge(code, header)
 		out.Report = httpcarrier.ReadReport(header, st.s.ReportFields, st.s.badReport)
 	}
-	if result, own := localReply(req, h); own && out.Result == logic.Failed {
-		out.Result, out.Report = result, logic.NoReport
+	if result, own := localReply(req, h); own && out.Result == balancer.Failed {
+		out.Result, out.Report = result, balancer.NoReport
 	}
 	out.Elsewhere = st.elsewhere(req, header)
-	if out.Result == logic.OK && !h.GetEndOfStream() {
+	if out.Result == balancer.OK && !h.GetEndOfStream() {
 		st.answered = &out
 		return
 	}
@@ -274,7 +274,7 @@
 		st.responseEnd()
 	default: // it was handed over, and what became of it is not known
 		st.s.Counts.gaveUpAfter.Add(1)
-		st.tell(engine.Outcome{Attempt: st.attempt, Result: logic.Cancelled, Report: logic.NoReport})
+		st.tell(engine.Outcome{Attempt: st.attempt, Result: balancer.Cancelled, Report: balancer.NoReport})
 	}
 }
 
@@ -290,13 +290,13 @@
 	}
 }
 
-func (s *Server) countResult(r logic.Result) {
+func (s *Server) countResult(r balancer.Result) {
 	switch r {
-	case logic.OK:
+	case balancer.OK:
 		s.Counts.served.Add(1)
-	case logic.Rejected, logic.ConnectFailed:
+	case balancer.Rejected, balancer.ConnectFailed:
 		s.Counts.notRun.Add(1)
-	case logic.Cancelled:
+	case balancer.Cancelled:
 		s.Counts.unknown.Add(1)
 	default:
 		s.Counts.failed.Add(1)
--- a/internal/fleet/share/decisions_test.go
+++ b/internal/fleet/share/decisions_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/golden"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 type traceServer struct {
@@ -30,7 +30,7 @@
 	tries   int
 	further bool
 	at      time.Duration
-	result  logic.Result
+	result  balancer.Result
 }
 
 type traceBody struct {
@@ -71,18 +71,18 @@
 		s, d := c.server, doors[c.door]
 		d.Sent(now, s.id, c.further)
 		s.atWork++
-		c.result, c.at = logic.OK, now+time.Duration(float64(rnd.Millis(20, 80))*(1+max(0, s.atWork-3)/3))
+		c.result, c.at = balancer.OK, now+time.Duration(float64(rnd.Millis(20, 80))*(1+max(0, s.atWork-3)/3))
 		switch {
 		case s.hangs:
-			c.result, c.at = logic.TimedOut, now+900*time.Millisecond
+			c.result, c.at = balancer.TimedOut, now+900*time.Millisecond
 		case s.down:
-			c.result, c.at = logic.ConnectFailed, now+rnd.Millis(1, 50)
+			c.result, c.at = balancer.ConnectFailed, now+rnd.Millis(1, 50)
 		case s.atWork > 20:
-			c.result, c.at = logic.Rejected, now+rnd.Millis(1, 5)
+			c.result, c.at = balancer.Rejected, now+rnd.Millis(1, 5)
 		case rnd.Chance(0.01):
-			c.result = logic.Failed
+			c.result = balancer.Failed
 		case c.at > now+time.Second:
-			c.result, c.at = logic.TimedOut, now+time.Second
+			c.result, c.at = balancer.TimedOut, now+time.Second
 		}
 		calls = append(calls, c)
 	}
@@ -162,8 +162,8 @@
 		})
 		for _, c := range ended {
 			c.server.atWork--
-			rep := logic.NoReport
-			if c.result == logic.OK && rnd.Chance(0.9) {
+			rep := balancer.NoReport
+			if c.result == balancer.OK && rnd.Chance(0.9) {
 				rep.Util = min(1, 0.05+c.server.atWork/6)
 				if rep.Rate = rep.Util * c.server.capacity; mute {
 					rep.Rate = -1
@@ -173,14 +173,14 @@
 			d.Ended(now, c.server.id, c.result, rep)
 			tr.Count("ends of result " + strconv.Itoa(int(c.result)))
 			switch {
-			case c.result == logic.OK:
+			case c.result == balancer.OK:
 				d.Done(now, c.p, storm.Served)
 			case !c.further && d.MayRetry(now):
 				tr.Count("further attempts")
 				tr.Add(now, "further")
 				c.further = true
 				send(c)
-			case c.result == logic.Rejected:
+			case c.result == balancer.Rejected:
 				d.Done(now, c.p, storm.Refused)
 			default:
 				d.Done(now, c.p, storm.Failed)
--- a/internal/fleet/share/door.go
+++ b/internal/fleet/share/door.go
@@ -11,8 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // Options are what a Door goes by.
@@ -284,14 +284,14 @@
 }
 
 // Ended takes how an attempt ended, with the server's report where Use is not below 0.
-func (d *Door) Ended(now time.Duration, id string, result logic.Result, rep logic.Report) {
+func (d *Door) Ended(now time.Duration, id string, result balancer.Result, rep balancer.Report) {
 	number := Server(id)
 	s := d.picture.server(number)
 	if s == nil {
 		return
 	}
 	s.ended(now, result)
-	if result != logic.OK || rep.Util < 0 {
+	if result != balancer.OK || rep.Util < 0 {
 		return
 	}
 	r := Report{Server: number, Use: rep.Util}
--- a/internal/fleet/share/ill.go
+++ b/internal/fleet/share/ill.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"appleledge/logic"
+	"appleledge/internal/balancer"
 )
 
 const (
@@ -45,19 +45,19 @@
 	i.out++
 }
 
-func (i *illness) ended(now time.Duration, r logic.Result) {
+func (i *illness) ended(now time.Duration, r balancer.Result) {
 	i.out = max(0, i.out-1)
 	i.fade(now)
 	switch r {
-	case logic.OK:
+	case balancer.OK:
 		i.good++
 		i.well, i.waiting = now, now
-	case logic.Rejected:
+	case balancer.Rejected:
 		i.waiting = now
-	case logic.Failed:
+	case balancer.Failed:
 		i.bad++
 		i.waiting = now
-	case logic.ConnectFailed, logic.Reset, logic.TimedOut:
+	case balancer.ConnectFailed, balancer.Reset, balancer.TimedOut:
 		i.bad++
 	}
 }
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -10,8 +10,8 @@
 
 	"pgregory.net/rapid"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 var classes = []storm.Class{{Worth: 2, Aim: 600 * time.Millisecond, Safe: true}, {Worth: 10, Aim: 600 * time.Millisecond}}
@@ -43,7 +43,7 @@
 		d.Listed(id, true, true)
 		if own {
 			d.Sent(now, id, false)
-			d.Ended(now, id, logic.OK, logic.Report{Util: use, Rate: use * capacity})
+			d.Ended(now, id, balancer.OK, balancer.Report{Util: use, Rate: use * capacity})
 		} else {
 			d.picture.report(now, Report{Server: Server(id), Use: use, Capacity: capacity}, false)
 		}
@@ -398,7 +398,7 @@
 			d.Listed(id, true, true)
 			d.Sent(start, id, false)
 			if i >= c.ills {
-				d.Ended(start+100*time.Millisecond, id, logic.OK, logic.NoReport)
+				d.Ended(start+100*time.Millisecond, id, balancer.OK, balancer.NoReport)
 			}
 		}
 		d.look(start + silentMost)
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -16,11 +16,11 @@
 	"strings"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 const (
@@ -63,7 +63,7 @@
 
 // Carry makes the attempt and returns its outcome, which is exact: what may have run is never said not to have.
 func (s *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
-	out := engine.Outcome{Attempt: a, Result: logic.NotSent, Report: logic.NoReport}
+	out := engine.Outcome{Attempt: a, Result: balancer.NotSent, Report: balancer.NoReport}
 	if a.Barred {
 		return out
 	}
@@ -74,7 +74,7 @@
 	case errors.Is(err, pool.ErrNotReady) || errors.Is(err, pool.ErrNoRoom) || err != nil && ctx.Err() != nil:
 		return out // the agent's own lack says nothing of the backend
 	case err != nil:
-		out.Result = logic.ConnectFailed
+		out.Result = balancer.ConnectFailed
 		return out
 	case !s.stillWanted(c, a):
 		s.Pool.Put(c, true)
@@ -112,7 +112,7 @@
 		return false, false
 	}
 	out.Report = ReadReport(resp.Header, s.Fields, s.Noted)
-	if out.Result = Judge(resp.StatusCode, resp.Header); out.Result == logic.OK {
+	if out.Result = Judge(resp.StatusCode, resp.Header); out.Result == balancer.OK {
 		out.Payload = body
 		out.Private = private(resp.Header) || body.Rest != nil // which can be read once
 	}
@@ -135,7 +135,7 @@
 		return nil, 0, false
 	}
 	if n, err := c.Write(text); err != nil && n < len(text) {
-		out.Result = logic.ConnectFailed // the backend begins a request when its last byte has come
+		out.Result = balancer.ConnectFailed // the backend begins a request when its last byte has come
 		return nil, 0, false
 	}
 	a.Wrote()
@@ -148,15 +148,15 @@
 }
 
 // Judge says what a whole answer with that status and head means for the attempt.
-func Judge(status int, header http.Header) logic.Result {
+func Judge(status int, header http.Header) balancer.Result {
 	switch {
 	case status == http.StatusOK:
-		return logic.OK
+		return balancer.OK
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
 		header.Get("X-Not-Processed") == "1":
-		return logic.Rejected
+		return balancer.Rejected
 	}
-	return logic.Failed
+	return balancer.Failed
 }
 
 // errSpoilt is an answer that can't be what a backend made for the request. The request may have run.
@@ -257,16 +257,16 @@
 }
 
 // broken is the result of a request that was written whole and got no whole answer.
-func broken(err error) logic.Result {
+func broken(err error) balancer.Result {
 	if errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errSpoilt) {
-		return logic.TimedOut
+		return balancer.TimedOut
 	}
-	return logic.Reset
+	return balancer.Reset
 }
 
 // ReadReport reads the load report of an answer: the first that can be read. A malformed one is no report, and noted is
 // told of it.
-func ReadReport(header http.Header, fields []string, noted func(error)) logic.Report {
+func ReadReport(header http.Header, fields []string, noted func(error)) balancer.Report {
 	for _, text := range header.Values("X-Server-Load") {
 		r, err := ParseReport(text, fields)
 		if err == nil {
@@ -274,13 +274,13 @@
 		}
 		noted(err)
 	}
-	return logic.NoReport
+	return balancer.NoReport
 }
 
 // ParseReport reads a load report, as X-Server-Load holds it; fields names what counts. One with a part that is no
 // figure from 0 to 1e9 is an error, and nothing of it is to be used.
-func ParseReport(text string, fields []string) (logic.Report, error) {
-	r := logic.NoReport
+func ParseReport(text string, fields []string) (balancer.Report, error) {
+	r := balancer.NoReport
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(value, 64)
--- a/internal/httpcarrier/carrier_test.go
+++ b/internal/httpcarrier/carrier_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // fixture is a carrier with one backend.
@@ -32,12 +32,12 @@
 	t.Cleanup(p.Close)
 	f.Carrier = &Carrier{Pool: p, Clock: engine.NewClock(), Fields: []string{"util", "qps", "eps"},
 		Noted: func(err error) { f.reports = append(f.reports, err) }}
-	f.list(addr, logic.Ready, 0)
+	f.list(addr, balancer.Ready, 0)
 	return f
 }
 
-func (f *fixture) list(addr string, state logic.State, started time.Duration) {
-	f.Pool.Update(true, []engine.Member{{Server: logic.Server{ID: "b", State: state, Started: started}, Addr: addr}})
+func (f *fixture) list(addr string, state balancer.State, started time.Duration) {
+	f.Pool.Update(true, []engine.Member{{Server: balancer.Server{ID: "b", State: state, Started: started}, Addr: addr}})
 }
 
 // attempt makes a keyed attempt that may take so long.
@@ -72,49 +72,49 @@
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(net.Conn, *http.Request, int) bool
-		want   logic.Result
+		want   balancer.Result
 		idle   int
 	}{
-		"served":                     {testbed.Says(testbed.Served), logic.OK, 1},
-		"served, then closed":        {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nfine"), logic.OK, 0},
-		"chunked":                    {testbed.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), logic.OK, 1},
-		"after an interim answer":    {testbed.Says("HTTP/1.1 103 Early Hints\r\n\r\n" + testbed.Served), logic.OK, 1},
-		"more than one answer":       {testbed.Says(testbed.Served + testbed.Served), logic.OK, 0},
-		"error":                      {testbed.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
-		"503 that may have run":      {testbed.Says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
-		"503 not processed":          {testbed.Says("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Rejected, 1},
-		"504 not processed":          {testbed.Says("HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Rejected, 1},
-		"500 that claims not to run": {testbed.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
-		"closed":                     {closes, logic.Reset, 0},
-		"reset":                      {resets, logic.Reset, 0},
-		"garbage":                    {testbed.Says("no HTTP at all\r\n\r\n"), logic.Reset, 0},
-		"endless head":               {testbed.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswer)), logic.Reset, 0},
-		"switching protocols":        {testbed.Says("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), logic.Reset, 0},
+		"served":                     {testbed.Says(testbed.Served), balancer.OK, 1},
+		"served, then closed":        {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nfine"), balancer.OK, 0},
+		"chunked":                    {testbed.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), balancer.OK, 1},
+		"after an interim answer":    {testbed.Says("HTTP/1.1 103 Early Hints\r\n\r\n" + testbed.Served), balancer.OK, 1},
+		"more than one answer":       {testbed.Says(testbed.Served + testbed.Served), balancer.OK, 0},
+		"error":                      {testbed.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
+		"503 that may have run":      {testbed.Says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
+		"503 not processed":          {testbed.Says("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected, 1},
+		"504 not processed":          {testbed.Says("HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected, 1},
+		"500 that claims not to run": {testbed.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
+		"closed":                     {closes, balancer.Reset, 0},
+		"reset":                      {resets, balancer.Reset, 0},
+		"garbage":                    {testbed.Says("no HTTP at all\r\n\r\n"), balancer.Reset, 0},
+		"endless head":               {testbed.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswer)), balancer.Reset, 0},
+		"switching protocols":        {testbed.Says("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), balancer.Reset, 0},
 		"body over the limit": {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)),
-			logic.Reset, 0},
+			balancer.Reset, 0},
 		"chunks over the limit": {testbed.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000)),
-			logic.Reset, 0},
+			balancer.Reset, 0},
 		// What follows leaves the connection open and testbed.Silent: it must not hold the attempt until its deadline.
-		"noise with no line":        {testbed.Says("\x16\x03\x01noise"), logic.Reset, 0},
-		"noise like an answer":      {testbed.Says("HTTPS"), logic.Reset, 0},
-		"half a head":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Le"), logic.Reset, 0},
-		"half a body":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine"), logic.Reset, 0},
-		"a chunk with no size":      {testbed.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\nfine\r\n"), logic.Reset, 0},
-		"said to have 3 GB":         {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfine"), logic.Reset, 0},
-		"two lengths":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nfine"), logic.Reset, 0},
-		"negative length":           {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nfine"), logic.Reset, 0},
-		"no length, left open":      {testbed.Says("HTTP/1.1 200 OK\r\n\r\nfine"), logic.Reset, 0},
-		"interim ones without end":  {testbed.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*mostInterim)), logic.Reset, 0},
-		"good, and noise behind it": {testbed.Says(testbed.Served + "\x00noise"), logic.OK, 0},
+		"noise with no line":        {testbed.Says("\x16\x03\x01noise"), balancer.Reset, 0},
+		"noise like an answer":      {testbed.Says("HTTPS"), balancer.Reset, 0},
+		"half a head":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Le"), balancer.Reset, 0},
+		"half a body":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine"), balancer.Reset, 0},
+		"a chunk with no size":      {testbed.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\nfine\r\n"), balancer.Reset, 0},
+		"said to have 3 GB":         {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfine"), balancer.Reset, 0},
+		"two lengths":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nfine"), balancer.Reset, 0},
+		"negative length":           {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nfine"), balancer.Reset, 0},
+		"no length, left open":      {testbed.Says("HTTP/1.1 200 OK\r\n\r\nfine"), balancer.Reset, 0},
+		"interim ones without end":  {testbed.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*mostInterim)), balancer.Reset, 0},
+		"good, and noise behind it": {testbed.Says(testbed.Served + "\x00noise"), balancer.OK, 0},
 		// It may be cut: nothing tells where it should have ended.
 		"no length, then closed": {func(c net.Conn, r *http.Request, n int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nfine")
 			return false
-		}, logic.Reset, 0},
+		}, balancer.Reset, 0},
 		"truncated": {func(c net.Conn, r *http.Request, n int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine")
 			return false
-		}, logic.Reset, 0},
+		}, balancer.Reset, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := testbed.NewBackend(t, c.script)
@@ -125,7 +125,7 @@
 			if out.Result != c.want {
 				t.Errorf("result %v, want %v", out.Result, c.want)
 			}
-			if (out.Result == logic.OK) != (body(out) == "fine") {
+			if (out.Result == balancer.OK) != (body(out) == "fine") {
 				t.Errorf("body %q", body(out))
 			}
 			if took := f.Clock.Now() - a.Sent; took > testbed.Patience/2 {
@@ -143,7 +143,7 @@
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	f := newFixture(t, testbed.Refusing(t), 100)
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != logic.ConnectFailed {
+	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.ConnectFailed {
 		t.Errorf("result %v", out.Result)
 	}
 }
@@ -151,7 +151,7 @@
 func TestSilenceTimesOut(t *testing.T) {
 	b := testbed.NewBackend(t, testbed.Silent)
 	f := newFixture(t, b.Addr().String(), 100)
-	if out := f.Carry(context.Background(), f.attempt(time.Second)); out.Result != logic.TimedOut {
+	if out := f.Carry(context.Background(), f.attempt(time.Second)); out.Result != balancer.TimedOut {
 		t.Errorf("result %v", out.Result)
 	}
 	if n := f.open(); n != 0 {
@@ -165,10 +165,10 @@
 	b := testbed.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool { return n == 1 && testbed.Says(testbed.Served)(c, r, n) })
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = 0
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != logic.OK {
+	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.OK {
 		t.Fatalf("first: %v", out.Result)
 	}
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != logic.Reset {
+	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.Reset {
 		t.Errorf("second: %v", out.Result)
 	}
 	if b.Requests() != 2 || b.Connections() != 1 {
@@ -182,10 +182,10 @@
 	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
 	addr := b.Addr().String()
 	for name, change := range map[string]func(f *fixture, a *engine.Attempt){
-		"drains":    func(f *fixture, a *engine.Attempt) { f.list(addr, logic.Draining, 0) },
+		"drains":    func(f *fixture, a *engine.Attempt) { f.list(addr, balancer.Draining, 0) },
 		"gone":      func(f *fixture, a *engine.Attempt) { f.Pool.Update(true, nil) },
-		"restarted": func(f *fixture, a *engine.Attempt) { f.list(addr, logic.Ready, 7) },
-		"moved":     func(f *fixture, a *engine.Attempt) { f.list(testbed.Refusing(t), logic.Ready, 0) },
+		"restarted": func(f *fixture, a *engine.Attempt) { f.list(addr, balancer.Ready, 7) },
+		"moved":     func(f *fixture, a *engine.Attempt) { f.list(testbed.Refusing(t), balancer.Ready, 0) },
 		"ended":     func(f *fixture, a *engine.Attempt) { a.Call.Close() },
 		"left":      func(f *fixture, a *engine.Attempt) { engine.New(nil, f.Clock, nil, nil).ClientLeft(a.Call) }, // which has not heard of it
 		"late":      func(f *fixture, a *engine.Attempt) { a.Until, a.WriteBy = 0, 0 },
@@ -199,7 +199,7 @@
 			f := newFixture(t, addr, 100)
 			a := f.attempt(testbed.Patience)
 			change(f, a)
-			if out := f.Carry(context.Background(), a); out.Result != logic.NotSent {
+			if out := f.Carry(context.Background(), a); out.Result != balancer.NotSent {
 				t.Errorf("result %v", out.Result)
 			}
 			if b.Requests() != before {
@@ -214,12 +214,12 @@
 	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = 0
-	if out := f.Carry(t.Context(), f.attempt(testbed.Patience)); out.Result != logic.OK {
+	if out := f.Carry(t.Context(), f.attempt(testbed.Patience)); out.Result != balancer.OK {
 		t.Fatal(out.Result)
 	}
 	a := f.attempt(testbed.Patience)
 	a.OnlySince = f.Clock.Now()
-	if out := f.Carry(t.Context(), a); out.Result != logic.OK || b.Connections() != 1 {
+	if out := f.Carry(t.Context(), a); out.Result != balancer.OK || b.Connections() != 1 {
 		t.Errorf("result %v, %d connections", out.Result, b.Connections())
 	}
 }
@@ -229,11 +229,13 @@
 	addr := b.Addr().String()
 	f := newFixture(t, addr, 100)
 	for i, change := range []func(){
-		func() { f.list(addr, logic.Draining, 0) },
-		func() { f.list(addr, logic.Ready, 9) },
-		func() { f.Pool.Update(false, []engine.Member{{Server: logic.Server{ID: "b", State: logic.Gone}}}) },
+		func() { f.list(addr, balancer.Draining, 0) },
+		func() { f.list(addr, balancer.Ready, 9) },
+		func() {
+			f.Pool.Update(false, []engine.Member{{Server: balancer.Server{ID: "b", State: balancer.Gone}}})
+		},
 	} {
-		f.list(addr, logic.Ready, 0)
+		f.list(addr, balancer.Ready, 0)
 		f.Carry(context.Background(), f.attempt(testbed.Patience))
 		if f.idle() != 1 {
 			t.Fatalf("%d: no connection was kept", i)
@@ -266,7 +268,7 @@
 func TestReports(t *testing.T) {
 	fields := []string{"util", "qps", "eps"}
 	r, err := ParseReport("util=0.5, qps=12,eps=0.25,unheard=3,queue=9", fields)
-	if want := (logic.Report{Util: 0.5, Rate: 12, Errors: 0.25, InFlight: -1, Queue: -1}); err != nil || r != want {
+	if want := (balancer.Report{Util: 0.5, Rate: 12, Errors: 0.25, InFlight: -1, Queue: -1}); err != nil || r != want {
 		t.Errorf("%+v, %v", r, err)
 	}
 	for _, text := range []string{"util", "util=", "util=x", "util=NaN,qps=1", "util=Inf", "util=-1", "qps=1e300", "=,"} {
@@ -281,7 +283,7 @@
 	b := testbed.NewBackend(t, testbed.Says("HTTP/1.1 200 OK\r\nX-Server-Load: util=NaN,qps=3\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, b.Addr().String(), 100)
 	out := f.Carry(context.Background(), f.attempt(testbed.Patience))
-	if out.Result != logic.OK || out.Report != logic.NoReport || len(f.reports) != 1 {
+	if out.Result != balancer.OK || out.Report != balancer.NoReport || len(f.reports) != 1 {
 		t.Errorf("%v %+v %v", out.Result, out.Report, f.reports)
 	}
 }
@@ -290,7 +292,7 @@
 func TestReportBehindAMalformedOne(t *testing.T) {
 	b := testbed.NewBackend(t, testbed.Says("HTTP/1.1 200 OK\r\nX-Server-Load: %%%\r\nX-Server-Load: util=0.5\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, b.Addr().String(), 100)
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != logic.OK || out.Report.Util != 0.5 {
+	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.OK || out.Report.Util != 0.5 {
 		t.Errorf("%v %+v", out.Result, out.Report)
 	}
 }
@@ -320,16 +322,16 @@
 	f.Pool.Dialer.Timeout = time.Second
 	began := f.holdDials(dead.Addr().String(), nil)
 	first := f.attempt(testbed.Patience)
-	f.Pool.Update(false, []engine.Member{{Server: logic.Server{ID: "other"}, Addr: fine.Addr().String()}})
+	f.Pool.Update(false, []engine.Member{{Server: balancer.Server{ID: "other"}, Addr: fine.Addr().String()}})
 	done := make(chan engine.Outcome)
 	go func() { done <- f.Carry(context.Background(), first) }()
 	<-began
 	second := f.attempt(testbed.Patience)
 	second.Life = f.Pool.Life("other")
-	if out := f.Carry(context.Background(), second); out.Result != logic.OK {
+	if out := f.Carry(context.Background(), second); out.Result != balancer.OK {
 		t.Errorf("to another backend meanwhile: %v", out.Result)
 	}
-	if out := <-done; out.Result != logic.ConnectFailed || dead.Requests() != 0 {
+	if out := <-done; out.Result != balancer.ConnectFailed || dead.Requests() != 0 {
 		t.Errorf("the dead dial: %v", out.Result)
 	}
 }
@@ -346,9 +348,9 @@
 	done := make(chan engine.Outcome)
 	go func() { done <- f.Carry(context.Background(), a) }()
 	<-began
-	f.list(addr, logic.Draining, 0)
+	f.list(addr, balancer.Draining, 0)
 	close(up)
-	if out := <-done; out.Result != logic.NotSent || b.Requests() != 0 || f.open() != 0 {
+	if out := <-done; out.Result != balancer.NotSent || b.Requests() != 0 || f.open() != 0 {
 		t.Errorf("%v with %d requests, %d connections left", out.Result, b.Requests(), f.open())
 	}
 }
@@ -360,7 +362,7 @@
 	if _, err := f.Pool.Get(context.Background(), f.Pool.Backend("b")); err != nil {
 		t.Fatal(err)
 	}
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != logic.NotSent {
+	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.NotSent {
 		t.Errorf("an attempt with no place: %v", out.Result)
 	}
 }
@@ -384,7 +386,7 @@
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = time.Hour
 	for n := range 3 {
-		if out := f.Carry(t.Context(), f.attempt(testbed.Patience)); out.Result != logic.OK || body(out) != fmt.Sprint("answer ", n+1) {
+		if out := f.Carry(t.Context(), f.attempt(testbed.Patience)); out.Result != balancer.OK || body(out) != fmt.Sprint("answer ", n+1) {
 			t.Errorf("request %d: %v, %q", n+1, out.Result, body(out))
 		}
 	}
--- a/internal/httpcarrier/golden_test.go
+++ b/internal/httpcarrier/golden_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/intake"
 	"appleledge/internal/pool"
-	"appleledge/logic"
 )
 
 // goldenHeader has every header that goes on, and some that do not.
@@ -72,7 +72,7 @@
 	h.Add("X-Server-Load", strings.TrimSpace(string(golden.Read(t, "httpcarrier/load.txt"))))
 	var noted []error
 	got := ReadReport(h, []string{"util", "qps", "eps", "inflight", "queue"}, func(err error) { noted = append(noted, err) })
-	if want := (logic.Report{Util: 0.62, Rate: 140.5, Errors: 3, InFlight: 4, Queue: 5.25}); got != want {
+	if want := (balancer.Report{Util: 0.62, Rate: 140.5, Errors: 3, InFlight: 4, Queue: 5.25}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if len(noted) != 1 || noted[0].Error() != `load report "util=high"` {
@@ -85,7 +85,7 @@
 	var out []byte
 	for _, status := range []int{200, 201, 404, 500, 503, 504} {
 		for _, h := range []http.Header{{}, {"X-Not-Processed": {"1"}}, {"X-Not-Processed": {"0"}}} {
-			out = fmt.Appendf(out, "%d %v: %s\n", status, h, logic.Results[Judge(status, h)])
+			out = fmt.Appendf(out, "%d %v: %s\n", status, h, balancer.Results[Judge(status, h)])
 		}
 	}
 	for _, h := range []http.Header{{}, {"Cache-Control": {"private"}}, {"Cache-Control": {"no-store"}}, {"Set-Cookie": {"c=1"}}, {"Vary": {"*"}},
--- a/internal/httpcarrier/stream.go
+++ b/internal/httpcarrier/stream.go
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
 	"appleledge/internal/pool"
-	"appleledge/logic"
 )
 
 const (
@@ -102,7 +102,7 @@
 
 // upload writes a request whose body still comes. Its result is NotSent if it was written whole; a request that was not has
 // never run.
-func (s *Carrier) upload(c *pool.Conn, a *engine.Attempt, u *Upload) (req *http.Request, ok bool, result logic.Result) {
+func (s *Carrier) upload(c *pool.Conn, a *engine.Attempt, u *Upload) (req *http.Request, ok bool, result balancer.Result) {
 	in := a.Call.Payload.(*Request)
 	body := &part{Upload: u}
 	req = &http.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header.Clone(), ContentLength: u.Length, Body: body}
@@ -110,19 +110,19 @@
 	err := req.Write(paced{c})
 	if err == nil {
 		a.Wrote()
-		return req, true, logic.NotSent
+		return req, true, balancer.NotSent
 	}
 	if u.Broken() != nil || errors.Is(err, errEnded) {
-		return req, false, logic.NotSent // the client's side has broken off, or needs no answer any more
+		return req, false, balancer.NotSent // the client's side has broken off, or needs no answer any more
 	}
 	// A server that turns a request away may say so before it has come whole, and close.
 	if c.SetReadDeadline(time.Now().Add(earlyAnswer)) == nil {
 		c.Allow(maxHead)
-		if resp, err := readResponse(c, req); err == nil && Judge(resp.StatusCode, resp.Header) == logic.Rejected {
-			return req, false, logic.Rejected
+		if resp, err := readResponse(c, req); err == nil && Judge(resp.StatusCode, resp.Header) == balancer.Rejected {
+			return req, false, balancer.Rejected
 		}
 	}
-	return req, false, logic.ConnectFailed
+	return req, false, balancer.ConnectFailed
 }
 
 // Stream is what still comes of an answer.
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -13,12 +13,12 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/intake"
 	"appleledge/internal/places"
-	"appleledge/logic"
 )
 
 // exchange sends a request and returns the answer's bytes, with another date, up to the end of the connection.
@@ -66,9 +66,9 @@
 
 // Answers to requests that are not begun: bad ones, too many, and the question whether the agent is ready.
 func TestGoldenTurnedAway(t *testing.T) {
-	classes := []logic.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second},
-		{Name: "refund-record", Effect: logic.Keyed, Window: time.Second, Aim: time.Second, Deadline: 2 * time.Second}}
-	b, err := logic.New(logic.Settings{Balancers: 1, MaxAttempts: 1, Classes: classes}, 1)
+	classes := []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second},
+		{Name: "refund-record", Effect: balancer.Keyed, Window: time.Second, Aim: time.Second, Deadline: 2 * time.Second}}
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: classes}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpfront/server_test.go
+++ b/internal/httpfront/server_test.go
@@ -8,22 +8,22 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
 	"appleledge/internal/places"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // When too much is open, what comes is refused at once: past the limit on descriptors nothing would be answered at
 // all.
 func TestTooMuchOpen(t *testing.T) {
-	b, err := logic.New(logic.Settings{Balancers: 1, MaxAttempts: 1, Classes: []logic.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	core := engine.New(b, engine.NewClock(), nil, nil)
-	s := New(Options{Engine: core, Rules: intake.Rules{Classes: []logic.Class{{Name: "form-check", Deadline: 2 * time.Second}}},
+	s := New(Options{Engine: core, Rules: intake.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}},
 		Clock: engine.NewClock(), MostHeld: 1}, places.New(nil, 2, places.Options{}))
 	s.held.Store(1)
 	w := httptest.NewRecorder()
@@ -67,14 +67,14 @@
 
 // A request that lay unread until its client had gone is not begun.
 func TestWhoHasGoneGetsNothingBegun(t *testing.T) {
-	b, err := logic.New(logic.Settings{Balancers: 1, MaxAttempts: 1, Classes: []logic.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	core := engine.New(b, engine.NewClock(), noFleet{}, slog.New(slog.DiscardHandler))
 	go core.Run(t.Context())
 	l := places.New(testbed.Listen(t), 2, places.Options{})
-	s := New(Options{Engine: core, Rules: intake.Rules{Classes: []logic.Class{{Name: "form-check", Deadline: 2 * time.Second}}}, Clock: engine.NewClock()}, l)
+	s := New(Options{Engine: core, Rules: intake.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}}, Clock: engine.NewClock()}, l)
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
 // The headers of a request that the agent reads, in net/http's form: another one costs an allocation at each look.
@@ -59,7 +59,7 @@
 
 // Rules are what requests are checked against. They are not changed: settings that change make others.
 type Rules struct {
-	Classes  []logic.Class
+	Classes  []balancer.Class
 	Tenants  []string // names, in the order of the module's numbers; empty where there are none
 	Attempts int      // that a request may have; 0: as many as the module says
 	Number   int      // of the settings that they follow from
@@ -148,7 +148,7 @@
 // class is the number of the class that a path names; -1 of none that takes requests.
 func (rules *Rules) class(path string) int {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	return slices.IndexFunc(rules.Classes, func(c logic.Class) bool { return c.Name == name && !c.Dropped })
+	return slices.IndexFunc(rules.Classes, func(c balancer.Class) bool { return c.Name == name && !c.Dropped })
 }
 
 // fits reports whether a request has the form of its class: method and key tell the effect.
@@ -157,12 +157,12 @@
 	if i < 0 {
 		return false
 	}
-	form := logic.Unsafe
+	form := balancer.Unsafe
 	switch {
 	case h.Method == http.MethodGet, h.Method == http.MethodHead:
-		form = logic.Safe
+		form = balancer.Safe
 	case h.Header.Get(KeyHeader) != "":
-		form = logic.Keyed
+		form = balancer.Keyed
 	}
 	return rules.Classes[i].Effect == form
 }
@@ -188,14 +188,14 @@
 		Deadline: began + timeout - min(deadlineMargin, timeout/4), Again: h.Header.Get(retriedHeader) == "1",
 		Effect: class.Effect, RepeatKey: h.Header.Get(KeyHeader), Path: h.Path, Header: h.Header,
 		Settings: rules.Number, Attempts: rules.Attempts}
-	if class.Effect == logic.Keyed {
+	if class.Effect == balancer.Keyed {
 		c.Window = class.Window
 	}
 	return c, timeout, nil
 }
 
 // checkForm checks what does not depend on the body.
-func checkForm(h Head, class logic.Class) error {
+func checkForm(h Head, class balancer.Class) error {
 	// Beside a length, chunks may hide a second request in what the length makes the body. net/http drops such a length
 	// unseen, so that chunks can't be had at all; clients always send a length.
 	if h.Chunked && !h.Forms {
@@ -206,9 +206,9 @@
 	}
 	want := http.MethodPost
 	switch {
-	case class.Effect == logic.Safe && h.Forms && h.Method == http.MethodHead:
+	case class.Effect == balancer.Safe && h.Forms && h.Method == http.MethodHead:
 		want = http.MethodHead
-	case class.Effect == logic.Safe:
+	case class.Effect == balancer.Safe:
 		want = http.MethodGet
 	}
 	if h.Method != want {
@@ -225,7 +225,7 @@
 	if id := h.Header.Get(RequestIDHeader); id == "" || len(id) > longestID {
 		return BadRequest{http.StatusBadRequest, RequestIDHeader + " is missing or too long"}
 	}
-	if class.Effect == logic.Keyed && h.Header.Get(KeyHeader) == "" {
+	if class.Effect == balancer.Keyed && h.Header.Get(KeyHeader) == "" {
 		// The backends could not tell a repeat, so it must not be sent as one of this class.
 		return BadRequest{http.StatusBadRequest, KeyHeader + " is missing"}
 	}
--- a/internal/membership/file/golden_test.go
+++ b/internal/membership/file/golden_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // A file in the platform's form, as committed with package listing.
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	want := membership.Update{Full: true, Members: []engine.Member{
-		{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: logic.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000123 * time.Millisecond}},
-		{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: logic.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000456 * time.Millisecond}},
-		{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: logic.Server{ID: "s-3", State: logic.Draining, Zone: -1, Cell: 3, Weight: 3.5}}}}
+		{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: balancer.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000123 * time.Millisecond}},
+		{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000456 * time.Millisecond}},
+		{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: balancer.Server{ID: "s-3", State: balancer.Draining, Zone: -1, Cell: 3, Weight: 3.5}}}}
 	if got := <-to.Updates; !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
--- a/internal/membership/listing/golden_test.go
+++ b/internal/membership/listing/golden_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
-	"appleledge/logic"
 )
 
 func goldenEntries() map[string]Entry {
@@ -48,10 +48,10 @@
 func TestGoldenMembers(t *testing.T) {
 	for name, want := range map[string][]engine.Member{
 		"full": {
-			{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: logic.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000023 * time.Millisecond}},
-			{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: logic.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000356 * time.Millisecond}},
-			{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: logic.Server{ID: "s-3", State: logic.Draining, Zone: -1, Cell: 3, Weight: 3.5}}},
-		"removal": {{Server: logic.Server{ID: "s-2", State: logic.Gone, Zone: -1}}},
+			{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: balancer.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000023 * time.Millisecond}},
+			{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000356 * time.Millisecond}},
+			{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: balancer.Server{ID: "s-3", State: balancer.Draining, Zone: -1, Cell: 3, Weight: 3.5}}},
+		"removal": {{Server: balancer.Server{ID: "s-2", State: balancer.Gone, Zone: -1}}},
 	} {
 		l, err := Parse(golden.Read(t, "listing/"+name+".json"))
 		if err != nil {
@@ -89,10 +89,10 @@
 func TestGoldenEntry(t *testing.T) {
 	r := goldenReader()
 	r.Off = 0
-	member := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: logic.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5,
+	member := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5,
 		Started: 1764580000456 * time.Millisecond}}
 	var out []byte
-	for _, state := range []logic.State{logic.Ready, logic.Draining, logic.Gone} {
+	for _, state := range []balancer.State{balancer.Ready, balancer.Draining, balancer.Gone} {
 		member.State = state
 		text, err := json.Marshal(r.Entry(member))
 		if err != nil {
--- a/internal/membership/listing/listing.go
+++ b/internal/membership/listing/listing.go
@@ -13,8 +13,8 @@
 	"time"
 	"unique"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
 // List is a list of servers or a change of it. A bad entry spoils no other.
@@ -41,7 +41,7 @@
 // Ready is the state of a server that takes requests.
 const Ready = "Ready"
 
-var states = map[string]logic.State{Ready: logic.Ready, "Terminating": logic.Draining, "Gone": logic.Gone}
+var states = map[string]balancer.State{Ready: balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone}
 
 // Parse reads a list. Its errors name the line. It goes through the text once and holds nothing of it but the entries: a
 // list of 10,000 servers has over a megabyte, and an agent may have 32.
@@ -157,10 +157,10 @@
 	case e.ID == "" || !ok:
 		return m, fmt.Errorf("id %q with state %q", e.ID, e.State)
 	}
-	if _, _, err := net.SplitHostPort(e.Addr); err != nil && state != logic.Gone {
+	if _, _, err := net.SplitHostPort(e.Addr); err != nil && state != balancer.Gone {
 		return m, err
 	}
-	return engine.Member{Addr: e.Addr, Kind: kind(e.Kind), Server: logic.Server{ID: e.ID, State: state, Zone: slices.Index(r.Zones, e.Zone), Cell: e.Cell,
+	return engine.Member{Addr: e.Addr, Kind: kind(e.Kind), Server: balancer.Server{ID: e.ID, State: state, Zone: slices.Index(r.Zones, e.Zone), Cell: e.Cell,
 		Weight: e.Weight, Started: r.started(e.StartedMS)}}, nil
 }
 
--- a/internal/membership/listing/listing_test.go
+++ b/internal/membership/listing/listing_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
 func FuzzMembers(f *testing.F) {
@@ -23,7 +23,7 @@
 			t.Fatalf("%d entries became %d members and %d faults", len(l.Servers), len(members), len(bad))
 		}
 		for _, m := range members {
-			if m.ID == "" || m.Addr == "" && m.State != logic.Gone {
+			if m.ID == "" || m.Addr == "" && m.State != balancer.Gone {
 				t.Fatalf("%+v", m)
 			}
 		}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	members, bad := Reader{Clock: engine.NewClock()}.Members(l)
-	if len(members) != 2 || members[0].ID != "s-1" || members[1].State != logic.Gone || len(bad) != 2 {
+	if len(members) != 2 || members[0].ID != "s-1" || members[1].State != balancer.Gone || len(bad) != 2 {
 		t.Errorf("%+v, %+v", members, bad)
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
 // told is an event that a hub delivered, and when.
@@ -35,14 +35,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		h, events, clock := hub(t, "s")
 		to := h.Sink(0)
-		to.Update(Update{Full: true, Members: []engine.Member{member("drains", "d", logic.Ready)}})
+		to.Update(Update{Full: true, Members: []engine.Member{member("drains", "d", balancer.Ready)}})
 		var drained time.Duration
 		for i := range 1000 {
 			time.Sleep(time.Millisecond)
-			to.Update(Update{Members: []engine.Member{member(fmt.Sprint("s", i), "a", logic.Ready)}})
+			to.Update(Update{Members: []engine.Member{member(fmt.Sprint("s", i), "a", balancer.Ready)}})
 			if i == 500 {
 				drained = clock.Now()
-				to.Update(Update{Members: []engine.Member{member("drains", "d", logic.Draining)}})
+				to.Update(Update{Members: []engine.Member{member("drains", "d", balancer.Draining)}})
 			}
 		}
 		time.Sleep(time.Second)
@@ -50,7 +50,7 @@
 		members := 0
 		for _, ev := range all {
 			for _, m := range ev.Event.(engine.Listed).Members {
-				if members++; m.State == logic.Draining {
+				if members++; m.State == balancer.Draining {
 					waited = ev.at - drained
 				}
 			}
@@ -71,7 +71,7 @@
 		h, events, _ := hub(t, "s")
 		var all []engine.Member
 		for i := range 10_000 {
-			all = append(all, member(fmt.Sprint("s", i), fmt.Sprint("a", i), logic.Ready))
+			all = append(all, member(fmt.Sprint("s", i), fmt.Sprint("a", i), balancer.Ready))
 		}
 		h.Sink(0).Update(Update{Full: true, Members: all})
 		time.Sleep(time.Second)
@@ -79,7 +79,7 @@
 		for i := range all {
 			all[i].Weight = 2
 		}
-		all[9999].State = logic.Draining
+		all[9999].State = balancer.Draining
 		h.Sink(0).Update(Update{Full: true, Members: all[1:]})
 		time.Sleep(time.Second)
 		second := events()[first:]
@@ -91,7 +91,7 @@
 			if len(part) > partMost {
 				t.Errorf("%d members at a time", len(part))
 			}
-			if i == 0 && (part[0].State == logic.Ready || part[1].State == logic.Ready) {
+			if i == 0 && (part[0].State == balancer.Ready || part[1].State == balancer.Ready) {
 				t.Errorf("the part begins with %v and %v", part[0], part[1])
 			}
 		}
--- a/internal/membership/platform/asked_test.go
+++ b/internal/membership/platform/asked_test.go
@@ -12,11 +12,11 @@
 	"testing/synctest"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // scripted is a discovery that answers call after call as a script says, the last way for good.
@@ -161,7 +161,7 @@
 	d.Ask()
 	follow(t, d, events)
 	next(t, events) // the known list
-	if u := next(t, events); len(u.Members) != 1 || u.Members[0].State != logic.Draining {
+	if u := next(t, events); len(u.Members) != 1 || u.Members[0].State != balancer.Draining {
 		t.Errorf("told %+v, want the drain", u)
 	}
 	testbed.Eventually(t, "the module is told when that was in vain, too", func() bool { return len(events.Losses) > 0 })
@@ -185,7 +185,7 @@
 	d.Ask() // once: the module says no more
 	follow(t, d, events)
 	next(t, events) // the known list
-	if u := next(t, events); len(u.Members) != 1 || u.Members[0].State != logic.Draining {
+	if u := next(t, events); len(u.Members) != 1 || u.Members[0].State != balancer.Draining {
 		t.Errorf("told %+v, want the drain", u)
 	}
 	if calls := s.called(); len(calls) < 4 || slices.Contains(calls, "whole") {
@@ -229,7 +229,7 @@
 	next(t, events) // the first list
 	testbed.Eventually(t, "the first discovery is watched", func() bool { return len(from.called()) == 2 })
 	d.Move(at[1])
-	if u := next(t, events); !u.Full || len(u.Members) != 1 || u.Members[0].State != logic.Draining {
+	if u := next(t, events); !u.Full || len(u.Members) != 1 || u.Members[0].State != balancer.Draining {
 		t.Errorf("told %+v, want the drain", u)
 	}
 }
--- a/internal/membership/platform/golden_test.go
+++ b/internal/membership/platform/golden_test.go
@@ -16,12 +16,12 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // goldenAnswers answers calls with committed lists, by the version that they are asked from, and others with silence. It keeps what
@@ -92,17 +92,17 @@
 	d := New(Options{Addr: addr, Zones: []string{"edinburgh-dc", "lerwick-dc"}}, engine.DrivenClock(&now),
 		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
 	follow(t, d, to)
-	first := engine.Member{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: logic.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000123 * time.Millisecond}}
-	second := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: logic.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000456 * time.Millisecond}}
-	third := engine.Member{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: logic.Server{ID: "s-3", State: logic.Draining, Zone: -1, Cell: 3, Weight: 3.5}}
-	fourth := engine.Member{Addr: "10.0.0.4:8004", Kind: "twin-core", Server: logic.Server{ID: "s-4", Zone: 1, Cell: 4, Weight: 4.5, Started: 1764580000789 * time.Millisecond}}
+	first := engine.Member{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: balancer.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000123 * time.Millisecond}}
+	second := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000456 * time.Millisecond}}
+	third := engine.Member{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: balancer.Server{ID: "s-3", State: balancer.Draining, Zone: -1, Cell: 3, Weight: 3.5}}
+	fourth := engine.Member{Addr: "10.0.0.4:8004", Kind: "twin-core", Server: balancer.Server{ID: "s-4", Zone: 1, Cell: 4, Weight: 4.5, Started: 1764580000789 * time.Millisecond}}
 	drains := first
-	drains.State = logic.Draining
+	drains.State = balancer.Draining
 	for i, want := range []membership.Update{
 		{Full: true, Members: []engine.Member{first, second, third}},
 		{Members: []engine.Member{fourth}},
 		{Members: []engine.Member{drains}},
-		{Members: []engine.Member{{Server: logic.Server{ID: "s-2", State: logic.Gone, Zone: -1}}}},
+		{Members: []engine.Member{{Server: balancer.Server{ID: "s-2", State: balancer.Gone, Zone: -1}}}},
 		{Members: []engine.Member{second}, Stand: []string{"s-5", "s-6", "s-7"}},
 	} {
 		if got := next(t, to); !reflect.DeepEqual(got, want) {
--- a/internal/membership/platform/platform_test.go
+++ b/internal/membership/platform/platform_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // follower is a discovery client whose updates a test reads.
@@ -58,11 +58,11 @@
 		t.Errorf("%+v", l)
 	}
 	f.Set(43, false, testbed.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
-	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != logic.Draining {
+	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Draining {
 		t.Errorf("%+v", l)
 	}
 	f.Set(44, false, testbed.EntryText("s-1", "", "Gone", 0))
-	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != logic.Gone {
+	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Gone {
 		t.Errorf("%+v", l)
 	}
 	if wholes, _ := f.Calls(); wholes != 1 {
@@ -399,7 +399,7 @@
 				follow(t, d, events)
 			}
 			for {
-				if u := next(t, events); !u.Full && u.Members[0].State == logic.Draining {
+				if u := next(t, events); !u.Full && u.Members[0].State == balancer.Draining {
 					break
 				}
 			}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
 // Options say how several sources are made into one list.
@@ -100,10 +100,10 @@
 	}
 	s.keep = 0
 	for _, id := range gone {
-		t.set(s, id, engine.Member{Server: logic.Server{State: logic.Gone}})
+		t.set(s, id, engine.Member{Server: balancer.Server{State: balancer.Gone}})
 	}
 	for _, m := range u.Members {
-		if m.State != logic.Gone {
+		if m.State != balancer.Gone {
 			t.set(s, m.ID, m)
 		}
 	}
@@ -111,14 +111,14 @@
 
 // brings reports whether an update names any server that is there.
 func (s *source) brings(u Update) bool {
-	return slices.ContainsFunc(u.Members, func(m engine.Member) bool { return m.State != logic.Gone })
+	return slices.ContainsFunc(u.Members, func(m engine.Member) bool { return m.State != balancer.Gone })
 }
 
 // gone lists the ids that an update takes away.
 func (t *Table) gone(s *source, u Update) (ids []string) {
 	if !u.Full {
 		for _, m := range u.Members {
-			if _, had := s.members[m.ID]; had && m.State == logic.Gone {
+			if _, had := s.members[m.ID]; had && m.State == balancer.Gone {
 				ids = append(ids, m.ID)
 			}
 		}
@@ -126,7 +126,7 @@
 	}
 	named := make(map[string]bool, len(u.Members))
 	for _, m := range u.Members {
-		named[m.ID] = m.State != logic.Gone
+		named[m.ID] = m.State != balancer.Gone
 	}
 	for _, id := range u.Stand {
 		named[id] = true
@@ -143,16 +143,16 @@
 // set changes one member of a source.
 func (t *Table) set(s *source, id string, m engine.Member) {
 	old, had := s.members[id]
-	if had && old == m || !had && m.State == logic.Gone {
+	if had && old == m || !had && m.State == balancer.Gone {
 		return
 	}
-	if had && (old.Addr != m.Addr || m.State == logic.Gone) {
+	if had && (old.Addr != m.Addr || m.State == balancer.Gone) {
 		at := slices.DeleteFunc(s.byAddr[old.Addr], func(other string) bool { return other == id })
 		if s.byAddr[old.Addr] = at; len(at) == 0 {
 			delete(s.byAddr, old.Addr)
 		}
 	}
-	if m.State == logic.Gone {
+	if m.State == balancer.Gone {
 		delete(s.members, id)
 	} else {
 		s.members[id] = m
@@ -161,7 +161,7 @@
 		}
 	}
 	t.touch(id)
-	if len(t.sources) > 1 && (m.State == logic.Draining || had && old.State == logic.Draining) {
+	if len(t.sources) > 1 && (m.State == balancer.Draining || had && old.State == balancer.Draining) {
 		for _, other := range t.sources { // who knows the same server by another name
 			for _, addr := range []string{m.Addr, old.Addr} {
 				for _, same := range other.byAddr[addr] {
@@ -187,7 +187,7 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
-		if m := s.members[id]; m.State == logic.Draining {
+		if m := s.members[id]; m.State == balancer.Draining {
 			for _, other := range t.sources {
 				for _, same := range other.byAddr[m.Addr] {
 					t.touch(same)
@@ -260,7 +260,7 @@
 		if s.keep > 0 && now >= s.keep {
 			s.keep = 0
 			for _, id := range slices.Sorted(maps.Keys(s.members)) {
-				t.set(s, id, engine.Member{Server: logic.Server{State: logic.Gone}})
+				t.set(s, id, engine.Member{Server: balancer.Server{State: balancer.Gone}})
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 	urgent, waits := t.pending[id]
 	switch now, was := t.now(id), t.told[id]; {
 	case urgent:
-	case now.State != logic.Ready && was.ID != "": // also one that waits already behind thousands of new ones
+	case now.State != balancer.Ready && was.ID != "": // also one that waits already behind thousands of new ones
 		t.pending[id] = true
 		t.urgent = append(t.urgent, id)
 	case !waits:
@@ -284,14 +284,14 @@
 // now is a member as it is to be told; its State is Gone where there is none.
 func (t *Table) now(id string) engine.Member {
 	if t.active == none {
-		return engine.Member{Server: logic.Server{ID: id, State: logic.Gone}}
+		return engine.Member{Server: balancer.Server{ID: id, State: balancer.Gone}}
 	}
 	m, ok := t.sources[t.active].members[id]
 	if !ok {
-		return engine.Member{Server: logic.Server{ID: id, State: logic.Gone}}
+		return engine.Member{Server: balancer.Server{ID: id, State: balancer.Gone}}
 	}
-	if m.State == logic.Ready && len(t.sources) > 1 && t.drains(m) {
-		m.State = logic.Draining
+	if m.State == balancer.Ready && len(t.sources) > 1 && t.drains(m) {
+		m.State = balancer.Draining
 	}
 	return m
 }
@@ -302,11 +302,11 @@
 		if i == t.active || s.lost {
 			continue
 		}
-		if s.members[m.ID].State == logic.Draining {
+		if s.members[m.ID].State == balancer.Draining {
 			return true
 		}
 		for _, id := range s.byAddr[m.Addr] {
-			if s.members[id].State == logic.Draining {
+			if s.members[id].State == balancer.Draining {
 				return true
 			}
 		}
@@ -331,16 +331,16 @@
 			continue
 		}
 		m, was := t.now(id), t.told[id]
-		if ending && m.State == logic.Ready { // it was to end, and was taken back
+		if ending && m.State == balancer.Ready { // it was to end, and was taken back
 			t.pending[id] = false
 			t.rest = append(t.rest, id)
 			continue
 		}
 		delete(t.pending, id)
 		switch {
-		case m.State == logic.Gone && was.ID == "" || m == was:
+		case m.State == balancer.Gone && was.ID == "" || m == was:
 			continue
-		case m.State == logic.Gone:
+		case m.State == balancer.Gone:
 			delete(t.told, id)
 		default:
 			t.told[id] = m
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -8,12 +8,12 @@
 
 	"pgregory.net/rapid"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
-func member(id, addr string, state logic.State) engine.Member {
-	return engine.Member{Addr: addr, Server: logic.Server{ID: id, State: state, Weight: 1}}
+func member(id, addr string, state balancer.State) engine.Member {
+	return engine.Member{Addr: addr, Server: balancer.Server{ID: id, State: state, Weight: 1}}
 }
 
 // listed is what an engine has of the list after all changes, and checks how they came.
@@ -28,15 +28,15 @@
 		}
 		for _, m := range part {
 			was, had := l[m.ID]
-			ends := m.State != logic.Ready && had
+			ends := m.State != balancer.Ready && had
 			if ends && !ended {
 				t.Fatalf("the end of %s comes after what does not end", m.ID)
 			}
 			ended = ends
-			if had && was == m || !had && m.State == logic.Gone {
+			if had && was == m || !had && m.State == balancer.Gone {
 				t.Fatalf("told of %s without a change", m.ID)
 			}
-			if l[m.ID] = m; m.State == logic.Gone {
+			if l[m.ID] = m; m.State == balancer.Gone {
 				delete(l, m.ID)
 			}
 		}
@@ -58,8 +58,8 @@
 				continue
 			}
 			for _, other := range s.members {
-				if m.State == logic.Ready && other.State == logic.Draining && (other.ID == id || other.Addr == m.Addr) {
-					m.State = logic.Draining
+				if m.State == balancer.Ready && other.State == balancer.Draining && (other.ID == id || other.Addr == m.Addr) {
+					m.State = balancer.Draining
 				}
 			}
 		}
@@ -100,7 +100,7 @@
 					if from == 1 {
 						id = addr + id // another source, other ids
 					}
-					u.Members = append(u.Members, member(id, addr, logic.State(rapid.IntRange(0, 2).Draw(t, "state"))))
+					u.Members = append(u.Members, member(id, addr, balancer.State(rapid.IntRange(0, 2).Draw(t, "state"))))
 				}
 				table.Update(now, from, u)
 				if heard[from] < 0 {
@@ -137,15 +137,15 @@
 		have.take(t, table, 100)
 		for i := range 10 {
 			for _, prefix := range []string{"s", "x"} {
-				if m, ok := have[fmt.Sprint(prefix, i)]; ok && m.State == logic.Ready {
+				if m, ok := have[fmt.Sprint(prefix, i)]; ok && m.State == balancer.Ready {
 					ids += m.ID + " "
 				}
 			}
 		}
 		return ids
 	}
-	s1, s2 := member("s1", "a1", logic.Ready), member("s2", "a2", logic.Ready)
-	x2, x3 := member("x2", "a2", logic.Ready), member("x3", "a3", logic.Ready)
+	s1, s2 := member("s1", "a1", balancer.Ready), member("s2", "a2", balancer.Ready)
+	x2, x3 := member("x2", "a2", balancer.Ready), member("x3", "a3", balancer.Ready)
 	for i, step := range []struct {
 		what  string
 		after time.Duration
@@ -157,7 +157,7 @@
 		{"the first one has to hold", time.Second, func() { full(0, x2, x3) }, "s1 s2 "},
 		{"and takes over when it has", 31 * time.Second, func() {}, "x2 x3 "},
 		{"a drain told by the other one counts, by the address", time.Second, func() {
-			table.Update(at, 1, Update{Members: []engine.Member{member("s2", "a2", logic.Draining)}})
+			table.Update(at, 1, Update{Members: []engine.Member{member("s2", "a2", balancer.Draining)}})
 		}, "x3 "},
 		{"and its end too", time.Second, func() { full(1, s1, s2) }, "x2 x3 "},
 		{"lost for a short time it goes on counting", time.Second, func() { table.Lost(at, 0) }, "x2 x3 "},
@@ -167,12 +167,12 @@
 		{"back while the other is lost it counts at once", time.Minute, func() { full(0, x3) }, "x3 "},
 		{"all taken away at once is not believed yet", time.Second, func() { full(0) }, "x3 "},
 		{"but a drain is", time.Second, func() {
-			table.Update(at, 0, Update{Members: []engine.Member{member("x3", "a3", logic.Draining)}})
+			table.Update(at, 0, Update{Members: []engine.Member{member("x3", "a3", balancer.Draining)}})
 		}, ""},
 		{"a list that is not empty ends the doubt", time.Second, func() { full(0, x2, x3) }, "x2 x3 "},
 		{"taken away one by one, the last is kept", time.Second, func() {
-			table.Update(at, 0, Update{Members: []engine.Member{member("x2", "a2", logic.Gone)}})
-			table.Update(at, 0, Update{Members: []engine.Member{member("x3", "a3", logic.Gone)}})
+			table.Update(at, 0, Update{Members: []engine.Member{member("x2", "a2", balancer.Gone)}})
+			table.Update(at, 0, Update{Members: []engine.Member{member("x3", "a3", balancer.Gone)}})
 		}, "x3 "},
 		{"and for so long only", 61 * time.Second, func() {}, ""},
 		{"an entry that can't be read stands", 0, func() {
--- a/internal/membership/xds/endpoints.go
+++ b/internal/membership/xds/endpoints.go
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
 // MetadataKey names the filter metadata in which an endpoint says what the protocol has no field for: id (text; without
@@ -210,7 +210,7 @@
 		seen[m.Addr], seen["id "+m.ID] = true, true
 		read[string(text)] = m
 		m.Zone = out.zone
-		if m.State == logic.Ready {
+		if m.State == balancer.Ready {
 			out.healthy++
 		}
 		out.members = append(out.members, m)
@@ -236,10 +236,10 @@
 		return m, fmt.Errorf("%s has no TCP port from 1 to 65535", socket.Address)
 	}
 	m.Addr = net.JoinHostPort(ip.Unmap().String(), strconv.Itoa(int(port)))
-	m.ID, m.Weight, m.State = m.Addr, 1, logic.Draining
+	m.ID, m.Weight, m.State = m.Addr, 1, balancer.Draining
 	switch e.HealthStatus {
 	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DEGRADED:
-		m.State = logic.Ready
+		m.State = balancer.Ready
 	}
 	if w := e.LoadBalancingWeight; w != nil {
 		if w.Value == 0 {
@@ -324,7 +324,7 @@
 func (l locality) scale(over float64) float64 {
 	sum := 0.0
 	for _, m := range l.members {
-		if m.State == logic.Ready {
+		if m.State == balancer.Ready {
 			sum += m.Weight
 		}
 	}
--- a/internal/membership/xds/machine.go
+++ b/internal/membership/xds/machine.go
@@ -14,9 +14,9 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
-	"appleledge/logic"
 )
 
 // The types of resources that are asked for, in the order in which they are.
@@ -337,13 +337,13 @@
 
 // member is a server as the clusters that hold it have it: the first of them by name, but draining where any says so.
 func (m *machine) member(id string) engine.Member {
-	out := engine.Member{Server: logic.Server{ID: id, State: logic.Gone}}
+	out := engine.Member{Server: balancer.Server{ID: id, State: balancer.Gone}}
 	for i, name := range slices.Sorted(slices.Values(m.in[id])) {
 		member := m.held[name][id]
 		if i == 0 {
 			out = member
-		} else if member.State == logic.Draining {
-			out.State = logic.Draining
+		} else if member.State == balancer.Draining {
+			out.State = balancer.Draining
 		}
 	}
 	return out
--- a/internal/membership/xds/machine_test.go
+++ b/internal/membership/xds/machine_test.go
@@ -19,9 +19,9 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 	"pgregory.net/rapid"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/rig/controlplane"
-	"appleledge/logic"
 )
 
 func testReader() reader {
@@ -185,7 +185,7 @@
 			}
 			if u, ok := m.update(); ok {
 				for _, member := range u.Members {
-					if listed[member.ID] = true; member.State == logic.Gone {
+					if listed[member.ID] = true; member.State == balancer.Gone {
 						delete(listed, member.ID)
 					}
 				}
@@ -294,7 +294,7 @@
 		var got []string
 		for _, m := range a.members() {
 			text := fmt.Sprintf("%s:%.3g", strings.TrimPrefix(m.Addr, "127.0.0.1:"), m.Weight)
-			if m.State == logic.Draining {
+			if m.State == balancer.Draining {
 				text += "d"
 			}
 			got = append(got, text)
@@ -433,7 +433,7 @@
 		}
 		if u, ok := m.update(); ok {
 			for _, member := range u.Members {
-				if member.ID == "" || member.State != logic.Gone && (member.Addr == "" || !(member.Weight > 0)) {
+				if member.ID == "" || member.State != balancer.Gone && (member.Addr == "" || !(member.Weight > 0)) {
 					t.Fatalf("%+v", member)
 				}
 			}
--- a/internal/membership/xds/source_test.go
+++ b/internal/membership/xds/source_test.go
@@ -18,11 +18,11 @@
 	"github.com/envoyproxy/go-control-plane/pkg/server/v3"
 	"google.golang.org/grpc"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/rig/controlplane"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // list is what a source has told, as a table makes it.
@@ -40,7 +40,7 @@
 	l.updates++
 	l.table.Update(0, 0, u)
 	for _, m := range l.table.Take(1 << 20) {
-		if l.members[m.ID] = m; m.State == logic.Gone {
+		if l.members[m.ID] = m; m.State == balancer.Gone {
 			delete(l.members, m.ID)
 		}
 	}
@@ -58,7 +58,7 @@
 	defer l.mu.Unlock()
 	var out []string
 	for id, m := range l.members {
-		if m.State == logic.Draining {
+		if m.State == balancer.Draining {
 			id += "d"
 		}
 		out = append(out, id)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/peek"
-	"appleledge/logic"
 )
 
 // Pool holds the connections to backends. Each carries one request at a time, and all that happens to it is
@@ -114,11 +114,11 @@
 
 func (p *Pool) update(m engine.Member) {
 	b := p.backends[m.ID]
-	if b != nil && (m.State == logic.Gone || b.addr != m.Addr || b.started != m.Started) {
+	if b != nil && (m.State == balancer.Gone || b.addr != m.Addr || b.started != m.Started) {
 		p.retire(b)
 		b = nil
 	}
-	if m.State == logic.Gone {
+	if m.State == balancer.Gone {
 		return
 	}
 	if b == nil {
@@ -126,7 +126,7 @@
 		p.backends[m.ID] = b
 		p.byAddr[b.addr] = append(p.byAddr[b.addr], b)
 	}
-	p.setReady(b, m.State == logic.Ready)
+	p.setReady(b, m.State == balancer.Ready)
 }
 
 func (p *Pool) setReady(b *Backend, ready bool) {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -10,16 +10,16 @@
 
 	"pgregory.net/rapid"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 // newTestPool is a pool with one backend, b.
 func newTestPool(t *testing.T, addr string, most int) *Pool {
 	p := New(2*time.Second, time.Minute, most)
 	t.Cleanup(p.Close)
-	p.Update(true, []engine.Member{{Server: logic.Server{ID: "b"}, Addr: addr}})
+	p.Update(true, []engine.Member{{Server: balancer.Server{ID: "b"}, Addr: addr}})
 	return p
 }
 
@@ -84,7 +84,7 @@
 	}
 	var others []engine.Member
 	for i := range 9 {
-		others = append(others, engine.Member{Server: logic.Server{ID: fmt.Sprint(i)}, Addr: fine.Addr().String()})
+		others = append(others, engine.Member{Server: balancer.Server{ID: fmt.Sprint(i)}, Addr: fine.Addr().String()})
 	}
 	p.Update(false, others)
 	for i := range 9 {
@@ -128,8 +128,8 @@
 			id := fmt.Sprint("b", rapid.IntRange(0, 4).Draw(t, "backend"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				p.Update(rapid.IntRange(0, 9).Draw(t, "full") == 0, []engine.Member{{Addr: addr, Server: logic.Server{ID: id,
-					State: logic.State(rapid.IntRange(0, 2).Draw(t, "state")), Started: time.Duration(rapid.IntRange(0, 1).Draw(t, "life"))}}})
+				p.Update(rapid.IntRange(0, 9).Draw(t, "full") == 0, []engine.Member{{Addr: addr, Server: balancer.Server{ID: id,
+					State: balancer.State(rapid.IntRange(0, 2).Draw(t, "state")), Started: time.Duration(rapid.IntRange(0, 1).Draw(t, "life"))}}})
 			case 1, 2, 3:
 				if c, err := p.Get(context.Background(), p.Backend(id)); err == nil {
 					taken = append(taken, c)
@@ -168,7 +168,7 @@
 	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
 	p := New(time.Second, time.Minute, 8)
 	defer p.Close()
-	p.Update(true, []engine.Member{{Server: logic.Server{ID: "b"}, Addr: b.Addr().String()}})
+	p.Update(true, []engine.Member{{Server: balancer.Server{ID: "b"}, Addr: b.Addr().String()}})
 	var sweeper sync.WaitGroup
 	over := make(chan struct{})
 	sweeper.Go(func() {
--- a/internal/program/join.go
+++ b/internal/program/join.go
@@ -7,26 +7,26 @@
 	"time"
 
 	"appleledge/internal/agent"
+	"appleledge/internal/balancer"
 	"appleledge/internal/join"
 	"appleledge/internal/settings"
-	"appleledge/logic"
 )
 
 // joins is what the section [join] switches on: a function, as only the platform's configuration names the classes. Its
 // errors name the file and the line.
-func joins(f settings.File) func([]logic.Class) (agent.Joins, error) {
+func joins(f settings.File) func([]balancer.Class) (agent.Joins, error) {
 	set := f.Join
 	if set == nil {
 		return nil
 	}
-	return func(classes []logic.Class) (agent.Joins, error) {
+	return func(classes []balancer.Class) (agent.Joins, error) {
 		with := agent.Joins{Apart: set.Tenants == settings.TenantsApart, LogEvery: time.Duration(set.LogEvery),
 			Options: join.Options{MostGroups: set.MaxGroups, MostWaiting: set.MaxWaiting, Pause: time.Duration(set.Pause)}}
 		var safe []string
 		for _, c := range classes {
-			joined := !c.Dropped && c.Effect == logic.Safe && slices.Contains(set.Classes, c.Name)
+			joined := !c.Dropped && c.Effect == balancer.Safe && slices.Contains(set.Classes, c.Name)
 			with.Options.Classes = append(with.Options.Classes, join.Class{Joined: joined, Aim: c.Aim, Deadline: c.Deadline})
-			if c.Effect == logic.Safe {
+			if c.Effect == balancer.Safe {
 				safe = append(safe, c.Name)
 			}
 		}
--- a/internal/rehearsal/carry.go
+++ b/internal/rehearsal/carry.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
 	"appleledge/internal/join"
-	"appleledge/logic"
 )
 
 // simRequest is a client's request with all its tries.
@@ -63,7 +63,7 @@
 		copy(call.Like[:], r.route)
 	}
 	if r.key != "" {
-		call.Effect, call.Window = logic.Keyed, dropWindow
+		call.Effect, call.Window = balancer.Keyed, dropWindow
 	}
 	answered := &answered{r: r, try: r.tries, life: r.agent.life}
 	call.Caller = answered
@@ -131,24 +131,24 @@
 		s = w.tamper(a, at, s)
 	}
 	life := a.life
-	ended := func(result logic.Result, report logic.Report) {
+	ended := func(result balancer.Result, report balancer.Report) {
 		if a.life == life {
 			a.step(engine.Outcome{Attempt: at, Result: result, Report: report})
 		}
 	}
-	if s == nil || a.knows[s.id].state == logic.Gone || a.barred(at) {
-		w.after(0, func() { ended(logic.NotSent, logic.NoReport) })
+	if s == nil || a.knows[s.id].state == balancer.Gone || a.barred(at) {
+		w.after(0, func() { ended(balancer.NotSent, balancer.NoReport) })
 		return
 	}
 	if told, is := a.told[s.id]; is && w.now-told > drainGrace && w.byID[s.id] == s {
 		w.broken("3", "agent %d sent to %s, %v after it was told that it drains", a.number, s.id, w.now-told)
 	}
 	timedOut := false
-	w.plan(at.Until, func() { timedOut = true; ended(logic.TimedOut, logic.NoReport) })
+	w.plan(at.Until, func() { timedOut = true; ended(balancer.TimedOut, balancer.NoReport) })
 	if s.effects.cut > 0 {
 		w.after(min(connectTimeout, at.Until-w.now), func() {
 			if !timedOut {
-				ended(logic.ConnectFailed, logic.NoReport)
+				ended(balancer.ConnectFailed, balancer.NoReport)
 			}
 		})
 		return
@@ -157,10 +157,10 @@
 }
 
 // take is a request's arrival at a server.
-func (s *simServer) take(at *engine.Attempt, timedOut *bool, ended func(logic.Result, logic.Report)) {
+func (s *simServer) take(at *engine.Attempt, timedOut *bool, ended func(balancer.Result, balancer.Report)) {
 	w, r := s.w, at.Call.Payload.(*simRequest)
 	s.look()
-	reply := func(result logic.Result, report logic.Report) {
+	reply := func(result balancer.Result, report balancer.Report) {
 		w.after(w.way(), func() {
 			if !*timedOut {
 				ended(result, report)
@@ -178,37 +178,37 @@
 			s.toppledNoted = true
 			w.broken("4", "the cold server %s was pushed over", s.id)
 		}
-		reply(logic.ConnectFailed, logic.NoReport)
+		reply(balancer.ConnectFailed, balancer.NoReport)
 		return
 	case emulator.Full:
-		reply(logic.Rejected, s.report())
+		reply(balancer.Rejected, s.report())
 		return
 	}
 	s.peak = max(s.peak, s.model.Held())
 	if s.model.Faults().Hung { // nothing will ever be heard of it
 		return
 	}
-	s.waiting[s.last] = waiter{broke: func() { reply(logic.Reset, logic.NoReport) }, ended: func(d emulator.Done) {
+	s.waiting[s.last] = waiter{broke: func() { reply(balancer.Reset, balancer.NoReport) }, ended: func(d emulator.Done) {
 		switch {
 		case s.effects.cut > 0: // the answer does not get out
 		case w.net.Float64() < either(s.effects.reset):
-			reply(logic.Reset, logic.NoReport)
+			reply(balancer.Reset, balancer.NoReport)
 		case w.net.Float64() < either(s.effects.spoil): // nor is there a report that could be read
-			reply(logic.Failed, logic.NoReport)
+			reply(balancer.Failed, balancer.NoReport)
 		case d.Failed:
-			reply(logic.Failed, s.report())
+			reply(balancer.Failed, s.report())
 		default:
 			s.served++
-			reply(logic.OK, s.report())
+			reply(balancer.OK, s.report())
 		}
 	}}
 	s.look()
 }
 
 // report is the load that an answer shows.
-func (s *simServer) report() logic.Report {
+func (s *simServer) report() balancer.Report {
 	l := s.model.Report(s.w.now)
-	r := logic.NoReport
+	r := balancer.NoReport
 	r.Util, r.Rate, r.Errors = l.Util, l.Rate, l.Errors
 	return r
 }
--- a/internal/rehearsal/comeback.go
+++ b/internal/rehearsal/comeback.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/logic"
 )
 
 // disk is what a simulated agent keeps, as it was written last.
@@ -76,12 +76,12 @@
 const saveEvery = time.Second
 
 // comeBack puts a recovery before the agent's engine, by what its disk has.
-func (a *simAgent) comeBack(set logic.Settings) {
+func (a *simAgent) comeBack(set balancer.Settings) {
 	w := a.w
 	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdFrom: set.ColdFrom, ColdFor: set.ColdFor, Overload: set.Overload,
 		MaxAfter: set.MaxRetryAfter, Seed: uint64(a.number*1000 + a.life)}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == logic.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
 	}
 	if a.others != nil {
 		o.AskFor = askFor
@@ -136,7 +136,7 @@
 	}
 	a.disk.members = a.disk.members[:0]
 	for id, k := range a.knows {
-		if s := a.w.byID[id]; s != nil && k.state != logic.Gone {
+		if s := a.w.byID[id]; s != nil && k.state != balancer.Gone {
 			m := s.listed()
 			m.State, m.Started = k.state, k.started
 			a.disk.members = append(a.disk.members, m)
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
-	"appleledge/logic"
 )
 
 // Day is what became of a rehearsal.
@@ -87,13 +87,13 @@
 const overShareWorth = 0.1
 
 // settings are the module's, as the platform would state them.
-func (w *world) settings() logic.Settings {
-	set := logic.Settings{Balancers: w.script.Fleet.Agents, Tick: 5 * time.Millisecond, WarmKeys: true, MaxAttempts: 5,
+func (w *world) settings() balancer.Settings {
+	set := balancer.Settings{Balancers: w.script.Fleet.Agents, Tick: 5 * time.Millisecond, WarmKeys: true, MaxAttempts: 5,
 		ParallelCopies: true, MaxRetryAfter: time.Second, ColdFrom: 0.32, ColdFor: 8700 * time.Millisecond, Overload: 3,
 		OverShareWorth: overShareWorth,
-		Classes: []logic.Class{
-			{Name: "form-check", Effect: logic.Safe, Aim: aim, Deadline: deadline, Worth: worths[0]},
-			{Name: "refund-record", Effect: logic.Keyed, Group: logic.GroupCell, Window: dropWindow, Aim: aim, Deadline: deadline,
+		Classes: []balancer.Class{
+			{Name: "form-check", Effect: balancer.Safe, Aim: aim, Deadline: deadline, Worth: worths[0]},
+			{Name: "refund-record", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: dropWindow, Aim: aim, Deadline: deadline,
 				Worth: worths[1]},
 		}}
 	for _, p := range points {
--- a/internal/rehearsal/events.go
+++ b/internal/rehearsal/events.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"appleledge/logic"
+	"appleledge/internal/balancer"
 )
 
 // agentDown is how long an agent is away when it is killed.
@@ -70,7 +70,7 @@
 		st.deploy(e)
 	case "kill":
 		for _, s := range st.choose(e) {
-			s.state = logic.Gone
+			s.state = balancer.Gone
 			s.at.die()
 		}
 		st.in.changed()
@@ -124,7 +124,7 @@
 // forgotten lets a pod forget if all of its servers are among those that are lost.
 func (st *stage) forgotten(pod int, lost []*member) {
 	for _, s := range st.current {
-		if s.pod == pod && s.state != logic.Gone && !slices.Contains(lost, s) {
+		if s.pod == pod && s.state != balancer.Gone && !slices.Contains(lost, s) {
 			return
 		}
 	}
@@ -200,7 +200,7 @@
 func (st *stage) choose(e Event) (chosen []*member) {
 	var ready []*member
 	for _, s := range st.members {
-		if st.current[s.id] == s && s.state == logic.Ready && !s.at.toppled() {
+		if st.current[s.id] == s && s.state == balancer.Ready && !s.at.toppled() {
 			ready = append(ready, s)
 		}
 	}
@@ -242,14 +242,14 @@
 
 // replace lets a server drain and starts its successor.
 func (st *stage) replace(s *member) {
-	if st.current[s.id] != s || s.state != logic.Ready { // something else has befallen it since
+	if st.current[s.id] != s || s.state != balancer.Ready { // something else has befallen it since
 		return
 	}
-	s.state = logic.Draining
+	s.state = balancer.Draining
 	st.successors++
 	st.start(fmt.Sprintf("n-%02d", st.successors), s.kind, s.pod, false)
 	st.after(drainTime, func() {
-		s.state = logic.Gone
+		s.state = balancer.Gone
 		s.at.die()
 		st.in.changed()
 	})
--- a/internal/rehearsal/live.go
+++ b/internal/rehearsal/live.go
@@ -20,9 +20,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
 	"appleledge/internal/rig/loopback"
-	"appleledge/logic"
 )
 
 const (
@@ -291,7 +291,7 @@
 	s.srv.Fault(func(f *emulator.Faults) {
 		e.faults(f)
 		f.Hung = f.Hung || e.cut > 0 // on loopback nothing can be cut off; it says as little
-		f.Draining = s.state == logic.Draining
+		f.Draining = s.state == balancer.Draining
 	})
 	s.srv.SetWire(emulator.Wire{Reset: either(e.reset), Spoil: either(e.spoil)})
 }
@@ -313,13 +313,13 @@
 func (l *live) changed() {
 	var entries []emulator.Entry
 	for _, s := range l.servers {
-		state := map[logic.State]string{logic.Ready: "Ready", logic.Draining: "Terminating", logic.Gone: "Gone"}[s.state]
-		if l.current[s.id] != s.member || s.entry.State == state || s.state == logic.Gone && s.entry.State == "" {
+		state := map[balancer.State]string{balancer.Ready: "Ready", balancer.Draining: "Terminating", balancer.Gone: "Gone"}[s.state]
+		if l.current[s.id] != s.member || s.entry.State == state || s.state == balancer.Gone && s.entry.State == "" {
 			continue
 		}
 		s.entry.State = state
 		entries = append(entries, s.entry)
-		if s.state == logic.Draining {
+		if s.state == balancer.Draining {
 			s.apply(s.effects)
 			if l.outage == 0 && l.lag == 0 {
 				s.drained = l.time()
--- a/internal/rehearsal/simulate.go
+++ b/internal/rehearsal/simulate.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
@@ -17,7 +18,6 @@
 	"appleledge/internal/rig/doors"
 	"appleledge/internal/settings"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // Times of the simulated network and of the list.
@@ -118,7 +118,7 @@
 
 // listed is the server as the list has it.
 func (s *simServer) listed() engine.Member {
-	return engine.Member{Addr: s.id, Server: logic.Server{ID: s.id, State: s.state, Cell: s.pod, Weight: 1, Started: s.started}}
+	return engine.Member{Addr: s.id, Server: balancer.Server{ID: s.id, State: s.state, Cell: s.pod, Weight: 1, Started: s.started}}
 }
 
 // boot is of installation.
@@ -216,7 +216,7 @@
 
 // known is what an agent was told of a server.
 type known struct {
-	state   logic.State
+	state   balancer.State
 	started time.Duration
 }
 
@@ -228,7 +228,7 @@
 	a.heard, a.met = false, map[engine.Life]time.Duration{}
 	set := w.settings()
 	set.Me = a.number
-	b, err := logic.New(set, w.random.Uint64())
+	b, err := balancer.New(set, w.random.Uint64())
 	if err != nil { // the settings are our own
 		panic(err)
 	}
@@ -260,7 +260,7 @@
 }
 
 // joinOptions are those that an agent's own settings have by default.
-func joinOptions(classes []logic.Class) join.Options {
+func joinOptions(classes []balancer.Class) join.Options {
 	set := settings.DefaultJoin()
 	o := join.Options{MostGroups: set.MaxGroups, MostWaiting: set.MaxWaiting, Pause: time.Duration(set.Pause)}
 	for _, c := range classes {
@@ -270,10 +270,10 @@
 }
 
 // stormOptions are those that an agent's own settings have by default.
-func stormOptions(set logic.Settings, seed uint64) storm.Options {
+func stormOptions(set balancer.Settings, seed uint64) storm.Options {
 	o := storm.Options{Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Remember: 4096, Seed: seed}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, storm.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == logic.Safe})
+		o.Classes = append(o.Classes, storm.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
 	}
 	return o
 }
@@ -313,11 +313,11 @@
 		}
 		was, is := a.knows[s.id], known{s.state, s.started}
 		_, before := a.knows[s.id]
-		if s.state == logic.Gone && (full || !before) || before && was == is && !full {
+		if s.state == balancer.Gone && (full || !before) || before && was == is && !full {
 			continue
 		}
 		a.knows[s.id] = is
-		if s.state == logic.Ready {
+		if s.state == balancer.Ready {
 			delete(a.told, s.id)
 		} else if _, told := a.told[s.id]; !told {
 			a.told[s.id] = a.w.now
@@ -346,5 +346,5 @@
 
 // Carry is of engine.Carrier; the engine calls Start in its place.
 func (a *simAgent) Carry(_ context.Context, at *engine.Attempt) engine.Outcome {
-	return engine.Outcome{Attempt: at, Result: logic.NotSent, Report: logic.NoReport}
+	return engine.Outcome{Attempt: at, Result: balancer.NotSent, Report: balancer.NoReport}
 }
--- a/internal/rehearsal/simulate_test.go
+++ b/internal/rehearsal/simulate_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/logic"
 )
 
 func text(d Day) string {
@@ -96,7 +96,7 @@
 					return s
 				}
 				for _, other := range w.servers {
-					if s != nil && other.pod != s.pod && other.state == logic.Ready {
+					if s != nil && other.pod != s.pod && other.state == balancer.Ready {
 						return other
 					}
 				}
@@ -106,7 +106,7 @@
 		"sends go on after a drain": {"rule 3", func(w *world) {
 			w.tamper = func(a *simAgent, _ *engine.Attempt, s *simServer) *simServer {
 				for _, other := range w.servers {
-					if other.state == logic.Draining {
+					if other.state == balancer.Draining {
 						return other
 					}
 				}
@@ -116,7 +116,7 @@
 		"all goes to a cold server": {"rule 4", func(w *world) {
 			w.tamper = func(_ *simAgent, _ *engine.Attempt, s *simServer) *simServer {
 				for _, other := range w.servers {
-					if other.started > 0 && other.state == logic.Ready {
+					if other.started > 0 && other.state == balancer.Ready {
 						return other
 					}
 				}
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
-	"appleledge/logic"
 )
 
 // agenda is what is to come, in order: by time, and at one time by when it was planned.
@@ -56,7 +56,7 @@
 	kind    kind
 	pod     int
 	started time.Duration // 0 for long ago
-	state   logic.State
+	state   balancer.State
 	effects effects
 	at      host
 }
@@ -107,7 +107,7 @@
 
 // start starts a server: warm for one that is there from the beginning.
 func (s *stage) start(id string, k kind, pod int, warm bool) *member {
-	m := &member{id: id, kind: k, pod: pod, state: logic.Ready}
+	m := &member{id: id, kind: k, pod: pod, state: balancer.Ready}
 	if !warm {
 		m.started = s.now
 	}
--- a/internal/rehearsal/together.go
+++ b/internal/rehearsal/together.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 // fleetDoor is the door by which all agents handle overload together.
@@ -20,7 +20,7 @@
 const shareEvery = 50 * time.Millisecond
 
 // share gives the agent its part of what the fleet decides.
-func (a *simAgent) share(set logic.Settings) {
+func (a *simAgent) share(set balancer.Settings) {
 	w, life, core := a.w, a.life, a.others
 	seed := uint64(a.number*1000 + a.life)
 	alone := stormOptions(set, seed)
--- a/internal/rig/ballsbins/ballsbins.go
+++ b/internal/rig/ballsbins/ballsbins.go
@@ -9,7 +9,7 @@
 	"math"
 	"math/rand/v2"
 
-	"appleledge/logic/weighted"
+	"appleledge/internal/balancer/weighted"
 )
 
 // Game is one game: as many balls as the bins have capacity in all.
--- a/internal/rig/fleetgen/fleetgen_test.go
+++ b/internal/rig/fleetgen/fleetgen_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
@@ -21,7 +22,6 @@
 	"appleledge/internal/membership/xds"
 	"appleledge/internal/rig/controlplane"
 	"appleledge/internal/testbed"
-	"appleledge/logic"
 )
 
 const churn = `
@@ -89,7 +89,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, m := range ev.(engine.Listed).Members {
-				if have[name][m.ID] = m; m.State == logic.Gone {
+				if have[name][m.ID] = m; m.State == balancer.Gone {
 					delete(have[name], m.ID)
 				}
 			}
@@ -117,10 +117,10 @@
 func want(f *Fleet, clock engine.Clock) map[string]engine.Member {
 	out := map[string]engine.Member{}
 	for _, s := range f.Servers() {
-		m := engine.Member{Kind: kind, Addr: fmt.Sprintf("%s:%d", s.Host, s.Port), Server: logic.Server{ID: s.ID, Cell: s.Cell, Weight: float64(s.Weight),
+		m := engine.Member{Kind: kind, Addr: fmt.Sprintf("%s:%d", s.Host, s.Port), Server: balancer.Server{ID: s.ID, Cell: s.Cell, Weight: float64(s.Weight),
 			Started: clock.FromUnix(s.StartedMS)}}
 		if s.Draining {
-			m.State = logic.Draining
+			m.State = balancer.Draining
 		}
 		out[s.ID] = m
 	}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"appleledge/internal/affinity"
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
@@ -25,7 +26,6 @@
 	"appleledge/internal/storm"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 var goldenClasses = []string{"form-check", "refund-record"}
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	core, conns, _ := newEngine(t, site)
-	member := engine.Member{Server: logic.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}
+	member := engine.Member{Server: balancer.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}
 	core.Tell(engine.Listed{Members: []engine.Member{member}})
 	testbed.Eventually(t, "the engine is ready", core.Ready)
 	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Caller: make(ear, 1), Carrier: waits{}})
@@ -143,5 +143,5 @@
 
 func (waits) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	<-ctx.Done()
-	return engine.Outcome{Attempt: a, Result: logic.TimedOut, Report: logic.NoReport}
+	return engine.Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -18,6 +18,7 @@
 	"golang.org/x/net/netutil"
 
 	"appleledge/internal/affinity"
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
@@ -25,7 +26,6 @@
 	"appleledge/internal/generation"
 	"appleledge/internal/pool"
 	"appleledge/internal/storm"
-	"appleledge/logic"
 )
 
 const (
@@ -118,10 +118,10 @@
 	}
 	p.count("appleledge_sends_cold_total", "", t.Cold)
 	for why, n := range t.GivenUp {
-		p.count("appleledge_given_up_total", fmt.Sprintf("reason=%q", logic.Reasons[why]), n)
+		p.count("appleledge_given_up_total", fmt.Sprintf("reason=%q", balancer.Reasons[why]), n)
 	}
 	for result, n := range t.Attempts {
-		p.count("appleledge_attempts_total", fmt.Sprintf("result=%q", logic.Results[result]), n)
+		p.count("appleledge_attempts_total", fmt.Sprintf("result=%q", balancer.Results[result]), n)
 	}
 }
 
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
@@ -19,7 +20,6 @@
 	"appleledge/internal/storm"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 // The page is read over a socket, in Prometheus' text format, with the figures of an engine at work; other paths are
@@ -76,12 +76,12 @@
 
 func newEngine(t *testing.T, site wire.Site) (core *engine.Engine, conns *pool.Pool, end func()) {
 	t.Helper()
-	balancer, err := logic.New(site.Logic, 1)
+	policy, err := balancer.New(site.Logic, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conns = pool.New(time.Second, time.Minute, 10)
-	core = engine.New(balancer, engine.NewClock(), conns, slog.New(slog.DiscardHandler))
+	core = engine.New(policy, engine.NewClock(), conns, slog.New(slog.DiscardHandler))
 	core.Count(site.Logic.Classes)
 	behind := storm.New(storm.Options{Classes: make([]storm.Class, len(site.Logic.Classes)), Remember: 1})
 	core.Return(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Logic.Classes))}, behind), func() bool { return true }, func() {})
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/intake"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 const (
@@ -44,7 +44,7 @@
 
 // Change puts other settings in force from now on. It returns what the module is to be told, and the names of what has changed
 // that takes effect at the next start only. After an error all is as it was.
-func (t *Terms) Change(now time.Duration, site wire.Site) (tell logic.Retune, later []string, err error) {
+func (t *Terms) Change(now time.Duration, site wire.Site) (tell balancer.Retune, later []string, err error) {
 	if err := site.Logic.Check(); err != nil {
 		return tell, nil, err
 	}
@@ -59,17 +59,17 @@
 	later = t.present.Differs(site)
 	t.present.Logic.Classes, t.present.Logic.MaxAttempts = site.Logic.Classes, site.Logic.MaxAttempts
 	t.present.Logic.ParallelCopies = site.Logic.ParallelCopies
-	return logic.Retune{Classes: classes, MaxAttempts: site.Logic.MaxAttempts, ParallelCopies: site.Logic.ParallelCopies}, later, nil
+	return balancer.Retune{Classes: classes, MaxAttempts: site.Logic.MaxAttempts, ParallelCopies: site.Logic.ParallelCopies}, later, nil
 }
 
 // numbered are the classes by the numbers that their names have. Those that are no more are there as dropped.
-func (t *Terms) numbered(classes []logic.Class) ([]logic.Class, error) {
+func (t *Terms) numbered(classes []balancer.Class) ([]balancer.Class, error) {
 	out := slices.Clone(t.rules.Classes)
 	for i := range out {
 		out[i].Dropped = true
 	}
 	for i, c := range classes {
-		same := func(other logic.Class) bool { return other.Name == c.Name }
+		same := func(other balancer.Class) bool { return other.Name == c.Name }
 		if slices.ContainsFunc(classes[:i], same) {
 			return nil, fmt.Errorf("class %q is there twice", c.Name)
 		}
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -7,26 +7,26 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/intake"
 	"appleledge/internal/wire"
-	"appleledge/logic"
 )
 
 // class is a class by its effect: r(epeatable), k(eyed) or u(nsafe).
-func class(name string, effect byte) logic.Class {
-	c := logic.Class{Name: name, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}
+func class(name string, effect byte) balancer.Class {
+	c := balancer.Class{Name: name, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}
 	switch effect {
 	case 'k':
-		c.Effect, c.Window = logic.Keyed, 2*time.Second
+		c.Effect, c.Window = balancer.Keyed, 2*time.Second
 	case 'u':
-		c.Effect = logic.Unsafe
+		c.Effect = balancer.Unsafe
 	}
 	return c
 }
 
 // site has classes such as "a:r b:k".
 func site(attempts int, classes string) wire.Site {
-	s := wire.Site{Logic: logic.Settings{Balancers: 1, MaxAttempts: attempts}}
+	s := wire.Site{Logic: balancer.Settings{Balancers: 1, MaxAttempts: attempts}}
 	for f := range strings.FieldsSeq(classes) {
 		s.Logic.Classes = append(s.Logic.Classes, class(f[:len(f)-2], f[len(f)-1]))
 	}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"appleledge/logic"
+	"appleledge/internal/balancer"
 )
 
 // Kind says what a Message is.
@@ -32,9 +32,9 @@
 	Kind     Kind
 	Now      time.Duration
 	Instance string
-	Settings logic.Settings
+	Settings balancer.Settings
 	Seed     uint64
-	Event    logic.Event
+	Event    balancer.Event
 }
 
 // lists is how many numbered lists there are at a time.
@@ -47,7 +47,7 @@
 	line      int
 	inTurn    bool
 	parser    fastjson.Parser
-	rows      [lists][]logic.Server
+	rows      [lists][]balancer.Server
 	instances map[string][]string // each one's report fields
 	names     map[string]string   // ids that come again and again, to keep one copy
 	bad       error               // the first fault in the line at hand
@@ -160,41 +160,41 @@
 	return m, false, d.bad
 }
 
-func (d *Decoder) event(kind string, v *fastjson.Value, fields []string) logic.Event {
+func (d *Decoder) event(kind string, v *fastjson.Value, fields []string) balancer.Event {
 	switch kind {
 	case "Members":
 		return d.members(v)
 	case "Inbound":
-		return logic.Request{ID: d.str(v, "Tid"), Class: d.int(v, "Category"), Tenant: d.int(v, "Billing"),
+		return balancer.Request{ID: d.str(v, "Tid"), Class: d.int(v, "Category"), Tenant: d.int(v, "Billing"),
 			Key: d.str(v, "Resource"), Deadline: d.time(v, "ExpiresNs"), Again: d.flag(v, "Repeat")}
 	case "Answer":
-		return logic.Outcome{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo"), Server: d.name(v, "Backend"),
+		return balancer.Outcome{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo"), Server: d.name(v, "Backend"),
 			Result: d.result(v), Took: d.time(v, "LagNs"), Closed: d.flag(v, "Last"), Report: d.report(v, fields)}
 	case "Established":
-		return logic.Streaming{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo")}
+		return balancer.Streaming{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo")}
 	case "Dropped":
-		return logic.ClientGone{Request: d.str(v, "Tid")}
+		return balancer.ClientGone{Request: d.str(v, "Tid")}
 	case "Health":
-		return logic.Probed{Server: d.name(v, "Backend"), Result: d.result(v), Took: d.time(v, "LagNs"),
+		return balancer.Probed{Server: d.name(v, "Backend"), Result: d.result(v), Took: d.time(v, "LagNs"),
 			Report: d.report(v, fields)}
 	case "Message":
 		data, err := base64.StdEncoding.DecodeString(d.str(v, "Blob"))
 		if err != nil {
 			d.fault("Blob is not base64: %v", err)
 		}
-		return logic.PeerMessage{From: d.int(v, "Who"), Data: data}
+		return balancer.PeerMessage{From: d.int(v, "Who"), Data: data}
 	case "TimeoutFired":
-		return logic.TimerFired{Token: d.uint(v, "Handle")}
+		return balancer.TimerFired{Token: d.uint(v, "Handle")}
 	}
 	d.fault("unknown type %q", kind)
 	return nil
 }
 
-func (d *Decoder) members(v *fastjson.Value) logic.Event {
+func (d *Decoder) members(v *fastjson.Value) balancer.Event {
 	form := string(d.bytes(v, "Form"))
 	switch form {
 	case "unavailable":
-		return logic.ListUnavailable{}
+		return balancer.ListUnavailable{}
 	case "update", "replace", "restored":
 	default:
 		d.fault("unknown Form %q", form)
@@ -204,7 +204,7 @@
 		d.fault("unknown list number %d", n)
 		return nil
 	}
-	return logic.ServerList{Full: form != "update", Servers: d.rows[n]}
+	return balancer.ServerList{Full: form != "update", Servers: d.rows[n]}
 }
 
 // census keeps a numbered list. Each gets rows of its own, since events decoded before may still refer to the
@@ -215,17 +215,17 @@
 		d.fault("list number %d is not from 0 to %d", n, lists-1)
 		return
 	}
-	rows := []logic.Server{}
+	rows := []balancer.Server{}
 	for _, e := range d.array(v, "RowsIn") {
-		s := logic.Server{ID: d.name(e, "Backend"), Zone: d.int(e, "RegionPart"), Cell: d.int(e, "Pack"),
+		s := balancer.Server{ID: d.name(e, "Backend"), Zone: d.int(e, "RegionPart"), Cell: d.int(e, "Pack"),
 			Weight: d.float(e, "Units"), Started: d.time(e, "CameUpNs")}
 		switch mode := string(d.bytes(e, "Mode")); mode {
 		case "ready":
-			s.State = logic.Ready
+			s.State = balancer.Ready
 		case "draining":
-			s.State = logic.Draining
+			s.State = balancer.Draining
 		case "gone":
-			s.State = logic.Gone
+			s.State = balancer.Gone
 		default:
 			d.fault("unknown Mode %q", mode)
 		}
@@ -234,10 +234,10 @@
 	d.rows[n] = rows
 }
 
-var results = map[int]logic.Result{10: logic.OK, 20: logic.Failed, 30: logic.Rejected, 40: logic.TimedOut,
-	50: logic.ConnectFailed, 60: logic.Reset, 70: logic.Cancelled, 80: logic.NotSent}
+var results = map[int]balancer.Result{10: balancer.OK, 20: balancer.Failed, 30: balancer.Rejected, 40: balancer.TimedOut,
+	50: balancer.ConnectFailed, 60: balancer.Reset, 70: balancer.Cancelled, 80: balancer.NotSent}
 
-func (d *Decoder) result(v *fastjson.Value) logic.Result {
+func (d *Decoder) result(v *fastjson.Value) balancer.Result {
 	n := d.int(v, "Result")
 	r, ok := results[n]
 	if !ok {
@@ -246,8 +246,8 @@
 	return r
 }
 
-func (d *Decoder) report(v *fastjson.Value, fields []string) logic.Report {
-	r := logic.NoReport
+func (d *Decoder) report(v *fastjson.Value, fields []string) balancer.Report {
+	r := balancer.NoReport
 	for i, e := range d.array(v, "Usage") {
 		x, err := e.Float64()
 		if err != nil {
@@ -262,7 +262,7 @@
 }
 
 // SetFigure sets the figure of a load report that goes by that name; names that are not known are passed over.
-func SetFigure(r *logic.Report, name string, x float64) {
+func SetFigure(r *balancer.Report, name string, x float64) {
 	switch name {
 	case "util":
 		r.Util = x
@@ -344,10 +344,10 @@
 	return s
 }
 
-func (d *Decoder) launch(instance string, v *fastjson.Value) logic.Settings {
+func (d *Decoder) launch(instance string, v *fastjson.Value) balancer.Settings {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		d.fault("Launch without BootInfo")
-		return logic.Settings{}
+		return balancer.Settings{}
 	}
 	site, err := DecodeSettings(v.MarshalTo(nil))
 	if err != nil {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -5,36 +5,36 @@
 	"encoding/json"
 	"strconv"
 
-	"appleledge/logic"
+	"appleledge/internal/balancer"
 )
 
 // AppendAction appends the line of an instance's action.
-func AppendAction(out []byte, instance string, a logic.Action) []byte {
+func AppendAction(out []byte, instance string, a balancer.Action) []byte {
 	switch a.Kind {
-	case logic.Send:
+	case balancer.Send:
 		out = request(out, "Send", instance, a)
 		out = str(out, `,"Backend":`, a.Server)
 		if a.After > 0 {
 			out = num(out, `,"TryForNs":`, uint64(a.After))
 		}
-	case logic.Cancel:
+	case balancer.Cancel:
 		out = request(out, "Cancel", instance, a)
 		out = num(out, `,"RoundNo":`, uint64(a.Attempt))
-	case logic.Refuse:
+	case balancer.Refuse:
 		out = request(out, "Shed", instance, a)
 		if a.After > 0 {
 			out = num(out, `,"ComeBackNs":`, uint64(a.After))
 		}
-	case logic.Fail:
+	case balancer.Fail:
 		out = request(out, "FinishError", instance, a)
-	case logic.SetTimer:
+	case balancer.SetTimer:
 		out = num(begin(out, "Schedule", instance), `,"Handle":`, a.Token)
 		out = num(out, `,"FromNowNs":`, uint64(max(a.After, 0)))
-	case logic.Probe:
+	case balancer.Probe:
 		out = str(begin(out, "Poll", instance), `,"Backend":`, a.Server)
-	case logic.Subscribe:
+	case balancer.Subscribe:
 		out = append(begin(out, "Listen", instance), `,"On":true`...)
-	case logic.Tell:
+	case balancer.Tell:
 		out = append(begin(out, "Publish", instance), `,"Whom":"*","Blob":"`...)
 		out = append(base64.StdEncoding.AppendEncode(out, a.Data), '"')
 	}
@@ -50,7 +50,7 @@
 	return str(out, `","I":`, instance)
 }
 
-func request(out []byte, kind, instance string, a logic.Action) []byte {
+func request(out []byte, kind, instance string, a balancer.Action) []byte {
 	return str(begin(out, kind, instance), `,"Tid":`, a.Request)
 }
 
