--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -7,19 +7,19 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/balancer"
 	"appleledge/internal/golden"
-	"appleledge/logic"
 )
 
 // goldenSite is what the committed settings say; no field is zero.
 func goldenSite() Site {
 	return Site{
-		Logic: logic.Settings{
+		Logic: balancer.Settings{
 			Balancers: 3, Me: 2, Tick: 4000001,
-			Classes: []logic.Class{
-				{Name: "first", Effect: logic.Safe, Group: logic.GroupAll, Window: 1500000003, Aim: 600000001, Deadline: 1200000002, Worth: 1.25},
-				{Name: "second", Effect: logic.Keyed, Group: logic.GroupZone, Window: 1500000006, Aim: 600000004, Deadline: 1200000005, Worth: 2.5},
-				{Name: "third", Effect: logic.Unsafe, Group: logic.GroupCell, Window: 1500000009, Aim: 600000007, Deadline: 1200000008, Worth: 3.75},
+			Classes: []balancer.Class{
+				{Name: "first", Effect: balancer.Safe, Group: balancer.GroupAll, Window: 1500000003, Aim: 600000001, Deadline: 1200000002, Worth: 1.25},
+				{Name: "second", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 1500000006, Aim: 600000004, Deadline: 1200000005, Worth: 2.5},
+				{Name: "third", Effect: balancer.Unsafe, Group: balancer.GroupCell, Window: 1500000009, Aim: 600000007, Deadline: 1200000008, Worth: 3.75},
 			},
 			Zone: 1, CrossZonePrice: 0.15, ListWeights: true, Subscribe: true, MustAskIn: 2000000015, WarmKeys: true, MaxAttempts: 4,
 			ParallelCopies: true, MaxRetryAfter: 1000000010, ColdFrom: 0.3, ColdFor: 7000000014, Shares: []float64{0.6, 0.4},
@@ -47,32 +47,32 @@
 }
 
 func TestGoldenMessages(t *testing.T) {
-	first := logic.Server{ID: "10.0.0.1:1", State: logic.Ready, Zone: 1, Cell: 2, Weight: 1.5, Started: 6}
-	list := []logic.Server{first, {ID: "10.0.0.2:2", State: logic.Draining, Zone: 3, Cell: 4, Weight: 2.5, Started: 7},
-		{ID: "10.0.0.3:3", State: logic.Gone, Zone: 5, Cell: 6, Weight: 3.5, Started: 8}}
-	removed := []logic.Server{{ID: "10.0.0.1:1", State: logic.Gone, Zone: 1, Cell: 2, Weight: 1.25, Started: 9}}
-	event := func(e logic.Event) Message { return Message{Kind: Event, Instance: "agent_1", Event: e} }
+	first := balancer.Server{ID: "10.0.0.1:1", State: balancer.Ready, Zone: 1, Cell: 2, Weight: 1.5, Started: 6}
+	list := []balancer.Server{first, {ID: "10.0.0.2:2", State: balancer.Draining, Zone: 3, Cell: 4, Weight: 2.5, Started: 7},
+		{ID: "10.0.0.3:3", State: balancer.Gone, Zone: 5, Cell: 6, Weight: 3.5, Started: 8}}
+	removed := []balancer.Server{{ID: "10.0.0.1:1", State: balancer.Gone, Zone: 1, Cell: 2, Weight: 1.25, Started: 9}}
+	event := func(e balancer.Event) Message { return Message{Kind: Event, Instance: "agent_1", Event: e} }
 	want := []Message{
 		{Kind: Turn, Now: 5000000001},
 		{Kind: Launch, Instance: "agent_1", Settings: goldenSite().Logic, Seed: 1<<63 - 1},
-		event(logic.ServerList{Full: true, Servers: list}),
-		event(logic.ServerList{Servers: removed}),
-		event(logic.ServerList{Full: true, Servers: list}),
-		event(logic.ListUnavailable{}),
-		event(logic.Request{ID: "bb39", Class: 1, Tenant: 2, Key: "k:1", Deadline: 77, Again: true}),
+		event(balancer.ServerList{Full: true, Servers: list}),
+		event(balancer.ServerList{Servers: removed}),
+		event(balancer.ServerList{Full: true, Servers: list}),
+		event(balancer.ListUnavailable{}),
+		event(balancer.Request{ID: "bb39", Class: 1, Tenant: 2, Key: "k:1", Deadline: 77, Again: true}),
 	}
-	for i, result := range []logic.Result{logic.OK, logic.Failed, logic.Rejected, logic.TimedOut, logic.ConnectFailed, logic.Reset,
-		logic.Cancelled, logic.NotSent} {
-		want = append(want, event(logic.Outcome{Request: "bb39", Attempt: i + 1, Server: "10.0.0.1:1", Result: result,
-			Took: time.Duration(100 + i), Closed: i == 0, Report: logic.Report{Util: 0.62, Rate: 140, Errors: 3, InFlight: 4.5, Queue: 5.5}}))
+	for i, result := range []balancer.Result{balancer.OK, balancer.Failed, balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed, balancer.Reset,
+		balancer.Cancelled, balancer.NotSent} {
+		want = append(want, event(balancer.Outcome{Request: "bb39", Attempt: i + 1, Server: "10.0.0.1:1", Result: result,
+			Took: time.Duration(100 + i), Closed: i == 0, Report: balancer.Report{Util: 0.62, Rate: 140, Errors: 3, InFlight: 4.5, Queue: 5.5}}))
 	}
 	want = append(want,
-		event(logic.Streaming{Request: "bb39", Attempt: 3}),
-		event(logic.ClientGone{Request: "bb40"}),
-		event(logic.Probed{Server: "10.0.0.2:2", Result: logic.TimedOut, Took: 4,
-			Report: logic.Report{Util: 0.25, Rate: 70, Errors: 2, InFlight: 6.5, Queue: 7.5}}),
-		event(logic.PeerMessage{From: 2, Data: []byte("hi")}),
-		event(logic.TimerFired{Token: 1 << 63}),
+		event(balancer.Streaming{Request: "bb39", Attempt: 3}),
+		event(balancer.ClientGone{Request: "bb40"}),
+		event(balancer.Probed{Server: "10.0.0.2:2", Result: balancer.TimedOut, Took: 4,
+			Report: balancer.Report{Util: 0.25, Rate: 70, Errors: 2, InFlight: 6.5, Queue: 7.5}}),
+		event(balancer.PeerMessage{From: 2, Data: []byte("hi")}),
+		event(balancer.TimerFired{Token: 1 << 63}),
 		Message{Kind: Killed, Instance: "agent_1"},
 		Message{Kind: YourTurn})
 	d := NewDecoder(bytes.NewReader(golden.Read(t, "wire/messages.jsonl")))
@@ -93,13 +93,13 @@
 // An action with all fields set shows which of them count; a second one where a field may be left out.
 func TestGoldenActions(t *testing.T) {
 	var out []byte
-	for _, kind := range []logic.ActionKind{logic.Send, logic.Cancel, logic.Refuse, logic.Fail, logic.SetTimer, logic.Probe,
-		logic.Subscribe, logic.Tell} {
-		out = AppendAction(out, "agent_1", logic.Action{Kind: kind, Request: "bb39", Server: "10.0.0.1:1", Attempt: 2, Cold: true,
-			Why: logic.NoBudget, After: 5, Token: 1 << 63, Data: []byte("hi")})
+	for _, kind := range []balancer.ActionKind{balancer.Send, balancer.Cancel, balancer.Refuse, balancer.Fail, balancer.SetTimer, balancer.Probe,
+		balancer.Subscribe, balancer.Tell} {
+		out = AppendAction(out, "agent_1", balancer.Action{Kind: kind, Request: "bb39", Server: "10.0.0.1:1", Attempt: 2, Cold: true,
+			Why: balancer.NoBudget, After: 5, Token: 1 << 63, Data: []byte("hi")})
 	}
-	out = AppendAction(out, "agent_1", logic.Action{Kind: logic.Send, Request: "é\"r", Server: "10.0.0.1:1"})
-	out = AppendAction(out, "agent_1", logic.Action{Kind: logic.Refuse, Request: "bb39"})
-	out = AppendAction(out, "agent_1", logic.Action{Kind: logic.SetTimer, Token: 9, After: -1})
+	out = AppendAction(out, "agent_1", balancer.Action{Kind: balancer.Send, Request: "é\"r", Server: "10.0.0.1:1"})
+	out = AppendAction(out, "agent_1", balancer.Action{Kind: balancer.Refuse, Request: "bb39"})
+	out = AppendAction(out, "agent_1", balancer.Action{Kind: balancer.SetTimer, Token: 9, After: -1})
 	golden.Equal(t, "wire/actions.jsonl", AppendYield(out))
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
-	"appleledge/logic"
+	"appleledge/internal/balancer"
 )
 
 // Site is what the settings of an instance tell of its deployment, to the module and to the agent round it.
 type Site struct {
-	Logic          logic.Settings
+	Logic          balancer.Settings
 	ReportFields   []string      // the figures of a load report, in order
 	Tenants        []string      // names, in the order of the module's numbers
 	Zones          []string      // the same
@@ -98,12 +98,12 @@
 }
 
 var (
-	effects = []string{logic.Safe: "repeatable", logic.Keyed: "by_key", logic.Unsafe: "once"}
-	groups  = []string{logic.GroupAll: "all", logic.GroupZone: "zone", logic.GroupCell: "cell"}
+	effects = []string{balancer.Safe: "repeatable", balancer.Keyed: "by_key", balancer.Unsafe: "once"}
+	groups  = []string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}
 )
 
-func (b *bootInfo) settings() (logic.Settings, error) {
-	s := logic.Settings{
+func (b *bootInfo) settings() (balancer.Settings, error) {
+	s := balancer.Settings{
 		Balancers:      b.Balancers,
 		Me:             b.Me,
 		OverShareWorth: b.OverShareWorth,
@@ -134,8 +134,8 @@
 		if group < 0 && c.Group != "" {
 			return s, fmt.Errorf("class %q has the unknown Group %q", c.Name, c.Group)
 		}
-		s.Classes = append(s.Classes, logic.Class{Name: c.Name, Effect: logic.Effect(effect),
-			Group: logic.Group(max(group, 0)), Window: time.Duration(c.WindowNs), Aim: time.Duration(c.AimNs),
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Effect: balancer.Effect(effect),
+			Group: balancer.Group(max(group, 0)), Window: time.Duration(c.WindowNs), Aim: time.Duration(c.AimNs),
 			Deadline: time.Duration(c.DeadlineNs), Worth: c.Worth})
 	}
 	return s, nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"appleledge/logic"
+	"appleledge/internal/balancer"
 )
 
 const boot = `{"Balancers":3,"Classes":[{"AimNs":600000000,"DeadlineNs":1200000000,"Effect":"repeatable","Group":"all",` +
@@ -55,22 +55,22 @@
 		t.Fatal(err)
 	}
 	if m := got[0]; m.Kind != Launch || m.Seed != 1<<63-1 || !m.Settings.WarmKeys || m.Settings.Zone != 2 ||
-		m.Settings.Classes[1].Group != logic.GroupCell || m.Settings.MaxRetryAfter != 9 || !m.Settings.Subscribe ||
+		m.Settings.Classes[1].Group != balancer.GroupCell || m.Settings.MaxRetryAfter != 9 || !m.Settings.Subscribe ||
 		m.Settings.Tick != 4*time.Millisecond || !m.Settings.ListWeights {
 		t.Errorf("launch: %+v", m)
 	}
-	half := logic.NoReport
+	half := balancer.NoReport
 	half.Util, half.Rate = 0.5, 70
-	want := []logic.Event{
-		logic.Request{ID: "bb39", Class: 1, Key: "k:1", Deadline: 77, Again: true},
-		logic.Outcome{Request: "bb39", Attempt: 2, Server: "10.0.0.1:1", Result: logic.Rejected, Took: 8, Report: half},
-		logic.Outcome{Request: "bb39", Server: "10.0.0.1:1", Closed: true, Report: logic.NoReport},
-		logic.ClientGone{Request: "bb39"},
-		logic.Streaming{Request: "bb39", Attempt: 1},
-		logic.Probed{Server: "10.0.0.1:1", Result: logic.TimedOut, Took: 4, Report: logic.NoReport},
-		logic.PeerMessage{From: 2, Data: []byte("hi")},
-		logic.TimerFired{Token: 1 << 63},
-		logic.ListUnavailable{},
+	want := []balancer.Event{
+		balancer.Request{ID: "bb39", Class: 1, Key: "k:1", Deadline: 77, Again: true},
+		balancer.Outcome{Request: "bb39", Attempt: 2, Server: "10.0.0.1:1", Result: balancer.Rejected, Took: 8, Report: half},
+		balancer.Outcome{Request: "bb39", Server: "10.0.0.1:1", Closed: true, Report: balancer.NoReport},
+		balancer.ClientGone{Request: "bb39"},
+		balancer.Streaming{Request: "bb39", Attempt: 1},
+		balancer.Probed{Server: "10.0.0.1:1", Result: balancer.TimedOut, Took: 4, Report: balancer.NoReport},
+		balancer.PeerMessage{From: 2, Data: []byte("hi")},
+		balancer.TimerFired{Token: 1 << 63},
+		balancer.ListUnavailable{},
 	}
 	for i, w := range want {
 		g := got[i+1].Event
@@ -99,13 +99,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := got[1].Event.(logic.ServerList), got[2].Event.(logic.ServerList)
-	want := logic.Server{ID: "a:1", Weight: 1.5, Started: 6, Cell: 2}
+	first, second := got[1].Event.(balancer.ServerList), got[2].Event.(balancer.ServerList)
+	want := balancer.Server{ID: "a:1", Weight: 1.5, Started: 6, Cell: 2}
 	if !first.Full || len(first.Servers) != 1 || first.Servers[0] != want {
 		t.Errorf("first list: %+v", first)
 	}
-	if second.Full || len(second.Servers) != 2 || second.Servers[0].State != logic.Gone ||
-		second.Servers[1].State != logic.Draining {
+	if second.Full || len(second.Servers) != 2 || second.Servers[0].State != balancer.Gone ||
+		second.Servers[1].State != balancer.Draining {
 		t.Errorf("second list: %+v", second)
 	}
 }
@@ -157,23 +157,23 @@
 func TestLongLine(t *testing.T) {
 	pad := strings.Repeat("x", 3<<20)
 	got, err := read(t, launch, `{"type":"Dropped","I":"agent_1","Tid":"`+pad+`"}`)
-	if err != nil || got[1].Event.(logic.ClientGone).Request != pad {
+	if err != nil || got[1].Event.(balancer.ClientGone).Request != pad {
 		t.Errorf("a line of megabytes: %v", err)
 	}
 }
 
 func TestActions(t *testing.T) {
-	for want, a := range map[string]logic.Action{
-		`{"type":"Send","I":"i","Tid":"r","Backend":"s","TryForNs":5}`: {Kind: logic.Send, Request: "r", Server: "s", After: 5},
-		`{"type":"Send","I":"i","Tid":"r","Backend":"s"}`:              {Kind: logic.Send, Request: "r", Server: "s"},
-		`{"type":"Cancel","I":"i","Tid":"r","RoundNo":2}`:              {Kind: logic.Cancel, Request: "r", Attempt: 2},
-		`{"type":"Shed","I":"i","Tid":"r","ComeBackNs":3}`:             {Kind: logic.Refuse, Request: "r", After: 3},
-		`{"type":"Shed","I":"i","Tid":"r"}`:                            {Kind: logic.Refuse, Request: "r"},
-		`{"type":"FinishError","I":"i","Tid":"\u00e9\"r"}`:             {Kind: logic.Fail, Request: "é\"r"},
-		`{"type":"Schedule","I":"i","Handle":9,"FromNowNs":0}`:         {Kind: logic.SetTimer, Token: 9, After: -1},
-		`{"type":"Poll","I":"i","Backend":"s"}`:                        {Kind: logic.Probe, Server: "s"},
-		`{"type":"Listen","I":"i","On":true}`:                          {Kind: logic.Subscribe},
-		`{"type":"Publish","I":"i","Whom":"*","Blob":"aGk="}`:          {Kind: logic.Tell, Data: []byte("hi")},
+	for want, a := range map[string]balancer.Action{
+		`{"type":"Send","I":"i","Tid":"r","Backend":"s","TryForNs":5}`: {Kind: balancer.Send, Request: "r", Server: "s", After: 5},
+		`{"type":"Send","I":"i","Tid":"r","Backend":"s"}`:              {Kind: balancer.Send, Request: "r", Server: "s"},
+		`{"type":"Cancel","I":"i","Tid":"r","RoundNo":2}`:              {Kind: balancer.Cancel, Request: "r", Attempt: 2},
+		`{"type":"Shed","I":"i","Tid":"r","ComeBackNs":3}`:             {Kind: balancer.Refuse, Request: "r", After: 3},
+		`{"type":"Shed","I":"i","Tid":"r"}`:                            {Kind: balancer.Refuse, Request: "r"},
+		`{"type":"FinishError","I":"i","Tid":"\u00e9\"r"}`:             {Kind: balancer.Fail, Request: "é\"r"},
+		`{"type":"Schedule","I":"i","Handle":9,"FromNowNs":0}`:         {Kind: balancer.SetTimer, Token: 9, After: -1},
+		`{"type":"Poll","I":"i","Backend":"s"}`:                        {Kind: balancer.Probe, Server: "s"},
+		`{"type":"Listen","I":"i","On":true}`:                          {Kind: balancer.Subscribe},
+		`{"type":"Publish","I":"i","Whom":"*","Blob":"aGk="}`:          {Kind: balancer.Tell, Data: []byte("hi")},
 	} {
 		got := string(AppendAction(nil, "i", a))
 		var x, y any
