--- a/internal/engine/chooser.go
+++ b/internal/engine/chooser.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/recent"
+	"appleledge/internal/outcomecache"
 	"appleledge/internal/storm"
 )
 
@@ -25,8 +25,8 @@
 // of them, each for so long after its end. A proxy that comes again with such an id gets no new attempt. It is called
 // before Run, where there are choosers.
 func (e *Engine) RememberEnded(most int, keep time.Duration) {
-	e.ended, e.keep = recent.New[AnswerKind](most), keep
-	e.neverRan = recent.New[struct{}](most)
+	e.ended, e.keep = outcomecache.New[AnswerKind](most), keep
+	e.neverRan = outcomecache.New[struct{}](most)
 }
 
 // Ended tells how an attempt that was handed to a chooser ended. Only the first word counts.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -16,7 +16,7 @@
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/generation"
 	"appleledge/internal/join"
-	"appleledge/internal/recent"
+	"appleledge/internal/outcomecache"
 	"appleledge/internal/storm"
 )
 
@@ -273,19 +273,19 @@
 	attempts  sync.WaitGroup
 	calls     map[string]*Call // open, or with attempts in flight
 	timers    timers
-	ended     *recent.Table[AnswerKind] // how choosers' calls ended that may have run; nil where there are no choosers
-	neverRan  *recent.Table[struct{}]   // those that ended, and of which no try can have run
-	keep      time.Duration             // for how long they are remembered
-	joins     *joins                    // nil where nothing is joined
-	door      Door                      // nil where all are let in
-	tally     *tally                    // what is counted
-	governed  *governed                 // nil where no configuration is in force
-	ties      *ties                     // nil where none are kept
-	held      *held                     // nil where operators hold out nothing
-	settings  int                       // the number of those in force
-	returning *returning                // nil where no recovery is switched on
-	worded    *worded                   // nil where no word of others is heeded
-	drop      float64                   // the share of requests that the list wants turned away
+	ended     *outcomecache.Table[AnswerKind] // how choosers' calls ended that may have run; nil where there are no choosers
+	neverRan  *outcomecache.Table[struct{}]   // those that ended, and of which no try can have run
+	keep      time.Duration                   // for how long they are remembered
+	joins     *joins                          // nil where nothing is joined
+	door      Door                            // nil where all are let in
+	tally     *tally                          // what is counted
+	governed  *governed                       // nil where no configuration is in force
+	ties      *ties                           // nil where none are kept
+	held      *held                           // nil where operators hold out nothing
+	settings  int                             // the number of those in force
+	returning *returning                      // nil where no recovery is switched on
+	worded    *worded                         // nil where no word of others is heeded
+	drop      float64                         // the share of requests that the list wants turned away
 }
 
 const eventQueue = 1024
--- a/internal/recent/recent.go
+++ b/internal/outcomecache/recent.go
@@ -1,6 +1,6 @@
-// Package recent remembers how requests ended, for a while and in bounded memory. It decides what is forgotten and
+// Package outcomecache remembers how requests ended, for a while and in bounded memory. It decides what is forgotten and
 // when; it does no I/O and reads no clock.
-package recent
+package outcomecache
 
 import "time"
 
--- a/internal/recent/recent_test.go
+++ b/internal/outcomecache/recent_test.go
@@ -1,4 +1,4 @@
-package recent
+package outcomecache
 
 import (
 	"fmt"
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -15,7 +15,7 @@
 	"slices"
 	"time"
 
-	"appleledge/internal/recent"
+	"appleledge/internal/outcomecache"
 )
 
 // Class describes a class of requests.
@@ -178,8 +178,8 @@
 	usual        float64       // in flight in calm, mean
 	queue        []*Pass       // in the order of arrival; ended ones go from its front
 	quickest     []float64     // mean time of answers in time, by class, in ns; 0 without any
-	unserved     *recent.Table[*owed]
-	ran          *recent.Table[struct{}] // keys that may have run; apart, so that what was turned away pushes none out
+	unserved     *outcomecache.Table[*owed]
+	ran          *outcomecache.Table[struct{}] // keys that may have run; apart, so that what was turned away pushes none out
 	counts       Counts
 }
 
@@ -205,7 +205,7 @@
 // New returns a calm Watch.
 func New(o Options) *Watch {
 	w := &Watch{set: o, rng: rand.New(rand.NewPCG(o.Seed, 5)), asked: make([]float64, len(o.Shares)),
-		unserved: recent.New[*owed](o.Remember), ran: recent.New[struct{}](o.Remember), why: "start"}
+		unserved: outcomecache.New[*owed](o.Remember), ran: outcomecache.New[struct{}](o.Remember), why: "start"}
 	w.Retune(o.Classes)
 	return w
 }
