--- a/internal/storm/decisions_test.go
+++ b/internal/admission/decisions_test.go
@@ -1,4 +1,4 @@
-package storm
+package admission
 
 import (
 	"fmt"
--- a/internal/storm/storm.go
+++ b/internal/admission/storm.go
@@ -1,4 +1,4 @@
-// Package storm notices retry storms and outages from what one agent sees, and says who is let in while they last. Agents
+// Package admission notices retry storms and outages from what one agent sees, and says who is let in while they last. Agents
 // share nothing, so that each goes by its own requests alone. It does no I/O and reads no clock: events go in with the time.
 //
 // In calm everybody is let in, and the decision module alone refuses. In a storm a limit holds on the requests that are in
@@ -6,7 +6,7 @@
 // is sent what it can do by then (after TCP's slow start and congestion avoidance, RFC 5681). Who is let in below the limit
 // goes by worth (trunk reservation): the class that is worth most may fill it, others leave a part of it free, and so do
 // repeats, those who come back before they were told to, and tenants over their share.
-package storm
+package admission
 
 import (
 	"cmp"
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/golden"
-	"appleledge/internal/storm"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
 )
@@ -26,12 +26,12 @@
 // stormy is a door that counts what the test says.
 type stormy struct{}
 
-func (stormy) Arrive(time.Duration, storm.Ask) (*storm.Pass, storm.Refusal) {
-	return nil, storm.Refusal{}
+func (stormy) Arrive(time.Duration, admission.Ask) (*admission.Pass, admission.Refusal) {
+	return nil, admission.Refusal{}
 }
-func (stormy) Done(time.Duration, *storm.Pass, storm.End) {}
-func (stormy) Counts() storm.Counts {
-	return storm.Counts{State: storm.Storm, Since: 1, Why: "hardly anything is served in time", Limit: 2.25, InFlight: 3,
+func (stormy) Done(time.Duration, *admission.Pass, admission.End) {}
+func (stormy) Counts() admission.Counts {
+	return admission.Counts{State: admission.Storm, Since: 1, Why: "hardly anything is served in time", Limit: 2.25, InFlight: 3,
 		Refused: [][2]uint64{{4, 5}, {6, 7}, {8, 9}}, Late: 10, Bound: 11, Storms: 12}
 }
 
--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -6,25 +6,25 @@
 	"math"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/storm"
 )
 
 // newStorm is a watch for storms by the platform's settings.
-func newStorm(cfg Config, set Storm) *storm.Watch {
+func newStorm(cfg Config, set Storm) *admission.Watch {
 	site := cfg.Site.Logic
-	o := storm.Options{Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Remember: set.Remember, Seed: cfg.Seed}
+	o := admission.Options{Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Remember: set.Remember, Seed: cfg.Seed}
 	o.Classes = stormClasses(site.Classes)
-	return storm.New(o)
+	return admission.New(o)
 }
 
-func stormClasses(classes []balancer.Class) (out []storm.Class) {
+func stormClasses(classes []balancer.Class) (out []admission.Class) {
 	for _, c := range classes {
 		if c.Dropped {
 			c.Worth = 0
 		}
-		out = append(out, storm.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		out = append(out, admission.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
 	}
 	return out
 }
@@ -33,11 +33,11 @@
 
 // logStorms logs each change of state, and every so often how it stands while it is not calm.
 func logStorms(ctx context.Context, core *engine.Engine, clk engine.Clock, interval time.Duration, log *slog.Logger) {
-	last, logged := storm.Counts{}, time.Duration(0)
+	last, logged := admission.Counts{}, time.Duration(0)
 	every(ctx, stormLook, func() {
 		c, now := core.Load().Door, clk.Now()
 		changed := c.State != last.State || c.Since != last.Since
-		if changed && (c.State != storm.Calm || last.State != storm.Calm) || c.State != storm.Calm && now-logged >= interval {
+		if changed && (c.State != admission.Calm || last.State != admission.Calm) || c.State != admission.Calm && now-logged >= interval {
 			logged = now
 			attrs := []any{"state", c.State.String(), "for", (now - c.Since).Round(time.Millisecond), "why", c.Why,
 				"limit", math.Round(c.Limit*10) / 10, "in_flight", c.InFlight, "storms", c.Storms, "too_late", c.Late, "bound", c.Bound}
--- a/internal/engine/chooser.go
+++ b/internal/engine/chooser.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/outcomecache"
-	"appleledge/internal/storm"
 )
 
 // Chooser is a Caller that carries the attempts itself: a proxy that asks where each request goes. Attempts are made
@@ -170,7 +170,7 @@
 	if c.carried == 0 && !c.closed.Load() {
 		c.closed.Store(true)
 		e.cameToNothing(c)
-		e.passed(c, storm.Left)
+		e.passed(c, admission.Left)
 		e.decide(balancer.ClientGone{Request: c.ID})
 		e.forget(c)
 	}
--- a/internal/engine/door.go
+++ b/internal/engine/door.go
@@ -4,21 +4,21 @@
 	"strconv"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
-	"appleledge/internal/storm"
 )
 
 // Door says which calls are let in to the module.
 type Door interface {
 	// Arrive lets a call in, or turns it away, which promises that trying again is harmless.
-	Arrive(now time.Duration, a storm.Ask) (*storm.Pass, storm.Refusal)
+	Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal)
 	// Done tells how one ended that was let in.
-	Done(now time.Duration, p *storm.Pass, end storm.End)
-	Counts() storm.Counts
+	Done(now time.Duration, p *admission.Pass, end admission.End)
+	Counts() admission.Counts
 }
 
 // retuner is a Door that takes the classes as they are from now on, by their numbers.
-type retuner interface{ Retune([]storm.Class) }
+type retuner interface{ Retune([]admission.Class) }
 
 // Guard puts a door before the module. It is called before Run.
 func (e *Engine) Guard(d Door) { e.door = d }
@@ -28,7 +28,7 @@
 	if e.door == nil {
 		return true
 	}
-	a := storm.Ask{Class: c.Class, Tenant: c.Tenant, Key: c.RepeatKey, Again: c.Again, Bound: c.Try > 1 || c.before.May, Deadline: c.Deadline}
+	a := admission.Ask{Class: c.Class, Tenant: c.Tenant, Key: c.RepeatKey, Again: c.Again, Bound: c.Try > 1 || c.before.May, Deadline: c.Deadline}
 	if a.Key == "" && c.Effect == balancer.Safe && c.Key != "" {
 		a.Key = strconv.Itoa(c.Class) + " " + strconv.Itoa(c.Tenant) + " " + c.Key
 	}
@@ -45,7 +45,7 @@
 }
 
 // passed tells the door how a call ended.
-func (e *Engine) passed(c *Call, end storm.End) {
+func (e *Engine) passed(c *Call, end admission.End) {
 	if c.pass != nil {
 		e.door.Done(e.clock.Now(), c.pass, end)
 		c.pass = nil
@@ -53,4 +53,4 @@
 }
 
 // ends are the door's, by the kinds of answers.
-var ends = [...]storm.End{Served: storm.Served, Refused: storm.Refused, Failed: storm.Failed, Conflict: storm.Left}
+var ends = [...]admission.End{Served: admission.Served, Refused: admission.Refused, Failed: admission.Failed, Conflict: admission.Left}
--- a/internal/engine/door_test.go
+++ b/internal/engine/door_test.go
@@ -7,27 +7,29 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/join"
-	"appleledge/internal/storm"
 )
 
 // keeper is a door that keeps what it is told, and turns away what is not bound when it is shut.
 type keeper struct {
 	shut  bool
-	asked []storm.Ask
-	ends  []storm.End
+	asked []admission.Ask
+	ends  []admission.End
 }
 
-func (k *keeper) Arrive(_ time.Duration, a storm.Ask) (*storm.Pass, storm.Refusal) {
+func (k *keeper) Arrive(_ time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
 	k.asked = append(k.asked, a)
 	if k.shut && !a.Bound {
-		return nil, storm.Refusal{After: time.Second, Limit: 7}
+		return nil, admission.Refusal{After: time.Second, Limit: 7}
 	}
-	return &storm.Pass{}, storm.Refusal{}
+	return &admission.Pass{}, admission.Refusal{}
 }
-func (k *keeper) Done(_ time.Duration, _ *storm.Pass, end storm.End) { k.ends = append(k.ends, end) }
-func (k *keeper) Counts() storm.Counts                               { return storm.Counts{} }
+func (k *keeper) Done(_ time.Duration, _ *admission.Pass, end admission.End) {
+	k.ends = append(k.ends, end)
+}
+func (k *keeper) Counts() admission.Counts { return admission.Counts{} }
 
 // starter is a carrier that keeps the attempts; ear keeps the answers.
 type starter struct{ attempts []*Attempt }
@@ -64,7 +66,7 @@
 	e.Step(clientLeft{left})
 	failed, _ := call("failed", 0)
 	e.Step(Outcome{Attempt: s.attempts[2], Result: balancer.Reset, Report: balancer.NoReport})
-	if want := []storm.End{storm.Served, storm.Left, storm.Failed}; !slices.Equal(k.ends, want) || len(*heard) != 1 || !served.Closed() || !failed.Closed() {
+	if want := []admission.End{admission.Served, admission.Left, admission.Failed}; !slices.Equal(k.ends, want) || len(*heard) != 1 || !served.Closed() || !failed.Closed() {
 		t.Errorf("the door was told %v, want %v", k.ends, want)
 	}
 	k.shut = true
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,13 +11,13 @@
 	"sync/atomic"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/generation"
 	"appleledge/internal/join"
 	"appleledge/internal/outcomecache"
-	"appleledge/internal/storm"
 )
 
 // Call is a client's request, by whatever front it came. A front fills it in and hands it to Engine.Arrive; the
@@ -58,10 +58,10 @@
 	carried    int           // attempts that ended and had been handed over
 	last       *Attempt      // the latest attempt of a chooser's call
 	member     *join.Member[*Call]
-	pass       *storm.Pass   // of one that a door let in
-	began      time.Duration // when the engine was told of it
-	counted    bool          // the tally has it as open
-	flies      bool          // it is a flight of joined calls, and nobody's own
+	pass       *admission.Pass // of one that a door let in
+	began      time.Duration   // when the engine was told of it
+	counted    bool            // the tally has it as open
+	flies      bool            // it is a flight of joined calls, and nobody's own
 	bound      generation.Bound
 	key        affinity.Key    // of a keyed call, where ties are kept
 	before     balancer.Before // what may have run of it under another id
@@ -229,7 +229,7 @@
 		balancer.Retune
 		Number int
 		Joins  []join.Class
-		Door   []storm.Class
+		Door   []admission.Class
 		Names  generation.Names
 	}
 	// uploaded says that the last byte of an attempt was written.
@@ -324,7 +324,7 @@
 	// ForgottenEarly counts ended requests of choosers that a full table no longer remembers, before their time.
 	ForgottenEarly uint64
 	Joins          join.Counts
-	Door           storm.Counts
+	Door           admission.Counts
 	Tally          Tally
 	Picture        balancer.Picture
 	Generation     generation.Status
@@ -535,7 +535,7 @@
 		e.leave(c)
 		return
 	}
-	e.passed(c, storm.Left)
+	e.passed(c, admission.Left)
 	e.unbind(c, generation.Left)
 	e.decide(balancer.ClientGone{Request: c.ID})
 	e.forget(c)
--- a/internal/engine/joins.go
+++ b/internal/engine/joins.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/join"
-	"appleledge/internal/storm"
 )
 
 // joins is what the engine keeps of calls that are answered together. A member of the table is a call as it came; the
@@ -114,7 +114,7 @@
 	}
 	for _, f := range c.Drop { // nobody waits for it, as if its client had left
 		if !f.Work.closed.Swap(true) {
-			e.passed(f.Work, storm.Left)
+			e.passed(f.Work, admission.Left)
 			e.decide(balancer.ClientGone{Request: f.Work.ID})
 			e.forget(f.Work)
 		}
--- a/internal/fleet/recovery/decisions_test.go
+++ b/internal/fleet/recovery/decisions_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/golden"
-	"appleledge/internal/storm"
 )
 
 type tracePod struct {
@@ -21,10 +21,10 @@
 }
 
 type traceTry struct {
-	p   *storm.Pass
+	p   *admission.Pass
 	pod *tracePod
 	at  time.Duration
-	end storm.End
+	end admission.End
 }
 
 // decisionTrace is a toy fleet of twelve pods that loses its power, comes back pod by pod, restarts as a whole, and is met by an agent
@@ -33,11 +33,11 @@
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
 	classes := []Class{{Name: "a", Worth: 1, Aim: 300e6, Safe: true}, {Name: "b", Worth: 10, Aim: 400e6}, {Name: "c", Worth: 4, Aim: 300e6, Safe: true}}
-	watched := []storm.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
+	watched := []admission.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
 	make := func(askFor time.Duration) *Recovery {
 		var behind Door
 		if seed > 1 {
-			behind = storm.New(storm.Options{Classes: watched, MaxAfter: time.Second, Remember: 100, Seed: uint64(seed)})
+			behind = admission.New(admission.Options{Classes: watched, MaxAfter: time.Second, Remember: 100, Seed: uint64(seed)})
 		}
 		return New(Options{Classes: classes, Agents: 3, Self: 1, ColdFrom: 0.25, ColdFor: 4 * time.Second, Overload: float64(seed % 3 * 2),
 			MaxAfter: time.Second, AskFor: askFor, Seed: uint64(seed)}, behind)
@@ -56,7 +56,7 @@
 	var out []traceTry
 	refused := map[int]bool{}
 	ask := func() {
-		a := storm.Ask{Class: rnd.Below(3), Tenant: -1, Again: rnd.Chance(0.2), Bound: rnd.Chance(0.02), Deadline: now + time.Second}
+		a := admission.Ask{Class: rnd.Below(3), Tenant: -1, Again: rnd.Chance(0.2), Bound: rnd.Chance(0.02), Deadline: now + time.Second}
 		if rnd.Chance(0.5) {
 			a.Key = "k" + strconv.Itoa(rnd.Below(500))
 		}
@@ -79,12 +79,12 @@
 				}
 			}
 		}
-		x := traceTry{p: p, pod: pod, at: now + rnd.Millis(10, 90), end: storm.Served}
+		x := traceTry{p: p, pod: pod, at: now + rnd.Millis(10, 90), end: admission.Served}
 		switch {
 		case !pod.up && pod.hangs:
-			x.at, x.end = now+rnd.Millis(500, 900), storm.Left
+			x.at, x.end = now+rnd.Millis(500, 900), admission.Left
 		case !pod.up, rnd.Chance(0.01):
-			x.end = storm.Failed
+			x.end = admission.Failed
 		case now-pod.started < time.Second && rnd.Chance(0.3):
 			x.at = now + rnd.Millis(300, 900)
 		}
@@ -148,7 +148,7 @@
 			r.Resume(before)
 			r.Listed(now, Server{ID: "s1", Gone: true}, true)
 			listed(pods[1], 0)
-			r.Retune([]storm.Class{watched[0], {Worth: 0.5, Aim: 400e6}, watched[2], {Worth: 3, Aim: 300e6, Safe: true}})
+			r.Retune([]admission.Class{watched[0], {Worth: 0.5, Aim: 400e6}, watched[2], {Worth: 3, Aim: 300e6, Safe: true}})
 		case step == 5300:
 			r = make(0)
 			r.Begin(now, Before{}, "restart")
@@ -170,7 +170,7 @@
 				use = []float64{0.5, 0.5, 0.75, 0.25}[step/800%4]
 				rate = use * 64
 			}
-			if x.end != storm.Left {
+			if x.end != admission.Left {
 				r.Outcome(now, x.pod.id, x.pod.up, !x.pod.up, rate, use)
 			}
 		}
--- a/internal/fleet/recovery/habits.go
+++ b/internal/fleet/recovery/habits.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"appleledge/internal/storm"
+	"appleledge/internal/admission"
 )
 
 // Before is what an agent knew before: the part of what is kept that a Recovery goes by.
@@ -65,7 +65,7 @@
 }
 
 // asked counts an arrival.
-func (h *Habits) asked(now time.Duration, a storm.Ask) {
+func (h *Habits) asked(now time.Duration, a admission.Ask) {
 	if a.Again {
 		return
 	}
--- a/internal/fleet/recovery/recovery.go
+++ b/internal/fleet/recovery/recovery.go
@@ -23,7 +23,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"appleledge/internal/storm"
+	"appleledge/internal/admission"
 )
 
 // Phase is how far service has returned.
@@ -129,9 +129,9 @@
 
 // Door is who lets in behind a Recovery.
 type Door interface {
-	Arrive(now time.Duration, a storm.Ask) (*storm.Pass, storm.Refusal)
-	Done(now time.Duration, p *storm.Pass, end storm.End)
-	Counts() storm.Counts
+	Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal)
+	Done(now time.Duration, p *admission.Pass, end admission.End)
+	Counts() admission.Counts
 }
 
 // server is what is known of one.
@@ -174,7 +174,7 @@
 }
 
 // Retune takes the classes as they are from now on; each keeps its number.
-func (r *Recovery) Retune(classes []storm.Class) {
+func (r *Recovery) Retune(classes []admission.Class) {
 	own := make([]Class, len(classes))
 	for i, c := range classes {
 		own[i] = Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Safe}
@@ -183,7 +183,7 @@
 		}
 	}
 	r.retune(own)
-	if d, ok := r.behind.(interface{ Retune([]storm.Class) }); ok {
+	if d, ok := r.behind.(interface{ Retune([]admission.Class) }); ok {
 		d.Retune(classes)
 	}
 }
@@ -398,15 +398,15 @@
 }
 
 // Arrive is of Door.
-func (r *Recovery) Arrive(now time.Duration, a storm.Ask) (*storm.Pass, storm.Refusal) {
+func (r *Recovery) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
 	r.habits.asked(now, a)
 	if r.Look(now); r.phase == Full {
 		if r.behind != nil {
 			return r.behind.Arrive(now, a)
 		}
-		return storm.NewPass(now, a, storm.ByRecovery), storm.Refusal{}
+		return admission.NewPass(now, a, admission.ByRecovery), admission.Refusal{}
 	}
-	p := storm.NewPass(now, a, storm.ByRecovery)
+	p := admission.NewPass(now, a, admission.ByRecovery)
 	switch r.phase {
 	case Dark, Asking:
 		if !a.Bound {
@@ -426,37 +426,37 @@
 		}
 	}
 	r.counts.LetIn[a.Class]++
-	return p, storm.Refusal{}
+	return p, admission.Refusal{}
 }
 
 // Done is of Door.
-func (r *Recovery) Done(now time.Duration, p *storm.Pass, end storm.End) {
+func (r *Recovery) Done(now time.Duration, p *admission.Pass, end admission.End) {
 	class, took, by := p.Ended(now)
-	if by != storm.ByRecovery {
+	if by != admission.ByRecovery {
 		if r.behind != nil {
 			r.behind.Done(now, p, end)
 		}
 		return
 	}
-	if end == storm.Served && took <= r.set.Classes[class].Aim {
+	if end == admission.Served && took <= r.set.Classes[class].Aim {
 		r.inTime++
-	} else if end == storm.Served || end == storm.Failed {
+	} else if end == admission.Served || end == admission.Failed {
 		r.late++
 	}
 }
 
 // Counts is of Door.
-func (r *Recovery) Counts() storm.Counts {
+func (r *Recovery) Counts() admission.Counts {
 	if r.behind != nil {
 		return r.behind.Counts()
 	}
-	return storm.Counts{}
+	return admission.Counts{}
 }
 
 // take takes one token for a request, of its class or of one that is worth less. An agent with few requests has seldom a whole
 // token when one comes, and many such agents must be fair together: a token that is not there yet is lent by chance, the rarer the
 // more is owed.
-func (r *Recovery) take(now time.Duration, a storm.Ask) bool {
+func (r *Recovery) take(now time.Duration, a admission.Ask) bool {
 	r.fill(now)
 	at := slices.Index(r.order, a.Class)
 	for _, class := range r.order[at:] {
@@ -589,7 +589,7 @@
 // trial chooses a server that the request may find out about: as long as none has been tried in vain any request may, within the
 // safe rate; then one that may be repeated, at a server whose turn it is, as one that must not run twice would only get lost at a
 // server that hangs.
-func (r *Recovery) trial(now time.Duration, a storm.Ask) (id string, ok bool) {
+func (r *Recovery) trial(now time.Duration, a admission.Ask) (id string, ok bool) {
 	if vain := r.counts.Vain > r.vainBefore; vain && !r.set.Classes[a.Class].Safe && r.anySafe() {
 		return "", false
 	}
@@ -656,11 +656,11 @@
 }
 
 // turnAway refuses a request, and says when service is likely there.
-func (r *Recovery) turnAway(now time.Duration, a storm.Ask) storm.Refusal {
+func (r *Recovery) turnAway(now time.Duration, a admission.Ask) admission.Refusal {
 	r.counts.Refused[a.Class]++
 	r.refused = now
 	most := float64(r.set.MaxAfter)
-	return storm.Refusal{After: time.Duration(most * (0.4 + 0.6*r.rng.Float64()))}
+	return admission.Refusal{After: time.Duration(most * (0.4 + 0.6*r.rng.Float64()))}
 }
 
 // Outcome takes how an attempt ended: whether it shows that the server's process answers, that a connection broke or could not
--- a/internal/fleet/recovery/recovery_test.go
+++ b/internal/fleet/recovery/recovery_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"appleledge/internal/storm"
+	"appleledge/internal/admission"
 )
 
 const (
@@ -31,7 +31,7 @@
 	return b
 }
 
-func ask(class int) storm.Ask { return storm.Ask{Class: class, Deadline: 1 << 62} }
+func ask(class int) admission.Ask { return admission.Ask{Class: class, Deadline: 1 << 62} }
 
 // All agents come back at once to a fleet that is cold, with clients who ask for several times the usual, and nobody hears of
 // anybody: in no 3 s does the sum of what is let in come to what would topple the fleet, whatever it was used to and however the
@@ -176,7 +176,7 @@
 				first[p.Among[0]]++
 			}
 			r.Outcome(now, p.Among[0], false, true, -1, -1)
-			r.Done(now, p, storm.Refused)
+			r.Done(now, p, admission.Refused)
 		}
 		if r.phase != Trying {
 			t.Fatal(r.phase)
@@ -203,7 +203,7 @@
 		if p == nil {
 			continue
 		}
-		r.Done(now, p, storm.Refused)
+		r.Done(now, p, admission.Refused)
 		if now > start+20*second {
 			return
 		}
@@ -315,14 +315,14 @@
 
 // A door behind gets all that comes in calm, and its own passes back.
 func TestTheDoorBehind(t *testing.T) {
-	behind := storm.New(storm.Options{Classes: []storm.Class{{Worth: 2, Aim: second, Safe: true}, {Worth: 10, Aim: second}}, Remember: 8})
+	behind := admission.New(admission.Options{Classes: []admission.Class{{Worth: 2, Aim: second, Safe: true}, {Worth: 10, Aim: second}}, Remember: 8})
 	r := New(options(1, 0), behind)
 	calm, _ := r.Arrive(second, ask(form))
 	r.Begin(start, known(3, 1, 1, 0.5), "power")
-	r.Done(start, calm, storm.Served)
+	r.Done(start, calm, admission.Served)
 	for range 20 {
 		if p, _ := r.Arrive(start, ask(refund)); p != nil {
-			r.Done(start+second, p, storm.Served)
+			r.Done(start+second, p, admission.Served)
 		}
 	}
 	if n := behind.Counts().InFlight; n != 0 {
--- a/internal/fleet/share/decisions_test.go
+++ b/internal/fleet/share/decisions_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/golden"
-	"appleledge/internal/storm"
 )
 
 type traceServer struct {
@@ -22,7 +22,7 @@
 
 type traceCall struct {
 	door    int
-	p       *storm.Pass
+	p       *admission.Pass
 	server  *traceServer
 	class   int
 	tenant  int
@@ -43,12 +43,12 @@
 // much asked, then servers that hang or break, an agent that is gone, one that tells nonsense, and calm again.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(2000), golden.Random(seed)
-	classes := []storm.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
+	classes := []admission.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
 	shares := []float64{0.2, 0.3, 0.5}
 	alive := []bool{true, true, true, true}
 	var doors []*Door
 	for i := range 4 {
-		watch := storm.New(storm.Options{Classes: classes, Shares: shares, MaxAfter: time.Second, Remember: 200, Seed: uint64(seed*10 + i)})
+		watch := admission.New(admission.Options{Classes: classes, Shares: shares, MaxAfter: time.Second, Remember: 200, Seed: uint64(seed*10 + i)})
 		d := New(Options{Self: 0, Agents: 1, Classes: classes, Shares: shares, MaxAfter: time.Second, Seed: uint64(seed*10 + i)}, watch)
 		d.Among(i, 4)
 		d.Lives(alive)
@@ -87,7 +87,7 @@
 		calls = append(calls, c)
 	}
 	ask := func(c traceCall) {
-		a := storm.Ask{Class: c.class, Tenant: c.tenant, Key: c.key, Again: c.tries > 0 && rnd.Chance(0.3), Bound: rnd.Chance(0.01), Deadline: now + rnd.Millis(50, 900)}
+		a := admission.Ask{Class: c.class, Tenant: c.tenant, Key: c.key, Again: c.tries > 0 && rnd.Chance(0.3), Bound: rnd.Chance(0.01), Deadline: now + rnd.Millis(50, 900)}
 		p, refusal := doors[c.door].Arrive(now, a)
 		tr.Add(now, c.door, p == nil, refusal.After, refusal.Limit, refusal.Repeat)
 		tr.CountIf(p == nil, "turned away")
@@ -139,7 +139,7 @@
 				traceBody{from: 1, to: 1, body: b.append(nil), at: now})
 		case 3700:
 			for _, d := range doors {
-				d.Retune(append(slices.Clone(classes), storm.Class{Worth: 2, Aim: 200e6}))
+				d.Retune(append(slices.Clone(classes), admission.Class{Worth: 2, Aim: 200e6}))
 			}
 		}
 		rest := bodies[:0:0]
@@ -174,16 +174,16 @@
 			tr.Count("ends of result " + strconv.Itoa(int(c.result)))
 			switch {
 			case c.result == balancer.OK:
-				d.Done(now, c.p, storm.Served)
+				d.Done(now, c.p, admission.Served)
 			case !c.further && d.MayRetry(now):
 				tr.Count("further attempts")
 				tr.Add(now, "further")
 				c.further = true
 				send(c)
 			case c.result == balancer.Rejected:
-				d.Done(now, c.p, storm.Refused)
+				d.Done(now, c.p, admission.Refused)
 			default:
-				d.Done(now, c.p, storm.Failed)
+				d.Done(now, c.p, admission.Failed)
 			}
 		}
 		due := []traceCall{}
--- a/internal/fleet/share/door.go
+++ b/internal/fleet/share/door.go
@@ -11,14 +11,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
-	"appleledge/internal/storm"
 )
 
 // Options are what a Door goes by.
 type Options struct {
 	Self, Agents int
-	Classes      []storm.Class
+	Classes      []admission.Class
 	Shares       []float64     // of the service, one for each tenant; may be empty
 	MaxAfter     time.Duration // the longest come-back time that clients heed; 0 where they are told none
 	Seed         uint64
@@ -68,7 +68,7 @@
 type Door struct {
 	set     Options
 	rng     *rand.Rand
-	alone   *storm.Watch
+	alone   *admission.Watch
 	picture *Picture
 	order   []int // classes by worth
 	ids     map[uint32]string
@@ -107,7 +107,7 @@
 }
 
 // New returns a Door before an agent's own watch.
-func New(o Options, alone *storm.Watch) *Door {
+func New(o Options, alone *admission.Watch) *Door {
 	d := &Door{set: o, rng: rand.New(rand.NewPCG(o.Seed, 9)), alone: alone, ids: map[uint32]string{}, ready: map[uint32]bool{}, gain: 1}
 	if n := len(o.Shares); n > MostTenants { // those behind are one, as digests have them
 		d.set.Shares = slices.Clone(o.Shares[:MostTenants])
@@ -127,7 +127,7 @@
 }
 
 // Retune takes the classes as they are from now on; each keeps its number.
-func (d *Door) Retune(classes []storm.Class) {
+func (d *Door) Retune(classes []admission.Class) {
 	d.set.Classes = classes
 	d.alone.Retune(classes)
 	if n := min(len(classes), MostClasses); n != d.picture.classes {
@@ -151,7 +151,7 @@
 func kind(i, kinds int) int { return min(max(i, 0), kinds-1) }
 
 // Arrive is of engine.Door.
-func (d *Door) Arrive(now time.Duration, a storm.Ask) (*storm.Pass, storm.Refusal) {
+func (d *Door) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
 	pass, refusal := d.alone.Arrive(now, a)
 	// Of a class that may be repeated at will many ask for the same: there the key tells no repeat for certain.
 	repeat := a.Again || !d.set.Classes[a.Class].Safe && (pass != nil && pass.Repeat || refusal.Repeat)
@@ -174,13 +174,13 @@
 			n = 1
 		}
 		d.counts.Refused[a.Class][n]++
-		return nil, storm.Refusal{After: d.after(), Repeat: repeat} // its limit is the fleet's, and a rate: no header of a client's says that
+		return nil, admission.Refusal{After: d.after(), Repeat: repeat} // its limit is the fleet's, and a rate: no header of a client's says that
 	}
 	d.letIn(now)
 	if pass == nil {
-		pass = storm.NewPass(now, a, storm.ByFleet)
+		pass = admission.NewPass(now, a, admission.ByFleet)
 	}
-	return pass, storm.Refusal{}
+	return pass, admission.Refusal{}
 }
 
 func (d *Door) digest(now time.Duration) Digest { return d.own.digest(now, d.set.Self, d.open) }
@@ -192,7 +192,7 @@
 
 // lot is what a request draws, from 0 to 1. One that comes again draws the same for a while, so that what was refused is refused again and
 // costs nobody a place in vain, as by then it would be late (after DAGOR's user-level priorities; H. Zhou and others, 2018).
-func (d *Door) lot(now time.Duration, a storm.Ask) float64 {
+func (d *Door) lot(now time.Duration, a admission.Ask) float64 {
 	if a.Key == "" {
 		return d.rng.Float64()
 	}
@@ -209,7 +209,7 @@
 }
 
 // refuses reports whether a request is refused: the fleet has no room for its kind, or it can't be answered in time any more.
-func (d *Door) refuses(now time.Duration, a storm.Ask, repeat bool, lot float64) bool {
+func (d *Door) refuses(now time.Duration, a admission.Ask, repeat bool, lot float64) bool {
 	chance := d.plan.chance(kind(a.Class, d.picture.classes), a.Tenant, repeat)
 	if chance >= 1 || lot < chance && !d.alone.TooLate(now, a) {
 		return false
@@ -227,10 +227,10 @@
 }
 
 // Done is of engine.Door.
-func (d *Door) Done(now time.Duration, p *storm.Pass, end storm.End) {
+func (d *Door) Done(now time.Duration, p *admission.Pass, end admission.End) {
 	class, took, by := p.Ended(now)
 	d.open = max(0, d.open-1)
-	if by == storm.ByWatch {
+	if by == admission.ByWatch {
 		d.alone.Done(now, p, end)
 	} else {
 		d.alone.Elsewhere(now, p, end)
@@ -238,17 +238,17 @@
 	fade := math.Exp(-float64(now-d.endedAt) / float64(proofFor))
 	d.inTime, d.late, d.endedAt = d.inTime*fade, d.late*fade, now
 	switch {
-	case end == storm.Served && took <= d.set.Classes[class].Aim:
+	case end == admission.Served && took <= d.set.Classes[class].Aim:
 		d.inTime++
 		d.own.good.add(now, 1)
-	case end == storm.Served || end == storm.Failed:
+	case end == admission.Served || end == admission.Failed:
 		d.late++
 		d.own.late.add(now, 1)
 	}
 }
 
 // Counts is of engine.Door.
-func (d *Door) Counts() storm.Counts { return d.alone.Counts() }
+func (d *Door) Counts() admission.Counts { return d.alone.Counts() }
 
 // MayRetry reports whether an attempt beyond a call's first may go out: all agents' together keep to a share of the fleet's first tries. As long as little of it is spent
 // anyone may, however little that one has to do itself.
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -10,16 +10,16 @@
 
 	"pgregory.net/rapid"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
-	"appleledge/internal/storm"
 )
 
-var classes = []storm.Class{{Worth: 2, Aim: 600 * time.Millisecond, Safe: true}, {Worth: 10, Aim: 600 * time.Millisecond}}
+var classes = []admission.Class{{Worth: 2, Aim: 600 * time.Millisecond, Safe: true}, {Worth: 10, Aim: 600 * time.Millisecond}}
 
 const check, refund = 0, 1
 
-func watch(seed uint64) *storm.Watch {
-	return storm.New(storm.Options{Classes: classes, MaxAfter: time.Second, Remember: 100, Seed: seed})
+func watch(seed uint64) *admission.Watch {
+	return admission.New(admission.Options{Classes: classes, MaxAfter: time.Second, Remember: 100, Seed: seed})
 }
 
 func door(agents int) *Door {
@@ -161,7 +161,7 @@
 			t.Fatalf("%v are let in, over the limit of %v", letIn, p.limit)
 		}
 		for i := range 50 {
-			a := storm.Ask{Class: check, Tenant: i % 2, Key: fmt.Sprint(i), Deadline: start + 2*time.Second}
+			a := admission.Ask{Class: check, Tenant: i % 2, Key: fmt.Sprint(i), Deadline: start + 2*time.Second}
 			if d.refuses(start, a, false, d.lot(start, a)) {
 				if !d.refuses(start+time.Second, a, true, d.lot(start+time.Second, a)) {
 					t.Fatal("what was refused is let in when it comes again")
@@ -292,11 +292,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d, alone := door(10), watch(2)
 		now := start
-		type both struct{ a, b *storm.Pass }
+		type both struct{ a, b *admission.Pass }
 		var open []both
 		for i := range 300 {
 			now += time.Duration(rapid.IntRange(1, 30).Draw(t, "ms")) * time.Millisecond
-			a := storm.Ask{Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Key: fmt.Sprint(i % 90), Again: i%7 == 0, Deadline: now + 2*time.Second}
+			a := admission.Ask{Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Key: fmt.Sprint(i % 90), Again: i%7 == 0, Deadline: now + 2*time.Second}
 			p, _ := d.Arrive(now, a)
 			q, _ := alone.Arrive(now, a)
 			if (p == nil) != (q == nil) {
@@ -306,7 +306,7 @@
 				open = append(open, both{p, q})
 			}
 			if len(open) > 5 {
-				end := storm.End(rapid.IntRange(0, 2).Draw(t, "end"))
+				end := admission.End(rapid.IntRange(0, 2).Draw(t, "end"))
 				d.Done(now, open[0].a, end)
 				alone.Done(now, open[0].b, end)
 				open = open[1:]
@@ -474,20 +474,20 @@
 			now := start - 8*time.Second
 			for i := range 400 {
 				now += 20 * time.Millisecond
-				if p, _ := d.alone.Arrive(now, storm.Ask{Class: check, Tenant: -1, Key: fmt.Sprint("other-", i), Deadline: now + time.Second}); p != nil {
-					d.alone.Done(now, p, storm.Failed)
+				if p, _ := d.alone.Arrive(now, admission.Ask{Class: check, Tenant: -1, Key: fmt.Sprint("other-", i), Deadline: now + time.Second}); p != nil {
+					d.alone.Done(now, p, admission.Failed)
 				}
 			}
 		}
-		ask := storm.Ask{Class: refund, Tenant: 0, Key: "refund", Deadline: start + 2*time.Second}
+		ask := admission.Ask{Class: refund, Tenant: 0, Key: "refund", Deadline: start + 2*time.Second}
 		p, _ := d.Arrive(start, ask)
 		if p == nil {
 			t.Fatalf("%s: it is refused at first", c.name)
 		}
-		if _, _, by := p.Ended(start); (by == storm.ByFleet) != c.storm {
+		if _, _, by := p.Ended(start); (by == admission.ByFleet) != c.storm {
 			t.Fatalf("%s: door %d has let it in", c.name, by)
 		}
-		d.Done(start+100*time.Millisecond, p, storm.Failed)
+		d.Done(start+100*time.Millisecond, p, admission.Failed)
 		for agent := range 2 { // and now much more is asked than there is room for
 			d.picture.digests[agent+1].at = 0
 			d.picture.take(start, agent+1, Body{Digests: []Digest{digest(agent+1, 4000, 4000)}})
@@ -495,7 +495,7 @@
 		settle(d, start+200*time.Millisecond)
 		refused := 0
 		for i := range 50 {
-			if p, _ := d.Arrive(start+200*time.Millisecond, storm.Ask{Class: refund, Tenant: 0, Key: fmt.Sprint("new-", i), Deadline: start + 2*time.Second}); p == nil {
+			if p, _ := d.Arrive(start+200*time.Millisecond, admission.Ask{Class: refund, Tenant: 0, Key: fmt.Sprint("new-", i), Deadline: start + 2*time.Second}); p == nil {
 				refused++
 			}
 		}
--- a/internal/rehearsal/simulate.go
+++ b/internal/rehearsal/simulate.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
@@ -17,7 +18,6 @@
 	"appleledge/internal/join"
 	"appleledge/internal/rig/doors"
 	"appleledge/internal/settings"
-	"appleledge/internal/storm"
 )
 
 // Times of the simulated network and of the list.
@@ -270,10 +270,10 @@
 }
 
 // stormOptions are those that an agent's own settings have by default.
-func stormOptions(set balancer.Settings, seed uint64) storm.Options {
-	o := storm.Options{Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Remember: 4096, Seed: seed}
+func stormOptions(set balancer.Settings, seed uint64) admission.Options {
+	o := admission.Options{Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Remember: 4096, Seed: seed}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, storm.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, admission.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
 	}
 	return o
 }
--- a/internal/rehearsal/together.go
+++ b/internal/rehearsal/together.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/share"
-	"appleledge/internal/storm"
 )
 
 // fleetDoor is the door by which all agents handle overload together.
@@ -25,10 +25,10 @@
 	seed := uint64(a.number*1000 + a.life)
 	alone := stormOptions(set, seed)
 	d := share.New(share.Options{Self: a.number, Agents: w.script.Fleet.Agents, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter,
-		Seed: seed}, storm.New(alone))
+		Seed: seed}, admission.New(alone))
 	if w.script.Agents.Door == knowingDoor {
 		if w.knowing == nil {
-			w.knowing = share.New(share.Options{Agents: 1, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Seed: seed}, storm.New(alone))
+			w.knowing = share.New(share.Options{Agents: 1, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Seed: seed}, admission.New(alone))
 		}
 		a.door = w.knowing
 		a.engine.Guard(w.knowing)
--- a/internal/rig/doors/doors.go
+++ b/internal/rig/doors/doors.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"appleledge/internal/storm"
+	"appleledge/internal/admission"
 )
 
 // Names lists the doors.
@@ -16,17 +16,17 @@
 
 // Door is what all of them are.
 type Door interface {
-	Arrive(now time.Duration, a storm.Ask) (*storm.Pass, storm.Refusal)
-	Done(now time.Duration, p *storm.Pass, end storm.End)
-	Counts() storm.Counts
+	Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal)
+	Done(now time.Duration, p *admission.Pass, end admission.End)
+	Counts() admission.Counts
 }
 
 // New returns a door by its name, which is one of Names.
-func New(name string, o storm.Options) Door {
+func New(name string, o admission.Options) Door {
 	if name == "storm" {
-		return storm.New(o)
+		return admission.New(o)
 	}
-	r := &rival{set: o, rng: rand.New(rand.NewPCG(o.Seed, 6)), began: map[*storm.Pass]time.Duration{}}
+	r := &rival{set: o, rng: rand.New(rand.NewPCG(o.Seed, 6)), began: map[*admission.Pass]time.Duration{}}
 	switch name {
 	case "budget":
 		r.letsIn, r.seen = (&budget{}).both()
@@ -42,28 +42,28 @@
 
 // rival lets in by a rule of its own.
 type rival struct {
-	set    storm.Options
+	set    admission.Options
 	rng    *rand.Rand
-	began  map[*storm.Pass]time.Duration
-	letsIn func(now time.Duration, a storm.Ask) bool
-	seen   func(now, took time.Duration, end storm.End)
+	began  map[*admission.Pass]time.Duration
+	letsIn func(now time.Duration, a admission.Ask) bool
+	seen   func(now, took time.Duration, end admission.End)
 }
 
-func (r *rival) Arrive(now time.Duration, a storm.Ask) (*storm.Pass, storm.Refusal) {
+func (r *rival) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
 	if !r.letsIn(now, a) && !a.Bound {
-		return nil, storm.Refusal{After: r.set.MaxAfter * time.Duration(50+r.rng.IntN(51)) / 100}
+		return nil, admission.Refusal{After: r.set.MaxAfter * time.Duration(50+r.rng.IntN(51)) / 100}
 	}
-	p := &storm.Pass{}
+	p := &admission.Pass{}
 	r.began[p] = now
-	return p, storm.Refusal{}
+	return p, admission.Refusal{}
 }
 
-func (r *rival) Done(now time.Duration, p *storm.Pass, end storm.End) {
+func (r *rival) Done(now time.Duration, p *admission.Pass, end admission.End) {
 	r.seen(now, now-r.began[p], end)
 	delete(r.began, p)
 }
 
-func (r *rival) Counts() storm.Counts { return storm.Counts{InFlight: len(r.began)} }
+func (r *rival) Counts() admission.Counts { return admission.Counts{InFlight: len(r.began)} }
 
 // fading is a count over the last seconds.
 type fading struct {
@@ -81,8 +81,8 @@
 // budget lets in repeats up to a fifth of the first tries of ten seconds, as Finagle and Linkerd do.
 type budget struct{ saved float64 }
 
-func (b *budget) both() (func(time.Duration, storm.Ask) bool, func(time.Duration, time.Duration, storm.End)) {
-	return func(_ time.Duration, a storm.Ask) bool {
+func (b *budget) both() (func(time.Duration, admission.Ask) bool, func(time.Duration, time.Duration, admission.End)) {
+	return func(_ time.Duration, a admission.Ask) bool {
 		if !a.Again {
 			b.saved = min(b.saved+0.2, 100)
 			return true
@@ -92,7 +92,7 @@
 		}
 		b.saved--
 		return true
-	}, func(time.Duration, time.Duration, storm.End) {}
+	}, func(time.Duration, time.Duration, admission.End) {}
 }
 
 // throttle is adaptive throttling: "Site Reliability Engineering", chapter 21, with K = 2 over half a minute there and ten
@@ -102,13 +102,13 @@
 	requests, accepts fading
 }
 
-func (t *throttle) both() (func(time.Duration, storm.Ask) bool, func(time.Duration, time.Duration, storm.End)) {
+func (t *throttle) both() (func(time.Duration, admission.Ask) bool, func(time.Duration, time.Duration, admission.End)) {
 	t.requests.over, t.accepts.over = 10*time.Second, 10*time.Second
-	return func(now time.Duration, _ storm.Ask) bool {
+	return func(now time.Duration, _ admission.Ask) bool {
 			requests, accepts := t.requests.add(now, 1), t.accepts.add(now, 0)
 			return t.rng.Float64() >= max(0, (requests-2*accepts)/(requests+1))
-		}, func(now, took time.Duration, end storm.End) {
-			if end == storm.Served && took <= 600*time.Millisecond {
+		}, func(now, took time.Duration, end admission.End) {
+			if end == admission.Served && took <= 600*time.Millisecond {
 				t.accepts.add(now, 1)
 			}
 		}
@@ -121,14 +121,14 @@
 	all, served fading
 }
 
-func (e *envoy) both() (func(time.Duration, storm.Ask) bool, func(time.Duration, time.Duration, storm.End)) {
+func (e *envoy) both() (func(time.Duration, admission.Ask) bool, func(time.Duration, time.Duration, admission.End)) {
 	e.all.over, e.served.over = 10*time.Second, 10*time.Second
-	return func(now time.Duration, _ storm.Ask) bool {
+	return func(now time.Duration, _ admission.Ask) bool {
 			all, served := e.all.add(now, 0), e.served.add(now, 0)
 			return e.rng.Float64() >= min(0.8, max(0, (all-served/0.95)/(all+1)))
-		}, func(now, took time.Duration, end storm.End) {
+		}, func(now, took time.Duration, end admission.End) {
 			e.all.add(now, 1)
-			if end == storm.Served && took <= 600*time.Millisecond {
+			if end == admission.Served && took <= 600*time.Millisecond {
 				e.served.add(now, 1)
 			}
 		}
@@ -141,17 +141,17 @@
 	out         int
 }
 
-func (g *gradient) both() (func(time.Duration, storm.Ask) bool, func(time.Duration, time.Duration, storm.End)) {
-	return func(time.Duration, storm.Ask) bool {
+func (g *gradient) both() (func(time.Duration, admission.Ask) bool, func(time.Duration, time.Duration, admission.End)) {
+	return func(time.Duration, admission.Ask) bool {
 			if float64(g.out) >= g.limit {
 				return false
 			}
 			g.out++
 			return true
-		}, func(_, took time.Duration, end storm.End) {
+		}, func(_, took time.Duration, end admission.End) {
 			g.out--
 			short := took.Seconds()
-			if end != storm.Served {
+			if end != admission.Served {
 				short = max(short, 0.6)
 			}
 			if g.long == 0 {
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
@@ -23,7 +24,6 @@
 	"appleledge/internal/golden"
 	"appleledge/internal/join"
 	"appleledge/internal/pool"
-	"appleledge/internal/storm"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
 )
@@ -70,9 +70,9 @@
 		s.joins(p, engine.Load{Joins: join.Counts{Flights: 181, Joined: 182, Alone: 183, Parted: 184, Again: 185, Private: 186, Shared: 187,
 			Waiting: 188, Groups: 189}})
 	})
-	for state := storm.Calm; state <= storm.Recovering; state++ {
+	for state := admission.Calm; state <= admission.Recovering; state++ {
 		part(func(p page) {
-			s.door(p, storm.Counts{State: state, Since: 201, Why: "why", Limit: 202, InFlight: 203, Refused: [][2]uint64{{204, 205}, {206, 207}},
+			s.door(p, admission.Counts{State: state, Since: 201, Why: "why", Limit: 202, InFlight: 203, Refused: [][2]uint64{{204, 205}, {206, 207}},
 				Late: 208, Bound: 209, Storms: 210}, goldenClasses)
 		})
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -17,6 +17,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"golang.org/x/net/netutil"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
@@ -25,7 +26,6 @@
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/generation"
 	"appleledge/internal/pool"
-	"appleledge/internal/storm"
 )
 
 const (
@@ -135,8 +135,8 @@
 	p.gauge("appleledge_join_groups", "", float64(c.Groups))
 }
 
-func (s *Server) door(p page, c storm.Counts, classes []string) {
-	for state := storm.Calm; state <= storm.Recovering; state++ {
+func (s *Server) door(p page, c admission.Counts, classes []string) {
+	for state := admission.Calm; state <= admission.Recovering; state++ {
 		p.gauge("appleledge_storm_state", fmt.Sprintf("state=%q", state), bit(c.State == state))
 	}
 	p.count("appleledge_storms_total", "", c.Storms)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/pool"
-	"appleledge/internal/storm"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
 )
@@ -83,7 +83,7 @@
 	conns = pool.New(time.Second, time.Minute, 10)
 	core = engine.New(policy, engine.NewClock(), conns, slog.New(slog.DiscardHandler))
 	core.Count(site.Logic.Classes)
-	behind := storm.New(storm.Options{Classes: make([]storm.Class, len(site.Logic.Classes)), Remember: 1})
+	behind := admission.New(admission.Options{Classes: make([]admission.Class, len(site.Logic.Classes)), Remember: 1})
 	core.Return(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Logic.Classes))}, behind), func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
