--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,6 +12,7 @@
 
 	"appleledge/internal/admin"
 	"appleledge/internal/balancer"
+	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
@@ -20,7 +21,6 @@
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/httpfront"
 	"appleledge/internal/intake"
-	"appleledge/internal/join"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/places"
@@ -110,7 +110,7 @@
 
 // Joins says which requests are answered together.
 type Joins struct {
-	Options  join.Options
+	Options  coalesce.Options
 	Apart    bool          // those of two tenants never are
 	LogEvery time.Duration // between two lines on what was joined
 }
--- a/internal/agent/join.go
+++ b/internal/agent/join.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpfront"
-	"appleledge/internal/join"
 )
 
 // joining is what switched-on joins are at work with.
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	identity, err := join.NewIdentity()
+	identity, err := coalesce.NewIdentity()
 	if err != nil {
 		return nil, fmt.Errorf("joining like requests: %w", err)
 	}
@@ -42,7 +42,7 @@
 }
 
 // joined says of classes, by number, whether they are.
-func joined(classes []join.Class) *[]bool {
+func joined(classes []coalesce.Class) *[]bool {
 	out := make([]bool, len(classes))
 	for i, c := range classes {
 		out[i] = c.Joined
@@ -59,7 +59,7 @@
 
 // logJoins logs what was joined, if anything was since the last line.
 func logJoins(ctx context.Context, core *engine.Engine, interval time.Duration, log *slog.Logger) {
-	var last join.Counts
+	var last coalesce.Counts
 	every(ctx, interval, func() {
 		c := core.Load().Joins
 		if c.Flights == last.Flights && c.Alone == last.Alone {
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -13,17 +13,17 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
-	"appleledge/internal/join"
 	"appleledge/internal/testbed"
 )
 
 // joinAll is a [join] section for every class, the ones that must not run twice too: the engine has to keep those out.
 func joinAll(apart bool) Extras {
 	return Extras{Join: func(classes []balancer.Class) (Joins, error) {
-		j := Joins{Apart: apart, LogEvery: time.Hour, Options: join.Options{MostGroups: 64, MostWaiting: 64, Pause: time.Hour}}
+		j := Joins{Apart: apart, LogEvery: time.Hour, Options: coalesce.Options{MostGroups: 64, MostWaiting: 64, Pause: time.Hour}}
 		for _, c := range classes {
-			j.Options.Classes = append(j.Options.Classes, join.Class{Joined: true, Aim: c.Aim, Deadline: c.Deadline})
+			j.Options.Classes = append(j.Options.Classes, coalesce.Class{Joined: true, Aim: c.Aim, Deadline: c.Deadline})
 		}
 		return j, nil
 	}}
--- a/internal/join/join.go
+++ b/internal/coalesce/join.go
@@ -1,4 +1,4 @@
-// Package join decides which requests are answered together: like ones that are in flight at the same time, of classes
+// Package coalesce decides which requests are answered together: like ones that are in flight at the same time, of classes
 // that may be repeated at will (request coalescing; RFC 9111, section 4, calls it collapsed requests). It does no I/O and
 // reads no clock: events go in with the time, and it says what becomes of whom.
 //
@@ -10,7 +10,7 @@
 //
 // A member that waits does not trust a flight further than the figures do: when a flight of its own is clearly more likely
 // to be in time, it leads one, while it goes on listening to the others (see partAt).
-package join
+package coalesce
 
 import (
 	"container/heap"
--- a/internal/join/quota.go
+++ b/internal/coalesce/quota.go
@@ -1,4 +1,4 @@
-package join
+package coalesce
 
 // quota shares out places among tenants. Up to half of them are anybody's. Beyond that a tenant takes no more than an
 // equal part, counted as if one tenant more were there, so that one with little to ask finds room beside one that asks
--- a/internal/join/times.go
+++ b/internal/coalesce/times.go
@@ -1,4 +1,4 @@
-package join
+package coalesce
 
 import (
 	"sort"
--- a/internal/engine/door_test.go
+++ b/internal/engine/door_test.go
@@ -9,7 +9,7 @@
 
 	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
-	"appleledge/internal/join"
+	"appleledge/internal/coalesce"
 )
 
 // keeper is a door that keeps what it is told, and turns away what is not bound when it is shut.
@@ -151,12 +151,12 @@
 // Those that wait for one answer together get their last words one by one: their flight goes on for those that are left.
 func TestLastWordOfJoined(t *testing.T) {
 	x := newTied(t, func(x *tiedEngine) {
-		class := join.Class{Joined: true, Aim: deadline, Deadline: deadline}
-		x.Join(join.Options{Classes: []join.Class{class, {}, {}}, MostGroups: 4, MostWaiting: 4, Pause: time.Second}, 0)
+		class := coalesce.Class{Joined: true, Aim: deadline, Deadline: deadline}
+		x.Join(coalesce.Options{Classes: []coalesce.Class{class, {}, {}}, MostGroups: 4, MostWaiting: 4, Pause: time.Second}, 0)
 	})
 	calls, heard := make([]*Call, 3), make([]ear, 3)
 	for i := range calls {
-		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Safe, Deadline: x.now + deadline, Carrier: x.out, Caller: &heard[i], Like: &join.Digest{}}
+		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Safe, Deadline: x.now + deadline, Carrier: x.out, Caller: &heard[i], Like: &coalesce.Digest{}}
 		x.Step(Arrival(calls[i]))
 	}
 	if len(x.out.attempts) != 1 {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -14,9 +14,9 @@
 	"appleledge/internal/admission"
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
+	"appleledge/internal/coalesce"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/generation"
-	"appleledge/internal/join"
 	"appleledge/internal/outcomecache"
 )
 
@@ -36,8 +36,8 @@
 	Payload       any             // what the front took, for the carrier
 	Carrier       Carrier         // of its attempts; nil where the caller is a Chooser
 	Caller        Caller
-	Like          *join.Digest // what it asks, where it may be answered together with others; else nil
-	Upload        Upload       // what still comes of it, while it is sent on; nil where it is there whole
+	Like          *coalesce.Digest // what it asks, where it may be answered together with others; else nil
+	Upload        Upload           // what still comes of it, while it is sent on; nil where it is there whole
 
 	// Read where a configuration is in force:
 	Path   string
@@ -57,7 +57,7 @@
 	chooser    Chooser       // the Caller, where it is one
 	carried    int           // attempts that ended and had been handed over
 	last       *Attempt      // the latest attempt of a chooser's call
-	member     *join.Member[*Call]
+	member     *coalesce.Member[*Call]
 	pass       *admission.Pass // of one that a door let in
 	began      time.Duration   // when the engine was told of it
 	counted    bool            // the tally has it as open
@@ -228,7 +228,7 @@
 	Retuned struct {
 		balancer.Retune
 		Number int
-		Joins  []join.Class
+		Joins  []coalesce.Class
 		Door   []admission.Class
 		Names  generation.Names
 	}
@@ -323,7 +323,7 @@
 	InFlight map[string]int // attempts, by server
 	// ForgottenEarly counts ended requests of choosers that a full table no longer remembers, before their time.
 	ForgottenEarly uint64
-	Joins          join.Counts
+	Joins          coalesce.Counts
 	Door           admission.Counts
 	Tally          Tally
 	Picture        balancer.Picture
--- a/internal/engine/joins.go
+++ b/internal/engine/joins.go
@@ -5,27 +5,27 @@
 
 	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
-	"appleledge/internal/join"
+	"appleledge/internal/coalesce"
 )
 
 // joins is what the engine keeps of calls that are answered together. A member of the table is a call as it came; the
 // flight that one leads is a call of its own, under the id of the leader, and the only one of them that the module sees.
 type joins struct {
-	table  *join.Table[*Call]
+	table  *coalesce.Table[*Call]
 	after  time.Duration // when to come back whose time has run out; 0 where nothing is said
 	landed []landing     // flights that have their answer and were not settled yet
 }
 
 // landing is the final answer to a flight.
 type landing struct {
-	flight *join.Flight[*Call]
+	flight *coalesce.Flight[*Call]
 	answer Answer
 }
 
 // Join makes the engine join calls that ask the same, where their front says what they ask. Whose time runs out while it
 // waits is told to come back after that long, or nothing where that is 0. It is called before Run.
-func (e *Engine) Join(o join.Options, after time.Duration) {
-	e.joins = &joins{table: join.New[*Call](o), after: after}
+func (e *Engine) Join(o coalesce.Options, after time.Duration) {
+	e.joins = &joins{table: coalesce.New[*Call](o), after: after}
 }
 
 // join reports whether the call has become a member. Whatever its front says, one that must not run twice never does.
@@ -33,14 +33,14 @@
 	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Safe || c.bound.Servers() != nil {
 		return false // what is bound to a pool asks of other servers than what is not
 	}
-	m, verdict := e.joins.table.Arrive(e.clock.Now(), join.Ask[*Call]{Of: c, What: *c.Like, Class: c.Class, Tenant: c.Tenant,
+	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Ask[*Call]{Of: c, What: *c.Like, Class: c.Class, Tenant: c.Tenant,
 		Deadline: c.Deadline})
-	if verdict == join.Alone {
+	if verdict == coalesce.Alone {
 		return false
 	}
 	c.member = m
 	e.calls[c.ID] = c // a second one under its id is a conflict, as ever
-	if verdict == join.Leads {
+	if verdict == coalesce.Leads {
 		e.lead(c)
 	}
 	return true
@@ -58,7 +58,7 @@
 // module anew, whose actions hold until it is asked.
 type flight struct {
 	joins *joins
-	of    *join.Flight[*Call]
+	of    *coalesce.Flight[*Call]
 }
 
 func (f flight) Answer(a Answer) { f.joins.landed = append(f.joins.landed, landing{f.of, a}) }
@@ -89,20 +89,20 @@
 	}
 }
 
-func endOf(a Answer) join.End {
+func endOf(a Answer) coalesce.End {
 	switch {
 	case a.Kind == Served && a.Private:
-		return join.Private
+		return coalesce.Private
 	case a.Kind == Served:
-		return join.Served
+		return coalesce.Served
 	case a.Kind == Refused:
-		return join.Refused
+		return coalesce.Refused
 	}
-	return join.Failed
+	return coalesce.Failed
 }
 
 // carryOut does what the table says; answer is that of the flight, if one has landed.
-func (e *Engine) carryOut(c join.Changes[*Call], answer Answer) {
+func (e *Engine) carryOut(c coalesce.Changes[*Call], answer Answer) {
 	if len(c.Answered) == 0 { // whose answer it was has left
 		discard(answer.Payload)
 	}
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
+	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/intake"
-	"appleledge/internal/join"
 	"appleledge/internal/places"
 )
 
@@ -48,7 +48,7 @@
 
 // Joins says which requests say what they ask, so that the engine may answer like ones together.
 type Joins struct {
-	Identity *join.Identity
+	Identity *coalesce.Identity
 	Classes  atomic.Pointer[[]bool] // by number, as they are now
 	Apart    bool                   // requests of two tenants are never alike
 }
@@ -322,7 +322,7 @@
 
 // like is what a request asks, or nil of one that is not to be joined. All counts that goes on to a backend but for who
 // asks. A client that wants an answer made for itself gets it (RFC 9111, sections 5.2.1.4 and 5.2.1.5).
-func (j *Joins) like(c *engine.Call, r *http.Request, body []byte) *join.Digest {
+func (j *Joins) like(c *engine.Call, r *http.Request, body []byte) *coalesce.Digest {
 	if j == nil {
 		return nil
 	}
--- a/internal/rehearsal/carry.go
+++ b/internal/rehearsal/carry.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/coalesce"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
-	"appleledge/internal/join"
 )
 
 // simRequest is a client's request with all its tries.
@@ -59,7 +59,7 @@
 	call := &engine.Call{ID: fmt.Sprintf("%s.%d", r.id, r.tries), Class: r.class, Tenant: r.tenant, Key: r.route,
 		Deadline: began + deadline - marginOfAgent, Again: r.tries > 1 && w.script.Clients.Mark, RepeatKey: r.key, Carrier: r.agent, Payload: r}
 	if r.class == 0 {
-		call.Like = &join.Digest{}
+		call.Like = &coalesce.Digest{}
 		copy(call.Like[:], r.route)
 	}
 	if r.key != "" {
--- a/internal/rehearsal/simulate.go
+++ b/internal/rehearsal/simulate.go
@@ -10,12 +10,12 @@
 
 	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
+	"appleledge/internal/coalesce"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/share"
-	"appleledge/internal/join"
 	"appleledge/internal/rig/doors"
 	"appleledge/internal/settings"
 )
@@ -260,11 +260,11 @@
 }
 
 // joinOptions are those that an agent's own settings have by default.
-func joinOptions(classes []balancer.Class) join.Options {
+func joinOptions(classes []balancer.Class) coalesce.Options {
 	set := settings.DefaultJoin()
-	o := join.Options{MostGroups: set.MaxGroups, MostWaiting: set.MaxWaiting, Pause: time.Duration(set.Pause)}
+	o := coalesce.Options{MostGroups: set.MaxGroups, MostWaiting: set.MaxWaiting, Pause: time.Duration(set.Pause)}
 	for _, c := range classes {
-		o.Classes = append(o.Classes, join.Class{Joined: c.Name == safeClass, Aim: c.Aim, Deadline: c.Deadline})
+		o.Classes = append(o.Classes, coalesce.Class{Joined: c.Name == safeClass, Aim: c.Aim, Deadline: c.Deadline})
 	}
 	return o
 }
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -16,13 +16,13 @@
 	"appleledge/internal/admission"
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
+	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/generation"
 	"appleledge/internal/golden"
-	"appleledge/internal/join"
 	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
@@ -67,7 +67,7 @@
 			GivenUp: [5]uint64{151, 152, 153, 154, 155}, Times: []engine.Times{times(161), times(171)}})
 	})
 	part(func(p page) {
-		s.joins(p, engine.Load{Joins: join.Counts{Flights: 181, Joined: 182, Alone: 183, Parted: 184, Again: 185, Private: 186, Shared: 187,
+		s.joins(p, engine.Load{Joins: coalesce.Counts{Flights: 181, Joined: 182, Alone: 183, Parted: 184, Again: 185, Private: 186, Shared: 187,
 			Waiting: 188, Groups: 189}})
 	})
 	for state := admission.Calm; state <= admission.Recovering; state++ {
