--- a/cmd/appleledgectl/affinity.go
+++ b/cmd/appleledgectl/affinity.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"appleledge/internal/affinity"
-	"appleledge/internal/affinity/tielog"
+	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/store"
 )
 
@@ -35,9 +35,9 @@
 }
 
 // inspecting is a command on the files of a folder.
-func (c *console) inspecting(use, short string, args int, do func(dir string, files []tielog.Report, args []string) error) *cobra.Command {
+func (c *console) inspecting(use, short string, args int, do func(dir string, files []bindinglog.Report, args []string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(_ *cobra.Command, args []string) error {
-		files, err := tielog.Inspect(store.OS{}, c.dir)
+		files, err := bindinglog.Inspect(store.OS{}, c.dir)
 		if err != nil {
 			return err
 		}
@@ -48,7 +48,7 @@
 // kindNames are the kinds of records.
 var kindNames = map[affinity.Kind]string{affinity.Began: "began", affinity.Cleared: "never ran", affinity.EndedServed: "served", affinity.EndedFailed: "failed"}
 
-func (c *console) stat(_ string, files []tielog.Report, _ []string) error {
+func (c *console) stat(_ string, files []bindinglog.Report, _ []string) error {
 	if c.json {
 		return c.writeJSON(files)
 	}
@@ -63,7 +63,7 @@
 	return w.Flush()
 }
 
-func (c *console) checkFiles(dir string, files []tielog.Report, _ []string) error {
+func (c *console) checkFiles(dir string, files []bindinglog.Report, _ []string) error {
 	var wrong []error
 	for _, f := range files {
 		if f.Damaged > 0 || f.Problem != "" {
@@ -87,11 +87,11 @@
 	Zone int32   `json:"zone"`
 }
 
-func lineOf(f tielog.Report, r affinity.Record) line {
+func lineOf(f bindinglog.Report, r affinity.Record) line {
 	return line{f.Name, f.Boot, fmt.Sprintf("%016x%016x", r.Key[0], r.Key[1]), kindNames[r.Kind], r.At.Seconds(), r.Pod, r.Zone}
 }
 
-func (c *console) export(_ string, files []tielog.Report, _ []string) error {
+func (c *console) export(_ string, files []bindinglog.Report, _ []string) error {
 	e := json.NewEncoder(c.out)
 	for _, f := range files {
 		for _, r := range f.Records {
@@ -103,11 +103,11 @@
 	return nil
 }
 
-func (c *console) lookup(dir string, files []tielog.Report, args []string) error {
+func (c *console) lookup(dir string, files []bindinglog.Report, args []string) error {
 	if _, err := os.Stat(filepath.Join(dir, "secret")); err != nil {
 		return fmt.Errorf("the secret by which keys are hashed: %w", err) // one is not made by a look
 	}
-	secret, err := tielog.Secret(tielog.Options{Dir: dir, FS: store.OS{}})
+	secret, err := bindinglog.Secret(bindinglog.Options{Dir: dir, FS: store.OS{}})
 	if err != nil {
 		return err
 	}
@@ -131,8 +131,8 @@
 
 func (c *console) compact() *cobra.Command {
 	var lasts time.Duration
-	cmd := c.inspecting("compact", "Remove files of which nothing is of use any more", 0, func(dir string, files []tielog.Report, _ []string) error {
-		boot, now, err := tielog.SinceBoot()
+	cmd := c.inspecting("compact", "Remove files of which nothing is of use any more", 0, func(dir string, files []bindinglog.Report, _ []string) error {
+		boot, now, err := bindinglog.SinceBoot()
 		if err != nil {
 			return err
 		}
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -17,7 +17,7 @@
 
 	"appleledge/internal/admin"
 	"appleledge/internal/affinity"
-	"appleledge/internal/affinity/tielog"
+	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/agent"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
@@ -219,19 +219,19 @@
 // What a folder of ties holds, with a damaged file and one of an earlier run of the machine among them.
 func TestAffinityCommands(t *testing.T) {
 	dir := t.TempDir()
-	boot, now, err := tielog.SinceBoot()
+	boot, now, err := bindinglog.SinceBoot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := tielog.Options{Dir: dir, FS: store.OS{}, Lasts: time.Minute, Now: func() time.Duration { return now }, Boot: boot,
+	o := bindinglog.Options{Dir: dir, FS: store.OS{}, Lasts: time.Minute, Now: func() time.Duration { return now }, Boot: boot,
 		Stamp: func(t time.Duration) int64 { return int64(t) }, Clock: func(n int64) time.Duration { return time.Duration(n) }}
-	secret, err := tielog.Secret(o)
+	secret, err := bindinglog.Secret(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, b := range []string{boot, "earlier"} {
 		o.Boot = b
-		l, err := tielog.Open(o)
+		l, err := bindinglog.Open(o)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/affinity/tielog/bench_test.go
+++ b/internal/affinity/bindinglog/bench_test.go
@@ -1,4 +1,4 @@
-package tielog
+package bindinglog
 
 import (
 	"fmt"
--- a/internal/affinity/tielog/tielog.go
+++ b/internal/affinity/bindinglog/tielog.go
@@ -1,7 +1,7 @@
-// Package tielog keeps ties over a restart: append-only files of records in a folder. Each process writes files of its own and
+// Package bindinglog keeps ties over a restart: append-only files of records in a folder. Each process writes files of its own and
 // reads those of all, so that an old process that drains and a new one that serves already tell each other, and two agents
 // that were given one folder by mistake do no harm. Many records are written together (group commit).
-package tielog
+package bindinglog
 
 import (
 	"bytes"
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"appleledge/internal/affinity/tielog"
+	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/balancer"
 	"appleledge/internal/bans"
 	"appleledge/internal/engine"
@@ -125,7 +125,7 @@
 	if err != nil {
 		return ondisk.Now{}, err
 	}
-	_, since, err := tielog.SinceBoot()
+	_, since, err := bindinglog.SinceBoot()
 	return ondisk.Now{Agent: k.agent, Run: run, SinceBoot: since}, err
 }
 
--- a/internal/agent/ties.go
+++ b/internal/agent/ties.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"appleledge/internal/affinity"
-	"appleledge/internal/affinity/tielog"
+	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 )
@@ -31,7 +31,7 @@
 
 // tying is what keeps ties.
 type tying struct {
-	log    *tielog.Log
+	log    *bindinglog.Log
 	core   *engine.Engine
 	budget time.Duration
 	out    *slog.Logger
@@ -59,15 +59,15 @@
 		core.Tie(table, secret, nil)
 		return nil, nil
 	}
-	o := tielog.Options{Dir: set.Dir, FS: x.disk(), Sync: set.Sync, Lasts: window + set.Tail, Now: clk.Now}
+	o := bindinglog.Options{Dir: set.Dir, FS: x.disk(), Sync: set.Sync, Lasts: window + set.Tail, Now: clk.Now}
 	if err := x.sinceBoot(&o, clk); err != nil {
 		return nil, fmt.Errorf("ties: %w", err)
 	}
-	secret, err := tielog.Secret(o)
+	secret, err := bindinglog.Secret(o)
 	if err != nil {
 		return nil, err
 	}
-	l, err := tielog.Open(o)
+	l, err := bindinglog.Open(o)
 	if err != nil {
 		return nil, fmt.Errorf("ties: %w", err)
 	}
@@ -85,8 +85,8 @@
 }
 
 // sinceBoot sets times since the machine has started, which two processes have in common.
-func (x Extras) sinceBoot(o *tielog.Options, clk engine.Clock) error {
-	boot, now, err := tielog.SinceBoot()
+func (x Extras) sinceBoot(o *bindinglog.Options, clk engine.Clock) error {
+	boot, now, err := bindinglog.SinceBoot()
 	if err == nil && x.Recovery != nil {
 		boot, err = x.Recovery.run()
 	}
@@ -101,7 +101,7 @@
 }
 
 // damaged logs what could not be read.
-func (t *tying) damaged(found tielog.Found) {
+func (t *tying) damaged(found bindinglog.Found) {
 	if found.Damaged > 0 {
 		t.out.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Damaged, "kept_as", found.Aside)
 	}
@@ -111,7 +111,7 @@
 func (t *tying) Append(r affinity.Record) engine.TieCommit { return commit{t.log.Append(r), t.budget} }
 
 type commit struct {
-	*tielog.Commit
+	*bindinglog.Commit
 	budget time.Duration
 }
 
