--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 	"appleledge/internal/handover"
 	"appleledge/internal/operator"
@@ -60,7 +60,7 @@
 }
 
 func hold(ctx context.Context, core *engine.Engine, server string, out bool) error {
-	return core.Bans(ctx, func(now time.Duration, s *bans.Set) error {
+	return core.Bans(ctx, func(now time.Duration, s *denylist.Set) error {
 		if out {
 			return s.Down(now, server)
 		}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening for operators: %w", err)
 	}
-	set := bans.New(mostBans)
+	set := denylist.New(mostBans)
 	if o.link != nil {
 		set.Restore(o.link.Inherited(), clk.FromUnix)
 	}
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -14,7 +14,7 @@
 
 	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/balancer"
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 	ondisk "appleledge/internal/fleet/kept"
 	"appleledge/internal/fleet/recovery"
@@ -152,7 +152,7 @@
 }
 
 // bans are those from before.
-func (k *keeping) bans() (st bans.State) {
+func (k *keeping) bans() (st denylist.State) {
 	if k != nil {
 		st = k.before.Bans
 	}
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 	"appleledge/internal/handover"
 	"appleledge/internal/httpfront"
@@ -60,8 +60,8 @@
 }
 
 // Bans is for handover.Host.
-func (u *upgrade) Bans(ctx context.Context) (st bans.State, err error) {
-	err = u.core.Bans(ctx, func(_ time.Duration, s *bans.Set) error {
+func (u *upgrade) Bans(ctx context.Context) (st denylist.State, err error) {
+	err = u.core.Bans(ctx, func(_ time.Duration, s *denylist.Set) error {
 		st = s.State(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
 		return nil
 	})
@@ -70,8 +70,8 @@
 
 // Obey is for handover.Host. The other process may know of a server that this one has not been told of yet.
 func (u *upgrade) Obey(ctx context.Context, o handover.Order) error {
-	if err := u.core.Bans(ctx, func(_ time.Duration, s *bans.Set) error {
-		s.Restore(bans.State{Seen: []string{o.Server}}, u.clock.FromUnix)
+	if err := u.core.Bans(ctx, func(_ time.Duration, s *denylist.Set) error {
+		s.Restore(denylist.State{Seen: []string{o.Server}}, u.clock.FromUnix)
 		return nil
 	}); err != nil {
 		return err
--- a/internal/bans/bans.go
+++ b/internal/denylist/bans.go
@@ -1,6 +1,6 @@
-// Package bans decides which servers operators hold out, beside what the list says of them. It does no I/O and reads no
+// Package denylist decides which servers operators hold out, beside what the list says of them. It does no I/O and reads no
 // clock.
-package bans
+package denylist
 
 import (
 	"container/list"
--- a/internal/bans/decisions_test.go
+++ b/internal/denylist/decisions_test.go
@@ -1,4 +1,4 @@
-package bans
+package denylist
 
 import (
 	"errors"
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -5,23 +5,23 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 )
 
 // held is what the engine keeps of servers that operators hold out: the set, and the list as it was told, since bans lie
 // over it and are taken off again.
 type held struct {
-	set  *bans.Set
+	set  *denylist.Set
 	told map[string]Member
 	drop float64 // as the list said last
 }
 
 // Hold lets operators hold servers out. It is called before Run.
-func (e *Engine) Hold(set *bans.Set) { e.held = &held{set: set, told: map[string]Member{}} }
+func (e *Engine) Hold(set *denylist.Set) { e.held = &held{set: set, told: map[string]Member{}} }
 
 // Bans runs do with the set on the engine's goroutine and waits until what it has changed holds: by then a server that is
 // held out gets nothing new.
-func (e *Engine) Bans(ctx context.Context, do func(now time.Duration, s *bans.Set) error) error {
+func (e *Engine) Bans(ctx context.Context, do func(now time.Duration, s *denylist.Set) error) error {
 	var told error
 	err := e.command(ctx, func(now time.Duration) {
 		before := e.held.overlaid()
--- a/internal/engine/returning.go
+++ b/internal/engine/returning.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/fleet/recovery"
 )
 
@@ -62,7 +62,7 @@
 type Known struct {
 	Members []Member // as the list has them, by id
 	Before  recovery.Before
-	Bans    bans.State
+	Bans    denylist.State
 }
 
 // Known returns what the engine knows. It waits for the engine, and is for one that has a recovery.
--- a/internal/fleet/kept/kept.go
+++ b/internal/fleet/kept/kept.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/membership/listing"
 )
@@ -37,7 +37,7 @@
 	Capacity  map[string]float64 `json:"capacity,omitempty"` // requests a second when warm, by server
 	Usual     map[string]float64 `json:"usual,omitempty"`    // requests a second that the agent is asked, by class
 	Use       float64            `json:"use,omitempty"`      // of the servers, from 0 to 1
-	Bans      bans.State         `json:"bans"`
+	Bans      denylist.State     `json:"bans"`
 }
 
 // Parse reads a document. The error says what is wrong with it; nothing of it is to be used then.
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -11,14 +11,14 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/golden"
 	"appleledge/internal/testbed"
 )
 
 // goldenState is what operators hold out.
-func goldenState() bans.State {
-	return bans.State{Out: map[string]int64{"a": 1_790_000_000_001}, Back: map[string]int64{"b": 1_790_000_000_002}, Seen: []string{"a", "b", "c"}}
+func goldenState() denylist.State {
+	return denylist.State{Out: map[string]int64{"a": 1_790_000_000_001}, Back: map[string]int64{"b": 1_790_000_000_002}, Seen: []string{"a", "b", "c"}}
 }
 
 // goldenMessages are those that processes send, of each kind and in each phase, and one with all fields.
@@ -94,7 +94,7 @@
 	}
 	defer l.Close()
 	near, far := connection(t)
-	link, set := alone(), bans.New(10)
+	link, set := alone(), denylist.New(10)
 	link.user, link.gate = os.Geteuid(), NewGate(l.(*net.TCPListener))
 	set.Restore(goldenState(), func(ms int64) time.Duration { return time.Duration(ms) })
 	link.host = &host{Link: link, set: set}
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -20,7 +20,7 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/localsocket"
 )
 
@@ -47,7 +47,7 @@
 // Host is the process that a Link connects with others.
 type Host interface {
 	// Bans returns what operators hold out now.
-	Bans(context.Context) (bans.State, error)
+	Bans(context.Context) (denylist.State, error)
 	// Obey carries out an order that was told to another process.
 	Obey(context.Context, Order) error
 	// Share says which part of the agent's limits the process may use from now on.
@@ -56,11 +56,11 @@
 
 // message is a line between two processes.
 type message struct {
-	Phase Phase       `json:"phase"` // of the sender
-	Bans  *bans.State `json:"bans,omitempty"`
-	Order *Order      `json:"order,omitempty"`
-	Ask   int         `json:"ask,omitempty"`   // the number under which a reply is wanted
-	Reply int         `json:"reply,omitempty"` // the number that is replied to
+	Phase Phase           `json:"phase"` // of the sender
+	Bans  *denylist.State `json:"bans,omitempty"`
+	Order *Order          `json:"order,omitempty"`
+	Ask   int             `json:"ask,omitempty"`   // the number under which a reply is wanted
+	Reply int             `json:"reply,omitempty"` // the number that is replied to
 }
 
 // Link connects a process with the others of its agent.
@@ -79,7 +79,7 @@
 	peers   map[int]*peer
 	number  int
 	wait    map[int]chan<- struct{} // for replies, by number
-	bans    bans.State              // what the processes that were there at the start held out
+	bans    denylist.State          // what the processes that were there at the start held out
 }
 
 // peer is another process.
@@ -252,7 +252,7 @@
 func (l *Link) Gate() *Gate { return l.gate }
 
 // Inherited is what the other processes held out at the start.
-func (l *Link) Inherited() bans.State { return l.bans }
+func (l *Link) Inherited() denylist.State { return l.bans }
 
 // Alone reports whether there is no other process.
 func (l *Link) Alone() bool {
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/testbed"
 )
 
@@ -24,13 +24,13 @@
 	end func() // as its death does
 
 	mu    sync.Mutex
-	set   *bans.Set
+	set   *denylist.Set
 	share float64
 	asked chan struct{} // told when the bans are asked for, which then wait for told; nil: they do not
 	told  chan struct{}
 }
 
-func (h *host) Bans(context.Context) (bans.State, error) {
+func (h *host) Bans(context.Context) (denylist.State, error) {
 	h.mu.Lock()
 	state, asked, told := h.state(), h.asked, h.told
 	h.mu.Unlock()
@@ -41,7 +41,7 @@
 	return state, nil
 }
 
-func (h *host) state() bans.State {
+func (h *host) state() denylist.State {
 	return h.set.State(func(d time.Duration) int64 { return int64(d) })
 }
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &host{Link: link, set: bans.New(10)}
+	h := &host{Link: link, set: denylist.New(10)}
 	for _, id := range []string{"a", "b"} {
 		h.set.Listed(id, 0)
 	}
@@ -187,11 +187,11 @@
 	var both sync.WaitGroup
 	defer both.Wait()
 	defer stop()
-	both.Go(func() { first.Run(ctx, &host{Link: first, set: bans.New(10)}) })
+	both.Go(func() { first.Run(ctx, &host{Link: first, set: denylist.New(10)}) })
 	if err := <-joined; err != nil {
 		t.Fatal(err)
 	}
-	both.Go(func() { second.Run(ctx, &host{Link: second, set: bans.New(10)}) })
+	both.Go(func() { second.Run(ctx, &host{Link: second, set: denylist.New(10)}) })
 	defer second.gate.Close()
 	defer first.gate.Close()
 	if second.Alone() || second.Gate().Addr().String() != first.Gate().Addr().String() {
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	link.user++ // so that this user is a stranger to it
-	h := &host{Link: link, set: bans.New(10)}
+	h := &host{Link: link, set: denylist.New(10)}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); link.Run(ctx, h) }()
@@ -339,7 +339,7 @@
 		}
 		defer l.Close()
 		link.gate = NewGate(l.(*net.TCPListener))
-		h := &host{Link: link, set: bans.New(2)}
+		h := &host{Link: link, set: denylist.New(2)}
 		link.host = h
 		p := newPeer(near)
 		link.add(p, message{})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 	"appleledge/internal/places"
 )
@@ -131,9 +131,9 @@
 		}
 		err := s.Agent.Hold(r.Context(), id, out)
 		switch {
-		case errors.Is(err, bans.ErrUnknown):
+		case errors.Is(err, denylist.ErrUnknown):
 			http.Error(w, err.Error(), http.StatusNotFound)
-		case errors.Is(err, bans.ErrFull):
+		case errors.Is(err, denylist.ErrFull):
 			http.Error(w, err.Error(), http.StatusConflict)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -13,20 +13,20 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/bans"
+	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 	"appleledge/internal/testbed"
 )
 
 // fake is an agent with a server "s-1".
 type fake struct {
-	set   *bans.Set
+	set   *denylist.Set
 	ready bool
 	err   error
 }
 
 func newFake() *fake {
-	f := &fake{set: bans.New(1), ready: true}
+	f := &fake{set: denylist.New(1), ready: true}
 	f.set.Listed("s-1", 0)
 	f.set.Listed("s/2", 0)
 	return f
