--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -17,7 +17,7 @@
 	"appleledge/internal/fleet/peer"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/share"
-	"appleledge/internal/handover"
+	"appleledge/internal/hotrestart"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/httpfront"
 	"appleledge/internal/intake"
@@ -99,7 +99,7 @@
 	// Memory limits the process to a part of the agent's memory, while another process of the agent runs; nil: nothing does.
 	Memory func(part float64)
 
-	link *handover.Link // to other processes of the agent; nil where there can be none
+	link *hotrestart.Link // to other processes of the agent; nil where there can be none
 }
 
 // Storm says how retry storms are noticed.
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"appleledge/internal/handover"
+	"appleledge/internal/hotrestart"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/operator"
 	"appleledge/internal/wire"
@@ -160,5 +160,5 @@
 	if c.Operator == "" {
 		return 0
 	}
-	return operator.Sockets + handover.Sockets
+	return operator.Sockets + hotrestart.Sockets
 }
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -11,7 +11,7 @@
 
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
-	"appleledge/internal/handover"
+	"appleledge/internal/hotrestart"
 	"appleledge/internal/operator"
 )
 
@@ -25,7 +25,7 @@
 type operating struct {
 	core    *engine.Engine
 	reloads *reloadCounts
-	link    *handover.Link // to other processes of the agent; nil where there can be none
+	link    *hotrestart.Link // to other processes of the agent; nil where there can be none
 	ready   func() bool
 	fleet   func(context.Context) (operator.Fleet, error) // nil: there is none to see
 	keep    *keeping                                      // nil: bans end with the agent's last process
@@ -48,7 +48,7 @@
 	if o.link == nil {
 		err = do()
 	} else {
-		err = o.link.Give(ctx, handover.Order{Server: server, Out: out}, do)
+		err = o.link.Give(ctx, hotrestart.Order{Server: server, Out: out}, do)
 	}
 	if err != nil || o.keep == nil {
 		return err
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -13,7 +13,7 @@
 
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
-	"appleledge/internal/handover"
+	"appleledge/internal/hotrestart"
 	"appleledge/internal/httpfront"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/places"
@@ -28,8 +28,8 @@
 )
 
 // joinOthers opens the listener for clients, or takes it over from a process of the agent that runs already.
-func joinOthers(cfg Config, log *slog.Logger) (*handover.Link, error) {
-	return handover.Join(os.TempDir(), cfg.Name+" "+cfg.Listen, func() (net.Listener, error) { return listenShared(cfg.Listen) }, log)
+func joinOthers(cfg Config, log *slog.Logger) (*hotrestart.Link, error) {
+	return hotrestart.Join(os.TempDir(), cfg.Name+" "+cfg.Listen, func() (net.Listener, error) { return listenShared(cfg.Listen) }, log)
 }
 
 // listenShared listens on an address at which other processes may listen as well, where the socket itself can't be handed over.
@@ -47,7 +47,7 @@
 
 // upgrade is a process among others of the same agent.
 type upgrade struct {
-	link                    *handover.Link
+	link                    *hotrestart.Link
 	core                    *engine.Engine
 	clock                   engine.Clock
 	conns                   *pool.Pool
@@ -69,7 +69,7 @@
 }
 
 // Obey is for handover.Host. The other process may know of a server that this one has not been told of yet.
-func (u *upgrade) Obey(ctx context.Context, o handover.Order) error {
+func (u *upgrade) Obey(ctx context.Context, o hotrestart.Order) error {
 	if err := u.core.Bans(ctx, func(_ time.Duration, s *denylist.Set) error {
 		s.Restore(denylist.State{Seen: []string{o.Server}}, u.clock.FromUnix)
 		return nil
@@ -95,7 +95,7 @@
 
 // leave is told that the process is to end. It reports whether another one serves.
 func (u *upgrade) leave() bool {
-	u.link.Enter(context.Background(), handover.Leaving)
+	u.link.Enter(context.Background(), hotrestart.Leaving)
 	return u.link.Succeeded()
 }
 
@@ -108,7 +108,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	u.link.Enter(ctx, handover.Serving)
+	u.link.Enter(ctx, hotrestart.Serving)
 	u.serving.Store(true)
 	log.Info("ready to serve", "discovery heard", d.Heard(), "alone", u.link.Alone(), "after", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/handover/gate.go
+++ b/internal/hotrestart/gate.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"net"
--- a/internal/handover/process.go
+++ b/internal/hotrestart/process.go
@@ -1,6 +1,6 @@
-// Package handover makes an old and a new process one agent while one replaces the other: they share the socket that clients
+// Package hotrestart makes an old and a new process one agent while one replaces the other: they share the socket that clients
 // connect to, the limits, and what operators order.
-package handover
+package hotrestart
 
 // Phase is how far a process has come.
 type Phase int
