--- a/cmd/appleledge/upgrade_generations_test.go
+++ b/cmd/appleledge/upgrade_generations_test.go
@@ -12,9 +12,9 @@
 	"testing"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/plan"
-	"appleledge/internal/store"
 	"appleledge/internal/testbed"
 )
 
@@ -174,7 +174,7 @@
 	testbed.Eventually(t, "the log tells of it", func() bool { return now.log.Count("this one keeps what is in force") == 1 })
 	g.all(g.two, "a torn state was taken over")
 	testbed.Eventually(t, "what is in force is kept anew", func() bool {
-		_, err := store.File{Path: filepath.Join(g.dir, "state"), FS: store.OS{}}.Load()
+		_, err := atomicfile.File{Path: filepath.Join(g.dir, "state"), FS: atomicfile.OS{}}.Load()
 		return err == nil
 	})
 }
--- a/cmd/appleledgectl/affinity.go
+++ b/cmd/appleledgectl/affinity.go
@@ -13,7 +13,7 @@
 
 	"appleledge/internal/affinity"
 	"appleledge/internal/affinity/bindinglog"
-	"appleledge/internal/store"
+	"appleledge/internal/atomicfile"
 )
 
 // affinityCommands look into the folder in which agents keep where refunds went. They need no agent.
@@ -37,7 +37,7 @@
 // inspecting is a command on the files of a folder.
 func (c *console) inspecting(use, short string, args int, do func(dir string, files []bindinglog.Report, args []string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(_ *cobra.Command, args []string) error {
-		files, err := bindinglog.Inspect(store.OS{}, c.dir)
+		files, err := bindinglog.Inspect(atomicfile.OS{}, c.dir)
 		if err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 	if _, err := os.Stat(filepath.Join(dir, "secret")); err != nil {
 		return fmt.Errorf("the secret by which keys are hashed: %w", err) // one is not made by a look
 	}
-	secret, err := bindinglog.Secret(bindinglog.Options{Dir: dir, FS: store.OS{}})
+	secret, err := bindinglog.Secret(bindinglog.Options{Dir: dir, FS: atomicfile.OS{}})
 	if err != nil {
 		return err
 	}
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -19,11 +19,11 @@
 	"appleledge/internal/affinity"
 	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/agent"
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
 	"appleledge/internal/program"
 	"appleledge/internal/settings"
-	"appleledge/internal/store"
 	"appleledge/internal/testbed"
 )
 
@@ -223,7 +223,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := bindinglog.Options{Dir: dir, FS: store.OS{}, Lasts: time.Minute, Now: func() time.Duration { return now }, Boot: boot,
+	o := bindinglog.Options{Dir: dir, FS: atomicfile.OS{}, Lasts: time.Minute, Now: func() time.Duration { return now }, Boot: boot,
 		Stamp: func(t time.Duration) int64 { return int64(t) }, Clock: func(n int64) time.Duration { return time.Duration(n) }}
 	secret, err := bindinglog.Secret(o)
 	if err != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,11 +18,11 @@
 
 	"pgregory.net/rapid"
 
+	"appleledge/internal/atomicfile"
+	"appleledge/internal/atomicfile/faultfs"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
-	"appleledge/internal/store"
-	"appleledge/internal/store/faultfs"
 	"appleledge/internal/testbed"
 )
 
@@ -48,7 +48,7 @@
 type installation struct {
 	*Changes
 	core *core
-	disk store.FS
+	disk atomicfile.FS
 }
 
 func server(i int) *fleetconfig.Server {
@@ -57,7 +57,7 @@
 }
 
 // start begins an agent on what the disk has.
-func start(t testing.TB, disk store.FS, servers int) *installation {
+func start(t testing.TB, disk atomicfile.FS, servers int) *installation {
 	t.Helper()
 	c := &core{manager: generation.New(generation.Options{Names: names, MaxAfter: time.Second}), now: time.Second}
 	fleet := generation.Servers{}
@@ -68,7 +68,7 @@
 	x := &installation{core: c, disk: disk, Changes: &Changes{Agent: "n0", Engine: c, Names: func() generation.Names { return names }, Now: time.Now,
 		Log: slog.New(slog.DiscardHandler), Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}}
 	if disk != nil {
-		f := store.File{Path: "state", FS: disk}
+		f := atomicfile.File{Path: "state", FS: disk}
 		x.Keeper = f
 		doc, err := f.Load()
 		if err == nil {
@@ -79,7 +79,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-		} else if !errors.Is(err, store.ErrNone) {
+		} else if !errors.Is(err, atomicfile.ErrNone) {
 			t.Fatal(err)
 		}
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/atomicfile/faultfs"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 	"appleledge/internal/golden"
 	"appleledge/internal/plan"
-	"appleledge/internal/store/faultfs"
 )
 
 // Each value of a call has the committed bytes with all its fields set, and these are read as the same value.
--- a/internal/affinity/bindinglog/bench_test.go
+++ b/internal/affinity/bindinglog/bench_test.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/bbolt"
 
 	"appleledge/internal/affinity"
-	"appleledge/internal/store"
+	"appleledge/internal/atomicfile"
 )
 
 // keeper is a way to keep records; many goroutines call it at a time, and it returns when the record is kept.
@@ -24,7 +24,7 @@
 	return map[string]func() (keeper, func()){
 		"log": func() (keeper, func()) {
 			c := &clock{now: time.Minute}
-			o := c.options(store.OS{}, lasting, "boot")
+			o := c.options(atomicfile.OS{}, lasting, "boot")
 			o.Dir = b.TempDir()
 			l, ended, done := open(b, o), make(chan struct{}), make(chan struct{})
 			go func() {
@@ -113,7 +113,7 @@
 // BenchmarkRecover is how long a million records take to be read into a table.
 func BenchmarkRecover(b *testing.B) {
 	c := &clock{now: time.Minute}
-	o := c.options(store.OS{}, false, "boot")
+	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = b.TempDir()
 	l := open(b, o)
 	for i := range 1_000_000 {
--- a/internal/affinity/bindinglog/golden_test.go
+++ b/internal/affinity/bindinglog/golden_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"appleledge/internal/affinity"
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/golden"
-	"appleledge/internal/store"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // goldenOptions are of a clock that the machine's is ahead of by a second.
 func goldenOptions(dir, boot string) Options {
-	return Options{Dir: dir, FS: store.OS{}, Sync: true, Lasts: 10 * time.Second, Now: func() time.Duration { return 30 * time.Second }, Boot: boot,
+	return Options{Dir: dir, FS: atomicfile.OS{}, Sync: true, Lasts: 10 * time.Second, Now: func() time.Duration { return 30 * time.Second }, Boot: boot,
 		Stamp: func(t time.Duration) int64 { return int64(t + time.Second) }, Clock: func(n int64) time.Duration { return time.Duration(n) - time.Second }}
 }
 
@@ -72,7 +72,7 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	names, err := store.OS{}.Names(dir)
+	names, err := atomicfile.OS{}.Names(dir)
 	if err != nil || len(names) != len(goldenFiles) {
 		t.Errorf("the folder holds %v, %v", names, err)
 	}
@@ -121,7 +121,7 @@
 	if want := []string{filepath.Join(dir, "b.ties.damaged")}; err == nil || found.Damaged != 1 || !reflect.DeepEqual(found.Aside, want) {
 		t.Errorf("before the newer file %+v was read, and then %v", found, err)
 	}
-	reports, err := Inspect(store.OS{}, dir)
+	reports, err := Inspect(atomicfile.OS{}, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 	secret := affinity.Secret{0xf1, 0xf2, 0xf3, 0xf4, 0xf5, 0xf6, 0xf7, 0xf8, 0xf9, 0xfa, 0xfb, 0xfc, 0xfd, 0xfe, 0xff, '\n'}
 	save := func(s affinity.Secret) []byte {
 		t.Helper()
-		f := store.File{Path: filepath.Join(t.TempDir(), "any"), FS: store.OS{}}
+		f := atomicfile.File{Path: filepath.Join(t.TempDir(), "any"), FS: atomicfile.OS{}}
 		if err := f.Save(s[:]); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/affinity/bindinglog/inspect.go
+++ b/internal/affinity/bindinglog/inspect.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"appleledge/internal/affinity"
-	"appleledge/internal/store"
+	"appleledge/internal/atomicfile"
 )
 
 // Report is what a file of ties holds.
@@ -28,7 +28,7 @@
 }
 
 // Inspect reads the files of a folder, without a process that serves; those that were kept aside as well.
-func Inspect(f store.FS, dir string) (reports []Report, err error) {
+func Inspect(f atomicfile.FS, dir string) (reports []Report, err error) {
 	names, err := f.Names(dir)
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 	return reports, nil
 }
 
-func inspect(f store.FS, dir, name string) (r Report, err error) {
+func inspect(f atomicfile.FS, dir, name string) (r Report, err error) {
 	r.Name = name
 	file, err := f.Open(filepath.Join(dir, name))
 	if err != nil {
--- a/internal/affinity/bindinglog/tielog.go
+++ b/internal/affinity/bindinglog/tielog.go
@@ -19,13 +19,13 @@
 	"time"
 
 	"appleledge/internal/affinity"
-	"appleledge/internal/store"
+	"appleledge/internal/atomicfile"
 )
 
 // Options say where and how ties are kept.
 type Options struct {
 	Dir   string
-	FS    store.FS
+	FS    atomicfile.FS
 	Sync  bool                 // to the disk itself; else a machine that stops forgets, and only a process that is killed does not
 	Lasts time.Duration        // for which a record is of use: the window and the tail
 	Now   func() time.Duration // on the engine's clock
@@ -96,7 +96,7 @@
 	wake    chan struct{}
 
 	// Of the goroutine that writes:
-	file  store.Handle
+	file  atomicfile.Handle
 	name  string
 	size  int
 	last  time.Duration // when the file was written last
@@ -122,16 +122,16 @@
 
 // Secret reads the installation's secret, or makes one.
 func Secret(o Options) (s affinity.Secret, err error) {
-	f := store.File{Path: filepath.Join(o.Dir, secretName), FS: o.FS}
+	f := atomicfile.File{Path: filepath.Join(o.Dir, secretName), FS: o.FS}
 	doc, err := f.Load()
-	if errors.Is(err, store.ErrNone) {
+	if errors.Is(err, atomicfile.ErrNone) {
 		if _, err := rand.Read(s[:]); err != nil {
 			return s, err
 		}
 		return s, f.Save(s[:])
 	}
 	if err == nil && len(doc) != len(s) {
-		err = store.ErrBroken
+		err = atomicfile.ErrBroken
 	}
 	if err != nil {
 		return s, fmt.Errorf("the secret of ties: %w", err)
--- a/internal/affinity/bindinglog/tielog_test.go
+++ b/internal/affinity/bindinglog/tielog_test.go
@@ -13,14 +13,14 @@
 	"time"
 
 	"appleledge/internal/affinity"
-	"appleledge/internal/store"
-	"appleledge/internal/store/faultfs"
+	"appleledge/internal/atomicfile"
+	"appleledge/internal/atomicfile/faultfs"
 )
 
 // clock is the time of a test, in one run of the machine.
 type clock struct{ now time.Duration }
 
-func (c *clock) options(fs store.FS, sync bool, boot string) Options {
+func (c *clock) options(fs atomicfile.FS, sync bool, boot string) Options {
 	return Options{Dir: "d", FS: fs, Sync: sync, Lasts: 10 * time.Second, Now: func() time.Duration { return c.now }, Boot: boot,
 		Stamp: func(t time.Duration) int64 { return int64(t) }, Clock: func(n int64) time.Duration { return time.Duration(n) }}
 }
@@ -97,7 +97,7 @@
 func TestCutAndDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	c := &clock{now: time.Minute}
-	o := c.options(store.OS{}, false, "boot")
+	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = dir
 	l := open(t, o)
 	for i := range 5 {
@@ -144,7 +144,7 @@
 // Files go when nothing in them is of use, and not before.
 func TestProcessesSideBySide(t *testing.T) {
 	c := &clock{now: time.Minute}
-	o := c.options(store.OS{}, false, "boot")
+	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = t.TempDir()
 	a, b := open(t, o), open(t, o)
 	hear := func(l *Log, want string) {
@@ -177,7 +177,7 @@
 		t.Errorf("after a start of the machine %+v", found)
 	}
 	files := func() int {
-		names, err := store.OS{}.Names(o.Dir)
+		names, err := atomicfile.OS{}.Names(o.Dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -205,7 +205,7 @@
 // The secret is made once, and one that is damaged is not replaced: keys hashed with another one would be strangers.
 func TestSecret(t *testing.T) {
 	c := &clock{}
-	o := c.options(store.OS{}, false, "boot")
+	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = t.TempDir()
 	first, err := Secret(o)
 	if err != nil {
@@ -217,7 +217,7 @@
 	if err := os.WriteFile(filepath.Join(o.Dir, secretName), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Secret(o); !errors.Is(err, store.ErrBroken) {
+	if _, err := Secret(o); !errors.Is(err, atomicfile.ErrBroken) {
 		t.Errorf("a damaged one: %v", err)
 	}
 }
@@ -252,7 +252,7 @@
 	f.Add(whole[:len(whole)-1])
 	f.Add([]byte("appleledge-ties 9"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		o := c.options(store.OS{}, false, "boot")
+		o := c.options(atomicfile.OS{}, false, "boot")
 		o.Dir = t.TempDir()
 		if err := os.WriteFile(filepath.Join(o.Dir, "x"+ending), data, 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
@@ -25,7 +26,6 @@
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/places"
 	"appleledge/internal/pool"
-	"appleledge/internal/store"
 	"appleledge/internal/terms"
 	"appleledge/internal/wire"
 )
@@ -89,7 +89,7 @@
 	Storm    *Storm        // nil: storms are not noticed
 	Ties     *Ties         // nil: where refunds go is not remembered
 	Figures  time.Duration // between two lines of the log with what is counted; 0: none
-	Disk     store.FS      // for what is kept; nil: the machine's
+	Disk     atomicfile.FS // for what is kept; nil: the machine's
 	ClockOff time.Duration // of the wall clock, for tests: a loss of power may leave it anywhere
 	Peers    *Peers        // nil: the agent knows of no other
 	Overload *Overload     // nil: overload is handled alone
--- a/internal/agent/followed.go
+++ b/internal/agent/followed.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/generation"
-	"appleledge/internal/store"
 )
 
 // keepUpEvery is how soon a process follows what another one of its agent puts in force, and takes over when that has ended.
@@ -16,7 +16,7 @@
 
 // kept is the state that another process of the agent keeps. That one changes it, by a rename each time; this one reads.
 type kept struct {
-	file store.File
+	file atomicfile.File
 	seen os.FileInfo // as it was read last; nil: there was none
 }
 
@@ -83,10 +83,10 @@
 
 // keepUp takes over from the other process if it has ended, or brings in force what it has put in force meanwhile.
 func (g *governing) keepUp(ctx context.Context, log *slog.Logger) error {
-	release, locked := store.Lock(g.with.State)
+	release, locked := atomicfile.Lock(g.with.State)
 	if locked == nil {
 		g.release, g.kept.seen = release, nil // whatever it wrote last is this one's now
-	} else if !errors.Is(locked, store.ErrLocked) {
+	} else if !errors.Is(locked, atomicfile.ErrLocked) {
 		return locked
 	}
 	s, err := g.kept.read()
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/generation"
 	"appleledge/internal/intake"
-	"appleledge/internal/store"
 	"appleledge/internal/wire"
 )
 
@@ -69,10 +69,10 @@
 // open takes up the state and opens the socket. Where another process of the agent has them, its state is followed until it ends.
 func (g *governing) open(m *generation.Manager, beside bool, clk engine.Clock, log *slog.Logger) (err error) {
 	if g.with.State != "" {
-		file := store.File{Path: g.with.State, FS: store.OS{}}
+		file := atomicfile.File{Path: g.with.State, FS: atomicfile.OS{}}
 		g.changes.Keeper = file
-		switch g.release, err = store.Lock(g.with.State); {
-		case errors.Is(err, store.ErrLocked) && beside:
+		switch g.release, err = atomicfile.Lock(g.with.State); {
+		case errors.Is(err, atomicfile.ErrLocked) && beside:
 			g.kept = &kept{file: file}
 			if err := g.kept.first(m, g.changes.Names(), clk.Now()); err != nil {
 				return fmt.Errorf("the configuration of the process that runs already: %w", err)
@@ -94,9 +94,9 @@
 // restore takes up the state on disk. What can't be read is set aside and the agent begins with the empty configuration; a
 // state that a newer program has written, or that does not fit the platform's names, is not touched and the agent does not
 // start: it would write over it, and who put it there meant it.
-func restore(m *generation.Manager, f store.File, clk engine.Clock, log *slog.Logger) error {
+func restore(m *generation.Manager, f atomicfile.File, clk engine.Clock, log *slog.Logger) error {
 	doc, err := f.Load()
-	if errors.Is(err, store.ErrNone) {
+	if errors.Is(err, atomicfile.ErrNone) {
 		return nil
 	}
 	var s *generation.State
--- a/internal/agent/golden_kept_test.go
+++ b/internal/agent/golden_kept_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/engine"
 	ondisk "appleledge/internal/fleet/kept"
 	"appleledge/internal/generation"
 	"appleledge/internal/golden"
-	"appleledge/internal/store"
 )
 
 // What an agent keeps: the committed file with all that depends on the moment, and the first line over it, replaced by words.
@@ -62,7 +62,7 @@
 
 // The committed state of the configuration, taken up as at a start.
 func TestGoldenStateIsTakenUp(t *testing.T) {
-	f := store.File{Path: filepath.Join(t.TempDir(), "state"), FS: store.OS{}}
+	f := atomicfile.File{Path: filepath.Join(t.TempDir(), "state"), FS: atomicfile.OS{}}
 	if err := os.WriteFile(f.Path, golden.Read(t, "generation/state"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"appleledge/internal/affinity/bindinglog"
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/balancer"
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 	ondisk "appleledge/internal/fleet/kept"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/membership/listing"
-	"appleledge/internal/store"
 )
 
 // Recovery says how what the agent knows is kept over a loss of power.
@@ -44,7 +44,7 @@
 // keeping is what an agent keeps on disk, and what it was before.
 type keeping struct {
 	set     Recovery
-	file    store.File
+	file    atomicfile.File
 	reader  listing.Reader
 	agent   string
 	log     *slog.Logger
@@ -74,7 +74,7 @@
 	if err := os.MkdirAll(k.set.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("recovery: the folder for what is kept: %w", err)
 	}
-	k.file = store.File{Path: filepath.Join(k.set.Dir, knowledge), FS: x.disk()}
+	k.file = atomicfile.File{Path: filepath.Join(k.set.Dir, knowledge), FS: x.disk()}
 	k.repeats = clientsReturn
 	for _, c := range cfg.Site.Logic.Classes {
 		k.repeats = max(k.repeats, c.Deadline+c.Window+clientsReturn)
@@ -91,7 +91,7 @@
 		k.before, err = ondisk.Parse(text)
 	}
 	switch {
-	case errors.Is(err, store.ErrNone):
+	case errors.Is(err, atomicfile.ErrNone):
 		log.Info("nothing is kept from before")
 		return k, nil
 	case errors.Is(err, os.ErrPermission):
@@ -113,9 +113,9 @@
 }
 
 // disk is where what is kept goes.
-func (x Extras) disk() store.FS {
+func (x Extras) disk() atomicfile.FS {
 	if x.Disk == nil {
-		return store.OS{}
+		return atomicfile.OS{}
 	}
 	return x.Disk
 }
@@ -247,8 +247,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.release == nil {
-		release, err := store.Lock(k.file.Path)
-		if errors.Is(err, store.ErrLocked) {
+		release, err := atomicfile.Lock(k.file.Path)
+		if errors.Is(err, atomicfile.ErrLocked) {
 			return errElsewhere
 		}
 		if err != nil {
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/store"
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/testbed"
 )
 
@@ -18,7 +18,7 @@
 type machine struct {
 	t   *testing.T
 	dir string
-	fs  store.FS
+	fs  atomicfile.FS
 	log *testbed.LockedBuffer
 }
 
@@ -109,9 +109,9 @@
 }
 
 // full is a disk on which nothing can be written any more.
-type full struct{ store.OS }
+type full struct{ atomicfile.OS }
 
-func (full) Create(name string) (store.Handle, error) {
+func (full) Create(name string) (atomicfile.Handle, error) {
 	return nil, &os.PathError{Op: "create", Path: name, Err: os.ErrPermission}
 }
 
@@ -125,12 +125,12 @@
 	}{
 		{"torn", func(m *machine) { cut(t, m.file(), 100) }, "is not whole"},
 		{"of another form", func(m *machine) {
-			if err := (store.File{Path: m.file(), FS: store.OS{}}).Save([]byte(`{"form":99,"agent":"a","run":"r"}`)); err != nil {
+			if err := (atomicfile.File{Path: m.file(), FS: atomicfile.OS{}}).Save([]byte(`{"form":99,"agent":"a","run":"r"}`)); err != nil {
 				t.Fatal(err)
 			}
 		}, "form 99"},
 		{"another agent's", func(m *machine) {
-			if err := (store.File{Path: m.file(), FS: store.OS{}}).Save([]byte(`{"form":1,"agent":"n7 somewhere","run":"run-1"}`)); err != nil {
+			if err := (atomicfile.File{Path: m.file(), FS: atomicfile.OS{}}).Save([]byte(`{"form":1,"agent":"n7 somewhere","run":"run-1"}`)); err != nil {
 				t.Fatal(err)
 			}
 		}, "is another agent's"},
--- a/internal/store/faultfs/faultfs.go
+++ b/internal/atomicfile/faultfs/faultfs.go
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"slices"
 
-	"appleledge/internal/store"
+	"appleledge/internal/atomicfile"
 )
 
 // Disk is a file system that forgets what was not synced when its machine stops: the contents of files, and the names in
@@ -77,7 +77,7 @@
 }
 
 // Create opens a file for writing, anew.
-func (d *Disk) Create(name string) (store.Handle, error) {
+func (d *Disk) Create(name string) (atomicfile.Handle, error) {
 	if err := d.step(); err != nil {
 		return nil, err
 	}
--- a/internal/store/golden_test.go
+++ b/internal/atomicfile/golden_test.go
@@ -1,4 +1,4 @@
-package store_test
+package atomicfile_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	. "appleledge/internal/atomicfile"
 	"appleledge/internal/golden"
-	. "appleledge/internal/store"
 )
 
 // noting notes the names of the files that are created.
--- a/internal/store/store.go
+++ b/internal/atomicfile/store.go
@@ -1,7 +1,7 @@
-// Package store keeps a document on disk so that a process which is killed at any instant finds the old one or the new one
+// Package atomicfile keeps a document on disk so that a process which is killed at any instant finds the old one or the new one
 // when it starts again, and never something between. The document is small and written seldom: it is written whole, beside the
 // old one, and takes its place by a rename (POSIX rename(2)), with the file and then its folder synced.
-package store
+package atomicfile
 
 import (
 	"bytes"
--- a/internal/store/store_test.go
+++ b/internal/atomicfile/store_test.go
@@ -1,4 +1,4 @@
-package store_test
+package atomicfile_test
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	. "appleledge/internal/store"
-	"appleledge/internal/store/faultfs"
+	. "appleledge/internal/atomicfile"
+	"appleledge/internal/atomicfile/faultfs"
 )
 
 // A machine that stops at any operation of a write, or a disk that fails at it, leaves the old document or the new one; one
--- a/internal/fleet/kept/golden_test.go
+++ b/internal/fleet/kept/golden_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/denylist"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/golden"
 	"appleledge/internal/membership/listing"
-	"appleledge/internal/store"
 )
 
 // full is a document in which each field has a value of its own.
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := store.File{Path: filepath.Join(t.TempDir(), "any"), FS: store.OS{}}
+	f := atomicfile.File{Path: filepath.Join(t.TempDir(), "any"), FS: atomicfile.OS{}}
 	if err := f.Save(text); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/generation/golden_test.go
+++ b/internal/generation/golden_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/atomicfile"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/golden"
-	"appleledge/internal/store"
 )
 
 // full is a configuration with all that there is, which fits the names of these tests.
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := store.File{Path: filepath.Join(t.TempDir(), "any"), FS: store.OS{}}
+	f := atomicfile.File{Path: filepath.Join(t.TempDir(), "any"), FS: atomicfile.OS{}}
 	if err := f.Save(doc); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 // committed reads a state's committed file, as agents do.
 func committed(t *testing.T, name string) *State {
 	t.Helper()
-	f := store.File{Path: filepath.Join(t.TempDir(), "any"), FS: store.OS{}}
+	f := atomicfile.File{Path: filepath.Join(t.TempDir(), "any"), FS: atomicfile.OS{}}
 	if err := os.WriteFile(f.Path, golden.Read(t, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/processes/disk.go
+++ b/internal/rig/processes/disk.go
@@ -16,7 +16,7 @@
 	"sync"
 	"syscall"
 
-	"appleledge/internal/store"
+	"appleledge/internal/atomicfile"
 )
 
 // Disk is a file system in a folder of the real one that outlasts its process, and of which LosePower takes away what was not synced:
@@ -91,7 +91,7 @@
 }
 
 // Create is of store.FS.
-func (d *Disk) Create(name string) (store.Handle, error) {
+func (d *Disk) Create(name string) (atomicfile.Handle, error) {
 	end, err := d.begin()
 	if err != nil {
 		return nil, err
