--- a/cmd/appleledge/fleet_versions_test.go
+++ b/cmd/appleledge/fleet_versions_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/rig/processes"
 	"appleledge/internal/testbed"
 )
@@ -26,7 +26,7 @@
 	}{
 		{"keys, without a gap", func(t *testing.T, f *processes.Fleet, load *processes.Load) {
 			one, two := f.Net.Key(), processes.NewKey()
-			for step, keys := range [][]peer.Key{{one, two}, {two, one}, {two}} {
+			for step, keys := range [][]gossip.Key{{one, two}, {two, one}, {two}} {
 				for _, a := range f.Agents {
 					a.Keys(keys...)
 					a.Signal(syscall.SIGHUP)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,7 +15,7 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/hotrestart"
@@ -52,10 +52,10 @@
 	Rules    intake.Checker
 	Pool     *pool.Pool
 	Site     wire.Site
-	Longest  func() time.Duration // that any client waits, as the settings have it now
-	Peers    func() *peer.Status  // how the other agents are seen; nil without [peers]
-	Overload func() *share.Status // how it is handled together; nil without [overload]
-	Beside   func() bool          // another process of the agent lives, which may hold what this one needs
+	Longest  func() time.Duration  // that any client waits, as the settings have it now
+	Peers    func() *gossip.Status // how the other agents are seen; nil without [peers]
+	Overload func() *share.Status  // how it is handled together; nil without [overload]
+	Beside   func() bool           // another process of the agent lives, which may hold what this one needs
 	Log      *slog.Logger
 }
 
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/operator"
 )
@@ -15,9 +15,9 @@
 	name  string
 	core  *engine.Engine
 	clock engine.Clock
-	keep  *keeping   // nil: nothing is kept
-	peers *peer.Node // nil: no others are known
-	share *sharing   // nil: overload is handled alone
+	keep  *keeping     // nil: nothing is kept
+	peers *gossip.Node // nil: no others are known
+	share *sharing     // nil: overload is handled alone
 }
 
 // calls is what operators may ask; nil where there is nothing to see.
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/share"
 )
 
@@ -43,7 +43,7 @@
 }
 
 // attach lets the door learn what the engine does, once the others are known. Who the others are says how many there are.
-func (s *sharing) attach(others *peer.Node) error {
+func (s *sharing) attach(others *gossip.Node) error {
 	if others == nil {
 		return errors.New("overload: the agent knows of no others")
 	}
@@ -53,11 +53,11 @@
 }
 
 // tell tells the others until the context ends.
-func (s *sharing) tell(ctx context.Context, others *peer.Node) {
+func (s *sharing) tell(ctx context.Context, others *gossip.Node) {
 	every(ctx, shareLook, func() {
 		var body []byte
 		var to int
-		if err := s.core.Sharing(ctx, func(now time.Duration) { body, to = s.door.Tell(now, peer.MostBody) }); err == nil && body != nil {
+		if err := s.core.Sharing(ctx, func(now time.Duration) { body, to = s.door.Tell(now, gossip.MostBody) }); err == nil && body != nil {
 			others.Share(body, to)
 		}
 	})
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 )
 
 // Peers says how agents tell each other what they know.
@@ -24,7 +24,7 @@
 const peerSockets = 2 // descriptors: the socket, and the file of the key
 
 // openPeers is the agent's place among the others; nil where there is none.
-func (x Extras) openPeers(cfg Config, clk engine.Clock, log *slog.Logger) (*peer.Node, error) {
+func (x Extras) openPeers(cfg Config, clk engine.Clock, log *slog.Logger) (*gossip.Node, error) {
 	if x.Peers == nil {
 		return nil, nil
 	}
@@ -37,11 +37,11 @@
 	} else if self = slices.Index(members, listen); self < 0 {
 		return nil, fmt.Errorf("peers: %s is not among the members", listen)
 	}
-	keys, err := peer.ReadKeys(x.Peers.KeyFile)
+	keys, err := gossip.ReadKeys(x.Peers.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("peers: the key: %w", err)
 	}
-	o := peer.NodeOptions{Self: self, Keys: keys, Period: x.Peers.Period, Now: clk.Now, Log: log}
+	o := gossip.NodeOptions{Self: self, Keys: keys, Period: x.Peers.Period, Now: clk.Now, Log: log}
 	if x.link != nil {
 		o.Stays = x.link.Succeeded
 	}
@@ -52,7 +52,7 @@
 		}
 		o.Members = append(o.Members, at)
 	}
-	n, err := peer.NewNode(listen, o)
+	n, err := gossip.NewNode(listen, o)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
@@ -60,8 +60,8 @@
 }
 
 // statusOf reads how the others are seen.
-func statusOf(n *peer.Node) func() *peer.Status {
-	return func() *peer.Status {
+func statusOf(n *gossip.Node) func() *gossip.Status {
+	return func() *gossip.Status {
 		if n == nil {
 			return nil
 		}
--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/word"
 )
@@ -72,8 +72,10 @@
 
 // A server that another agent says drains gets nothing while that word is fresh, and what the own list says is told to others.
 func TestWordOfADrain(t *testing.T) {
-	var told []peer.Fact
-	x := newTied(t, func(x *tiedEngine) { x.Heed(func() bool { return true }, func(f peer.Fact) { told = append(told, f) }) })
+	var told []gossip.Fact
+	x := newTied(t, func(x *tiedEngine) {
+		x.Heed(func() bool { return true }, func(f gossip.Fact) { told = append(told, f) })
+	})
 	uses := func() (n int) {
 		for range 40 {
 			if a, _ := x.call("", nil); a != nil {
@@ -89,7 +91,7 @@
 		t.Fatal("it is not used in calm")
 	}
 	x.now += time.Second
-	x.Step(Spoken(3, peer.Fact{Kind: word.Drains, ID: word.Server("s1")}))
+	x.Step(Spoken(3, gossip.Fact{Kind: word.Drains, ID: word.Server("s1")}))
 	if n := uses(); n != 0 {
 		t.Errorf("%d requests went to a server that drains by word", n)
 	}
--- a/internal/engine/worded.go
+++ b/internal/engine/worded.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/word"
 )
 
@@ -15,8 +15,8 @@
 // held out on their word lies over it.
 type worded struct {
 	holds  *word.Holds
-	heard  func() bool     // the list is of now, and not from before
-	tell   func(peer.Fact) // to the others; must not block
+	heard  func() bool       // the list is of now, and not from before
+	tell   func(gossip.Fact) // to the others; must not block
 	told   map[string]Member
 	names  map[uint64]string
 	held   map[uint64]bool
@@ -25,7 +25,7 @@
 }
 
 // Heed makes the engine heed the word of others, and tell them what it knows. It is called before Run.
-func (e *Engine) Heed(heard func() bool, tell func(peer.Fact)) {
+func (e *Engine) Heed(heard func() bool, tell func(gossip.Fact)) {
 	e.worded = &worded{holds: word.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
 }
 
@@ -33,7 +33,7 @@
 type (
 	spoken struct {
 		from int
-		fact peer.Fact
+		fact gossip.Fact
 	}
 	living struct{ alive []bool }
 )
@@ -42,13 +42,13 @@
 func (living) event() {}
 
 // Hear takes word of another agent.
-func (e *Engine) Hear(from int, f peer.Fact) { e.Tell(Spoken(from, f)) }
+func (e *Engine) Hear(from int, f gossip.Fact) { e.Tell(Spoken(from, f)) }
 
 // Lives takes which agents live, by number.
 func (e *Engine) Lives(alive []bool) { e.Tell(living{alive}) }
 
 // Spoken is word of another agent as an event, for Step.
-func Spoken(from int, f peer.Fact) Event { return spoken{from, f} }
+func Spoken(from int, f gossip.Fact) Event { return spoken{from, f} }
 
 // hear takes word of another agent.
 func (e *Engine) hear(s spoken) {
@@ -117,7 +117,7 @@
 			w.gone(m.ID)
 			continue
 		case m.State == balancer.Draining && (!there || was.State != balancer.Draining):
-			w.tell(peer.Fact{Kind: word.Drains, ID: id})
+			w.tell(gossip.Fact{Kind: word.Drains, ID: id})
 		case m.State == balancer.Ready && heard && (!there || was != m):
 			w.holds.Ready(now, id)
 		}
@@ -151,7 +151,7 @@
 	if w.sharer != nil {
 		w.sharer.Listed(name, false, false)
 	}
-	w.tell(peer.Fact{Kind: word.Drains, ID: id})
+	w.tell(gossip.Fact{Kind: word.Drains, ID: id})
 }
 
 // Held returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
@@ -172,7 +172,7 @@
 func (e *Engine) found() {
 	for _, id := range e.returning.Found() {
 		if e.worded != nil {
-			e.worded.tell(peer.Fact{Kind: word.Answers, ID: word.Server(id)})
+			e.worded.tell(gossip.Fact{Kind: word.Answers, ID: word.Server(id)})
 		}
 	}
 }
--- a/internal/fleet/peer/golden_texts_test.go
+++ b/internal/fleet/gossip/golden_texts_test.go
@@ -1,4 +1,4 @@
-package peer
+package gossip
 
 import (
 	"fmt"
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/gossip/message.go
@@ -1,9 +1,9 @@
-// Package peer is how agents know each other: who the others are, who of them lives, and how word travels between them. Failures
+// Package gossip is how agents know each other: who the others are, who of them lives, and how word travels between them. Failures
 // are found out and told as by SWIM (A. Das, I. Gupta and A. Motivala, 2002) with the corrections of Lifeguard (A. Dadgar, J. Phillips
 // and J. Currey, 2018), in datagrams of at most 256 bytes, which is what the platform lets agents send.
 //
 // Core decides and does no I/O; Link seals and opens datagrams; Node holds the socket and the timers.
-package peer
+package gossip
 
 import (
 	"encoding/binary"
--- a/internal/fleet/word/word.go
+++ b/internal/fleet/word/word.go
@@ -12,13 +12,13 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 )
 
 // The kinds of facts about servers. The id is that of Server.
 const (
-	Drains  peer.FactKind = 1 // the sender's list said that the server drains, or is gone
-	Answers peer.FactKind = 2 // the server answered the sender
+	Drains  gossip.FactKind = 1 // the sender's list said that the server drains, or is gone
+	Answers gossip.FactKind = 2 // the server answered the sender
 )
 
 // Server is a server's id in facts.
@@ -30,7 +30,7 @@
 	partOfAll = 1.0 / 3
 
 	freshFor   = 10 * time.Second // for which word of a drain holds where the own list has been heard since
-	askedFor   = peer.FactFor     // and where it has not
+	askedFor   = gossip.FactFor   // and where it has not
 	mostHeld   = 4096
 	mostVoices = 16 // for one server
 )
@@ -61,7 +61,7 @@
 }
 
 // Hear takes another agent's word that a server drains. It reports whether that may change what is held.
-func (h *Holds) Hear(now time.Duration, from int, f peer.Fact) bool {
+func (h *Holds) Hear(now time.Duration, from int, f gossip.Fact) bool {
 	at := now - f.Age
 	if f.Kind != Drains || f.Age >= askedFor {
 		return false
--- a/internal/fleet/word/word_test.go
+++ b/internal/fleet/word/word_test.go
@@ -6,13 +6,13 @@
 
 	"pgregory.net/rapid"
 
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 )
 
 const second = time.Second
 
 func TestWhatWordHoldsOut(t *testing.T) {
-	drains := func(id uint64, age time.Duration) peer.Fact { return peer.Fact{Kind: Drains, ID: id, Age: age} }
+	drains := func(id uint64, age time.Duration) gossip.Fact { return gossip.Fact{Kind: Drains, ID: id, Age: age} }
 	for _, c := range []struct {
 		name string
 		do   func(h *Holds)
@@ -33,7 +33,7 @@
 				h.Hear(20*second-time.Duration(id)*10*time.Millisecond, 2, drains(id, 0))
 			}
 		}, false},
-		{"another fact", func(h *Holds) { h.Hear(20*second, 2, peer.Fact{Kind: Answers, ID: 1}) }, false},
+		{"another fact", func(h *Holds) { h.Hear(20*second, 2, gossip.Fact{Kind: Answers, ID: 1}) }, false},
 		{"the only server", func(h *Holds) { h.Listed(1); h.Hear(20*second, 2, drains(1, 0)) }, false},
 	} {
 		h := New()
@@ -64,7 +64,7 @@
 		liars := rapid.IntRange(1, 4).Draw(t, "liars")
 		for range rapid.IntRange(0, 200).Draw(t, "claims") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond
-			h.Hear(now, rapid.IntRange(1, liars).Draw(t, "from"), peer.Fact{Kind: Drains, ID: rapid.Uint64Range(1, uint64(servers)).Draw(t, "server"),
+			h.Hear(now, rapid.IntRange(1, liars).Draw(t, "from"), gossip.Fact{Kind: Drains, ID: rapid.Uint64Range(1, uint64(servers)).Draw(t, "server"),
 				Age: time.Duration(rapid.IntRange(0, 70).Draw(t, "s")) * second})
 			held, _ := h.Settle(now)
 			if most := max(1, servers/10) * liars; len(held) > most || len(held) > max(1, servers/3) || servers < 2 && len(held) > 0 {
--- a/internal/rehearsal/comeback.go
+++ b/internal/rehearsal/comeback.go
@@ -6,7 +6,7 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
 )
 
@@ -23,15 +23,15 @@
 // meet gives the agent its place among the others. Their network loses nothing, unless a test spoils it.
 func (a *simAgent) meet() {
 	w, life := a.w, a.life
-	core := peer.New(peer.Options{Self: a.number, Agents: w.script.Fleet.Agents, Seed: uint64(a.number*1000 + life)})
+	core := gossip.New(gossip.Options{Self: a.number, Agents: w.script.Fleet.Agents, Seed: uint64(a.number*1000 + life)})
 	a.others = core
-	a.engine.Heed(func() bool { return a.heard }, func(f peer.Fact) { core.Tell(w.now, f) })
+	a.engine.Heed(func() bool { return a.heard }, func(f gossip.Fact) { core.Tell(w.now, f) })
 	core.Begin(w.now)
 	a.look(core, time.Duration(1<<62))
 }
 
 // look plans the next look of an agent at the others, if that is before what is planned already.
-func (a *simAgent) look(core *peer.Core, planned time.Duration) {
+func (a *simAgent) look(core *gossip.Core, planned time.Duration) {
 	w, due := a.w, core.Due()
 	if due >= planned {
 		return
@@ -45,7 +45,7 @@
 }
 
 // pass carries messages to the others, and what was heard to the engine.
-func (a *simAgent) pass(core *peer.Core, out []peer.Out) {
+func (a *simAgent) pass(core *gossip.Core, out []gossip.Out) {
 	w := a.w
 	for _, h := range core.Heard() {
 		a.step(engine.Spoken(h.From, h.Fact))
@@ -62,7 +62,7 @@
 		}
 		w.after(w.way(), func() {
 			if to.life == life && to.up && to.others != nil {
-				if m.Kind == peer.Share {
+				if m.Kind == gossip.Share {
 					to.step(engine.Shared(m.From, m.Body))
 				}
 				to.pass(to.others, to.others.Receive(w.now, m))
--- a/internal/rehearsal/simulate.go
+++ b/internal/rehearsal/simulate.go
@@ -13,7 +13,7 @@
 	"appleledge/internal/coalesce"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/rig/doors"
@@ -49,7 +49,7 @@
 	// What tests spoil, to see that the witnesses notice: where an attempt goes, and which answers are held back.
 	tamper  func(*simAgent, *engine.Attempt, *simServer) *simServer
 	swallow func(*simRequest) bool
-	mute    func(peer.Message) bool // which datagrams between agents are lost
+	mute    func(gossip.Message) bool // which datagrams between agents are lost
 
 	datagrams int         // between agents
 	knowing   *share.Door // of all agents, where they have one that knows all
@@ -206,7 +206,7 @@
 	told   map[string]time.Duration      // when it was told that a server drains or is gone
 	due    time.Duration                 // when the engine is stepped next; 0: not planned
 	back   *recovery.Recovery            // nil where none is switched on
-	others *peer.Core                    // nil where agents know nobody
+	others *gossip.Core                  // nil where agents know nobody
 	shares *share.Door                   // nil where overload is handled alone
 	alive  []bool                        // who lives, as it was told last
 	disk   disk                          // what outlasts its lives
--- a/internal/rehearsal/together.go
+++ b/internal/rehearsal/together.go
@@ -6,7 +6,7 @@
 
 	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/share"
 )
 
@@ -44,7 +44,7 @@
 		if a.life != life || !a.up {
 			return
 		}
-		if body, to := d.Tell(w.now, peer.MostBody); body != nil {
+		if body, to := d.Tell(w.now, gossip.MostBody); body != nil {
 			a.pass(core, core.Share(w.now, body, to))
 		}
 		w.after(shareEvery, tell)
@@ -53,11 +53,11 @@
 }
 
 // lives tells which agents live, when that has changed.
-func (a *simAgent) lives(core *peer.Core) {
+func (a *simAgent) lives(core *gossip.Core) {
 	alive := make([]bool, a.w.script.Fleet.Agents)
 	for i := range alive {
 		s := core.State(i)
-		alive[i] = s == peer.Alive || s == peer.Suspect
+		alive[i] = s == gossip.Alive || s == gossip.Suspect
 	}
 	if !slices.Equal(alive, a.alive) {
 		a.alive = alive
--- a/internal/rehearsal/together_test.go
+++ b/internal/rehearsal/together_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 )
 
 // overloaded is a day on which ten agents are asked two and a half times as much for ten seconds.
-func overloaded(t *testing.T, door string, mute func(w *world, m peer.Message) bool) (service float64, refunds [2]int, w *world) {
+func overloaded(t *testing.T, door string, mute func(w *world, m gossip.Message) bool) (service float64, refunds [2]int, w *world) {
 	t.Helper()
 	s, err := ParseScript("day.toml", []byte(`length = "35s"
 [fleet]
@@ -31,7 +31,7 @@
 	}
 	w = newWorld(s, 1)
 	if mute != nil {
-		w.mute = func(m peer.Message) bool { return mute(w, m) }
+		w.mute = func(m gossip.Message) bool { return mute(w, m) }
 	}
 	w.play()
 	d := w.day
@@ -89,12 +89,12 @@
 			t.Errorf("agent %d has told others %.1f times a second", a.number, rate)
 		}
 	}
-	for name, mute := range map[string]func(w *world, m peer.Message) bool{
-		"no word":          func(*world, peer.Message) bool { return true },
-		"a third lost":     func(w *world, _ peer.Message) bool { return w.net.Float64() < 1.0/3 },
-		"split midway":     func(w *world, m peer.Message) bool { return w.now > 15*time.Second && (m.From < 5) != (m.To < 5) },
-		"one way midway":   func(w *world, m peer.Message) bool { return w.now > 15*time.Second && m.From < 5 && m.To >= 5 },
-		"word ends midway": func(w *world, m peer.Message) bool { return w.now > 15*time.Second },
+	for name, mute := range map[string]func(w *world, m gossip.Message) bool{
+		"no word":          func(*world, gossip.Message) bool { return true },
+		"a third lost":     func(w *world, _ gossip.Message) bool { return w.net.Float64() < 1.0/3 },
+		"split midway":     func(w *world, m gossip.Message) bool { return w.now > 15*time.Second && (m.From < 5) != (m.To < 5) },
+		"one way midway":   func(w *world, m gossip.Message) bool { return w.now > 15*time.Second && m.From < 5 && m.To >= 5 },
+		"word ends midway": func(w *world, m gossip.Message) bool { return w.now > 15*time.Second },
 	} {
 		got, _, _ := overloaded(t, fleetDoor, mute)
 		t.Logf("%s: %.3f", name, got)
--- a/internal/rig/processes/fleet.go
+++ b/internal/rig/processes/fleet.go
@@ -24,7 +24,7 @@
 	"time"
 
 	"appleledge/internal/emulator"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/rig/loopback"
 	"appleledge/internal/testbed"
 )
@@ -166,13 +166,13 @@
 }
 
 // NewKey is a key for agents to know each other by.
-func NewKey() (k peer.Key) {
+func NewKey() (k gossip.Key) {
 	rand.Read(k[:])
 	return k
 }
 
 // Keys writes the agent's file of keys; the first seals.
-func (a *Agent) Keys(keys ...peer.Key) {
+func (a *Agent) Keys(keys ...gossip.Key) {
 	text := ""
 	for _, k := range keys {
 		text += hex.EncodeToString(k[:]) + "\n"
--- a/internal/rig/processes/network.go
+++ b/internal/rig/processes/network.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 )
 
 // Weather is what becomes of datagrams from one agent to another.
@@ -28,7 +28,7 @@
 	mu      sync.Mutex
 	random  *rand.Rand
 	weather func(from, to int) Weather // nil: all arrives
-	key     peer.Key                   // of the agents, for who wants to change what they say
+	key     gossip.Key                 // of the agents, for who wants to change what they say
 	at      []netip.AddrPort           // where the agents listen
 	seen    [][]byte                   // the last datagrams, for who wants to send them again
 	carried int
@@ -37,7 +37,7 @@
 const mostSeen = 64
 
 // newNetwork opens the relays for agents that listen at these addresses.
-func newNetwork(at []string, key peer.Key, seed uint64) (*Network, error) {
+func newNetwork(at []string, key gossip.Key, seed uint64) (*Network, error) {
 	n := &Network{key: key, random: rand.New(rand.NewPCG(seed, 31))}
 	for _, a := range at {
 		addr, err := netip.ParseAddrPort(a)
@@ -91,7 +91,7 @@
 }
 
 // Key is the one that agents start with.
-func (n *Network) Key() peer.Key { return n.key }
+func (n *Network) Key() gossip.Key { return n.key }
 
 // Carried counts the datagrams that agents have sent.
 func (n *Network) Carried() int {
@@ -148,7 +148,7 @@
 // otherVersion is a message as another version of the program would send it.
 func otherVersion(text []byte, version byte) []byte {
 	const hello, unknown, size = 1, 99, 3
-	if text[0] = version; text[1] != hello && len(text)+size <= peer.Most-16 {
+	if text[0] = version; text[1] != hello && len(text)+size <= gossip.Most-16 {
 		text = append(text, unknown, 1, 2)
 	}
 	return text
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -18,7 +18,7 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/generation"
@@ -30,10 +30,10 @@
 
 var goldenClasses = []string{"form-check", "refund-record"}
 
-func goldenPeers() *peer.Status {
-	return &peer.Status{Listening: true, Alive: 2, States: []peer.State{peer.Unknown, peer.Alive, peer.Alive, peer.Suspect, peer.Suspect, peer.Suspect,
-		peer.Dead, peer.Dead, peer.Dead, peer.Dead, peer.Left, peer.Left, peer.Left, peer.Left, peer.Left},
-		Counts: peer.Counts{Probes: 401, Unanswered: 402, Suspected: 403, Died: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Taken: 408,
+func goldenPeers() *gossip.Status {
+	return &gossip.Status{Listening: true, Alive: 2, States: []gossip.State{gossip.Unknown, gossip.Alive, gossip.Alive, gossip.Suspect, gossip.Suspect, gossip.Suspect,
+		gossip.Dead, gossip.Dead, gossip.Dead, gossip.Dead, gossip.Left, gossip.Left, gossip.Left, gossip.Left, gossip.Left},
+		Counts: gossip.Counts{Probes: 401, Unanswered: 402, Suspected: 403, Died: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Taken: 408,
 		Dropped: map[string]uint64{"forged": 409, "not of now": 410}}
 }
 
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -21,7 +21,7 @@
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/peer"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/fleet/share"
 	"appleledge/internal/generation"
@@ -41,8 +41,8 @@
 type Server struct {
 	Engine *engine.Engine
 	Pool   *pool.Pool
-	Peers  func() *peer.Status  // nil, or returning nil: the agent knows of no others
-	Shares func() *share.Status // nil, or returning nil: overload is handled alone
+	Peers  func() *gossip.Status // nil, or returning nil: the agent knows of no others
+	Shares func() *share.Status  // nil, or returning nil: overload is handled alone
 	Log    *slog.Logger
 }
 
@@ -198,11 +198,11 @@
 	if st == nil {
 		return
 	}
-	states := map[peer.State]int{}
+	states := map[gossip.State]int{}
 	for _, state := range st.States {
 		states[state]++
 	}
-	for state := peer.Unknown; state <= peer.Left; state++ {
+	for state := gossip.Unknown; state <= gossip.Left; state++ {
 		p.gauge("appleledge_peers", fmt.Sprintf("state=%q", state), float64(states[state]))
 	}
 	p.gauge("appleledge_peers_listening", "", bit(st.Listening))
