--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/fleet/corroborate"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/internal/fleet/word"
 )
 
 // returningEngine is an engine with ties and a recovery, whose list is of now.
@@ -91,7 +91,7 @@
 		t.Fatal("it is not used in calm")
 	}
 	x.now += time.Second
-	x.Step(Spoken(3, gossip.Fact{Kind: word.Drains, ID: word.Server("s1")}))
+	x.Step(Spoken(3, gossip.Fact{Kind: corroborate.Drains, ID: corroborate.Server("s1")}))
 	if n := uses(); n != 0 {
 		t.Errorf("%d requests went to a server that drains by word", n)
 	}
@@ -100,7 +100,7 @@
 	if uses() == 0 {
 		t.Error("word holds for ever")
 	}
-	if x.list(Listed{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != word.Server("s2") {
+	if x.list(Listed{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.Server("s2") {
 		t.Errorf("the others are told %v", told)
 	}
 }
--- a/internal/engine/shared.go
+++ b/internal/engine/shared.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/fleet/word"
+	"appleledge/internal/fleet/corroborate"
 )
 
 // Sharer is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package share.
@@ -60,7 +60,7 @@
 	}
 	held = maps.Clone(held)
 	for _, id := range w.sharer.Held(now) {
-		held[word.Server(id)] = true
+		held[corroborate.Server(id)] = true
 	}
 	return held, !maps.Equal(held, w.held)
 }
--- a/internal/engine/worded.go
+++ b/internal/engine/worded.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/fleet/corroborate"
 	"appleledge/internal/fleet/gossip"
-	"appleledge/internal/fleet/word"
 )
 
 // worded is what the engine keeps for the word of other agents: what they hold servers for, and the list as it was told, since what is
 // held out on their word lies over it.
 type worded struct {
-	holds  *word.Holds
+	holds  *corroborate.Holds
 	heard  func() bool       // the list is of now, and not from before
 	tell   func(gossip.Fact) // to the others; must not block
 	told   map[string]Member
@@ -26,7 +26,7 @@
 
 // Heed makes the engine heed the word of others, and tell them what it knows. It is called before Run.
 func (e *Engine) Heed(heard func() bool, tell func(gossip.Fact)) {
-	e.worded = &worded{holds: word.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
+	e.worded = &worded{holds: corroborate.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
 }
 
 // told is word of another agent; living is which agents live.
@@ -53,11 +53,11 @@
 // hear takes word of another agent.
 func (e *Engine) hear(s spoken) {
 	switch now := e.clock.Now(); s.fact.Kind {
-	case word.Drains:
+	case corroborate.Drains:
 		if e.worded.holds.Hear(now, s.from, s.fact) {
 			e.settleWord(now)
 		}
-	case word.Answers:
+	case corroborate.Answers:
 		if name, known := e.worded.names[s.fact.ID]; known && e.returning != nil {
 			e.returning.Heard(now, name)
 		}
@@ -89,7 +89,7 @@
 }
 
 func (w *worded) overlay(m Member) Member {
-	if m.State == balancer.Ready && w.held[word.Server(m.ID)] {
+	if m.State == balancer.Ready && w.held[corroborate.Server(m.ID)] {
 		m.State = balancer.Draining
 	}
 	return m
@@ -110,14 +110,14 @@
 		}
 	}
 	for _, m := range l.Members {
-		id := word.Server(m.ID)
+		id := corroborate.Server(m.ID)
 		was, there := w.told[m.ID]
 		switch {
 		case m.State == balancer.Gone:
 			w.gone(m.ID)
 			continue
 		case m.State == balancer.Draining && (!there || was.State != balancer.Draining):
-			w.tell(gossip.Fact{Kind: word.Drains, ID: id})
+			w.tell(gossip.Fact{Kind: corroborate.Drains, ID: id})
 		case m.State == balancer.Ready && heard && (!there || was != m):
 			w.holds.Ready(now, id)
 		}
@@ -144,18 +144,18 @@
 	if _, there := w.told[name]; !there {
 		return
 	}
-	id := word.Server(name)
+	id := corroborate.Server(name)
 	delete(w.told, name)
 	delete(w.names, id)
 	w.holds.Gone(id)
 	if w.sharer != nil {
 		w.sharer.Listed(name, false, false)
 	}
-	w.tell(gossip.Fact{Kind: word.Drains, ID: id})
+	w.tell(gossip.Fact{Kind: corroborate.Drains, ID: id})
 }
 
 // Held returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
-func (e *Engine) Held(ctx context.Context) (ids []string, n word.Counts, err error) {
+func (e *Engine) Held(ctx context.Context) (ids []string, n corroborate.Counts, err error) {
 	err = e.command(ctx, func(time.Duration) {
 		ids, n = []string{}, e.worded.holds.Counts()
 		for id := range e.worded.held {
@@ -172,7 +172,7 @@
 func (e *Engine) found() {
 	for _, id := range e.returning.Found() {
 		if e.worded != nil {
-			e.worded.tell(gossip.Fact{Kind: word.Answers, ID: word.Server(id)})
+			e.worded.tell(gossip.Fact{Kind: corroborate.Answers, ID: corroborate.Server(id)})
 		}
 	}
 }
--- a/internal/fleet/word/golden_test.go
+++ b/internal/fleet/corroborate/golden_test.go
@@ -1,4 +1,4 @@
-package word
+package corroborate
 
 import (
 	"fmt"
--- a/internal/fleet/word/word.go
+++ b/internal/fleet/corroborate/word.go
@@ -1,8 +1,8 @@
-// Package word is the one place that says what the word of other agents is worth. The rule: word may make an agent more careful at
+// Package corroborate is the one place that says what the word of other agents is worth. The rule: word may make an agent more careful at
 // once, within bounds; what would make it bolder is confirmed by its own list or its own answers; no server is used that the own list
 // has not named; one that lies, hangs in the past or repeats itself moves nobody further than its bound. It does no I/O and reads no
 // clock.
-package word
+package corroborate
 
 import (
 	"cmp"
