--- a/internal/agent/golden_kept_test.go
+++ b/internal/agent/golden_kept_test.go
@@ -11,7 +11,7 @@
 
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/engine"
-	ondisk "appleledge/internal/fleet/kept"
+	ondisk "appleledge/internal/fleet/snapshot"
 	"appleledge/internal/generation"
 	"appleledge/internal/golden"
 )
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -17,8 +17,8 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
-	ondisk "appleledge/internal/fleet/kept"
 	"appleledge/internal/fleet/recovery"
+	ondisk "appleledge/internal/fleet/snapshot"
 	"appleledge/internal/membership/listing"
 )
 
--- a/internal/fleet/kept/golden_texts_test.go
+++ b/internal/fleet/snapshot/golden_texts_test.go
@@ -1,4 +1,4 @@
-package kept
+package snapshot
 
 import (
 	"fmt"
--- a/internal/fleet/kept/kept.go
+++ b/internal/fleet/snapshot/kept.go
@@ -1,6 +1,6 @@
-// Package kept is what an agent keeps of its knowledge on disk, who wrote it and when, and how far it is trusted when it is read
+// Package snapshot is what an agent keeps of its knowledge on disk, who wrote it and when, and how far it is trusted when it is read
 // again. It does no I/O; internal/atomicfile has the file.
-package kept
+package snapshot
 
 import (
 	"encoding/json"
