--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,8 +16,8 @@
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
+	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/internal/fleet/share"
 	"appleledge/internal/hotrestart"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/httpfront"
@@ -52,10 +52,10 @@
 	Rules    intake.Checker
 	Pool     *pool.Pool
 	Site     wire.Site
-	Longest  func() time.Duration  // that any client waits, as the settings have it now
-	Peers    func() *gossip.Status // how the other agents are seen; nil without [peers]
-	Overload func() *share.Status  // how it is handled together; nil without [overload]
-	Beside   func() bool           // another process of the agent lives, which may hold what this one needs
+	Longest  func() time.Duration    // that any client waits, as the settings have it now
+	Peers    func() *gossip.Status   // how the other agents are seen; nil without [peers]
+	Overload func() *overload.Status // how it is handled together; nil without [overload]
+	Beside   func() bool             // another process of the agent lives, which may hold what this one needs
 	Log      *slog.Logger
 }
 
@@ -194,7 +194,7 @@
 		return err
 	}
 	var together *sharing // opened below
-	beside, err := open(with.Fronts, Core{Engine: core, Peers: statusOf(others), Overload: func() *share.Status { return together.look() }, Clock: clk, Rules: rules, Pool: conns, Site: cfg.Site,
+	beside, err := open(with.Fronts, Core{Engine: core, Peers: statusOf(others), Overload: func() *overload.Status { return together.look() }, Clock: clk, Rules: rules, Pool: conns, Site: cfg.Site,
 		Longest: rules.Longest, Beside: func() bool { return with.link != nil && !with.link.Alone() }, Log: log})
 	if err != nil {
 		return err
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -6,7 +6,7 @@
 
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
-	"appleledge/internal/fleet/share"
+	"appleledge/internal/fleet/overload"
 	"appleledge/internal/operator"
 )
 
@@ -65,7 +65,7 @@
 	return f, nil
 }
 
-func overloadOf(st share.Status, classes []string) *operator.Overload {
+func overloadOf(st overload.Status, classes []string) *operator.Overload {
 	o := &operator.Overload{Trust: rounded(st.Trust), Limit: rounded(st.Limit), Capacity: rounded(st.Capacity), Use: rounded(st.Use),
 		Refused: rounded(st.Refused), Asked: rounded(st.Asked.All), LetIn: rounded(st.Asked.LetIn), Open: rounded(st.Asked.Open), Good: rounded(st.Asked.Good),
 		Late: rounded(st.Asked.Late), Further: rounded(st.Asked.Extra), HeardOf: st.Asked.Heard, Classes: map[string]operator.OverloadClass{}, HeldOut: st.Held,
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -8,7 +8,7 @@
 
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
-	"appleledge/internal/fleet/share"
+	"appleledge/internal/fleet/overload"
 )
 
 // Overload says how agents handle overload together.
@@ -23,7 +23,7 @@
 // sharing is the agent's part of what the fleet decides on overload.
 type sharing struct {
 	set  Overload
-	door *share.Door
+	door *overload.Door
 	core *engine.Engine
 	log  *slog.Logger
 }
@@ -36,7 +36,7 @@
 	}
 	site := cfg.Site.Logic
 	alone := newStorm(cfg, Storm{Remember: x.Overload.Remember})
-	s := &sharing{set: *x.Overload, core: core, log: log, door: share.New(share.Options{Self: site.Me, Agents: site.Balancers,
+	s := &sharing{set: *x.Overload, core: core, log: log, door: overload.New(overload.Options{Self: site.Me, Agents: site.Balancers,
 		Classes: stormClasses(site.Classes), Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
 	core.Guard(s.door)
 	return s
@@ -64,7 +64,7 @@
 }
 
 // look returns how the door stands; nil where there is none, or the engine has ended.
-func (s *sharing) look() *share.Status {
+func (s *sharing) look() *overload.Status {
 	if s == nil {
 		return nil
 	}
@@ -76,7 +76,7 @@
 }
 
 // status returns how the door stands.
-func (s *sharing) status(ctx context.Context) (st share.Status, err error) {
+func (s *sharing) status(ctx context.Context) (st overload.Status, err error) {
 	err = s.core.Sharing(ctx, func(now time.Duration) { st = s.door.Status(now) })
 	return st, err
 }
@@ -103,4 +103,4 @@
 	})
 }
 
-var _ engine.Sharer = (*share.Door)(nil)
+var _ engine.Sharer = (*overload.Door)(nil)
--- a/internal/fleet/share/picture.go
+++ b/internal/fleet/overload/picture.go
@@ -1,11 +1,11 @@
-// Package share is how a fleet of agents handles overload as one: a picture of what is asked and of what servers can do, put together from
+// Package overload is how a fleet of agents handles overload as one: a picture of what is asked and of what servers can do, put together from
 // what all agents tell; one order of worth and one limit for the fleet, from which each agent gets its part by what it is asked; and news
 // of ill servers. It does no I/O and reads no clock.
 //
 // The rule of word holds: what others say makes an agent refuse more at once, but only while its own answers, if it has any, show busy
 // servers too; that it may let in more is confirmed by its own answers. Without word, or with little, each agent goes by its own
 // watch for storms, as it would alone.
-package share
+package overload
 
 import (
 	"math"
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/overload/share_test.go
@@ -1,4 +1,4 @@
-package share
+package overload
 
 import (
 	"cmp"
--- a/internal/rehearsal/simulate.go
+++ b/internal/rehearsal/simulate.go
@@ -14,8 +14,8 @@
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
+	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/internal/fleet/share"
 	"appleledge/internal/rig/doors"
 	"appleledge/internal/settings"
 )
@@ -51,8 +51,8 @@
 	swallow func(*simRequest) bool
 	mute    func(gossip.Message) bool // which datagrams between agents are lost
 
-	datagrams int         // between agents
-	knowing   *share.Door // of all agents, where they have one that knows all
+	datagrams int            // between agents
+	knowing   *overload.Door // of all agents, where they have one that knows all
 }
 
 // way is the time that a message takes.
@@ -207,7 +207,7 @@
 	due    time.Duration                 // when the engine is stepped next; 0: not planned
 	back   *recovery.Recovery            // nil where none is switched on
 	others *gossip.Core                  // nil where agents know nobody
-	shares *share.Door                   // nil where overload is handled alone
+	shares *overload.Door                // nil where overload is handled alone
 	alive  []bool                        // who lives, as it was told last
 	disk   disk                          // what outlasts its lives
 	heard  bool                          // the list has told it something in this life
--- a/internal/rehearsal/together.go
+++ b/internal/rehearsal/together.go
@@ -7,7 +7,7 @@
 	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/fleet/gossip"
-	"appleledge/internal/fleet/share"
+	"appleledge/internal/fleet/overload"
 )
 
 // fleetDoor is the door by which all agents handle overload together.
@@ -24,11 +24,11 @@
 	w, life, core := a.w, a.life, a.others
 	seed := uint64(a.number*1000 + a.life)
 	alone := stormOptions(set, seed)
-	d := share.New(share.Options{Self: a.number, Agents: w.script.Fleet.Agents, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter,
+	d := overload.New(overload.Options{Self: a.number, Agents: w.script.Fleet.Agents, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter,
 		Seed: seed}, admission.New(alone))
 	if w.script.Agents.Door == knowingDoor {
 		if w.knowing == nil {
-			w.knowing = share.New(share.Options{Agents: 1, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Seed: seed}, admission.New(alone))
+			w.knowing = overload.New(overload.Options{Agents: 1, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Seed: seed}, admission.New(alone))
 		}
 		a.door = w.knowing
 		a.engine.Guard(w.knowing)
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -19,8 +19,8 @@
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
+	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/internal/fleet/share"
 	"appleledge/internal/generation"
 	"appleledge/internal/golden"
 	"appleledge/internal/pool"
@@ -37,12 +37,12 @@
 		Dropped: map[string]uint64{"forged": 409, "not of now": 410}}
 }
 
-func goldenShares() *share.Status {
-	return &share.Status{Trust: 0.51, Limit: 502, Capacity: 503, Use: 0.54, Gain: 0.55, Chances: []float64{0.56, 0.57}, Refused: 0.58,
-		Asked: share.Asked{All: 509, LetIn: 510, Open: 511, Extra: 512, Good: 513, Late: 514, Heard: 515, Alive: 516},
+func goldenShares() *overload.Status {
+	return &overload.Status{Trust: 0.51, Limit: 502, Capacity: 503, Use: 0.54, Gain: 0.55, Chances: []float64{0.56, 0.57}, Refused: 0.58,
+		Asked: overload.Asked{All: 509, LetIn: 510, Open: 511, Extra: 512, Good: 513, Late: 514, Heard: 515, Alive: 516},
 		Held:  []string{"s-1", "s-2", "s-3"},
-		Counts: share.Counts{Refused: [][2]uint64{{517, 518}, {519, 520}}, Alone: 521, Late: 522, Unsent: 523, Told: 524,
-			Picture: share.PictureCounts{Bounded: 525, Malformed: 526}}}
+		Counts: overload.Counts{Refused: [][2]uint64{{517, 518}, {519, 520}}, Alone: 521, Late: 522, Unsent: 523, Told: 524,
+			Picture: overload.PictureCounts{Bounded: 525, Malformed: 526}}}
 }
 
 // Each part of the page from fixed counts, none of which is zero; maps come in any order, so the lines of a part are sorted.
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -22,8 +22,8 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
+	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/internal/fleet/share"
 	"appleledge/internal/generation"
 	"appleledge/internal/pool"
 )
@@ -41,8 +41,8 @@
 type Server struct {
 	Engine *engine.Engine
 	Pool   *pool.Pool
-	Peers  func() *gossip.Status // nil, or returning nil: the agent knows of no others
-	Shares func() *share.Status  // nil, or returning nil: overload is handled alone
+	Peers  func() *gossip.Status   // nil, or returning nil: the agent knows of no others
+	Shares func() *overload.Status // nil, or returning nil: overload is handled alone
 	Log    *slog.Logger
 }
 
