--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,8 +25,8 @@
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/places"
+	"appleledge/internal/platformconfig"
 	"appleledge/internal/pool"
-	"appleledge/internal/terms"
 	"appleledge/internal/wire"
 )
 
@@ -187,7 +187,7 @@
 	core.OnSubscribe(disco.Ask)
 	sources, names := with.open(disco, clk, cfg.Site, log)
 	hub := membership.NewHub(with.Membership, names, clk, core.Tell, log)
-	settled, rules := terms.New(cfg.Site), &intake.InForce{}
+	settled, rules := platformconfig.New(cfg.Site), &intake.InForce{}
 	rules.Put(settled.Rules())
 	others, err := with.openPeers(cfg, clk, log)
 	if err != nil {
@@ -324,7 +324,7 @@
 		})
 	}
 	return front.Serve(ctx, func() (usually, longest time.Duration) {
-		if longest = terms.LameDuck(rules.Longest()) + drainMost; cfg.linger {
+		if longest = platformconfig.LameDuck(rules.Longest()) + drainMost; cfg.linger {
 			return rules.Aim(), longest
 		}
 		return longest, longest
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,7 +9,7 @@
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
 	"appleledge/internal/membership/platform"
-	"appleledge/internal/terms"
+	"appleledge/internal/platformconfig"
 )
 
 // Reloads says when the configuration is to be read again, and how.
@@ -23,7 +23,7 @@
 	clock  engine.Clock
 	core   *engine.Engine
 	disco  *platform.Discovery
-	terms  *terms.Terms
+	terms  *platformconfig.Terms
 	rules  *intake.InForce
 	keys   keys // of the file in force
 	own    *sections
--- a/internal/terms/terms.go
+++ b/internal/platformconfig/terms.go
@@ -1,6 +1,6 @@
-// Package terms says under which settings of the platform requests come, as these change while the agent runs. It does no I/O
+// Package platformconfig says under which settings of the platform requests come, as these change while the agent runs. It does no I/O
 // and reads no clock.
-package terms
+package platformconfig
 
 import (
 	"fmt"
--- a/internal/terms/terms_test.go
+++ b/internal/platformconfig/terms_test.go
@@ -1,4 +1,4 @@
-package terms
+package platformconfig
 
 import (
 	"fmt"
