--- a/cmd/appleledge/fleet_measure_test.go
+++ b/cmd/appleledge/fleet_measure_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/figures"
+	"appleledge/internal/logstats"
 	"appleledge/internal/rig/processes"
 	"appleledge/internal/testbed"
 )
@@ -94,7 +94,7 @@
 		}
 	}
 	load.End()
-	sum, err := figures.New(time.Second)
+	sum, err := logstats.New(time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/appleledgectl/figures.go
+++ b/cmd/appleledgectl/figures.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"appleledge/internal/figures"
+	"appleledge/internal/logstats"
 )
 
 // figures adds up what agents have logged.
@@ -22,7 +22,7 @@
 		Example: "  appleledgectl figures logs/*.log\n  appleledgectl figures --step 1m /var/log/appleledge/*.log",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			sum, err := figures.New(step)
+			sum, err := logstats.New(step)
 			if err != nil {
 				return fmt.Errorf("--step: %w", err)
 			}
@@ -41,7 +41,7 @@
 	return cmd
 }
 
-func addFile(sum *figures.Sum, path string) error {
+func addFile(sum *logstats.Sum, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -8,7 +8,7 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/figures"
+	"appleledge/internal/logstats"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/pool"
 )
@@ -32,7 +32,7 @@
 			}
 			last[c.name] = c.n
 		}
-		log.Info(figures.Message, append(attrs, f.held()...)...)
+		log.Info(logstats.Message, append(attrs, f.held()...)...)
 	})
 }
 
--- a/internal/agent/figures_test.go
+++ b/internal/agent/figures_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/figures"
+	"appleledge/internal/logstats"
 	"appleledge/internal/testbed"
 )
 
@@ -24,7 +24,7 @@
 		}
 	}
 	eventually(t, "the figures say what was done", func() bool {
-		sum, err := figures.New(time.Hour * 24)
+		sum, err := logstats.New(time.Hour * 24)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/figures/figures.go
+++ b/internal/logstats/figures.go
@@ -1,5 +1,5 @@
-// Package figures adds up what agents have counted, from their logs.
-package figures
+// Package logstats adds up what agents have counted, from their logs.
+package logstats
 
 import (
 	"bufio"
--- a/internal/figures/golden_test.go
+++ b/internal/logstats/golden_test.go
@@ -1,4 +1,4 @@
-package figures
+package logstats
 
 import (
 	"bytes"
