--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -14,6 +14,7 @@
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
+	"appleledge/internal/connlimit"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
@@ -24,7 +25,6 @@
 	"appleledge/internal/intake"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/platform"
-	"appleledge/internal/places"
 	"appleledge/internal/platformconfig"
 	"appleledge/internal/pool"
 	"appleledge/internal/wire"
@@ -247,13 +247,13 @@
 	core.Name(cfg.Site.Logic.Classes)
 	reloading := reload{clock: clk, core: core, disco: disco, terms: settled, rules: rules, keys: cfg.keys, own: own, peers: rekey, log: log}
 	var large *httpfront.Large
-	var crowd places.Options
+	var crowd connlimit.Options
 	if cfg.Operator != "" { // the days on which operators call are those on which bodies are large
 		large = httpfront.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
 		listener = large.Frames(listener)
 		crowd.Patience = silentMost
 	}
-	clients := places.New(listener, fromClients, crowd)
+	clients := connlimit.New(listener, fromClients, crowd)
 	ready := func() bool { return core.Ready() && ctx.Err() == nil }
 	var twin *upgrade
 	if with.link != nil {
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -11,12 +11,12 @@
 
 	"golang.org/x/sys/unix"
 
+	"appleledge/internal/connlimit"
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 	"appleledge/internal/hotrestart"
 	"appleledge/internal/httpfront"
 	"appleledge/internal/membership/platform"
-	"appleledge/internal/places"
 	"appleledge/internal/pool"
 )
 
@@ -51,7 +51,7 @@
 	core                    *engine.Engine
 	clock                   engine.Clock
 	conns                   *pool.Pool
-	clients                 *places.Listener
+	clients                 *connlimit.Listener
 	large                   *httpfront.Large
 	toBackends, fromClients int                // connections of the whole agent
 	memory                  func(part float64) // limits the process to a part of the agent's memory; nil: nothing does
--- a/internal/places/places.go
+++ b/internal/connlimit/places.go
@@ -1,6 +1,6 @@
-// Package places bounds the connections that a listener holds. When it is full it makes room by closing what has been
+// Package connlimit bounds the connections that a listener holds. When it is full it makes room by closing what has been
 // without a request for longest: those who connect and say nothing, or ask once and stay, must not keep out the others.
-package places
+package connlimit
 
 import (
 	"context"
--- a/internal/places/places_test.go
+++ b/internal/connlimit/places_test.go
@@ -1,4 +1,4 @@
-package places
+package connlimit
 
 import (
 	"net"
--- a/internal/extproc/equivalence_test.go
+++ b/internal/extproc/equivalence_test.go
@@ -22,11 +22,11 @@
 	"google.golang.org/grpc/test/bufconn"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/connlimit"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/httpfront"
 	"appleledge/internal/intake"
-	"appleledge/internal/places"
 	"appleledge/internal/pool"
 	"appleledge/internal/wire"
 )
@@ -191,7 +191,7 @@
 			byID[q.id] = q
 		}
 		front := httpfront.New(httpfront.Options{Engine: w.engine, Clock: w.clock, Carrier: scripted{byID, got},
-			Rules: intake.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, places.New(nil, 10000, places.Options{}))
+			Rules: intake.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
 		w.start(t)
 		play(stream, func(q recorded) {
 			method := http.MethodPost
--- a/internal/httpfront/body.go
+++ b/internal/httpfront/body.go
@@ -12,11 +12,11 @@
 
 	"golang.org/x/sync/semaphore"
 
+	"appleledge/internal/connlimit"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/httpfront/framing"
 	"appleledge/internal/intake"
-	"appleledge/internal/places"
 )
 
 const (
@@ -104,7 +104,7 @@
 
 // checkFraming turns a request away whose body could be read in two ways.
 func checkFraming(ctx context.Context) error {
-	f, ok := places.Conn(ctx).(*framed)
+	f, ok := connlimit.Conn(ctx).(*framed)
 	if !ok {
 		return errors.New("the connection is not followed")
 	}
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/connlimit"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/intake"
-	"appleledge/internal/places"
 )
 
 // exchange sends a request and returns the answer's bytes, with another date, up to the end of the connection.
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	s := New(Options{Engine: engine.New(b, engine.NewClock(), nil, nil), Clock: engine.NewClock(), MostHeld: 1,
-		Rules: intake.Rules{Classes: classes, Tenants: []string{"glasgow-airport"}}}, places.New(nil, 2, places.Options{}))
+		Rules: intake.Rules{Classes: classes, Tenants: []string{"glasgow-airport"}}}, connlimit.New(nil, 2, connlimit.Options{}))
 	s.held.Store(1)
 	srv := httptest.NewServer(s)
 	defer srv.Close()
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"appleledge/internal/coalesce"
+	"appleledge/internal/connlimit"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/intake"
-	"appleledge/internal/places"
 )
 
 const (
@@ -61,11 +61,11 @@
 	closing atomic.Bool   // answers close their connections
 	until   atomic.Int64  // when all has to be answered, on the clock, once it is leaving
 	last    chan struct{} // closed then
-	clients *places.Listener
+	clients *connlimit.Listener
 }
 
 // New returns a server of the connections from a listener.
-func New(o Options, clients *places.Listener) *Server {
+func New(o Options, clients *connlimit.Listener) *Server {
 	return &Server{Options: o, clients: clients, last: make(chan struct{})}
 }
 
@@ -118,8 +118,8 @@
 		IdleTimeout:       clientIdle,
 		MaxHeaderBytes:    maxHeader,
 		ErrorLog:          slog.NewLogLogger(s.Log.Handler(), slog.LevelWarn),
-		ConnState:         places.ConnState,
-		ConnContext:       places.ConnContext,
+		ConnState:         connlimit.ConnState,
+		ConnContext:       connlimit.ConnContext,
 	}
 }
 
@@ -130,7 +130,7 @@
 // ServeHTTP gives each request its one answer.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := s.Clock.Now()
-	if places.Ended(r.Context()) { // its close and this request have crossed: it was not sent on, and its client sends it once more
+	if connlimit.Ended(r.Context()) { // its close and this request have crossed: it was not sent on, and its client sends it once more
 		panic(http.ErrAbortHandler)
 	}
 	if s.closing.Load() || !s.leaving.Load() && s.clients.Crowded() {
@@ -165,7 +165,7 @@
 			c.Deadline = min(c.Deadline, until)
 		}
 	}
-	places.Hold(r.Context())
+	connlimit.Hold(r.Context())
 	defer s.held.Add(-1)
 	if s.full(s.held.Add(1)) { // nothing was sent yet, so a refusal's promise holds
 		s.refuse(w, c, up != nil)
@@ -173,7 +173,7 @@
 	}
 	waits := newCaller()
 	c.Caller = waits
-	if places.Left(r.Context()) { // while the request lay unread: nothing begins for who has gone
+	if connlimit.Left(r.Context()) { // while the request lay unread: nothing begins for who has gone
 		panic(http.ErrAbortHandler)
 	}
 	s.Engine.Arrive(c)
@@ -291,7 +291,7 @@
 	}
 	var body []byte
 	if s.Large != nil {
-		places.Hold(r.Context()) // as long as it keeps its pace
+		connlimit.Hold(r.Context()) // as long as it keeps its pace
 		if body, up, release, err = s.Large.take(w, r, timeout); err == nil {
 			c.Deadline += s.Clock.Now() - began // a request's time counts from its last byte
 		}
--- a/internal/httpfront/server_test.go
+++ b/internal/httpfront/server_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/connlimit"
 	"appleledge/internal/engine"
 	"appleledge/internal/intake"
-	"appleledge/internal/places"
 	"appleledge/internal/testbed"
 )
 
@@ -24,7 +24,7 @@
 	}
 	core := engine.New(b, engine.NewClock(), nil, nil)
 	s := New(Options{Engine: core, Rules: intake.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}},
-		Clock: engine.NewClock(), MostHeld: 1}, places.New(nil, 2, places.Options{}))
+		Clock: engine.NewClock(), MostHeld: 1}, connlimit.New(nil, 2, connlimit.Options{}))
 	s.held.Store(1)
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "/form-check", nil)
@@ -44,7 +44,7 @@
 
 // A request whose connection was ended before it began is not sent on: its client sends it once more, and must not have two.
 func TestARequestBehindTheEndOfItsConnection(t *testing.T) {
-	l := places.New(testbed.Listen(t), 2, places.Options{})
+	l := connlimit.New(testbed.Listen(t), 2, connlimit.Options{})
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 		}
 	}()
 	r := httptest.NewRequest(http.MethodGet, "/form-check", nil)
-	s.ServeHTTP(httptest.NewRecorder(), r.WithContext(places.ConnContext(t.Context(), raw)))
+	s.ServeHTTP(httptest.NewRecorder(), r.WithContext(connlimit.ConnContext(t.Context(), raw)))
 }
 
 // A request that lay unread until its client had gone is not begun.
@@ -73,7 +73,7 @@
 	}
 	core := engine.New(b, engine.NewClock(), noFleet{}, slog.New(slog.DiscardHandler))
 	go core.Run(t.Context())
-	l := places.New(testbed.Listen(t), 2, places.Options{})
+	l := connlimit.New(testbed.Listen(t), 2, connlimit.Options{})
 	s := New(Options{Engine: core, Rules: intake.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}}, Clock: engine.NewClock()}, l)
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -84,9 +84,9 @@
 		t.Fatal(err)
 	}
 	defer raw.Close()
-	ctx := places.ConnContext(t.Context(), raw)
+	ctx := connlimit.ConnContext(t.Context(), raw)
 	far.Close()
-	testbed.Eventually(t, "the close has come", func() bool { return places.Left(ctx) })
+	testbed.Eventually(t, "the close has come", func() bool { return connlimit.Left(ctx) })
 	defer func() {
 		if err := recover(); err != http.ErrAbortHandler {
 			t.Errorf("%v", err)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,9 +13,9 @@
 	"strings"
 	"time"
 
+	"appleledge/internal/connlimit"
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
-	"appleledge/internal/places"
 )
 
 const (
@@ -59,7 +59,7 @@
 // Serve answers calls until the context ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	srv := &http.Server{Handler: s.Handler(), ReadTimeout: patience, WriteTimeout: patience + answerIn, IdleTimeout: patience,
-		MaxHeaderBytes: mostHead, ConnState: places.ConnState, ConnContext: places.ConnContext,
+		MaxHeaderBytes: mostHead, ConnState: connlimit.ConnState, ConnContext: connlimit.ConnContext,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelWarn)} // a rude peer must not flood the log
 	srv.SetKeepAlivesEnabled(false) // one call to a connection
 	defer context.AfterFunc(ctx, func() {
@@ -70,7 +70,7 @@
 		}
 	})()
 	s.Log.Info("listening for operators", "addr", l.Addr().String())
-	if err := srv.Serve(places.New(l, mostAtOnce, places.Options{Settled: settled})); !errors.Is(err, http.ErrServerClosed) {
+	if err := srv.Serve(connlimit.New(l, mostAtOnce, connlimit.Options{Settled: settled})); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving operators: %w", err)
 	}
 	return nil
@@ -87,7 +87,7 @@
 	mux.HandleFunc("PUT /ops/backends/down/{id}", s.hold(true))
 	mux.HandleFunc("PUT /ops/backends/up/{id}", s.hold(false))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		places.Hold(r.Context())
+		connlimit.Hold(r.Context())
 		if r.ContentLength > mostBody {
 			http.Error(w, "no call has a body that long", http.StatusRequestEntityTooLarge)
 			return
