--- a/internal/connlimit/places.go
+++ b/internal/connlimit/places.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"appleledge/internal/peek"
+	"appleledge/internal/sockstate"
 )
 
 // Options say whom a Listener closes to make room, and whom not.
@@ -106,7 +106,7 @@
 	if f, ok := raw.(interface{ NetConn() net.Conn }); ok {
 		raw = f.NetConn()
 	}
-	return peek.Gone(raw)
+	return sockstate.Gone(raw)
 }
 
 // Write notes that there is an answer, which a close must not take back.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -14,7 +14,7 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/peek"
+	"appleledge/internal/sockstate"
 )
 
 // Pool holds the connections to backends. Each carries one request at a time, and all that happens to it is
@@ -387,4 +387,4 @@
 
 // quiet reports whether an idle connection is open and nothing has come on it. A backend that died or closed
 // it shows here, before a request is risked on it.
-func (c *Conn) quiet() bool { return peek.Look(c.Conn) == peek.Nothing }
+func (c *Conn) quiet() bool { return sockstate.Look(c.Conn) == sockstate.Nothing }
--- a/internal/peek/peek.go
+++ b/internal/sockstate/peek.go
@@ -1,5 +1,5 @@
-// Package peek looks at what waits on a connection, without taking it.
-package peek
+// Package sockstate looks at what waits on a connection, without taking it.
+package sockstate
 
 import (
 	"net"
--- a/internal/peek/peek_test.go
+++ b/internal/sockstate/peek_test.go
@@ -1,4 +1,4 @@
-package peek
+package sockstate
 
 import (
 	"net"
