--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -17,8 +17,8 @@
 
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
-	"appleledge/internal/localsocket"
 	"appleledge/internal/plan"
+	"appleledge/internal/unixsocket"
 )
 
 const (
@@ -47,7 +47,7 @@
 			return nil, err
 		}
 	}
-	l, err := localsocket.Listen(path)
+	l, err := unixsocket.Listen(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -21,7 +21,7 @@
 	"golang.org/x/sys/unix"
 
 	"appleledge/internal/denylist"
-	"appleledge/internal/localsocket"
+	"appleledge/internal/unixsocket"
 )
 
 const (
@@ -182,7 +182,7 @@
 
 // open makes the own socket, for its owner alone.
 func (l *Link) open(path string) {
-	own, err := localsocket.Listen(path)
+	own, err := unixsocket.Listen(path)
 	if err != nil {
 		l.log.Warn("a later process can't take over from this one without a gap", "error", err)
 		return
--- a/internal/localsocket/localsocket.go
+++ b/internal/unixsocket/localsocket.go
@@ -1,5 +1,5 @@
-// Package localsocket opens Unix sockets that only their owner can connect to.
-package localsocket
+// Package unixsocket opens Unix sockets that only their owner can connect to.
+package unixsocket
 
 import (
 	"context"
--- a/internal/localsocket/localsocket_test.go
+++ b/internal/unixsocket/localsocket_test.go
@@ -1,4 +1,4 @@
-package localsocket
+package unixsocket
 
 import (
 	"fmt"
