--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,13 +15,13 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/connlimit"
+	"appleledge/internal/downstream/http1"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/hotrestart"
 	"appleledge/internal/httpcarrier"
-	"appleledge/internal/httpfront"
 	"appleledge/internal/intake"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/platform"
@@ -246,10 +246,10 @@
 	}
 	core.Name(cfg.Site.Logic.Classes)
 	reloading := reload{clock: clk, core: core, disco: disco, terms: settled, rules: rules, keys: cfg.keys, own: own, peers: rekey, log: log}
-	var large *httpfront.Large
+	var large *http1.Large
 	var crowd connlimit.Options
 	if cfg.Operator != "" { // the days on which operators call are those on which bodies are large
-		large = httpfront.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
+		large = http1.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
 		listener = large.Frames(listener)
 		crowd.Patience = silentMost
 	}
@@ -300,7 +300,7 @@
 	}
 
 	var badReport sync.Once
-	front := httpfront.New(httpfront.Options{
+	front := http1.New(http1.Options{
 		Rules:  rules,
 		Engine: core,
 		Clock:  clk,
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/httpfront"
+	"appleledge/internal/downstream/http1"
 	"appleledge/internal/intake"
 )
 
@@ -136,7 +136,7 @@
 	for _, limit := range []int{256, 1024, 4096} {
 		if to, from := shareSockets(limit); to < 1 || from < 1 || to+from > limit-spareSockets {
 			t.Errorf("of %d: %d to backends, %d from clients", limit, to, from)
-		} else if third := limit / 3; to < third || int(httpfront.HeldPart*float64(from)) < third {
+		} else if third := limit / 3; to < third || int(http1.HeldPart*float64(from)) < third {
 			t.Errorf("of %d: usual clients can't hold the third that is theirs", limit)
 		}
 	}
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/httpfront"
+	"appleledge/internal/downstream/http1"
 	"appleledge/internal/testbed"
 )
 
@@ -58,7 +58,7 @@
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.status != http.StatusOK {
 		t.Errorf("%+v", got)
 	}
-	if took := time.Since(began); took > httpfront.HeaderTimeout {
+	if took := time.Since(began); took > http1.HeaderTimeout {
 		t.Errorf("served after %v only", took)
 	}
 }
@@ -86,8 +86,8 @@
 func TestSlowClientsAreClosed(t *testing.T) {
 	b := newBackend(t, says(served))
 	a := start(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), 0)
-	if httpfront.HeaderTimeout+httpfront.BodyTimeout >= 3*time.Second {
-		t.Errorf("a head may take %v and a body %v", httpfront.HeaderTimeout, httpfront.BodyTimeout)
+	if http1.HeaderTimeout+http1.BodyTimeout >= 3*time.Second {
+		t.Errorf("a head may take %v and a body %v", http1.HeaderTimeout, http1.BodyTimeout)
 	}
 	head := "POST /refund-record HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 1\r\nX-Tenant-Id: lerwick-port\r\nIdempotency-Key: 1\r\n"
 	for name, text := range map[string]string{
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -13,9 +13,9 @@
 
 	"appleledge/internal/connlimit"
 	"appleledge/internal/denylist"
+	"appleledge/internal/downstream/http1"
 	"appleledge/internal/engine"
 	"appleledge/internal/hotrestart"
-	"appleledge/internal/httpfront"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/pool"
 )
@@ -52,7 +52,7 @@
 	clock                   engine.Clock
 	conns                   *pool.Pool
 	clients                 *connlimit.Listener
-	large                   *httpfront.Large
+	large                   *http1.Large
 	toBackends, fromClients int                // connections of the whole agent
 	memory                  func(part float64) // limits the process to a part of the agent's memory; nil: nothing does
 	keep                    *keeping           // nil: nothing is kept over a loss of power
--- a/internal/httpfront/body.go
+++ b/internal/downstream/http1/body.go
@@ -1,4 +1,4 @@
-package httpfront
+package http1
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"golang.org/x/sync/semaphore"
 
 	"appleledge/internal/connlimit"
+	"appleledge/internal/downstream/http1/framing"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
-	"appleledge/internal/httpfront/framing"
 	"appleledge/internal/intake"
 )
 
--- a/internal/httpfront/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package http1
 
 import (
 	"bufio"
--- a/internal/httpfront/server.go
+++ b/internal/downstream/http1/server.go
@@ -1,5 +1,5 @@
-// Package httpfront takes requests from clients that speak HTTP/1.1.
-package httpfront
+// Package http1 takes requests from clients that speak HTTP/1.1.
+package http1
 
 import (
 	"context"
--- a/internal/extproc/equivalence_test.go
+++ b/internal/extproc/equivalence_test.go
@@ -23,9 +23,9 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/connlimit"
+	"appleledge/internal/downstream/http1"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
-	"appleledge/internal/httpfront"
 	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/wire"
@@ -190,7 +190,7 @@
 		for _, q := range stream {
 			byID[q.id] = q
 		}
-		front := httpfront.New(httpfront.Options{Engine: w.engine, Clock: w.clock, Carrier: scripted{byID, got},
+		front := http1.New(http1.Options{Engine: w.engine, Clock: w.clock, Carrier: scripted{byID, got},
 			Rules: intake.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
 		w.start(t)
 		play(stream, func(q recorded) {
