--- a/internal/downstream/http1/body.go
+++ b/internal/downstream/http1/body.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/semaphore"
 
 	"appleledge/internal/connlimit"
-	"appleledge/internal/downstream/http1/framing"
+	"appleledge/internal/downstream/framing"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
 	"appleledge/internal/intake"
