--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -16,8 +16,8 @@
 	"google.golang.org/grpc/grpclog"
 
 	"appleledge/internal/agent"
+	"appleledge/internal/downstream/extproc"
 	"appleledge/internal/engine"
-	"appleledge/internal/extproc"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/xds"
 	"appleledge/internal/program"
