--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,13 +16,13 @@
 	"appleledge/internal/coalesce"
 	"appleledge/internal/connlimit"
 	"appleledge/internal/downstream/http1"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/hotrestart"
 	"appleledge/internal/httpcarrier"
-	"appleledge/internal/intake"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/platformconfig"
@@ -49,7 +49,7 @@
 type Core struct {
 	Engine   *engine.Engine
 	Clock    engine.Clock
-	Rules    intake.Checker
+	Rules    requesthead.Checker
 	Pool     *pool.Pool
 	Site     wire.Site
 	Longest  func() time.Duration    // that any client waits, as the settings have it now
@@ -187,7 +187,7 @@
 	core.OnSubscribe(disco.Ask)
 	sources, names := with.open(disco, clk, cfg.Site, log)
 	hub := membership.NewHub(with.Membership, names, clk, core.Tell, log)
-	settled, rules := platformconfig.New(cfg.Site), &intake.InForce{}
+	settled, rules := platformconfig.New(cfg.Site), &requesthead.InForce{}
 	rules.Put(settled.Rules())
 	others, err := with.openPeers(cfg, clk, log)
 	if err != nil {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"appleledge/internal/downstream/http1"
-	"appleledge/internal/intake"
+	"appleledge/internal/downstream/requesthead"
 )
 
 func TestServes(t *testing.T) {
@@ -113,7 +113,7 @@
 		"two ids":           {"/refund-record", "", func(r *http.Request) { r.Header.Add("X-Request-ID", "2") }, http.StatusBadRequest},
 		"long id":           {"/refund-record", "", with("X-Request-ID", strings.Repeat("x", 129)), http.StatusBadRequest},
 		"unknown tenant":    {"/refund-record", "", with("X-Tenant-Id", "nobody"), http.StatusBadRequest},
-		"long body": {"/refund-record", strings.Repeat("x", intake.MaxBody+1), func(*http.Request) {},
+		"long body": {"/refund-record", strings.Repeat("x", requesthead.MaxBody+1), func(*http.Request) {},
 			http.StatusRequestEntityTooLarge},
 	} {
 		r := a.newRequest(t, http.MethodPost, c.path, c.body)
@@ -125,7 +125,7 @@
 	if n := b.Requests(); n != 0 {
 		t.Errorf("%d were forwarded", n)
 	}
-	if got := send(t, a.newRequest(t, http.MethodPost, "/refund-record", strings.Repeat("x", intake.MaxBody))); got.status != http.StatusOK {
+	if got := send(t, a.newRequest(t, http.MethodPost, "/refund-record", strings.Repeat("x", requesthead.MaxBody))); got.status != http.StatusOK {
 		t.Errorf("the longest body: %+v", got)
 	}
 }
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -12,9 +12,9 @@
 	"appleledge/internal/admin"
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/generation"
-	"appleledge/internal/intake"
 	"appleledge/internal/wire"
 )
 
@@ -56,7 +56,7 @@
 
 // namesOf are the platform's names, with these classes by their numbers. Those that were dropped keep theirs.
 func namesOf(site wire.Site, classes []balancer.Class) generation.Names {
-	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, Headers: intake.Routable}
+	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, Headers: requesthead.Routable}
 	for _, c := range classes {
 		names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
 		if c.Effect == balancer.Keyed {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -6,8 +6,8 @@
 	"os"
 	"strings"
 
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/platformconfig"
 )
@@ -24,7 +24,7 @@
 	core   *engine.Engine
 	disco  *platform.Discovery
 	terms  *platformconfig.Terms
-	rules  *intake.InForce
+	rules  *requesthead.InForce
 	keys   keys // of the file in force
 	own    *sections
 	peers  func() error // reads the keys of [peers] again; nil without the section
--- a/internal/downstream/extproc/bench_test.go
+++ b/internal/downstream/extproc/bench_test.go
@@ -24,8 +24,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
 	"appleledge/internal/wire"
@@ -123,7 +123,7 @@
 		set := testSet()
 		set.MaxOpen, set.MaxStreams, set.MaxConnections = benchStreams, benchStreams, 64
 		s := New(Options{Settings: set, Engine: e, Clock: clock, Pool: pool, ReportFields: site.ReportFields,
-			Rules:   intake.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants},
+			Rules:   requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants},
 			Longest: twoSeconds, Log: log})
 		go e.Run(ctx)
 		var members []engine.Member
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -24,9 +24,9 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/connlimit"
 	"appleledge/internal/downstream/http1"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
-	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/wire"
 )
@@ -191,7 +191,7 @@
 			byID[q.id] = q
 		}
 		front := http1.New(http1.Options{Engine: w.engine, Clock: w.clock, Carrier: scripted{byID, got},
-			Rules: intake.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
+			Rules: requesthead.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
 		w.start(t)
 		play(stream, func(q recorded) {
 			method := http.MethodPost
@@ -223,7 +223,7 @@
 		set := testSet()
 		set.MaxOpen, set.MaxStreams = 10000, 10000
 		server := New(Options{Settings: set, Engine: w.engine, Clock: w.clock, Pool: w.pool, ReportFields: w.site.ReportFields,
-			Rules:   intake.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants},
+			Rules:   requesthead.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants},
 			Longest: twoSeconds, Log: slog.New(slog.DiscardHandler)})
 		w.start(t)
 		l := bufconn.Listen(1 << 20)
--- a/internal/downstream/extproc/fuzz_test.go
+++ b/internal/downstream/extproc/fuzz_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 )
 
@@ -36,7 +36,7 @@
 	pool := pool.New(time.Second, time.Second, 10)
 	pool.Update(true, []engine.Member{member(0, balancer.Ready), member(1, balancer.Ready)})
 	s := &Server{Options: Options{Settings: testSet(), Clock: clock, Pool: pool, ReportFields: site.ReportFields,
-		Rules: intake.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Log: slog.New(slog.DiscardHandler)}}
+		Rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Log: slog.New(slog.DiscardHandler)}}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var req extprocv3.ProcessingRequest
 		if proto.Unmarshal(data, &req) != nil {
@@ -46,7 +46,7 @@
 			began := clock.Now()
 			call, err := s.accept(&req, h)
 			if err != nil {
-				bad, ok := errors.AsType[intake.BadRequest](err)
+				bad, ok := errors.AsType[requesthead.BadRequest](err)
 				if !ok || bad.Status < 400 || bad.Status >= 500 || bad.Status == http.StatusTooManyRequests {
 					t.Errorf("refused with %#v", err)
 				}
--- a/internal/downstream/extproc/harness_test.go
+++ b/internal/downstream/extproc/harness_test.go
@@ -21,8 +21,8 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/settings"
 	"appleledge/internal/testbed"
@@ -86,7 +86,7 @@
 		longest = max(longest, c.Deadline)
 	}
 	r.server = New(Options{Settings: set, Engine: r.engine, Clock: clock, Pool: r.pool, ReportFields: site.ReportFields,
-		Rules: intake.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Longest: func() time.Duration { return longest }, Log: log})
+		Rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Longest: func() time.Duration { return longest }, Log: log})
 	if o.linger > 0 {
 		r.server.linger = o.linger
 	}
--- a/internal/downstream/extproc/message.go
+++ b/internal/downstream/extproc/message.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 )
 
 // Names of the endpoint picker protocol.
@@ -52,7 +52,7 @@
 )
 
 func bad(status int, format string, args ...any) error {
-	return intake.BadRequest{Status: status, Text: fmt.Sprintf(format, args...)}
+	return requesthead.BadRequest{Status: status, Text: fmt.Sprintf(format, args...)}
 }
 
 // accept reads and checks the head of a request, as strictly as direct mode does.
@@ -104,7 +104,7 @@
 var readNames = func() map[string]string {
 	names := map[string]string{}
 	for _, name := range slices.Concat([]string{"Content-Length", "Transfer-Encoding", envoyTimeout, envoyAttempt, loadHeader,
-		notProcessedHeader, ServedHeader}, intake.Read, intake.Routable) {
+		notProcessedHeader, ServedHeader}, requesthead.Read, requesthead.Routable) {
 		names[strings.ToLower(name)] = http.CanonicalHeaderKey(name)
 	}
 	return names
@@ -166,31 +166,31 @@
 }
 
 // requestHead reads the head of a request.
-func requestHead(m *extprocv3.HttpHeaders) (intake.Head, error) {
+func requestHead(m *extprocv3.HttpHeaders) (requesthead.Head, error) {
 	h := readHead(m.GetHeaders())
 	method, _, err := one(h.method, ":method")
 	if err != nil {
-		return intake.Head{}, err
+		return requesthead.Head{}, err
 	}
 	path, _, err := one(h.path, ":path")
 	if err != nil {
-		return intake.Head{}, err
+		return requesthead.Head{}, err
 	}
 	path, _, _ = strings.Cut(path, "?")
 	length, chunked, err := bodyLength(h.Header, m.GetEndOfStream())
 	if err != nil {
-		return intake.Head{}, err
+		return requesthead.Head{}, err
 	}
-	if _, stated := h.Header[intake.TimeoutHeader]; !stated {
+	if _, stated := h.Header[requesthead.TimeoutHeader]; !stated {
 		ms, there, err := one(h.Header[envoyTimeout], envoyTimeout)
 		if err != nil {
-			return intake.Head{}, err
+			return requesthead.Head{}, err
 		}
 		if there {
-			h.Header.Set(intake.TimeoutHeader, ms+"m")
+			h.Header.Set(requesthead.TimeoutHeader, ms+"m")
 		}
 	}
-	return intake.Head{Method: method, Path: path, Header: h.Header, ContentLength: length, Chunked: chunked}, nil
+	return requesthead.Head{Method: method, Path: path, Header: h.Header, ContentLength: length, Chunked: chunked}, nil
 }
 
 // bodyLength reads the stated length of a body. One that has none is as good as chunked: its end is not known ahead.
@@ -405,7 +405,7 @@
 }
 
 // timeoutName is the header that tells a server how long the client waits.
-var timeoutName = strings.ToLower(intake.TimeoutHeader)
+var timeoutName = strings.ToLower(requesthead.TimeoutHeader)
 
 func set(name, value string) *corev3.HeaderValueOption {
 	return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: name, RawValue: []byte(value)},
@@ -426,7 +426,7 @@
 // immediate is a final answer that the agent gives in place of a backend.
 func immediate(a engine.Answer) *extprocv3.ProcessingResponse {
 	var headers []*corev3.HeaderValueOption
-	for _, header := range intake.ComeBack(a) {
+	for _, header := range requesthead.ComeBack(a) {
 		headers = append(headers, set(strings.ToLower(header[0]), header[1]))
 	}
 	return immediateResponse(answerStatuses[a.Kind], answerTexts[a.Kind], headers)
@@ -435,7 +435,7 @@
 // immediateError answers bad input.
 func immediateError(err error) *extprocv3.ProcessingResponse {
 	code := http.StatusBadRequest
-	if b, ok := errors.AsType[intake.BadRequest](err); ok {
+	if b, ok := errors.AsType[requesthead.BadRequest](err); ok {
 		code = b.Status
 	}
 	return immediateResponse(code, err.Error(), nil)
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -28,8 +28,8 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/grpc/tap"
 
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/platformconfig"
 	"appleledge/internal/pool"
 	"appleledge/internal/settings"
@@ -54,7 +54,7 @@
 	Settings     settings.ExternalProcessor
 	Engine       *engine.Engine
 	Clock        engine.Clock
-	Rules        intake.Checker
+	Rules        requesthead.Checker
 	Pool         *pool.Pool
 	ReportFields []string             // of load reports
 	Longest      func() time.Duration // that any client waits: for so long a drain may take
--- a/internal/downstream/http1/body.go
+++ b/internal/downstream/http1/body.go
@@ -14,21 +14,21 @@
 
 	"appleledge/internal/connlimit"
 	"appleledge/internal/downstream/framing"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
-	"appleledge/internal/intake"
 )
 
 const (
-	slowHeader = 2600 * time.Millisecond // for the head of a request, where clients may be slow
-	bodyStall  = 1500 * time.Millisecond // for the next bytes of a body
-	paceFrom   = 3 * time.Second         // from when on a body has to have come at the pace
-	leastPace  = 16 << 10                // bytes a second, a quarter of what the slowest client is said to send
-	takeStall  = 5 * time.Second         // for a client to take a piece of a large answer
-	piece      = 32 << 10                // bytes that are passed on at a time
-	holdLarge  = intake.MaxBody + piece  // what a large body holds in memory
-	budgetWait = 5 * time.Second         // for room in the budget, in which a body waits with its client
-	small      = 4 << 10                 // bytes that are passed on at a time where the budget has no more
+	slowHeader = 2600 * time.Millisecond     // for the head of a request, where clients may be slow
+	bodyStall  = 1500 * time.Millisecond     // for the next bytes of a body
+	paceFrom   = 3 * time.Second             // from when on a body has to have come at the pace
+	leastPace  = 16 << 10                    // bytes a second, a quarter of what the slowest client is said to send
+	takeStall  = 5 * time.Second             // for a client to take a piece of a large answer
+	piece      = 32 << 10                    // bytes that are passed on at a time
+	holdLarge  = requesthead.MaxBody + piece // what a large body holds in memory
+	budgetWait = 5 * time.Second             // for room in the budget, in which a body waits with its client
+	small      = 4 << 10                     // bytes that are passed on at a time where the budget has no more
 )
 
 // Large says how large bodies pass. What they hold in memory comes from one budget: a body waits for its part of it, and an
@@ -111,7 +111,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if v := f.scan.Next(); v != "" {
-		return intake.BadRequest{Status: http.StatusBadRequest, Text: string(v)}
+		return requesthead.BadRequest{Status: http.StatusBadRequest, Text: string(v)}
 	}
 	return nil
 }
@@ -156,9 +156,9 @@
 // badBody is the answer to a body that could not be read.
 func badBody(err error) error {
 	if errors.Is(err, errLong) {
-		return intake.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is over %d KiB", httpcarrier.MostLarge>>10)}
+		return requesthead.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is over %d KiB", httpcarrier.MostLarge>>10)}
 	}
-	return intake.BadRequest{Status: http.StatusBadRequest, Text: "the body is not whole"}
+	return requesthead.BadRequest{Status: http.StatusBadRequest, Text: "the body is not whole"}
 }
 
 // errFull says that there is no room in memory for another large body. Nothing of its request was sent on.
@@ -171,7 +171,7 @@
 	if r.ContentLength == 0 {
 		return nil, nil, release, nil
 	}
-	if r.ContentLength < 0 || r.ContentLength > intake.MaxBody {
+	if r.ContentLength < 0 || r.ContentLength > requesthead.MaxBody {
 		ctx, cancel := context.WithTimeout(r.Context(), budgetWait)
 		defer cancel()
 		if l.budget.Acquire(ctx, holdLarge) != nil {
@@ -185,7 +185,7 @@
 
 func (l *Large) read(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *httpcarrier.Upload, err error) {
 	b := &body{from: r.Body, control: http.NewResponseController(w), most: httpcarrier.MostLarge}
-	size := intake.MaxBody + 1
+	size := requesthead.MaxBody + 1
 	if r.ContentLength > 0 {
 		size = int(min(r.ContentLength, int64(size)))
 	}
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -15,10 +15,10 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/connlimit"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/httpcarrier"
-	"appleledge/internal/intake"
 )
 
 // exchange sends a request and returns the answer's bytes, with another date, up to the end of the connection.
@@ -56,7 +56,7 @@
 		out.WriteString(exchange(t, srv.Listener.Addr().String(), "GET /form-check HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 		srv.Close()
 	}
-	for _, err := range []error{errors.New("any"), intake.BadRequest{Status: http.StatusNotFound, Text: "unknown class"}} {
+	for _, err := range []error{errors.New("any"), requesthead.BadRequest{Status: http.StatusNotFound, Text: "unknown class"}} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { turnAway(w, err) }))
 		out.WriteString(exchange(t, srv.Listener.Addr().String(), "GET /form-check HTTP/1.1\r\nHost: h\r\n\r\n"))
 		srv.Close()
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	s := New(Options{Engine: engine.New(b, engine.NewClock(), nil, nil), Clock: engine.NewClock(), MostHeld: 1,
-		Rules: intake.Rules{Classes: classes, Tenants: []string{"glasgow-airport"}}}, connlimit.New(nil, 2, connlimit.Options{}))
+		Rules: requesthead.Rules{Classes: classes, Tenants: []string{"glasgow-airport"}}}, connlimit.New(nil, 2, connlimit.Options{}))
 	s.held.Store(1)
 	srv := httptest.NewServer(s)
 	defer srv.Close()
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -15,9 +15,9 @@
 
 	"appleledge/internal/coalesce"
 	"appleledge/internal/connlimit"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/httpcarrier"
-	"appleledge/internal/intake"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // Options are what a Server is made of. All but MostHeld, AcceptFor, Leave, Joins and Large must be set.
 type Options struct {
-	Rules     intake.Checker
+	Rules     requesthead.Checker
 	Engine    *engine.Engine
 	Clock     engine.Clock
 	Carrier   engine.Carrier // of the calls
@@ -238,7 +238,7 @@
 // turnAway answers bad input. It closes the connection, as what comes behind may be a part of it.
 func turnAway(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	if bad, ok := errors.AsType[intake.BadRequest](err); ok {
+	if bad, ok := errors.AsType[requesthead.BadRequest](err); ok {
 		status = bad.Status
 	}
 	w.Header().Set("Connection", "close")
@@ -268,7 +268,7 @@
 	} else {
 		h["Content-Type"] = nil // do not guess
 	}
-	for _, header := range intake.ComeBack(a) {
+	for _, header := range requesthead.ComeBack(a) {
 		h.Set(header[0], header[1])
 	}
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -281,7 +281,7 @@
 func (s *Server) accept(w http.ResponseWriter, r *http.Request, began time.Duration) (c *engine.Call, up *httpcarrier.Upload,
 	release func(), err error) {
 	release = func() {}
-	h := intake.Head{Method: r.Method, Path: r.URL.Path, Header: r.Header, ContentLength: r.ContentLength, Chunked: len(r.TransferEncoding) > 0}
+	h := requesthead.Head{Method: r.Method, Path: r.URL.Path, Header: r.Header, ContentLength: r.ContentLength, Chunked: len(r.TransferEncoding) > 0}
 	if s.Large != nil {
 		h.MostBody, h.Forms = httpcarrier.MostLarge, true
 	}
@@ -305,7 +305,7 @@
 	if up != nil { // it has its real deadline when its last byte has been sent on
 		c.Upload, c.Deadline = up, s.Clock.Now()+slowest(r.ContentLength)+timeout
 	}
-	c.Payload = &httpcarrier.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: intake.Forwarded(r.Header), Body: body, Upload: up}
+	c.Payload = &httpcarrier.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: requesthead.Forwarded(r.Header), Body: body, Upload: up}
 	if up == nil {
 		c.Like = s.Joins.like(c, r, body)
 	}
@@ -326,7 +326,7 @@
 	if j == nil {
 		return nil
 	}
-	if joined := *j.Classes.Load(); c.Class >= len(joined) || !joined[c.Class] || intake.Directs(r.Header, "no-cache", "no-store") {
+	if joined := *j.Classes.Load(); c.Class >= len(joined) || !joined[c.Class] || requesthead.Directs(r.Header, "no-cache", "no-store") {
 		return nil
 	}
 	tenant := ""
@@ -334,7 +334,7 @@
 		tenant = strconv.Itoa(c.Tenant)
 	}
 	parts := []string{r.Method, r.Host, r.URL.RequestURI(), tenant, string(body)}
-	d := j.Identity.Of(append(parts, intake.Asked(r.Header)...)...)
+	d := j.Identity.Of(append(parts, requesthead.Asked(r.Header)...)...)
 	return &d
 }
 
@@ -347,12 +347,12 @@
 	if err := control.SetReadDeadline(until); err != nil {
 		return nil, fmt.Errorf("setting the read deadline: %w", err)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, intake.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, requesthead.MaxBody))
 	if _, long := errors.AsType[*http.MaxBytesError](err); long {
-		return nil, intake.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: "the body is over 64 KiB"}
+		return nil, requesthead.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: "the body is over 64 KiB"}
 	}
 	if err != nil {
-		return nil, intake.BadRequest{Status: http.StatusBadRequest, Text: "the body is not whole"}
+		return nil, requesthead.BadRequest{Status: http.StatusBadRequest, Text: "the body is not whole"}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		return nil, fmt.Errorf("clearing the read deadline: %w", err)
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -10,8 +10,8 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/connlimit"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/testbed"
 )
 
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	core := engine.New(b, engine.NewClock(), nil, nil)
-	s := New(Options{Engine: core, Rules: intake.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}},
+	s := New(Options{Engine: core, Rules: requesthead.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}},
 		Clock: engine.NewClock(), MostHeld: 1}, connlimit.New(nil, 2, connlimit.Options{}))
 	s.held.Store(1)
 	w := httptest.NewRecorder()
@@ -74,7 +74,7 @@
 	core := engine.New(b, engine.NewClock(), noFleet{}, slog.New(slog.DiscardHandler))
 	go core.Run(t.Context())
 	l := connlimit.New(testbed.Listen(t), 2, connlimit.Options{})
-	s := New(Options{Engine: core, Rules: intake.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}}, Clock: engine.NewClock()}, l)
+	s := New(Options{Engine: core, Rules: requesthead.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}}, Clock: engine.NewClock()}, l)
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/intake/intake.go
+++ b/internal/downstream/requesthead/intake.go
@@ -1,6 +1,6 @@
-// Package intake checks the head of a request, by whatever front it came, and says what the engine needs to know of
+// Package requesthead checks the head of a request, by whatever front it came, and says what the engine needs to know of
 // it. All fronts that take HTTP messages go through it, so that they are equally strict.
-package intake
+package requesthead
 
 import (
 	"fmt"
--- a/internal/intake/intake_test.go
+++ b/internal/downstream/requesthead/intake_test.go
@@ -1,4 +1,4 @@
-package intake
+package requesthead
 
 import (
 	"net/http"
--- a/internal/httpcarrier/carrier.go
+++ b/internal/httpcarrier/carrier.go
@@ -17,14 +17,14 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/wire"
 )
 
 const (
-	maxBody       = intake.MaxBody
+	maxBody       = requesthead.MaxBody
 	maxFigure     = 1e9       // a load report with more in it is malformed
 	mostInterim   = 8         // 1xx answers before the final one
 	maxHead       = 16 << 10  // of an answer, with interim ones
@@ -144,7 +144,7 @@
 
 // private reports whether an answer is for one caller alone, by the rules for shared caches (RFC 9111, sections 3 and 4.1).
 func private(h http.Header) bool {
-	return intake.Directs(h, "private", "no-store") || len(h["Set-Cookie"]) > 0 || intake.VariesByAsking(h)
+	return requesthead.Directs(h, "private", "no-store") || len(h["Set-Cookie"]) > 0 || requesthead.VariesByAsking(h)
 }
 
 // Judge says what a whole answer with that status and head means for the attempt.
@@ -237,7 +237,7 @@
 		req.Body = io.NopCloser(bytes.NewReader(in.Body))
 	}
 	left := max(0, a.Until-s.Clock.Now())
-	req.Header.Set(intake.TimeoutHeader, strconv.FormatInt(left.Microseconds(), 10)+"u")
+	req.Header.Set(requesthead.TimeoutHeader, strconv.FormatInt(left.Microseconds(), 10)+"u")
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
 		return nil, nil, fmt.Errorf("writing the request: %w", err)
--- a/internal/httpcarrier/carrier_test.go
+++ b/internal/httpcarrier/carrier_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
 )
@@ -255,7 +255,7 @@
 		t.Fatal("nothing came")
 	}
 	r, sent := b.Request(0)
-	left, err := intake.ParseTimeout(r.Header.Get("X-Timeout"), testbed.Patience)
+	left, err := requesthead.ParseTimeout(r.Header.Get("X-Timeout"), testbed.Patience)
 	if err != nil || left > 1500*time.Millisecond {
 		t.Errorf("X-Timeout %q: %v", r.Header.Get("X-Timeout"), err)
 	}
--- a/internal/httpcarrier/golden_test.go
+++ b/internal/httpcarrier/golden_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
-	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 )
 
@@ -33,7 +33,7 @@
 	now := 5 * time.Second
 	s := &Carrier{Clock: engine.DrivenClock(&now)}
 	target := &url.URL{Path: "/refund-record/8", RawQuery: "q=9"}
-	in := Request{Method: http.MethodPost, Host: "origin.svc", URL: target, Header: intake.Forwarded(goldenHeader()), Body: []byte("body")}
+	in := Request{Method: http.MethodPost, Host: "origin.svc", URL: target, Header: requesthead.Forwarded(goldenHeader()), Body: []byte("body")}
 	var out []byte
 	attempt := func(in Request) *engine.Attempt {
 		return &engine.Attempt{Call: &engine.Call{ID: "9b1f03aa5c7e2d41", Payload: &in}, Server: "b", Until: now + 123456*time.Microsecond}
--- a/internal/httpcarrier/stream.go
+++ b/internal/httpcarrier/stream.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/intake"
 	"appleledge/internal/pool"
 )
 
@@ -106,7 +106,7 @@
 	in := a.Call.Payload.(*Request)
 	body := &part{Upload: u}
 	req = &http.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header.Clone(), ContentLength: u.Length, Body: body}
-	req.Header.Set(intake.TimeoutHeader, strconv.FormatInt(u.Patience.Microseconds(), 10)+"u")
+	req.Header.Set(requesthead.TimeoutHeader, strconv.FormatInt(u.Patience.Microseconds(), 10)+"u")
 	err := req.Write(paced{c})
 	if err == nil {
 		a.Wrote()
--- a/internal/platformconfig/terms.go
+++ b/internal/platformconfig/terms.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/intake"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/wire"
 )
 
@@ -29,18 +29,18 @@
 // Terms are the settings in force. A class has the number that its name got first, for good: what is kept by class elsewhere
 // stays right over any change.
 type Terms struct {
-	rules   intake.Rules
+	rules   requesthead.Rules
 	present wire.Site
 }
 
 // New returns the settings that an agent starts with, which are generation 0.
 func New(site wire.Site) *Terms {
-	return &Terms{present: site, rules: intake.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants,
+	return &Terms{present: site, rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants,
 		Attempts: site.Logic.MaxAttempts}}
 }
 
 // Rules are what requests are checked against.
-func (t *Terms) Rules() intake.Rules { return t.rules }
+func (t *Terms) Rules() requesthead.Rules { return t.rules }
 
 // Change puts other settings in force from now on. It returns what the module is to be told, and the names of what has changed
 // that takes effect at the next start only. After an error all is as it was.
@@ -54,7 +54,7 @@
 	}
 	before := t.rules
 	before.Before = nil
-	t.rules = intake.Rules{Classes: classes, Tenants: t.rules.Tenants, Attempts: site.Logic.MaxAttempts, Number: before.Number + 1,
+	t.rules = requesthead.Rules{Classes: classes, Tenants: t.rules.Tenants, Attempts: site.Logic.MaxAttempts, Number: before.Number + 1,
 		Before: &before, BeforeUntil: now + grace}
 	later = t.present.Differs(site)
 	t.present.Logic.Classes, t.present.Logic.MaxAttempts = site.Logic.Classes, site.Logic.MaxAttempts
--- a/internal/platformconfig/terms_test.go
+++ b/internal/platformconfig/terms_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/intake"
+	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/wire"
 )
 
@@ -34,14 +34,14 @@
 }
 
 // asked is how a request is taken: its class' number, effect, settings and attempts.
-func asked(rules intake.Rules, at time.Duration, form string) string {
+func asked(rules requesthead.Rules, at time.Duration, form string) string {
 	name, effect, _ := strings.Cut(form, ":")
-	h := intake.Head{Method: http.MethodPost, Path: "/" + name, Header: http.Header{"X-Request-Id": {"1"}, "X-Timeout": {"900m"}}}
+	h := requesthead.Head{Method: http.MethodPost, Path: "/" + name, Header: http.Header{"X-Request-Id": {"1"}, "X-Timeout": {"900m"}}}
 	switch effect {
 	case "r":
 		h.Method = http.MethodGet
 	case "k":
-		h.Header.Set(intake.KeyHeader, "key")
+		h.Header.Set(requesthead.KeyHeader, "key")
 	}
 	c, _, err := rules.Check(h, at)
 	if err != nil {
@@ -64,7 +64,7 @@
 	dropped := terms.Rules()
 	for _, c := range []struct {
 		name  string
-		rules intake.Rules
+		rules requesthead.Rules
 		at    time.Duration
 		form  string
 		want  string
