--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,18 +15,18 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/connlimit"
-	"appleledge/internal/downstream/http1"
+	downstreamhttp1 "appleledge/internal/downstream/http1"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/hotrestart"
-	"appleledge/internal/httpcarrier"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/platformconfig"
 	"appleledge/internal/pool"
+	upstreamhttp1 "appleledge/internal/upstream/http1"
 	"appleledge/internal/wire"
 )
 
@@ -246,10 +246,10 @@
 	}
 	core.Name(cfg.Site.Logic.Classes)
 	reloading := reload{clock: clk, core: core, disco: disco, terms: settled, rules: rules, keys: cfg.keys, own: own, peers: rekey, log: log}
-	var large *http1.Large
+	var large *downstreamhttp1.Large
 	var crowd connlimit.Options
 	if cfg.Operator != "" { // the days on which operators call are those on which bodies are large
-		large = http1.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
+		large = downstreamhttp1.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
 		listener = large.Frames(listener)
 		crowd.Patience = silentMost
 	}
@@ -300,11 +300,11 @@
 	}
 
 	var badReport sync.Once
-	front := http1.New(http1.Options{
+	front := downstreamhttp1.New(downstreamhttp1.Options{
 		Rules:  rules,
 		Engine: core,
 		Clock:  clk,
-		Carrier: &httpcarrier.Carrier{Pool: conns, Clock: clk, Large: large != nil, Fields: cfg.Site.ReportFields, Noted: func(err error) {
+		Carrier: &upstreamhttp1.Carrier{Pool: conns, Clock: clk, Large: large != nil, Fields: cfg.Site.ReportFields, Noted: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}},
 		MostHeld:  cfg.Site.MostHeld,
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -23,11 +23,11 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/connlimit"
-	"appleledge/internal/downstream/http1"
+	downstreamhttp1 "appleledge/internal/downstream/http1"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/httpcarrier"
 	"appleledge/internal/pool"
+	upstreamhttp1 "appleledge/internal/upstream/http1"
 	"appleledge/internal/wire"
 )
 
@@ -128,10 +128,10 @@
 	time.Sleep(p.took)
 	out := engine.Outcome{Attempt: a, Result: p.result, Report: balancer.NoReport}
 	if p.load != "" {
-		out.Report, _ = httpcarrier.ParseReport(p.load, []string{"util", "qps", "eps"})
+		out.Report, _ = upstreamhttp1.ParseReport(p.load, []string{"util", "qps", "eps"})
 	}
 	if p.result == balancer.OK {
-		out.Payload = &httpcarrier.Response{}
+		out.Payload = &upstreamhttp1.Response{}
 	}
 	return out
 }
@@ -190,7 +190,7 @@
 		for _, q := range stream {
 			byID[q.id] = q
 		}
-		front := http1.New(http1.Options{Engine: w.engine, Clock: w.clock, Carrier: scripted{byID, got},
+		front := downstreamhttp1.New(downstreamhttp1.Options{Engine: w.engine, Clock: w.clock, Carrier: scripted{byID, got},
 			Rules: requesthead.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
 		w.start(t)
 		play(stream, func(q recorded) {
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -15,8 +15,8 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/httpcarrier"
 	"appleledge/internal/pool"
+	"appleledge/internal/upstream/http1"
 )
 
 // mostTold is how much the engine may have told a stream that has not looked yet: an attempt, and the final answer when
@@ -214,8 +214,8 @@
 	}
 	out := engine.Outcome{Attempt: st.attempt, Result: balancer.Reset, Report: balancer.NoReport}
 	if code != 0 { // else it is no answer that a backend can have made
-		out.Result = httpcarrier.Judge(code, header)
-		out.Report = httpcarrier.ReadReport(header, st.s.ReportFields, st.s.badReport)
+		out.Result = http1.Judge(code, header)
+		out.Report = http1.ReadReport(header, st.s.ReportFields, st.s.badReport)
 	}
 	if result, own := localReply(req, h); own && out.Result == balancer.Failed {
 		out.Result, out.Report = result, balancer.NoReport
--- a/internal/downstream/http1/body.go
+++ b/internal/downstream/http1/body.go
@@ -16,7 +16,7 @@
 	"appleledge/internal/downstream/framing"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/httpcarrier"
+	"appleledge/internal/upstream/http1"
 )
 
 const (
@@ -156,7 +156,7 @@
 // badBody is the answer to a body that could not be read.
 func badBody(err error) error {
 	if errors.Is(err, errLong) {
-		return requesthead.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is over %d KiB", httpcarrier.MostLarge>>10)}
+		return requesthead.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is over %d KiB", http1.MostLarge>>10)}
 	}
 	return requesthead.BadRequest{Status: http.StatusBadRequest, Text: "the body is not whole"}
 }
@@ -166,7 +166,7 @@
 
 // take reads a body: whole, or its beginning where it is large; then it goes on as an Upload. What it holds of the budget is
 // given back by release, which is never nil.
-func (l *Large) take(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *httpcarrier.Upload, release func(), err error) {
+func (l *Large) take(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *http1.Upload, release func(), err error) {
 	release = func() {}
 	if r.ContentLength == 0 {
 		return nil, nil, release, nil
@@ -183,8 +183,8 @@
 	return whole, up, release, err
 }
 
-func (l *Large) read(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *httpcarrier.Upload, err error) {
-	b := &body{from: r.Body, control: http.NewResponseController(w), most: httpcarrier.MostLarge}
+func (l *Large) read(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *http1.Upload, err error) {
+	b := &body{from: r.Body, control: http.NewResponseController(w), most: http1.MostLarge}
 	size := requesthead.MaxBody + 1
 	if r.ContentLength > 0 {
 		size = int(min(r.ContentLength, int64(size)))
@@ -209,11 +209,11 @@
 		}
 		return kept, nil, nil
 	}
-	return nil, &httpcarrier.Upload{Length: r.ContentLength, Kept: kept, Rest: b, Patience: patience}, nil
+	return nil, &http1.Upload{Length: r.ContentLength, Kept: kept, Rest: b, Patience: patience}, nil
 }
 
 // end stops an Upload whose request has its answer, and says whether the client's side was at fault.
-func end(w http.ResponseWriter, up *httpcarrier.Upload) error {
+func end(w http.ResponseWriter, up *http1.Upload) error {
 	// An attempt may wait for the client's next bytes.
 	err := http.NewResponseController(w).SetReadDeadline(time.Unix(1, 0))
 	up.End()
@@ -221,7 +221,7 @@
 }
 
 // pass passes on what still comes of an answer. A client can tell that it has broken off by how the connection ends.
-func (l *Large) pass(ctx context.Context, w http.ResponseWriter, resp *httpcarrier.Response) {
+func (l *Large) pass(ctx context.Context, w http.ResponseWriter, resp *http1.Response) {
 	defer resp.Discard()
 	control := http.NewResponseController(w)
 	var buf []byte
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -18,7 +18,7 @@
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
-	"appleledge/internal/httpcarrier"
+	"appleledge/internal/upstream/http1"
 )
 
 // exchange sends a request and returns the answer's bytes, with another date, up to the end of the connection.
@@ -40,10 +40,10 @@
 
 // Final answers of each kind, byte by byte.
 func TestGoldenAnswers(t *testing.T) {
-	body := &httpcarrier.Response{Body: []byte("fine"), ContentType: "text/plain", Length: 4}
+	body := &http1.Response{Body: []byte("fine"), ContentType: "text/plain", Length: 4}
 	answers := []engine.Answer{
 		{Kind: engine.Served, Payload: body},
-		{Kind: engine.Served, Payload: &httpcarrier.Response{}},
+		{Kind: engine.Served, Payload: &http1.Response{}},
 		{Kind: engine.Refused},
 		{Kind: engine.Refused, RetryAfter: 1250 * time.Millisecond},
 		{Kind: engine.Refused, RetryAfter: 1250 * time.Millisecond, Limit: 17},
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -17,7 +17,7 @@
 	"appleledge/internal/connlimit"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/httpcarrier"
+	"appleledge/internal/upstream/http1"
 )
 
 const (
@@ -212,7 +212,7 @@
 }
 
 // answer writes the final answer.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, up *httpcarrier.Upload, a engine.Answer) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, up *http1.Upload, a engine.Answer) {
 	if up != nil && a.Kind != engine.Served {
 		broken := end(w, up)
 		w.Header().Set("Connection", "close")
@@ -221,7 +221,7 @@
 			return
 		}
 	}
-	resp, ok := a.Payload.(*httpcarrier.Response)
+	resp, ok := a.Payload.(*http1.Response)
 	if !ok || resp.Rest == nil {
 		write(w, a)
 		return
@@ -256,8 +256,8 @@
 // write writes an answer, or how it begins. An error means that the client has gone, which net/http deals with.
 func write(w http.ResponseWriter, a engine.Answer) {
 	h := w.Header()
-	var resp httpcarrier.Response
-	if made, ok := a.Payload.(*httpcarrier.Response); ok {
+	var resp http1.Response
+	if made, ok := a.Payload.(*http1.Response); ok {
 		resp = *made
 	}
 	if resp.Length >= 0 {
@@ -278,12 +278,12 @@
 
 // accept reads a request and checks it. What of a large body still comes is an Upload. The body must be there in time, or come
 // at a pace, whatever time-out the client states.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request, began time.Duration) (c *engine.Call, up *httpcarrier.Upload,
+func (s *Server) accept(w http.ResponseWriter, r *http.Request, began time.Duration) (c *engine.Call, up *http1.Upload,
 	release func(), err error) {
 	release = func() {}
 	h := requesthead.Head{Method: r.Method, Path: r.URL.Path, Header: r.Header, ContentLength: r.ContentLength, Chunked: len(r.TransferEncoding) > 0}
 	if s.Large != nil {
-		h.MostBody, h.Forms = httpcarrier.MostLarge, true
+		h.MostBody, h.Forms = http1.MostLarge, true
 	}
 	var timeout time.Duration
 	if c, timeout, err = s.Rules.Check(h, began); err != nil {
@@ -305,7 +305,7 @@
 	if up != nil { // it has its real deadline when its last byte has been sent on
 		c.Upload, c.Deadline = up, s.Clock.Now()+slowest(r.ContentLength)+timeout
 	}
-	c.Payload = &httpcarrier.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: requesthead.Forwarded(r.Header), Body: body, Upload: up}
+	c.Payload = &http1.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: requesthead.Forwarded(r.Header), Body: body, Upload: up}
 	if up == nil {
 		c.Like = s.Joins.like(c, r, body)
 	}
@@ -315,7 +315,7 @@
 // slowest is the time that a body takes to come at the least pace.
 func slowest(length int64) time.Duration {
 	if length < 0 {
-		length = httpcarrier.MostLarge
+		length = http1.MostLarge
 	}
 	return paceFrom + time.Duration(float64(length)/leastPace*float64(time.Second))
 }
--- a/internal/httpcarrier/carrier.go
+++ b/internal/upstream/http1/carrier.go
@@ -1,5 +1,5 @@
-// Package httpcarrier carries calls to backends that speak HTTP/1.1.
-package httpcarrier
+// Package http1 carries calls to backends that speak HTTP/1.1.
+package http1
 
 import (
 	"bufio"
--- a/internal/httpcarrier/stream.go
+++ b/internal/upstream/http1/stream.go
@@ -1,4 +1,4 @@
-package httpcarrier
+package http1
 
 import (
 	"errors"
