--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,7 +25,7 @@
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/platformconfig"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 	upstreamhttp1 "appleledge/internal/upstream/http1"
 	"appleledge/internal/wire"
 )
@@ -50,7 +50,7 @@
 	Engine   *engine.Engine
 	Clock    engine.Clock
 	Rules    requesthead.Checker
-	Pool     *pool.Pool
+	Pool     *connpool.Pool
 	Site     wire.Site
 	Longest  func() time.Duration    // that any client waits, as the settings have it now
 	Peers    func() *gossip.Status   // how the other agents are seen; nil without [peers]
@@ -172,7 +172,7 @@
 
 	toBackends, fromClients := shareSockets(cfg.Sockets - with.sockets() - cfg.operatorSockets())
 	clk := engine.NewClock().Shifted(with.ClockOff)
-	conns := pool.New(cfg.Site.ConnectTimeout, cfg.Site.ConnIdle, toBackends)
+	conns := connpool.New(cfg.Site.ConnectTimeout, cfg.Site.ConnIdle, toBackends)
 	core := engine.New(policy, clk, conns, log)
 	keep, err := with.openKept(cfg, clk, log)
 	if err != nil {
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -10,13 +10,13 @@
 	"appleledge/internal/engine"
 	"appleledge/internal/logstats"
 	"appleledge/internal/membership/platform"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 )
 
 // counters are the parts of an agent that count.
 type counters struct {
 	core  *engine.Engine
-	conns *pool.Pool
+	conns *connpool.Pool
 	disco *platform.Discovery
 }
 
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -18,8 +18,8 @@
 	"appleledge/internal/golden"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/membership/platform"
-	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
+	"appleledge/internal/upstream/connpool"
 	"appleledge/internal/wire"
 )
 
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conns := pool.New(time.Second, time.Minute, 10)
+	conns := connpool.New(time.Second, time.Minute, 10)
 	core := engine.New(policy, clock, conns, quiet)
 	core.Count(site.Logic.Classes)
 	core.TurnedAway(&engine.Call{ID: "r"})
--- a/internal/agent/scale_test.go
+++ b/internal/agent/scale_test.go
@@ -10,14 +10,14 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 )
 
 // large is what an agent holds of a fleet of 10,000: the table of members, the pool and the module, on a driven clock.
 type large struct {
 	now     time.Duration
 	table   *membership.Table
-	pool    *pool.Pool
+	pool    *connpool.Pool
 	module  *balancer.Balancer
 	members []engine.Member
 	next    int
@@ -32,7 +32,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	l := &large{now: time.Hour, table: membership.NewTable(membership.Options{}, 1), pool: pool.New(time.Second, time.Second, 100), module: m}
+	l := &large{now: time.Hour, table: membership.NewTable(membership.Options{}, 1), pool: connpool.New(time.Second, time.Second, 100), module: m}
 	m.Start(l.now)
 	for range n {
 		l.members = append(l.members, l.fresh())
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -17,7 +17,7 @@
 	"appleledge/internal/engine"
 	"appleledge/internal/hotrestart"
 	"appleledge/internal/membership/platform"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 )
 
 const (
@@ -50,7 +50,7 @@
 	link                    *hotrestart.Link
 	core                    *engine.Engine
 	clock                   engine.Clock
-	conns                   *pool.Pool
+	conns                   *connpool.Pool
 	clients                 *connlimit.Listener
 	large                   *http1.Large
 	toBackends, fromClients int                // connections of the whole agent
--- a/internal/downstream/extproc/bench_test.go
+++ b/internal/downstream/extproc/bench_test.go
@@ -26,8 +26,8 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
+	"appleledge/internal/upstream/connpool"
 	"appleledge/internal/wire"
 )
 
@@ -118,7 +118,7 @@
 			return err
 		}
 		log := slog.New(slog.DiscardHandler)
-		clock, pool := engine.NewClock(), pool.New(time.Second, time.Minute, 100)
+		clock, pool := engine.NewClock(), connpool.New(time.Second, time.Minute, 100)
 		e := engine.New(policy, clock, pool, log)
 		set := testSet()
 		set.MaxOpen, set.MaxStreams, set.MaxConnections = benchStreams, benchStreams, 64
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -26,7 +26,7 @@
 	downstreamhttp1 "appleledge/internal/downstream/http1"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 	upstreamhttp1 "appleledge/internal/upstream/http1"
 	"appleledge/internal/wire"
 )
@@ -140,7 +140,7 @@
 type world struct {
 	engine *engine.Engine
 	clock  engine.Clock
-	pool   *pool.Pool
+	pool   *connpool.Pool
 	site   wire.Site
 }
 
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.pool = pool.New(time.Second, time.Minute, 100)
+	w.pool = connpool.New(time.Second, time.Minute, 100)
 	w.engine = engine.New(policy, w.clock, w.pool, slog.New(slog.DiscardHandler))
 	return w
 }
--- a/internal/downstream/extproc/fuzz_test.go
+++ b/internal/downstream/extproc/fuzz_test.go
@@ -14,7 +14,7 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 )
 
 // FuzzProcessingRequest feeds what a proxy may send to all that reads it. Nothing panics; what is refused is refused
@@ -33,7 +33,7 @@
 		f.Add(data)
 	}
 	site, clock := testSite(f), engine.NewClock()
-	pool := pool.New(time.Second, time.Second, 10)
+	pool := connpool.New(time.Second, time.Second, 10)
 	pool.Update(true, []engine.Member{member(0, balancer.Ready), member(1, balancer.Ready)})
 	s := &Server{Options: Options{Settings: testSet(), Clock: clock, Pool: pool, ReportFields: site.ReportFields,
 		Rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Log: slog.New(slog.DiscardHandler)}}
--- a/internal/downstream/extproc/harness_test.go
+++ b/internal/downstream/extproc/harness_test.go
@@ -23,9 +23,9 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/pool"
 	"appleledge/internal/settings"
 	"appleledge/internal/testbed"
+	"appleledge/internal/upstream/connpool"
 	"appleledge/internal/wire"
 )
 
@@ -34,7 +34,7 @@
 	t      testing.TB
 	server *Server
 	engine *engine.Engine
-	pool   *pool.Pool
+	pool   *connpool.Pool
 	addr   string
 	log    *testbed.LockedBuffer
 	run    func() // starts the engine
@@ -79,7 +79,7 @@
 	r := &rig{t: t, log: &testbed.LockedBuffer{}, served: make(chan error, 1)}
 	log := slog.New(slog.NewTextHandler(r.log, nil))
 	clock := engine.NewClock()
-	r.pool = pool.New(time.Second, time.Minute, 100)
+	r.pool = connpool.New(time.Second, time.Minute, 100)
 	r.engine = engine.New(policy, clock, r.pool, log)
 	var longest time.Duration
 	for _, c := range site.Logic.Classes {
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -31,8 +31,8 @@
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/platformconfig"
-	"appleledge/internal/pool"
 	"appleledge/internal/settings"
+	"appleledge/internal/upstream/connpool"
 )
 
 const (
@@ -55,7 +55,7 @@
 	Engine       *engine.Engine
 	Clock        engine.Clock
 	Rules        requesthead.Checker
-	Pool         *pool.Pool
+	Pool         *connpool.Pool
 	ReportFields []string             // of load reports
 	Longest      func() time.Duration // that any client waits: for so long a drain may take
 	Log          *slog.Logger
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -15,7 +15,7 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 	"appleledge/internal/upstream/http1"
 )
 
@@ -186,7 +186,7 @@
 // started anew, or the time may be over. From here on the attempt counts as one that may run.
 func (st *stream) hand(a *engine.Attempt) *extprocv3.ProcessingResponse {
 	now := st.s.Clock.Now()
-	backend, _ := a.Life.(*pool.Backend)
+	backend, _ := a.Life.(*connpool.Backend)
 	valid := min(a.WriteBy-now, time.Duration(st.s.Settings.DecisionValid))
 	if valid < time.Millisecond || !st.s.Pool.TakesNew(backend) {
 		st.s.Counts.unusable.Add(1)
@@ -231,7 +231,7 @@
 // elsewhere compares the endpoint that served with the chosen one, where the proxy tells.
 func (st *stream) elsewhere(req *extprocv3.ProcessingRequest, header http.Header) bool {
 	served := servedBy(req, header)
-	backend, _ := st.attempt.Life.(*pool.Backend)
+	backend, _ := st.attempt.Life.(*connpool.Backend)
 	if served == "" || served == backend.Addr() {
 		return false
 	}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -23,8 +23,8 @@
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/generation"
 	"appleledge/internal/golden"
-	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
+	"appleledge/internal/upstream/connpool"
 	"appleledge/internal/wire"
 )
 
@@ -55,7 +55,7 @@
 		all.WriteString(sortedLines(out.String()))
 	}
 	part(func(p page) {
-		s.pool(p, pool.Counts{Open: 30, Idle: 12, Dials: 103, Failed: 104, Reused: 105, Dead: 106, NoRoom: 107})
+		s.pool(p, connpool.Counts{Open: 30, Idle: 12, Dials: 103, Failed: 104, Reused: 105, Dead: 106, NoRoom: 107})
 	})
 	times := func(from time.Duration) engine.Times {
 		return engine.Times{Count: uint64(from), Sum: from * time.Second, Quantiles: map[float64]time.Duration{
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -25,7 +25,7 @@
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/generation"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 )
 
 const (
@@ -40,7 +40,7 @@
 // Server shows the figures of an agent.
 type Server struct {
 	Engine *engine.Engine
-	Pool   *pool.Pool
+	Pool   *connpool.Pool
 	Peers  func() *gossip.Status   // nil, or returning nil: the agent knows of no others
 	Shares func() *overload.Status // nil, or returning nil: overload is handled alone
 	Log    *slog.Logger
@@ -88,7 +88,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-func (s *Server) pool(p page, c pool.Counts) {
+func (s *Server) pool(p page, c connpool.Counts) {
 	p.gauge("appleledge_connections", `state="in_use"`, float64(c.Open-c.Idle))
 	p.gauge("appleledge_connections", `state="idle"`, float64(c.Idle))
 	for name, n := range map[string]uint64{"dials": c.Dials, "failed_dials": c.Failed, "reused": c.Reused, "found_dead": c.Dead, "no_room": c.NoRoom} {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -17,8 +17,8 @@
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
+	"appleledge/internal/upstream/connpool"
 	"appleledge/internal/wire"
 )
 
@@ -74,13 +74,13 @@
 
 func (e ear) Answer(a engine.Answer) { e <- a }
 
-func newEngine(t *testing.T, site wire.Site) (core *engine.Engine, conns *pool.Pool, end func()) {
+func newEngine(t *testing.T, site wire.Site) (core *engine.Engine, conns *connpool.Pool, end func()) {
 	t.Helper()
 	policy, err := balancer.New(site.Logic, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conns = pool.New(time.Second, time.Minute, 10)
+	conns = connpool.New(time.Second, time.Minute, 10)
 	core = engine.New(policy, engine.NewClock(), conns, slog.New(slog.DiscardHandler))
 	core.Count(site.Logic.Classes)
 	behind := admission.New(admission.Options{Classes: make([]admission.Class, len(site.Logic.Classes)), Remember: 1})
--- a/internal/pool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -1,5 +1,5 @@
-// Package pool holds the connections to the servers of the list.
-package pool
+// Package connpool holds the connections to the servers of the list.
+package connpool
 
 import (
 	"bufio"
--- a/internal/pool/pool_test.go
+++ b/internal/upstream/connpool/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"context"
--- a/internal/upstream/http1/carrier.go
+++ b/internal/upstream/http1/carrier.go
@@ -19,7 +19,7 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 	"appleledge/internal/wire"
 )
 
@@ -54,7 +54,7 @@
 
 // Carrier makes attempts.
 type Carrier struct {
-	Pool   *pool.Pool
+	Pool   *connpool.Pool
 	Clock  engine.Clock
 	Fields []string        // of load reports
 	Noted  func(err error) // is told of reports that can't be read
@@ -71,7 +71,7 @@
 	defer cancel()
 	c, err := s.Pool.Get(ctx, life(a))
 	switch {
-	case errors.Is(err, pool.ErrNotReady) || errors.Is(err, pool.ErrNoRoom) || err != nil && ctx.Err() != nil:
+	case errors.Is(err, connpool.ErrNotReady) || errors.Is(err, connpool.ErrNoRoom) || err != nil && ctx.Err() != nil:
 		return out // the agent's own lack says nothing of the backend
 	case err != nil:
 		out.Result = balancer.ConnectFailed
@@ -87,21 +87,21 @@
 }
 
 // life is the backend as it was at the time of the Send.
-func life(a *engine.Attempt) *pool.Backend {
-	b, _ := a.Life.(*pool.Backend)
+func life(a *engine.Attempt) *connpool.Backend {
+	b, _ := a.Life.(*connpool.Backend)
 	return b
 }
 
 // stillWanted is asked just before the first byte goes out. A dial may have taken long: meanwhile the backend
 // may have begun to drain or started anew, the request may have ended, or the backends may have forgotten its key.
-func (s *Carrier) stillWanted(c *pool.Conn, a *engine.Attempt) bool {
+func (s *Carrier) stillWanted(c *connpool.Conn, a *engine.Attempt) bool {
 	return s.Clock.Now() < a.WriteBy && !a.Call.Closed() && s.Pool.TakesNew(life(a)) &&
 		(a.OnlySince == 0 || c.Opened.Before(s.Clock.At(a.OnlySince)))
 }
 
 // exchange writes the request and reads the answer; keep says whether the connection is in order then, and passed that the
 // rest of the answer, and with it the connection, is in the outcome's payload.
-func (s *Carrier) exchange(c *pool.Conn, a *engine.Attempt, out *engine.Outcome) (keep, passed bool) {
+func (s *Carrier) exchange(c *connpool.Conn, a *engine.Attempt, out *engine.Outcome) (keep, passed bool) {
 	req, until, ok := s.write(c, a, out)
 	if !ok {
 		return false, false
@@ -121,7 +121,7 @@
 
 // write writes the request and says until when its answer is waited for. If it could not be written whole, that is the
 // outcome.
-func (s *Carrier) write(c *pool.Conn, a *engine.Attempt, out *engine.Outcome) (req *http.Request, until time.Duration, ok bool) {
+func (s *Carrier) write(c *connpool.Conn, a *engine.Attempt, out *engine.Outcome) (req *http.Request, until time.Duration, ok bool) {
 	if u := a.Call.Payload.(*Request).Upload; u != nil {
 		if req, ok, out.Result = s.upload(c, a, u); !ok {
 			return nil, 0, false
@@ -163,7 +163,7 @@
 var errSpoilt = errors.New("spoilt answer")
 
 // readAnswer reads an answer, or fails as soon as it can't become one: a spoilt answer may never end.
-func (s *Carrier) readAnswer(c *pool.Conn, req *http.Request, until time.Duration) (*http.Response, *Response, error) {
+func (s *Carrier) readAnswer(c *connpool.Conn, req *http.Request, until time.Duration) (*http.Response, *Response, error) {
 	c.Allow(maxHead) // http.ReadResponse takes a head of any length
 	if err := startsWell(c.Reader); err != nil {
 		return nil, nil, err
@@ -210,7 +210,7 @@
 }
 
 // readWhole reads the body.
-func (s *Carrier) readWhole(c *pool.Conn, resp *http.Response) ([]byte, error) {
+func (s *Carrier) readWhole(c *connpool.Conn, resp *http.Response) ([]byte, error) {
 	length := resp.ContentLength
 	if length > maxBody || !s.ended(resp) {
 		return nil, fmt.Errorf("a length of %d", length)
@@ -246,7 +246,7 @@
 }
 
 // readResponse reads the head of the final answer, past interim ones.
-func readResponse(c *pool.Conn, req *http.Request) (*http.Response, error) {
+func readResponse(c *connpool.Conn, req *http.Request) (*http.Response, error) {
 	for range mostInterim {
 		resp, err := http.ReadResponse(c.Reader, req)
 		if err != nil || resp.StatusCode >= http.StatusOK {
--- a/internal/upstream/http1/carrier_test.go
+++ b/internal/upstream/http1/carrier_test.go
@@ -16,8 +16,8 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/pool"
 	"appleledge/internal/testbed"
+	"appleledge/internal/upstream/connpool"
 )
 
 // fixture is a carrier with one backend.
@@ -28,7 +28,7 @@
 
 func newFixture(t *testing.T, addr string, most int) *fixture {
 	f := &fixture{}
-	p := pool.New(2*time.Second, time.Minute, most)
+	p := connpool.New(2*time.Second, time.Minute, most)
 	t.Cleanup(p.Close)
 	f.Carrier = &Carrier{Pool: p, Clock: engine.NewClock(), Fields: []string{"util", "qps", "eps"},
 		Noted: func(err error) { f.reports = append(f.reports, err) }}
--- a/internal/upstream/http1/golden_test.go
+++ b/internal/upstream/http1/golden_test.go
@@ -14,7 +14,7 @@
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 )
 
 // goldenHeader has every header that goes on, and some that do not.
@@ -56,7 +56,7 @@
 			all.ReadFrom(far)
 			got <- all.Bytes()
 		}()
-		if _, ok, result := s.upload(&pool.Conn{Conn: near}, attempt(in), u); !ok {
+		if _, ok, result := s.upload(&connpool.Conn{Conn: near}, attempt(in), u); !ok {
 			t.Fatalf("length %d: %v", length, result)
 		}
 		near.Close()
--- a/internal/upstream/http1/stream.go
+++ b/internal/upstream/http1/stream.go
@@ -13,7 +13,7 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/pool"
+	"appleledge/internal/upstream/connpool"
 )
 
 const (
@@ -91,7 +91,7 @@
 func (*part) Close() error { return nil }
 
 // paced writes to a connection as long as that takes what it gets.
-type paced struct{ *pool.Conn }
+type paced struct{ *connpool.Conn }
 
 func (p paced) Write(b []byte) (int, error) {
 	if err := p.SetWriteDeadline(time.Now().Add(streamWait)); err != nil {
@@ -102,7 +102,7 @@
 
 // upload writes a request whose body still comes. Its result is NotSent if it was written whole; a request that was not has
 // never run.
-func (s *Carrier) upload(c *pool.Conn, a *engine.Attempt, u *Upload) (req *http.Request, ok bool, result balancer.Result) {
+func (s *Carrier) upload(c *connpool.Conn, a *engine.Attempt, u *Upload) (req *http.Request, ok bool, result balancer.Result) {
 	in := a.Call.Payload.(*Request)
 	body := &part{Upload: u}
 	req = &http.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header.Clone(), ContentLength: u.Length, Body: body}
@@ -127,8 +127,8 @@
 
 // Stream is what still comes of an answer.
 type Stream struct {
-	conn  *pool.Conn
-	pool  *pool.Pool
+	conn  *connpool.Conn
+	pool  *connpool.Pool
 	body  io.Reader
 	left  int64 // bytes that may still come
 	keep  bool  // the connection may be used again after the last byte
@@ -168,7 +168,7 @@
 }
 
 // readBody reads a body: whole, or its first piece where it is large.
-func (s *Carrier) readBody(c *pool.Conn, resp *http.Response, until time.Duration) (*Response, error) {
+func (s *Carrier) readBody(c *connpool.Conn, resp *http.Response, until time.Duration) (*Response, error) {
 	out := &Response{Length: resp.ContentLength, ContentType: resp.Header.Get("Content-Type")}
 	if resp.Request.Method == http.MethodHead { // the length is that of what is not sent
 		return out, nil
