--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -16,11 +16,11 @@
 	"google.golang.org/grpc/grpclog"
 
 	"appleledge/internal/agent"
+	"appleledge/internal/cli"
 	"appleledge/internal/downstream/extproc"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/xds"
-	"appleledge/internal/program"
 	"appleledge/internal/settings"
 	"appleledge/internal/wire"
 )
@@ -28,11 +28,11 @@
 func main() {
 	// gRPC logs what peers do wrong, line by line: a rude one could flood the log.
 	grpclog.SetLoggerV2(grpclog.NewLoggerV2(io.Discard, io.Discard, io.Discard))
-	program.Main("appleledge-extproc", extras)
+	cli.Main("appleledge-extproc", extras)
 }
 
 func extras(f settings.File) (agent.Extras, error) {
-	with, err := program.Membership(f, func(string) (agent.Source, error) { return controlPlane(f.Membership.XDS), nil })
+	with, err := cli.Membership(f, func(string) (agent.Source, error) { return controlPlane(f.Membership.XDS), nil })
 	if f.ExternalProcessor != nil {
 		with.Fronts = append(with.Fronts, processor(f, *f.ExternalProcessor))
 	}
--- a/cmd/appleledge/main.go
+++ b/cmd/appleledge/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 
 	"appleledge/internal/agent"
-	"appleledge/internal/program"
+	"appleledge/internal/cli"
 	"appleledge/internal/settings"
 )
 
-func main() { program.Main("appleledge", extras) }
+func main() { cli.Main("appleledge", extras) }
 
 // extras refuses what this command does not hold: merely to link gRPC takes 8 MB, and an agent may have 32.
 func extras(f settings.File) (with agent.Extras, err error) {
@@ -17,7 +17,7 @@
 		return with, fmt.Errorf("%s: the external processor is not a part of this command; run appleledge-extproc in its place",
 			f.Where("external_processor"))
 	}
-	return program.Membership(f, func(name string) (agent.Source, error) {
+	return cli.Membership(f, func(name string) (agent.Source, error) {
 		return agent.Source{}, fmt.Errorf("%s: the source %q is not a part of this command; run appleledge-extproc in its place",
 			f.Where("membership.sources"), name)
 	})
--- a/cmd/appleledge/main_test.go
+++ b/cmd/appleledge/main_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"appleledge/internal/agent"
-	"appleledge/internal/program"
+	"appleledge/internal/cli"
 	"appleledge/internal/rig/processes"
 	"appleledge/internal/settings"
 )
@@ -32,7 +32,7 @@
 		main()
 		return
 	}
-	program.Main("appleledge", func(f settings.File) (agent.Extras, error) {
+	cli.Main("appleledge", func(f settings.File) (agent.Extras, error) {
 		disk, err := processes.OpenDisk(at)
 		if err != nil {
 			return agent.Extras{}, err
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -20,9 +20,9 @@
 	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/agent"
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/cli"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
-	"appleledge/internal/program"
 	"appleledge/internal/settings"
 	"appleledge/internal/testbed"
 )
@@ -30,7 +30,7 @@
 // TestMain lets the test binary stand in for the agent, in a process of its own that can be killed.
 func TestMain(m *testing.M) {
 	if os.Getenv("APPLELEDGE_AS_AGENT") != "" {
-		program.Main("appleledge", func(settings.File) (agent.Extras, error) { return agent.Extras{}, nil })
+		cli.Main("appleledge", func(settings.File) (agent.Extras, error) { return agent.Extras{}, nil })
 		return
 	}
 	os.Exit(m.Run())
--- a/internal/program/join.go
+++ b/internal/cli/join.go
@@ -1,4 +1,4 @@
-package program
+package cli
 
 import (
 	"fmt"
--- a/internal/program/program.go
+++ b/internal/cli/program.go
@@ -1,6 +1,6 @@
-// Package program is what the agent's commands share: flags, signals, limits of the process, and the reading of the
+// Package cli is what the agent's commands share: flags, signals, limits of the process, and the reading of the
 // configuration and the settings. A command says what it holds beside what the platform wants.
-package program
+package cli
 
 import (
 	"context"
