--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -22,7 +22,7 @@
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/xds"
 	"appleledge/internal/settings"
-	"appleledge/internal/wire"
+	"appleledge/internal/simwire"
 )
 
 func main() {
@@ -41,7 +41,7 @@
 
 // controlPlane is the membership source of xDS, the one that package program does not hold.
 func controlPlane(set settings.XDS) agent.Source {
-	return agent.Source{Name: settings.SourceXDS, Sockets: 2, Open: func(c engine.Clock, site wire.Site, log *slog.Logger) membership.Source {
+	return agent.Source{Name: settings.SourceXDS, Sockets: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
 		return xds.New(xds.Options{
 			Server:       set.Server,
 			Node:         cmp.Or(set.Node, os.Getenv("PROXY_NAME"), "appleledge"),
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/wire"
+	"appleledge/internal/simwire"
 )
 
 func main() {
@@ -26,7 +26,7 @@
 	var now time.Duration
 	var line []byte
 	instances := map[string]*balancer.Balancer{}
-	decoder, out := wire.NewDecoder(in), bufio.NewWriterSize(w, 1<<16)
+	decoder, out := simwire.NewDecoder(in), bufio.NewWriterSize(w, 1<<16)
 	for {
 		m, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
@@ -37,27 +37,27 @@
 		}
 		var actions []balancer.Action
 		switch m.Kind {
-		case wire.Turn:
+		case simwire.Turn:
 			now = m.Now
-		case wire.Launch:
+		case simwire.Launch:
 			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("line %d: %w", decoder.Line(), err)
 			}
 			instances[m.Instance] = b
 			actions = b.Start(now)
-		case wire.Killed:
+		case simwire.Killed:
 			delete(instances, m.Instance)
-		case wire.Event:
+		case simwire.Event:
 			actions = instances[m.Instance].Handle(now, m.Event)
-		case wire.YourTurn:
-			out.Write(wire.AppendYield(nil))
+		case simwire.YourTurn:
+			out.Write(simwire.AppendYield(nil))
 			if err := out.Flush(); err != nil {
 				return err
 			}
 		}
 		for _, a := range actions {
-			line = wire.AppendAction(line[:0], m.Instance, a)
+			line = simwire.AppendAction(line[:0], m.Instance, a)
 			out.Write(line) // a failed write shows at the flush
 		}
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,9 +25,9 @@
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/platformconfig"
+	"appleledge/internal/simwire"
 	"appleledge/internal/upstream/connpool"
 	upstreamhttp1 "appleledge/internal/upstream/http1"
-	"appleledge/internal/wire"
 )
 
 const (
@@ -51,7 +51,7 @@
 	Clock    engine.Clock
 	Rules    requesthead.Checker
 	Pool     *connpool.Pool
-	Site     wire.Site
+	Site     simwire.Site
 	Longest  func() time.Duration    // that any client waits, as the settings have it now
 	Peers    func() *gossip.Status   // how the other agents are seen; nil without [peers]
 	Overload func() *overload.Status // how it is handled together; nil without [overload]
@@ -72,7 +72,7 @@
 	Name    string
 	Sockets int // descriptors that it needs
 	// Open builds the source, which runs as long as the agent does. It is nil of the platform's list.
-	Open func(engine.Clock, wire.Site, *slog.Logger) membership.Source
+	Open func(engine.Clock, simwire.Site, *slog.Logger) membership.Source
 }
 
 // Platform is the platform's own list as a Source. Without any other it is the only one.
@@ -340,7 +340,7 @@
 }
 
 // open opens the sources of members, the platform's list among them.
-func (x Extras) open(platform membership.Source, c engine.Clock, site wire.Site, log *slog.Logger) (sources []membership.Source, names []string) {
+func (x Extras) open(platform membership.Source, c engine.Clock, site simwire.Site, log *slog.Logger) (sources []membership.Source, names []string) {
 	if len(x.Sources) == 0 {
 		return []membership.Source{platform}, []string{Platform}
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,7 +12,7 @@
 	"appleledge/internal/hotrestart"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/operator"
-	"appleledge/internal/wire"
+	"appleledge/internal/simwire"
 )
 
 // Config is what the platform tells an agent.
@@ -25,7 +25,7 @@
 	Cores     float64
 	MemoryMB  int
 	Sockets   int // file descriptors that the process may hold
-	Site      wire.Site
+	Site      simwire.Site
 
 	PeerListen string   // where other agents' datagrams come; empty: nowhere
 	Peers      []string // all agents' addresses, by number
@@ -139,11 +139,11 @@
 }
 
 // decodeSite reads the settings and checks what the agent, rather than the module, needs of them.
-func decodeSite(data []byte) (wire.Site, error) {
+func decodeSite(data []byte) (simwire.Site, error) {
 	if len(data) == 0 {
-		return wire.Site{}, errors.New("missing")
+		return simwire.Site{}, errors.New("missing")
 	}
-	site, err := wire.DecodeSettings(data)
+	site, err := simwire.DecodeSettings(data)
 	if err != nil {
 		return site, err
 	}
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -15,7 +15,7 @@
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/generation"
-	"appleledge/internal/wire"
+	"appleledge/internal/simwire"
 )
 
 // Generations says how configurations of the fleet are taken and kept.
@@ -55,7 +55,7 @@
 }
 
 // namesOf are the platform's names, with these classes by their numbers. Those that were dropped keep theirs.
-func namesOf(site wire.Site, classes []balancer.Class) generation.Names {
+func namesOf(site simwire.Site, classes []balancer.Class) generation.Names {
 	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, Headers: requesthead.Routable}
 	for _, c := range classes {
 		names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -18,9 +18,9 @@
 	"appleledge/internal/golden"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/membership/platform"
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
-	"appleledge/internal/wire"
 )
 
 // The platform's configuration with every key. Its settings are those of wire/settings.json, whose test compares all of them.
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site, err := wire.DecodeSettings(golden.Read(t, "wire/settings.json"))
+	site, err := simwire.DecodeSettings(golden.Read(t, "wire/settings.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 func goldenCounters(t *testing.T) counters {
 	t.Helper()
 	clock, quiet := engine.NewClock(), slog.New(slog.DiscardHandler)
-	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -14,8 +14,8 @@
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/golden"
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
-	"appleledge/internal/wire"
 )
 
 // The keys that the platform may leave out of a configuration.
@@ -37,7 +37,7 @@
 
 // The line of the storm watch, but for its time and how long the state has lasted.
 func TestGoldenStormLine(t *testing.T) {
-	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 
 // The line of a recovery, at a time that stands still: a fleet of three after a loss of power, one of which has answered.
 func TestGoldenRecoveryLine(t *testing.T) {
-	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
-	"appleledge/internal/wire"
 )
 
 // The stand-ins, by the names that the tests here use.
@@ -37,7 +37,7 @@
 
 // running is an agent under test.
 type running struct {
-	site wire.Site
+	site simwire.Site
 	url  string
 	addr string
 	stop func()     // as SIGTERM does
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -15,8 +15,8 @@
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/xds"
 	"appleledge/internal/rig/controlplane"
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
-	"appleledge/internal/wire"
 )
 
 // A migration from the platform's list to a control plane and back, under load: the same servers go under other ids
@@ -44,7 +44,7 @@
 	var log testbed.LockedBuffer
 	with := Extras{
 		Membership: membership.Options{FailAfter: 200 * time.Millisecond, Hold: 200 * time.Millisecond},
-		Sources: []Source{{Name: "xds", Sockets: 2, Open: func(c engine.Clock, site wire.Site, log *slog.Logger) membership.Source {
+		Sources: []Source{{Name: "xds", Sockets: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
 			return xds.New(xds.Options{Server: plane.Addr(), Node: "n0", Delta: true, Clusters: []string{"c"}, Zones: site.Zones,
 				FirstFetch: patience, BackoffLeast: 20 * time.Millisecond, BackoffMost: time.Second, Keepalive: 10 * time.Second,
 				MaxMessage: 1 << 20, LogEvery: time.Minute}, c, log)
--- a/internal/agent/sections.go
+++ b/internal/agent/sections.go
@@ -6,18 +6,18 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/generation"
-	"appleledge/internal/wire"
+	"appleledge/internal/simwire"
 )
 
 // sections are the parts that the agent's own settings switch on and that know of the platform's classes, as these change.
 type sections struct {
-	site    wire.Site
+	site    simwire.Site
 	joins   func([]balancer.Class) (Joins, error) // nil: none is joined
 	atFront *joining                              // nil: likewise
 	current atomic.Pointer[generation.Names]
 }
 
-func newSections(site wire.Site, joins func([]balancer.Class) (Joins, error)) *sections {
+func newSections(site simwire.Site, joins func([]balancer.Class) (Joins, error)) *sections {
 	s := &sections{site: site, joins: joins}
 	names := namesOf(site, site.Logic.Classes)
 	s.current.Store(&names)
--- a/internal/cli/membership.go
+++ b/internal/cli/membership.go
@@ -10,7 +10,7 @@
 	"appleledge/internal/membership/file"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/settings"
-	"appleledge/internal/wire"
+	"appleledge/internal/simwire"
 )
 
 // Membership is what the section [membership] switches on, for a command that may hold further kinds of sources: others
@@ -27,7 +27,7 @@
 		switch name {
 		case settings.SourcePlatform:
 		case settings.SourceFile:
-			source.Open = func(c engine.Clock, site wire.Site, log *slog.Logger) membership.Source {
+			source.Open = func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
 				return &file.Source{Path: m.File.Path, Poll: time.Duration(m.File.Poll), Log: log,
 					Reader: listing.Reader{Zones: site.Zones, Clock: c}}
 			}
--- a/internal/downstream/extproc/bench_test.go
+++ b/internal/downstream/extproc/bench_test.go
@@ -26,9 +26,9 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
-	"appleledge/internal/wire"
 )
 
 // benchServer is the variable that makes the test binary a server for the benchmark, in a process of its own so that its
@@ -109,7 +109,7 @@
 		extprocv3.RegisterExternalProcessorServer(srv, bare{})
 		go srv.Serve(l)
 	} else {
-		site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+		site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
 		if err != nil {
 			return err
 		}
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -26,9 +26,9 @@
 	downstreamhttp1 "appleledge/internal/downstream/http1"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
+	"appleledge/internal/simwire"
 	"appleledge/internal/upstream/connpool"
 	upstreamhttp1 "appleledge/internal/upstream/http1"
-	"appleledge/internal/wire"
 )
 
 // recorded is one arrival of a recorded stream.
@@ -141,7 +141,7 @@
 	engine *engine.Engine
 	clock  engine.Clock
 	pool   *connpool.Pool
-	site   wire.Site
+	site   simwire.Site
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
--- a/internal/downstream/extproc/harness_test.go
+++ b/internal/downstream/extproc/harness_test.go
@@ -24,9 +24,9 @@
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/settings"
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
-	"appleledge/internal/wire"
 )
 
 // rig is a processor on a loopback socket, with an engine, a module and a fleet of its own.
@@ -45,15 +45,15 @@
 // options change a rig before it starts.
 type options struct {
 	set    func(*settings.ExternalProcessor)
-	site   func(*wire.Site)
+	site   func(*simwire.Site)
 	paused bool // the engine runs only when the test says so
 	linger time.Duration
 }
 
 // testSite is the platform's settings of the tests.
-func testSite(t testing.TB) wire.Site {
+func testSite(t testing.TB) simwire.Site {
 	t.Helper()
-	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/downstream/extproc/server_test.go
+++ b/internal/downstream/extproc/server_test.go
@@ -20,8 +20,8 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/settings"
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
-	"appleledge/internal/wire"
 )
 
 func TestDecision(t *testing.T) {
@@ -210,7 +210,7 @@
 		set: func(s *settings.ExternalProcessor) {
 			s.KeepaliveTime, s.KeepaliveWait = settings.Duration(time.Second), settings.Duration(500*time.Millisecond)
 		},
-		site: func(s *wire.Site) {
+		site: func(s *simwire.Site) {
 			for i := range s.Logic.Classes {
 				s.Logic.Classes[i].Deadline = time.Hour
 			}
@@ -829,7 +829,7 @@
 
 // A proxy that keeps its stream open holds the drain up for as long as a client may wait, and no longer.
 func TestDrainEndsWithoutTheProxy(t *testing.T) {
-	r := newRig(t, options{site: func(s *wire.Site) {
+	r := newRig(t, options{site: func(s *simwire.Site) {
 		for i := range s.Logic.Classes {
 			s.Logic.Classes[i].Deadline = 500 * time.Millisecond
 		}
--- a/internal/platformconfig/terms.go
+++ b/internal/platformconfig/terms.go
@@ -9,7 +9,7 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
-	"appleledge/internal/wire"
+	"appleledge/internal/simwire"
 )
 
 const (
@@ -30,11 +30,11 @@
 // stays right over any change.
 type Terms struct {
 	rules   requesthead.Rules
-	present wire.Site
+	present simwire.Site
 }
 
 // New returns the settings that an agent starts with, which are generation 0.
-func New(site wire.Site) *Terms {
+func New(site simwire.Site) *Terms {
 	return &Terms{present: site, rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants,
 		Attempts: site.Logic.MaxAttempts}}
 }
@@ -44,7 +44,7 @@
 
 // Change puts other settings in force from now on. It returns what the module is to be told, and the names of what has changed
 // that takes effect at the next start only. After an error all is as it was.
-func (t *Terms) Change(now time.Duration, site wire.Site) (tell balancer.Retune, later []string, err error) {
+func (t *Terms) Change(now time.Duration, site simwire.Site) (tell balancer.Retune, later []string, err error) {
 	if err := site.Logic.Check(); err != nil {
 		return tell, nil, err
 	}
--- a/internal/platformconfig/terms_test.go
+++ b/internal/platformconfig/terms_test.go
@@ -9,7 +9,7 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
-	"appleledge/internal/wire"
+	"appleledge/internal/simwire"
 )
 
 // class is a class by its effect: r(epeatable), k(eyed) or u(nsafe).
@@ -25,8 +25,8 @@
 }
 
 // site has classes such as "a:r b:k".
-func site(attempts int, classes string) wire.Site {
-	s := wire.Site{Logic: balancer.Settings{Balancers: 1, MaxAttempts: attempts}}
+func site(attempts int, classes string) simwire.Site {
+	s := simwire.Site{Logic: balancer.Settings{Balancers: 1, MaxAttempts: attempts}}
 	for f := range strings.FieldsSeq(classes) {
 		s.Logic.Classes = append(s.Logic.Classes, class(f[:len(f)-2], f[len(f)-1]))
 	}
@@ -93,7 +93,7 @@
 	}
 	broken := site(5, "a:r b:r")
 	broken.Logic.Classes[1].Deadline = -5
-	for name, s := range map[string]wire.Site{"no attempts": site(0, "a:r"), "a class twice": site(5, "a:r a:k"), "no class": site(5, ""),
+	for name, s := range map[string]simwire.Site{"no attempts": site(0, "a:r"), "a class twice": site(5, "a:r a:k"), "no class": site(5, ""),
 		"too many classes": site(5, many), "a deadline below 0": broken} {
 		if _, _, err := terms.Change(time.Second, s); err == nil {
 			t.Errorf("%s is taken", name)
--- a/internal/wire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,5 +1,5 @@
-// Package wire reads the simulator's lines and prints the replies. It decides nothing.
-package wire
+// Package simwire reads the simulator's lines and prints the replies. It decides nothing.
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/encode.go
+++ b/internal/simwire/encode.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/base64"
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -23,9 +23,9 @@
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/generation"
 	"appleledge/internal/golden"
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
-	"appleledge/internal/wire"
 )
 
 var goldenClasses = []string{"form-check", "refund-record"}
@@ -100,7 +100,7 @@
 
 // The whole page as it is served: its content type, and the series of an engine with an attempt in flight, without values.
 func TestGoldenSeries(t *testing.T) {
-	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -17,15 +17,15 @@
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
+	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
-	"appleledge/internal/wire"
 )
 
 // The page is read over a socket, in Prometheus' text format, with the figures of an engine at work; other paths are
 // not found, and it ends with its context.
 func TestPage(t *testing.T) {
-	site, err := wire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 
 func (e ear) Answer(a engine.Answer) { e <- a }
 
-func newEngine(t *testing.T, site wire.Site) (core *engine.Engine, conns *connpool.Pool, end func()) {
+func newEngine(t *testing.T, site simwire.Site) (core *engine.Engine, conns *connpool.Pool, end func()) {
 	t.Helper()
 	policy, err := balancer.New(site.Logic, 1)
 	if err != nil {
--- a/internal/upstream/http1/carrier.go
+++ b/internal/upstream/http1/carrier.go
@@ -19,8 +19,8 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
+	"appleledge/internal/simwire"
 	"appleledge/internal/upstream/connpool"
-	"appleledge/internal/wire"
 )
 
 const (
@@ -289,7 +289,7 @@
 		}
 		for _, f := range fields {
 			if f == name {
-				wire.SetFigure(&r, name, x)
+				simwire.SetFigure(&r, name, x)
 			}
 		}
 	}
