--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"appleledge/internal/rehearsal"
+	"appleledge/internal/scenario"
 )
 
 const usage = `rehearse runs an installation on loopback, or in simulated time, to look at and to practise on.
@@ -59,7 +59,7 @@
 	}
 	var wrong []error
 	for _, file := range files {
-		if _, err := rehearsal.LoadScript(file); err != nil {
+		if _, err := scenario.LoadScript(file); err != nil {
 			wrong = append(wrong, err)
 		} else {
 			fmt.Println(file + ": in order")
@@ -78,15 +78,15 @@
 	if flags.NArg() != 2 {
 		return errors.New("compare needs two reports, which rehearse run -json FILE writes")
 	}
-	a, err := rehearsal.LoadDay(flags.Arg(0))
+	a, err := scenario.LoadDay(flags.Arg(0))
 	if err != nil {
 		return err
 	}
-	b, err := rehearsal.LoadDay(flags.Arg(1))
+	b, err := scenario.LoadDay(flags.Arg(1))
 	if err != nil {
 		return err
 	}
-	rehearsal.Compare(os.Stdout, flags.Arg(0), flags.Arg(1), a, b, *tolerance)
+	scenario.Compare(os.Stdout, flags.Arg(0), flags.Arg(1), a, b, *tolerance)
 	return nil
 }
 
@@ -108,22 +108,22 @@
 	if flags.NArg() > 1 && *page+*data != "" {
 		return errors.New("-html and -json are for one script at a time")
 	}
-	scripts := make([]rehearsal.Script, flags.NArg())
+	scripts := make([]scenario.Script, flags.NArg())
 	for i, file := range flags.Args() { // all are read before the first starts
 		var err error
-		if scripts[i], err = rehearsal.LoadScript(file); err != nil {
+		if scripts[i], err = scenario.LoadScript(file); err != nil {
 			return err
 		}
 	}
 	held := true
 	for i, s := range scripts {
 		began := time.Now()
-		var d rehearsal.Day
+		var d scenario.Day
 		if *simulated {
-			d = rehearsal.Simulate(s, *seed)
+			d = scenario.Simulate(s, *seed)
 		} else {
 			var err error
-			if d, err = (rehearsal.Live{Script: s, Seed: *seed, Agent: *program, Out: os.Stderr}).Run(ctx); err != nil {
+			if d, err = (scenario.Live{Script: s, Seed: *seed, Agent: *program, Out: os.Stderr}).Run(ctx); err != nil {
 				return err
 			}
 		}
@@ -165,7 +165,7 @@
 // quickstart runs a small installation.
 func quickstart(ctx context.Context, args []string) error {
 	flags := flag.NewFlagSet("rehearse quickstart", flag.ContinueOnError)
-	q := rehearsal.Quickstart{Out: os.Stdout, Live: terminal(os.Stdout)}
+	q := scenario.Quickstart{Out: os.Stdout, Live: terminal(os.Stdout)}
 	flags.IntVar(&q.Servers, "servers", 12, "`number` of form servers")
 	flags.Float64Var(&q.Rate, "rate", 150, "requests a `second`")
 	flags.DurationVar(&q.For, "for", 20*time.Second, "how `long` clients send")
--- a/internal/rehearsal/fleet.go
+++ b/internal/scenario/fleet.go
@@ -1,6 +1,6 @@
-// Package rehearsal puts a whole installation together on loopback, to practise on: an emulated fleet and its server
+// Package scenario puts a whole installation together on loopback, to practise on: an emulated fleet and its server
 // list, a real agent, and clients.
-package rehearsal
+package scenario
 
 import (
 	"encoding/json"
--- a/internal/rehearsal/simulate.go
+++ b/internal/scenario/simulate.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"context"
