--- a/cmd/appleledge/fleet_measure_test.go
+++ b/cmd/appleledge/fleet_measure_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/harness/cluster"
 	"appleledge/internal/logstats"
-	"appleledge/internal/rig/processes"
 	"appleledge/internal/testbed"
 )
 
@@ -21,7 +21,7 @@
 }
 
 // spent is the processor time that agents have used, and what they hold of memory, on average.
-func spent(t *testing.T, agents []*processes.Agent) (cpu time.Duration, resident float64) {
+func spent(t *testing.T, agents []*cluster.Agent) (cpu time.Duration, resident float64) {
 	const tick = 10 * time.Millisecond // Linux' for user space
 	for _, a := range agents {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", a.Pid()))
@@ -44,7 +44,7 @@
 	measured(t)
 	const agents, rest = 20, 20 * time.Second
 	for _, peers := range []bool{false, true} {
-		f := processes.Start(t, processes.Options{Agents: agents, Servers: 6, Seed: 1, Peers: peers})
+		f := cluster.Start(t, cluster.Options{Agents: agents, Servers: 6, Seed: 1, Peers: peers})
 		time.Sleep(15 * time.Second) // they have met
 		before, _ := spent(t, f.Agents)
 		sent := 0
@@ -68,16 +68,16 @@
 func TestMeasureReturn(t *testing.T) {
 	measured(t)
 	const agents, servers = 20, 8
-	f := processes.Start(t, processes.Options{Agents: agents, Servers: servers, Seed: 1, Peers: true, Figures: true})
+	f := cluster.Start(t, cluster.Options{Agents: agents, Servers: servers, Seed: 1, Peers: true, Figures: true})
 	load := f.Load(2, 150*time.Millisecond)
 	time.Sleep(10 * time.Second)
 	from := load.Served.Load()
 	time.Sleep(5 * time.Second)
 	usual := float64(load.Served.Load()-from) / 5
 	f.Discovery.SetOut(true)
-	f.LosePower(processes.All(servers), processes.All(agents), 1)
+	f.LosePower(cluster.All(servers), cluster.All(agents), 1)
 	time.Sleep(500 * time.Millisecond)
-	back(f, processes.All(servers), processes.All(agents))
+	back(f, cluster.All(servers), cluster.All(agents))
 	began := time.Now()
 	from = load.Served.Load()
 	testbed.Eventually(t, "the first is served", func() bool { return load.Served.Load() > from })
--- a/cmd/appleledge/fleet_overload_test.go
+++ b/cmd/appleledge/fleet_overload_test.go
@@ -7,13 +7,13 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/harness/cluster"
 	"appleledge/internal/operator"
-	"appleledge/internal/rig/processes"
 	"appleledge/internal/testbed"
 )
 
 // view is the fleet as an agent sees it.
-func view(t *testing.T, a *processes.Agent) (f operator.Fleet) {
+func view(t *testing.T, a *cluster.Agent) (f operator.Fleet) {
 	t.Helper()
 	text := a.Sees()
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
@@ -30,11 +30,11 @@
 
 // servesInCalm checks that a fleet serves a part of the refunds in time in a second of calm. It waits for such a second: one is calm if too few
 // are asked for the servers and, all through it, agents answer their operators promptly. Then the first that falls short is an error.
-func servesInCalm(t *testing.T, f *processes.Fleet, rate, part float64) {
+func servesInCalm(t *testing.T, f *cluster.Fleet, rate, part float64) {
 	t.Helper()
 	testbed.Eventually(t, "refunds are served, or calm", func() bool {
 		slowest := f.Watch()
-		o := f.Offer(processes.Offered{Rate: rate, For: time.Second})
+		o := f.Offer(cluster.Offered{Rate: rate, For: time.Second})
 		took := slowest().Round(time.Millisecond)
 		switch {
 		case o.Refunds.Part() >= part:
@@ -55,9 +55,9 @@
 	const calm, heavy = 40.0, 240.0 // servers do some 110 a second
 	all := func(int) bool { return true }
 	strict := os.Getenv("FLEET_MEASURE") != ""
-	lose := func(part float64) func(*processes.Fleet) {
-		return func(f *processes.Fleet) {
-			f.Net.Set(func(_, _ int) processes.Weather { return processes.Weather{Lose: part} })
+	lose := func(part float64) func(*cluster.Fleet) {
+		return func(f *cluster.Fleet) {
+			f.Net.Set(func(_, _ int) cluster.Weather { return cluster.Weather{Lose: part} })
 		}
 	}
 	for _, c := range []struct {
@@ -65,8 +65,8 @@
 		with    func(agent int) bool
 		agent   func(n int) int
 		rate    float64
-		before  func(f *processes.Fleet)
-		midway  func(f *processes.Fleet)
+		before  func(f *cluster.Fleet)
+		midway  func(f *cluster.Fleet)
 		refunds float64 // in time, at the least
 		fair    bool    // and that at each agent that is asked
 		refused bool    // form-checks are
@@ -75,34 +75,34 @@
 		{name: "five times what servers can do", rate: 500, refused: true},
 		{name: "all at one agent", agent: func(int) int { return 1 }, refunds: 0.2, refused: true},
 		{name: "three in ten datagrams lost", before: lose(0.3), refunds: 0.2, refused: true},
-		{name: "word 2 s late", before: func(f *processes.Fleet) {
-			f.Net.Set(func(_, _ int) processes.Weather { return processes.Weather{Delay: 1, By: 2 * time.Second} })
+		{name: "word 2 s late", before: func(f *cluster.Fleet) {
+			f.Net.Set(func(_, _ int) cluster.Weather { return cluster.Weather{Delay: 1, By: 2 * time.Second} })
 		}, refunds: 0.2},
 		{name: "no word at all", before: lose(1), refunds: 0.2},
-		{name: "the fleet split in two", before: func(f *processes.Fleet) {
-			f.Net.Set(func(from, to int) (w processes.Weather) {
+		{name: "the fleet split in two", before: func(f *cluster.Fleet) {
+			f.Net.Set(func(from, to int) (w cluster.Weather) {
 				if (from < 2) != (to < 2) {
 					w.Lose = 1
 				}
 				return w
 			})
 		}, refunds: 0.2},
-		{name: "one that nobody hears", before: func(f *processes.Fleet) {
-			f.Net.Set(func(from, to int) (w processes.Weather) {
+		{name: "one that nobody hears", before: func(f *cluster.Fleet) {
+			f.Net.Set(func(from, to int) (w cluster.Weather) {
 				if from == 0 {
 					w.Lose = 1
 				}
 				return w
 			})
 		}, refunds: 0.2},
-		{name: "one hangs, and goes on with old word", midway: func(f *processes.Fleet) {
+		{name: "one hangs, and goes on with old word", midway: func(f *cluster.Fleet) {
 			f.Agents[3].Signal(syscall.SIGSTOP)
 			time.Sleep(1500 * time.Millisecond)
 			f.Agents[3].Signal(syscall.SIGCONT)
 		}, refunds: 0.2},
-		{name: "two are killed", midway: func(f *processes.Fleet) { f.LosePower(nil, []int{2, 3}, 1); back(f, nil, []int{2, 3}) }, refunds: 0.2},
+		{name: "two are killed", midway: func(f *cluster.Fleet) { f.LosePower(nil, []int{2, 3}, 1); back(f, nil, []int{2, 3}) }, refunds: 0.2},
 		{name: "half of the agents without the section", with: func(agent int) bool { return agent < 2 }, refunds: 0.2},
-		{name: "a server is added", midway: func(f *processes.Fleet) { f.Servers[3].Start(false); f.Told() }}, // cold beside three that are full: it is not to be pushed over
+		{name: "a server is added", midway: func(f *cluster.Fleet) { f.Servers[3].Start(false); f.Told() }}, // cold beside three that are full: it is not to be pushed over
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -112,7 +112,7 @@
 			if c.rate == 0 {
 				c.rate = heavy
 			}
-			f := processes.Start(t, processes.Options{Agents: agents, Servers: servers, Seed: 6, Peers: true, Overload: c.with, Slow: 10, Ties: soon})
+			f := cluster.Start(t, cluster.Options{Agents: agents, Servers: servers, Seed: 6, Peers: true, Overload: c.with, Slow: 10, Ties: soon})
 			for _, a := range f.Agents {
 				sees(t, a, `"alive": 4`)
 			}
@@ -127,7 +127,7 @@
 			if c.midway != nil {
 				time.AfterFunc(time.Second, func() { c.midway(f) })
 			}
-			o := f.Offer(processes.Offered{Rate: c.rate, For: 3 * time.Second, Agent: c.agent})
+			o := f.Offer(cluster.Offered{Rate: c.rate, For: 3 * time.Second, Agent: c.agent})
 			t.Logf("refunds: %v; form-checks: %v", o.Refunds, o.Checks)
 			// How much is served hangs on how soon agents get processor time in the first half second, in which servers fill: it is held
 			// against its least on a machine that nothing else uses, and in simulated time (package rehearsal).
@@ -147,7 +147,7 @@
 			}
 			over := time.Now()
 			testbed.Eventually(t, "all is served again", func() bool {
-				o := f.Offer(processes.Offered{Rate: calm, For: time.Second})
+				o := f.Offer(cluster.Offered{Rate: calm, For: time.Second})
 				return o.Refunds.Part() > 0.99 && o.Checks.Part() > 0.95
 			})
 			t.Logf("all is served again, as a second shows, after %v", time.Since(over).Round(100*time.Millisecond))
@@ -159,12 +159,12 @@
 // One agent says that it is asked everything, and has the key to say so: the others take the fleet to be asked three times what it is at the
 // most, and at a sixth of what servers can do refuse nobody for that.
 func TestOneThatClaimsEverything(t *testing.T) {
-	f := processes.Start(t, processes.Options{Agents: 4, Servers: 4, Seed: 7, Peers: true, Overload: func(int) bool { return true }, Slow: 10, Ties: soon})
+	f := cluster.Start(t, cluster.Options{Agents: 4, Servers: 4, Seed: 7, Peers: true, Overload: func(int) bool { return true }, Slow: 10, Ties: soon})
 	for _, a := range f.Agents {
 		sees(t, a, `"alive": 4`)
 	}
 	const head, kind, share, digest = 37, 1, 7, 1
-	f.Net.Set(func(from, _ int) (w processes.Weather) {
+	f.Net.Set(func(from, _ int) (w cluster.Weather) {
 		if from == 3 {
 			w.Change = func(text []byte) []byte {
 				if text[kind] == share {
@@ -181,7 +181,7 @@
 		}
 		return w
 	})
-	o := f.Offer(processes.Offered{Rate: 8, For: 5 * time.Second})
+	o := f.Offer(cluster.Offered{Rate: 8, For: 5 * time.Second})
 	if o.Refunds.Part() < 0.8 || o.Checks.Part() < 0.8 {
 		t.Errorf("refunds: %v; form-checks: %v", o.Refunds, o.Checks)
 	}
@@ -189,7 +189,7 @@
 		seen := view(t, a).Overload
 		testbed.Eventually(t, "its claims are heard and bounded", func() bool { // against own figures, which a busy machine brings late
 			if seen.Bounded == 0 {
-				f.Offer(processes.Offered{Rate: 8, For: time.Second})
+				f.Offer(cluster.Offered{Rate: 8, For: time.Second})
 				seen = view(t, a).Overload
 			}
 			return seen.Bounded > 0
@@ -214,16 +214,16 @@
 	}{{"for all", false}, {"for one agent alone", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := processes.Start(t, processes.Options{Agents: 5, Servers: 6, Seed: 8, Peers: true, Lines: true, Overload: func(int) bool { return true }, Slow: 3, Ties: soon})
+			f := cluster.Start(t, cluster.Options{Agents: 5, Servers: 6, Seed: 8, Peers: true, Lines: true, Overload: func(int) bool { return true }, Slow: 3, Ties: soon})
 			for _, a := range f.Agents {
 				sees(t, a, `"alive": 5`)
 			}
-			f.Lines.Set(func(agent int, to string) processes.Line {
-				return processes.Line{Deaf: to == "s-00" && (!c.alone || agent == 0)}
+			f.Lines.Set(func(agent int, to string) cluster.Line {
+				return cluster.Line{Deaf: to == "s-00" && (!c.alone || agent == 0)}
 			})
 			held := 0
 			for range 8 {
-				f.Offer(processes.Offered{Rate: 60, For: time.Second})
+				f.Offer(cluster.Offered{Rate: 60, For: time.Second})
 				now := 0
 				for _, a := range f.Agents {
 					for _, id := range view(t, a).Overload.HeldOut {
--- a/cmd/appleledge/fleet_versions_test.go
+++ b/cmd/appleledge/fleet_versions_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"appleledge/internal/fleet/gossip"
-	"appleledge/internal/rig/processes"
+	"appleledge/internal/harness/cluster"
 	"appleledge/internal/testbed"
 )
 
 // sees waits until an agent sees this of the fleet.
-func sees(t *testing.T, a *processes.Agent, text string) {
+func sees(t *testing.T, a *cluster.Agent, text string) {
 	t.Helper()
 	testbed.Eventually(t, "agent sees "+text, func() bool { return strings.Contains(a.Sees(), text) })
 }
@@ -22,10 +22,10 @@
 	const agents, servers = 4, 6
 	for _, c := range []struct {
 		name string
-		do   func(t *testing.T, f *processes.Fleet, load *processes.Load)
+		do   func(t *testing.T, f *cluster.Fleet, load *cluster.Load)
 	}{
-		{"keys, without a gap", func(t *testing.T, f *processes.Fleet, load *processes.Load) {
-			one, two := f.Net.Key(), processes.NewKey()
+		{"keys, without a gap", func(t *testing.T, f *cluster.Fleet, load *cluster.Load) {
+			one, two := f.Net.Key(), cluster.NewKey()
 			for step, keys := range [][]gossip.Key{{one, two}, {two, one}, {two}} {
 				for _, a := range f.Agents {
 					a.Keys(keys...)
@@ -45,7 +45,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			sees(t, f.Agents[1], `"alive": 4`)
 		}},
-		{"processes, each of which is one peer with the one before", func(t *testing.T, f *processes.Fleet, load *processes.Load) {
+		{"processes, each of which is one peer with the one before", func(t *testing.T, f *cluster.Fleet, load *cluster.Load) {
 			for _, a := range f.Agents[:2] {
 				stop, watched := make(chan struct{}), make(chan string, 1)
 				go func() {
@@ -70,15 +70,15 @@
 				}
 			}
 		}},
-		{"message revisions, over a loss of power", func(t *testing.T, f *processes.Fleet, load *processes.Load) {
-			f.Net.Set(func(from, to int) (w processes.Weather) {
+		{"message revisions, over a loss of power", func(t *testing.T, f *cluster.Fleet, load *cluster.Load) {
+			f.Net.Set(func(from, to int) (w cluster.Weather) {
 				if from >= 2 {
 					w.Version = 0x03 // the one after
 				}
 				return w
 			})
-			f.LosePower(processes.All(servers), processes.All(agents), 1)
-			back(f, processes.All(servers), processes.All(agents))
+			f.LosePower(cluster.All(servers), cluster.All(agents), 1)
+			back(f, cluster.All(servers), cluster.All(agents))
 			f.Told()
 			for _, a := range f.Agents {
 				a.Ready()
@@ -88,15 +88,15 @@
 				}
 			}
 		}},
-		{"message forms, which one another can't read, over a loss of power", func(t *testing.T, f *processes.Fleet, load *processes.Load) {
-			f.LosePower(processes.All(servers), processes.All(agents), 2)
-			f.Net.Set(func(from, to int) (w processes.Weather) {
+		{"message forms, which one another can't read, over a loss of power", func(t *testing.T, f *cluster.Fleet, load *cluster.Load) {
+			f.LosePower(cluster.All(servers), cluster.All(agents), 2)
+			f.Net.Set(func(from, to int) (w cluster.Weather) {
 				if (from < 2) != (to < 2) {
 					w.Version = 0x11
 				}
 				return w
 			})
-			back(f, processes.All(servers), processes.All(agents))
+			back(f, cluster.All(servers), cluster.All(agents))
 			f.Told()
 			for _, a := range f.Agents {
 				a.Ready()
@@ -107,15 +107,15 @@
 				}
 			}
 		}},
-		{"wall clocks, which a loss of power leaves at 1970 and an hour off", func(t *testing.T, f *processes.Fleet, load *processes.Load) {
-			f.LosePower(processes.All(servers), processes.All(agents), 3)
+		{"wall clocks, which a loss of power leaves at 1970 and an hour off", func(t *testing.T, f *cluster.Fleet, load *cluster.Load) {
+			f.LosePower(cluster.All(servers), cluster.All(agents), 3)
 			f.Agents[0].ClockOff = -time.Since(time.Unix(0, 0))
 			f.Agents[1].ClockOff = time.Hour
 			f.Agents[2].ClockOff = -time.Hour
 			for _, a := range f.Agents {
 				a.Wipe() // so that the list alone says what there is
 			}
-			back(f, processes.All(servers), processes.All(agents))
+			back(f, cluster.All(servers), cluster.All(agents))
 			f.Told()
 			began := time.Now()
 			for i, a := range f.Agents {
@@ -131,7 +131,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := processes.Start(t, processes.Options{Agents: agents, Servers: servers, Seed: 5, Peers: true})
+			f := cluster.Start(t, cluster.Options{Agents: agents, Servers: servers, Seed: 5, Peers: true})
 			load := f.Load(2, 20*time.Millisecond)
 			served(t, load, 40)
 			for _, a := range f.Agents {
--- a/cmd/appleledge/main_test.go
+++ b/cmd/appleledge/main_test.go
@@ -12,13 +12,13 @@
 
 	"appleledge/internal/agent"
 	"appleledge/internal/cli"
-	"appleledge/internal/rig/processes"
+	"appleledge/internal/harness/cluster"
 	"appleledge/internal/settings"
 )
 
 // TestMain lets the test binary stand in for the program, in a process of its own that takes real signals.
 func TestMain(m *testing.M) {
-	if os.Getenv(processes.AsProgram) != "" {
+	if os.Getenv(cluster.AsProgram) != "" {
 		standIn()
 		return
 	}
@@ -27,20 +27,20 @@
 
 // standIn is main, on a disk that may lose what was not synced.
 func standIn() {
-	at := os.Getenv(processes.DiskAt)
+	at := os.Getenv(cluster.DiskAt)
 	if at == "" {
 		main()
 		return
 	}
 	cli.Main("appleledge", func(f settings.File) (agent.Extras, error) {
-		disk, err := processes.OpenDisk(at)
+		disk, err := cluster.OpenDisk(at)
 		if err != nil {
 			return agent.Extras{}, err
 		}
 		with, err := extras(f)
 		with.Disk = disk
 		if err == nil {
-			with.ClockOff, err = time.ParseDuration(os.Getenv(processes.ClockOff))
+			with.ClockOff, err = time.ParseDuration(os.Getenv(cluster.ClockOff))
 		}
 		return with, err
 	})
--- a/internal/rig/processes/disk.go
+++ b/internal/harness/cluster/disk.go
@@ -1,4 +1,4 @@
-package processes
+package cluster
 
 import (
 	"bytes"
--- a/internal/rig/processes/fleet.go
+++ b/internal/harness/cluster/fleet.go
@@ -1,7 +1,7 @@
-// Package processes is the rig for what many processes of the program do together when parts of the system fail: N agents in processes
+// Package cluster is the rig for what many processes of the program do together when parts of the system fail: N agents in processes
 // of their own, with emulated servers, a list, a network between agents that fails, disks that lose what was not synced, and power that
 // goes. Witnesses give the verdict: the backends' ledger, the rules, and what clients got.
-package processes
+package cluster
 
 import (
 	"bytes"
