--- a/internal/rig/doors/doors.go
+++ b/internal/harness/admissionvariants/doors.go
@@ -1,6 +1,6 @@
-// Package doors holds the ways that were weighed of saying who is let in during a storm, to be played on the same days as
+// Package admissionvariants holds the ways that were weighed of saying who is let in during a storm, to be played on the same days as
 // package storm: each as its source has it, with nothing of worth but what the source has. They are for the rig alone.
-package doors
+package admissionvariants
 
 import (
 	"math"
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -13,7 +13,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"appleledge/internal/rig/doors"
+	"appleledge/internal/harness/admissionvariants"
 	"appleledge/internal/settings"
 )
 
@@ -230,8 +230,8 @@
 		return "clients", 0, errors.New("wait: must be above 0")
 	case s.Clients.Forms < 2 || s.Clients.Forms > mostForms:
 		return "clients", 0, fmt.Errorf("forms: %d must be from 2 to %d", s.Clients.Forms, mostForms)
-	case s.Agents.Door != "" && s.Agents.Door != fleetDoor && s.Agents.Door != knowingDoor && !slices.Contains(doors.Names(), s.Agents.Door):
-		return "agents", 0, fmt.Errorf("door: %q is none; there are %s, %s", s.Agents.Door, fleetDoor, strings.Join(doors.Names(), ", "))
+	case s.Agents.Door != "" && s.Agents.Door != fleetDoor && s.Agents.Door != knowingDoor && !slices.Contains(admissionvariants.Names(), s.Agents.Door):
+		return "agents", 0, fmt.Errorf("door: %q is none; there are %s, %s", s.Agents.Door, fleetDoor, strings.Join(admissionvariants.Names(), ", "))
 	case !s.Agents.check():
 		return "agents", 0, fmt.Errorf("join: %q names what is no class, or one that must not run twice; there is %q", s.Agents.Join, safeClass)
 	case len(s.Events) > mostEvents:
--- a/internal/scenario/simulate.go
+++ b/internal/scenario/simulate.go
@@ -16,7 +16,7 @@
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
-	"appleledge/internal/rig/doors"
+	"appleledge/internal/harness/admissionvariants"
 	"appleledge/internal/settings"
 )
 
@@ -247,7 +247,7 @@
 		a.share(set)
 	default:
 		a.noticed()
-		a.door = doors.New(door, stormOptions(set, uint64(a.number*1000+a.life)))
+		a.door = admissionvariants.New(door, stormOptions(set, uint64(a.number*1000+a.life)))
 		a.engine.Guard(a.door)
 	}
 	if w.script.Agents.Recovery {
