--- a/cmd/fleetgen/main.go
+++ b/cmd/fleetgen/main.go
@@ -16,10 +16,10 @@
 	"github.com/spf13/cobra"
 
 	"appleledge/internal/emulator"
+	"appleledge/internal/harness/overhead"
 	"appleledge/internal/rig/ballsbins"
 	"appleledge/internal/rig/controlplane"
 	"appleledge/internal/rig/fleetgen"
-	"appleledge/internal/rig/measure"
 )
 
 func main() {
@@ -275,7 +275,7 @@
 }
 
 func measuring() *cobra.Command {
-	o := measure.Options{}
+	o := overhead.Options{}
 	program, servers, proxy := "bin/appleledge", []int{14, 1000}, true
 	c := &cobra.Command{
 		Use:   "measure",
@@ -290,9 +290,9 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%-14s %8s %10s %8s %10s %10s %8s %8s\n", "", "servers", "a second", "failed", "CPU", "median", "p99", "memory")
 			for _, n := range servers {
-				for _, run := range []func() (measure.Result, error){
-					func() (measure.Result, error) { return measure.Agent(c.Context(), program, n, o) },
-					func() (measure.Result, error) { return measure.Proxy(c.Context(), []string{"reverse-proxy"}, n, o) },
+				for _, run := range []func() (overhead.Result, error){
+					func() (overhead.Result, error) { return overhead.Agent(c.Context(), program, n, o) },
+					func() (overhead.Result, error) { return overhead.Proxy(c.Context(), []string{"reverse-proxy"}, n, o) },
 				}[:1+count(proxy)] {
 					r, err := run()
 					if err != nil {
@@ -335,7 +335,7 @@
 			if err != nil {
 				return err
 			}
-			return measure.Serve(c.Context(), args[0], strings.Fields(string(text)))
+			return overhead.Serve(c.Context(), args[0], strings.Fields(string(text)))
 		},
 	}
 }
--- a/internal/rig/measure/measure.go
+++ b/internal/harness/overhead/measure.go
@@ -1,6 +1,6 @@
-// Package measure puts an agent's own program under load on loopback and says what a request costs it, beside a plain
+// Package overhead puts an agent's own program under load on loopback and says what a request costs it, beside a plain
 // reverse proxy of the standard library (net/http/httputil.ReverseProxy) in the same place.
-package measure
+package overhead
 
 import (
 	"context"
