--- a/cmd/fleetgen/main.go
+++ b/cmd/fleetgen/main.go
@@ -16,8 +16,8 @@
 	"github.com/spf13/cobra"
 
 	"appleledge/internal/emulator"
+	"appleledge/internal/harness/ballsbins"
 	"appleledge/internal/harness/overhead"
-	"appleledge/internal/rig/ballsbins"
 	"appleledge/internal/rig/controlplane"
 	"appleledge/internal/rig/fleetgen"
 )
