--- a/cmd/fleetgen/main.go
+++ b/cmd/fleetgen/main.go
@@ -17,8 +17,8 @@
 
 	"appleledge/internal/emulator"
 	"appleledge/internal/harness/ballsbins"
+	"appleledge/internal/harness/controlplane"
 	"appleledge/internal/harness/overhead"
-	"appleledge/internal/rig/controlplane"
 	"appleledge/internal/rig/fleetgen"
 )
 
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"appleledge/internal/engine"
+	"appleledge/internal/harness/controlplane"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/xds"
-	"appleledge/internal/rig/controlplane"
 	"appleledge/internal/simwire"
 	"appleledge/internal/testbed"
 )
--- a/internal/membership/xds/machine_test.go
+++ b/internal/membership/xds/machine_test.go
@@ -21,7 +21,7 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/rig/controlplane"
+	"appleledge/internal/harness/controlplane"
 )
 
 func testReader() reader {
--- a/internal/membership/xds/source_test.go
+++ b/internal/membership/xds/source_test.go
@@ -20,8 +20,8 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
+	"appleledge/internal/harness/controlplane"
 	"appleledge/internal/membership"
-	"appleledge/internal/rig/controlplane"
 	"appleledge/internal/testbed"
 )
 
--- a/internal/rig/fleetgen/fleetgen_test.go
+++ b/internal/rig/fleetgen/fleetgen_test.go
@@ -15,12 +15,12 @@
 	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
+	"appleledge/internal/harness/controlplane"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/file"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/membership/xds"
-	"appleledge/internal/rig/controlplane"
 	"appleledge/internal/testbed"
 )
 
--- a/internal/rig/fleetgen/publish.go
+++ b/internal/rig/fleetgen/publish.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"appleledge/internal/emulator"
-	"appleledge/internal/rig/controlplane"
+	"appleledge/internal/harness/controlplane"
 )
 
 // kind is that of all machines.
