--- a/cmd/fleetgen/main.go
+++ b/cmd/fleetgen/main.go
@@ -18,8 +18,8 @@
 	"appleledge/internal/emulator"
 	"appleledge/internal/harness/ballsbins"
 	"appleledge/internal/harness/controlplane"
+	"appleledge/internal/harness/fleetgen"
 	"appleledge/internal/harness/overhead"
-	"appleledge/internal/rig/fleetgen"
 )
 
 func main() {
--- a/internal/harness/overhead/measure.go
+++ b/internal/harness/overhead/measure.go
@@ -23,7 +23,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"appleledge/internal/emulator"
-	"appleledge/internal/rig/fleetgen"
+	"appleledge/internal/harness/fleetgen"
 	"appleledge/internal/rig/loopback"
 )
 
