--- a/internal/fleet/gossip/node_test.go
+++ b/internal/fleet/gossip/node_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/rig/loopback"
+	"appleledge/internal/harness/loopback"
 )
 
 // listener is a Host that remembers what it hears.
--- a/internal/harness/cluster/fleet.go
+++ b/internal/harness/cluster/fleet.go
@@ -25,7 +25,7 @@
 
 	"appleledge/internal/emulator"
 	"appleledge/internal/fleet/gossip"
-	"appleledge/internal/rig/loopback"
+	"appleledge/internal/harness/loopback"
 	"appleledge/internal/testbed"
 )
 
--- a/internal/rig/loopback/loopback_test.go
+++ b/internal/harness/loopback/loopback_test.go
@@ -4,7 +4,7 @@
 	"net"
 	"testing"
 
-	"appleledge/internal/rig/loopback"
+	"appleledge/internal/harness/loopback"
 )
 
 // Many hold addresses while others take any free port: nobody gets what another holds, and the holder can listen, by TCP and by
--- a/internal/harness/overhead/measure.go
+++ b/internal/harness/overhead/measure.go
@@ -24,7 +24,7 @@
 
 	"appleledge/internal/emulator"
 	"appleledge/internal/harness/fleetgen"
-	"appleledge/internal/rig/loopback"
+	"appleledge/internal/harness/loopback"
 )
 
 // Options say what is measured.
--- a/internal/scenario/live.go
+++ b/internal/scenario/live.go
@@ -22,7 +22,7 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
-	"appleledge/internal/rig/loopback"
+	"appleledge/internal/harness/loopback"
 )
 
 const (
--- a/internal/scenario/quickstart.go
+++ b/internal/scenario/quickstart.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"appleledge/internal/agent"
-	"appleledge/internal/rig/loopback"
+	"appleledge/internal/harness/loopback"
 )
 
 // Quickstart is a small installation to look at.
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/harness/loopback"
 	"appleledge/internal/membership"
-	"appleledge/internal/rig/loopback"
 )
 
 // Patience is how long a test waits for what must come; machines are noisy.
