--- a/cmd/appleledge-extproc/main_test.go
+++ b/cmd/appleledge-extproc/main_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // TestMain lets the test binary stand in for the program, in a process of its own that takes real signals.
@@ -34,17 +34,17 @@
 func command(t *testing.T, settings string) (cmd *exec.Cmd, file string) {
 	t.Helper()
 	dir := t.TempDir()
-	d := testbed.NewDiscovery(t, 1, testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	d := agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	config := filepath.Join(dir, "config.json")
 	file = filepath.Join(dir, "settings.toml")
-	for name, text := range map[string][]byte{config: testbed.ConfigText(d.Addr().String(), "null"), file: []byte(settings)} {
+	for name, text := range map[string][]byte{config: agenttest.ConfigText(d.Addr().String(), "null"), file: []byte(settings)} {
 		if err := os.WriteFile(name, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	cmd = exec.Command(os.Args[0], "-settings", file)
 	cmd.Env = append(os.Environ(), "APPLELEDGE_AS_PROGRAM=1", "PROXY_CONFIG="+config)
-	giveUp := time.AfterFunc(testbed.Patience, func() { cmd.Process.Kill() })
+	giveUp := time.AfterFunc(agenttest.Patience, func() { cmd.Process.Kill() })
 	t.Cleanup(func() { giveUp.Stop() })
 	return cmd, file
 }
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Patience)
 	defer cancel()
 	stream, err := extprocv3.NewExternalProcessorClient(conn).Process(ctx, grpc.WaitForReady(true))
 	if err != nil {
@@ -115,7 +115,7 @@
 
 // What can't be carried out is refused at the start in one line that says where it stands.
 func TestBadStart(t *testing.T) {
-	taken := testbed.Listen(t)
+	taken := agenttest.Listen(t)
 	for name, c := range map[string]struct{ settings, want string }{
 		"unknown key":   {"[external_processor]\nlisten = \"127.0.0.1:0\"\nport = 1\n", "settings.toml:3: unknown key"},
 		"taken address": {"[external_processor]\nlisten = \"" + taken.Addr().String() + "\"\n", "settings.toml:2: "},
--- a/cmd/appleledge/fleet_measure_test.go
+++ b/cmd/appleledge/fleet_measure_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/harness/cluster"
 	"appleledge/internal/logstats"
-	"appleledge/internal/testbed"
 )
 
 // measured skips what only measures, unless FLEET_MEASURE asks for it.
@@ -80,7 +80,7 @@
 	back(f, cluster.All(servers), cluster.All(agents))
 	began := time.Now()
 	from = load.Served.Load()
-	testbed.Eventually(t, "the first is served", func() bool { return load.Served.Load() > from })
+	agenttest.Eventually(t, "the first is served", func() bool { return load.Served.Load() > from })
 	t.Logf("first service %v after power, usual %.0f a second", time.Since(began).Round(10*time.Millisecond), usual)
 	told := false
 	for second := 1; second <= 15; second++ {
--- a/cmd/appleledge/fleet_overload_test.go
+++ b/cmd/appleledge/fleet_overload_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/harness/cluster"
 	"appleledge/internal/operator"
-	"appleledge/internal/testbed"
 )
 
 // view is the fleet as an agent sees it.
@@ -32,7 +32,7 @@
 // are asked for the servers and, all through it, agents answer their operators promptly. Then the first that falls short is an error.
 func servesInCalm(t *testing.T, f *cluster.Fleet, rate, part float64) {
 	t.Helper()
-	testbed.Eventually(t, "refunds are served, or calm", func() bool {
+	agenttest.Eventually(t, "refunds are served, or calm", func() bool {
 		slowest := f.Watch()
 		o := f.Offer(cluster.Offered{Rate: rate, For: time.Second})
 		took := slowest().Round(time.Millisecond)
@@ -146,7 +146,7 @@
 				}
 			}
 			over := time.Now()
-			testbed.Eventually(t, "all is served again", func() bool {
+			agenttest.Eventually(t, "all is served again", func() bool {
 				o := f.Offer(cluster.Offered{Rate: calm, For: time.Second})
 				return o.Refunds.Part() > 0.99 && o.Checks.Part() > 0.95
 			})
@@ -187,7 +187,7 @@
 	}
 	for _, a := range f.Agents[:3] {
 		seen := view(t, a).Overload
-		testbed.Eventually(t, "its claims are heard and bounded", func() bool { // against own figures, which a busy machine brings late
+		agenttest.Eventually(t, "its claims are heard and bounded", func() bool { // against own figures, which a busy machine brings late
 			if seen.Bounded == 0 {
 				f.Offer(cluster.Offered{Rate: 8, For: time.Second})
 				seen = view(t, a).Overload
--- a/cmd/appleledge/fleet_test.go
+++ b/cmd/appleledge/fleet_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/harness/cluster"
-	"appleledge/internal/testbed"
 )
 
 // instants is how many losses of power are drawn from seeds: a few in CI, and as many as FLEET_INSTANTS says outside.
@@ -47,7 +47,7 @@
 func served(t *testing.T, l *cluster.Load, more int64) {
 	t.Helper()
 	from := l.Served.Load()
-	testbed.Eventually(t, fmt.Sprint(more, " more requests are served"), func() bool { return l.Served.Load() >= from+more })
+	agenttest.Eventually(t, fmt.Sprint(more, " more requests are served"), func() bool { return l.Served.Load() >= from+more })
 }
 
 // All lose power while refunds are in flight, at instants drawn from seeds, some of them in the middle of coming back; agents, servers
@@ -127,7 +127,7 @@
 			back(f, nil, []int{0})
 			f.Agents[0].Ready()
 			f.Servers[5].Drain() // which the backup knows nothing of
-			testbed.Eventually(t, "nothing goes to a server that drains", quiet(f.Servers[5]))
+			agenttest.Eventually(t, "nothing goes to a server that drains", quiet(f.Servers[5]))
 			time.Sleep(500 * time.Millisecond)
 			f.Discovery.SetOut(true)
 			f.LosePower(nil, cluster.All(agents), 4)
@@ -259,7 +259,7 @@
 			defer client.CloseIdleConnections()
 			for _, a := range f.Agents {
 				a.Ready()
-				testbed.Eventually(t, fmt.Sprintf("agent %d serves", a.Number), func() bool {
+				agenttest.Eventually(t, fmt.Sprintf("agent %d serves", a.Number), func() bool {
 					return f.Ask(cluster.Request{Agent: a.Number, Key: fmt.Sprint("form-", a.Number)}, client, 2*time.Second)
 				})
 			}
@@ -336,7 +336,7 @@
 					defer close(done)
 					f.Ask(cluster.Request{Refund: true, Agent: 0, Key: key}, client, 1900*time.Millisecond)
 				}()
-				testbed.Eventually(t, "it runs", func() bool {
+				agenttest.Eventually(t, "it runs", func() bool {
 					select {
 					case <-done: // it was refused as long as it came, which is no harm here
 						return true
@@ -361,7 +361,7 @@
 	f := cluster.Start(t, cluster.Options{Agents: 40, Servers: 6, Seed: 3, Peers: true})
 	load := f.Load(1, 100*time.Millisecond)
 	served(t, load, 80)
-	testbed.Eventually(t, "the first knows of all others", func() bool { return strings.Contains(f.Agents[0].Sees(), `"alive": 40`) })
+	agenttest.Eventually(t, "the first knows of all others", func() bool { return strings.Contains(f.Agents[0].Sees(), `"alive": 40`) })
 	f.Discovery.SetOut(true)
 	f.LosePower(cluster.All(6), cluster.All(40), 1)
 	back(f, cluster.All(6), cluster.All(40))
--- a/cmd/appleledge/fleet_versions_test.go
+++ b/cmd/appleledge/fleet_versions_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/harness/cluster"
-	"appleledge/internal/testbed"
 )
 
 // sees waits until an agent sees this of the fleet.
 func sees(t *testing.T, a *cluster.Agent, text string) {
 	t.Helper()
-	testbed.Eventually(t, "agent sees "+text, func() bool { return strings.Contains(a.Sees(), text) })
+	agenttest.Eventually(t, "agent sees "+text, func() bool { return strings.Contains(a.Sees(), text) })
 }
 
 // What changes one by one over the agents, while they know each other and serve.
@@ -30,7 +30,7 @@
 				for _, a := range f.Agents {
 					a.Keys(keys...)
 					a.Signal(syscall.SIGHUP)
-					testbed.Eventually(t, "the keys are reloaded", func() bool { return a.Log.Count("keys reloaded") == step+1 })
+					agenttest.Eventually(t, "the keys are reloaded", func() bool { return a.Log.Count("keys reloaded") == step+1 })
 				}
 			}
 			for _, a := range f.Agents {
@@ -41,7 +41,7 @@
 			}
 			f.Agents[0].Keys() // a file with none changes nothing
 			f.Agents[0].Signal(syscall.SIGHUP)
-			testbed.Eventually(t, "it is turned down", func() bool { return f.Agents[0].Log.Count("keeping the old ones") > 0 })
+			agenttest.Eventually(t, "it is turned down", func() bool { return f.Agents[0].Log.Count("keeping the old ones") > 0 })
 			time.Sleep(1500 * time.Millisecond)
 			sees(t, f.Agents[1], `"alive": 4`)
 		}},
--- a/cmd/appleledge/restart_test.go
+++ b/cmd/appleledge/restart_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 const podWindow = 2 * time.Second
@@ -43,13 +43,13 @@
 // start begins servers: two in each of three pods. A third of the requests run and are never answered.
 func (p *pods) start(t *testing.T) (entries []string) {
 	for i := range 6 {
-		b := testbed.NewBackend(t, func(c net.Conn, r *http.Request, _ int) bool {
+		b := agenttest.NewBackend(t, func(c net.Conn, r *http.Request, _ int) bool {
 			p.take(i/2, r.Header.Get("Idempotency-Key"))
 			time.Sleep(time.Duration(rand.IntN(40)) * time.Millisecond)
 			if rand.IntN(3) == 0 {
 				return false
 			}
-			_, err := io.WriteString(c, testbed.Served)
+			_, err := io.WriteString(c, agenttest.Served)
 			return err == nil
 		})
 		entries = append(entries, fmt.Sprintf(`{"id":"s-%d","addr":%q,"zone":"edinburgh-dc","cell":%d,"state":"Ready","weight":1,"started_ms":0}`, i, b.Addr(), i/2))
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { program.Process.Kill(); program.Wait() })
-	testbed.Eventually(t, "the agent is ready", func() bool {
+	agenttest.Eventually(t, "the agent is ready", func() bool {
 		resp, err := http.Get("http://" + addr + "/ready")
 		if err != nil {
 			return false
@@ -141,11 +141,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := &pods{seen: map[string]time.Time{}, ran: map[string][]string{}}
-			disco := testbed.NewDiscovery(t, 1, p.start(t)...)
+			disco := agenttest.NewDiscovery(t, 1, p.start(t)...)
 			dir := t.TempDir()
 			config, own := filepath.Join(dir, "config.json"), filepath.Join(dir, "own.toml")
 			text := fmt.Sprintf("[affinity]\ndir = %q\nbudget = \"100ms\"\n", dir) // busy machines take longer than 2 ms
-			for path, text := range map[string]string{config: string(testbed.ConfigText(disco.Addr().String(), "null")), own: text} {
+			for path, text := range map[string]string{config: string(agenttest.ConfigText(disco.Addr().String(), "null")), own: text} {
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
@@ -154,7 +154,7 @@
 			if with {
 				args = []string{"-settings", own}
 			}
-			x := &repeats{addr: testbed.Refusing(t)}
+			x := &repeats{addr: agenttest.Refusing(t)}
 			program := agentAt(t, args, config, x.addr)
 			ended := make(chan struct{})
 			var all sync.WaitGroup
--- a/cmd/appleledge/upgrade_generations_test.go
+++ b/cmd/appleledge/upgrade_generations_test.go
@@ -12,10 +12,10 @@
 	"testing"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/agenttest"
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/plan"
-	"appleledge/internal/testbed"
 )
 
 // governed is an installation whose fleet has a configuration that operators apply.
@@ -44,7 +44,7 @@
 	c := &fleetconfig.Config{Pools: []fleetconfig.Pool{{Name: "p", Selector: fleetconfig.Selector{IDs: []string{server}}}},
 		Routes: []fleetconfig.Route{{Name: "r", To: []fleetconfig.Target{{Pool: "p", Weight: 1}}}}}
 	c.Normalize()
-	ctx, cancel := context.WithTimeout(g.t.Context(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(g.t.Context(), agenttest.Patience)
 	defer cancel()
 	p := &plan.Plan{}
 	if err := g.client.Call(ctx, http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: c, MostTaken: 1}, p); err != nil {
@@ -71,7 +71,7 @@
 }
 
 // all checks that the next requests go to one server, whichever process takes them.
-func (g *governed) all(to *testbed.Backend, when string) {
+func (g *governed) all(to *agenttest.Backend, when string) {
 	g.t.Helper()
 	before := to.Requests()
 	for range 20 {
@@ -93,7 +93,7 @@
 // follows waits until a version has taken up a generation.
 func (g *governed) follows(v *version, number int) {
 	g.t.Helper()
-	testbed.Eventually(g.t, "a generation is followed", func() bool {
+	agenttest.Eventually(g.t, "a generation is followed", func() bool {
 		return v.log.Count(fmt.Sprintf(`msg="configuration taken over" agent=n0 generation=%d`, number)) > 0
 	})
 }
@@ -118,7 +118,7 @@
 			g.follows(now, 2)
 			g.all(g.two, "a change was applied while both serve")
 			end(g.installation, old)
-			testbed.Eventually(t, "the new one takes changes", func() bool { return g.apply("s-1") == nil })
+			agenttest.Eventually(t, "the new one takes changes", func() bool { return g.apply("s-1") == nil })
 			g.all(g.one, "a change was applied to the new one")
 			var in admin.Config
 			if err := g.client.Call(t.Context(), http.MethodGet, admin.PathConfig, nil, &in); err != nil || in.Number != 3 {
@@ -127,7 +127,7 @@
 			last := g.next() // and so again
 			g.retire(now)
 			g.all(g.one, "after two upgrades")
-			testbed.Eventually(t, "the last one takes changes", func() bool { return g.apply("s-2") == nil })
+			agenttest.Eventually(t, "the last one takes changes", func() bool { return g.apply("s-2") == nil })
 			g.all(g.two, "a change was applied to the last one")
 			last.Process.Signal(syscall.SIGTERM)
 		})
@@ -162,7 +162,7 @@
 		}
 	}
 	tear()
-	testbed.Eventually(t, "the log tells of it", func() bool { return now.log.Count("configuration can't be followed") == 1 })
+	agenttest.Eventually(t, "the log tells of it", func() bool { return now.log.Count("configuration can't be followed") == 1 })
 	g.all(g.one, "the state is torn")
 	if err := g.apply("s-2"); err != nil {
 		t.Fatal(err)
@@ -171,9 +171,9 @@
 	g.all(g.two, "it is whole again")
 	tear()
 	g.retire(old)
-	testbed.Eventually(t, "the log tells of it", func() bool { return now.log.Count("this one keeps what is in force") == 1 })
+	agenttest.Eventually(t, "the log tells of it", func() bool { return now.log.Count("this one keeps what is in force") == 1 })
 	g.all(g.two, "a torn state was taken over")
-	testbed.Eventually(t, "what is in force is kept anew", func() bool {
+	agenttest.Eventually(t, "what is in force is kept anew", func() bool {
 		_, err := atomicfile.File{Path: filepath.Join(g.dir, "state"), FS: atomicfile.OS{}}.Load()
 		return err == nil
 	})
--- a/cmd/appleledge/upgrade_test.go
+++ b/cmd/appleledge/upgrade_test.go
@@ -17,15 +17,15 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // installation is an agent whose versions are started beside one another.
 type installation struct {
 	t            *testing.T
 	dir, listen  string
-	disco        *testbed.Discovery
-	one, two     *testbed.Backend
+	disco        *agenttest.Discovery
+	one, two     *agenttest.Backend
 	mu           sync.Mutex
 	ran          map[string]int // by id: how often a backend has run it
 	id           atomic.Int64
@@ -41,12 +41,12 @@
 		in.ran[r.Header.Get("X-Request-ID")]++
 		in.mu.Unlock()
 		time.Sleep(5 * time.Millisecond)
-		_, err := io.WriteString(c, testbed.Served)
+		_, err := io.WriteString(c, agenttest.Served)
 		return err == nil
 	}
-	in.one, in.two = testbed.NewBackend(t, run), testbed.NewBackend(t, run)
-	in.disco = testbed.NewDiscovery(t, 1, testbed.EntryText("s-1", in.one.Addr().String(), "Ready", 0),
-		testbed.EntryText("s-2", in.two.Addr().String(), "Ready", 0))
+	in.one, in.two = agenttest.NewBackend(t, run), agenttest.NewBackend(t, run)
+	in.disco = agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", in.one.Addr().String(), "Ready", 0),
+		agenttest.EntryText("s-2", in.two.Addr().String(), "Ready", 0))
 	return in
 }
 
@@ -57,14 +57,14 @@
 	config   string
 	operator string
 	ended    chan error
-	log      *testbed.LockedBuffer
+	log      *agenttest.LockedBuffer
 }
 
 // start starts a version that follows discovery at an address. It does not wait.
 func (in *installation) start(discovery string, args ...string) *version {
 	in.t.Helper()
-	v := &version{t: in.t, ended: make(chan error, 1), log: &testbed.LockedBuffer{}, config: filepath.Join(in.t.TempDir(), "config.json")}
-	if err := os.WriteFile(v.config, testbed.ConfigText(discovery, "null"), 0o600); err != nil {
+	v := &version{t: in.t, ended: make(chan error, 1), log: &agenttest.LockedBuffer{}, config: filepath.Join(in.t.TempDir(), "config.json")}
+	if err := os.WriteFile(v.config, agenttest.ConfigText(discovery, "null"), 0o600); err != nil {
 		in.t.Fatal(err)
 	}
 	v.Cmd = exec.Command(os.Args[0], args...)
@@ -89,7 +89,7 @@
 // address waits for the line of the log that ends in one.
 func (v *version) address(line string) (addr string) {
 	v.t.Helper()
-	testbed.Eventually(v.t, line, func() bool {
+	agenttest.Eventually(v.t, line, func() bool {
 		_, rest, ok := strings.Cut(v.log.String(), line)
 		if !ok {
 			select {
@@ -107,7 +107,7 @@
 
 func (in *installation) ready(v *version) *version {
 	in.t.Helper()
-	testbed.Eventually(in.t, "a version says yes", func() bool { return in.call(v, "GET", "readiness") == http.StatusOK })
+	agenttest.Eventually(in.t, "a version says yes", func() bool { return in.call(v, "GET", "readiness") == http.StatusOK })
 	return v
 }
 
@@ -134,7 +134,7 @@
 		if err != nil {
 			in.t.Errorf("an old version has ended with %v:\n%s", err, v.log)
 		}
-	case <-time.After(testbed.Patience):
+	case <-time.After(agenttest.Patience):
 		in.t.Fatal("an old version does not end")
 	}
 }
@@ -145,7 +145,7 @@
 }
 
 func (in *installation) send(c net.Conn, r *bufio.Reader, id string) (keep bool, err error) {
-	c.SetDeadline(time.Now().Add(testbed.Patience))
+	c.SetDeadline(time.Now().Add(agenttest.Patience))
 	if _, err := fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Tenant-Id: glasgow-airport\r\nX-Timeout: 2000m\r\nContent-Length: 2\r\n\r\nhi", id); err != nil {
 		return false, err
 	}
@@ -220,12 +220,12 @@
 	now := in.ready(in.start(in.disco.Addr().String()))
 	end := in.load()
 	for round := range 3 {
-		testbed.Eventually(t, "requests are served", func(n int64) func() bool {
+		agenttest.Eventually(t, "requests are served", func(n int64) func() bool {
 			return func() bool { return in.served.Load() > n+50 }
 		}(in.served.Load()))
 		if round == 1 {
-			stillborn := in.start(testbed.Refusing(t)) // no discovery: it has nothing to send to
-			testbed.Eventually(t, "it answers operators", func() bool { return in.call(stillborn, "GET", "readiness") == 503 })
+			stillborn := in.start(agenttest.Refusing(t)) // no discovery: it has nothing to send to
+			agenttest.Eventually(t, "it answers operators", func() bool { return in.call(stillborn, "GET", "readiness") == 503 })
 			stillborn.Process.Kill()
 			<-stillborn.ended
 		}
@@ -265,7 +265,7 @@
 	}
 	in.ready(in.start(in.disco.Addr().String()))
 	old.Process.Signal(syscall.SIGTERM)
-	testbed.Eventually(t, "it is draining", func() bool { return old.log.Count("draining") == 1 })
+	agenttest.Eventually(t, "it is draining", func() bool { return old.log.Count("draining") == 1 })
 	if keep, err := in.request(c, r); err != nil || keep || in.served.Load() != 2 {
 		t.Errorf("kept: %v, %v, %d served; the old one:\n%s", keep, err, in.served.Load(), old.log)
 	}
@@ -357,7 +357,7 @@
 	in.retire(old)
 	use(next, "after the upgrade", 20)
 	put(next, "backends/up/s-1", 200)
-	testbed.Eventually(t, "a server that was taken back is used", func() bool {
+	agenttest.Eventually(t, "a server that was taken back is used", func() bool {
 		n := in.one.Requests()
 		c, err := net.Dial("tcp", in.listen)
 		if err != nil {
@@ -381,12 +381,12 @@
 			t.Fatal(err)
 		}
 		v.Process.Signal(syscall.SIGHUP)
-		testbed.Eventually(t, "a broken file is turned down", func() bool { return in.stats(v)["svc.config_reload_errors"] == "1" })
-		if err := os.WriteFile(v.config, testbed.ConfigText(in.disco.Addr().String(), "null"), 0o600); err != nil {
+		agenttest.Eventually(t, "a broken file is turned down", func() bool { return in.stats(v)["svc.config_reload_errors"] == "1" })
+		if err := os.WriteFile(v.config, agenttest.ConfigText(in.disco.Addr().String(), "null"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		v.Process.Signal(syscall.SIGHUP)
-		testbed.Eventually(t, "a good one is taken", func() bool { return in.stats(v)["svc.config_reloads"] == "1" })
+		agenttest.Eventually(t, "a good one is taken", func() bool { return in.stats(v)["svc.config_reloads"] == "1" })
 	}
 	in.retire(old)
 	c, err := net.Dial("tcp", in.listen)
@@ -402,7 +402,7 @@
 // A section that owns an address does not keep a new version from starting: it has the address when the old one has ended.
 func TestTelemetryOverAnUpgrade(t *testing.T) {
 	in := install(t)
-	addr := testbed.Refusing(t)
+	addr := agenttest.Refusing(t)
 	own := filepath.Join(in.dir, "own.toml")
 	if err := os.WriteFile(own, fmt.Appendf(nil, "[telemetry]\nlisten = %q\n", addr), 0o600); err != nil {
 		t.Fatal(err)
@@ -410,7 +410,7 @@
 	old := in.ready(in.start(in.disco.Addr().String(), "-settings", own))
 	in.ready(in.start(in.disco.Addr().String(), "-settings", own))
 	in.retire(old)
-	testbed.Eventually(t, "the new version shows telemetry", func() bool {
+	agenttest.Eventually(t, "the new version shows telemetry", func() bool {
 		resp, err := http.Get("http://" + addr + "/metrics")
 		if err != nil {
 			return false
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -19,12 +19,12 @@
 	"appleledge/internal/affinity"
 	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/agent"
+	"appleledge/internal/agenttest"
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/cli"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
 	"appleledge/internal/settings"
-	"appleledge/internal/testbed"
 )
 
 // TestMain lets the test binary stand in for the agent, in a process of its own that can be killed.
@@ -39,7 +39,7 @@
 // installation is an agent in a process of its own, with the files of its operators.
 type installation struct {
 	dir, socket string
-	disco       *testbed.Discovery
+	disco       *agenttest.Discovery
 	program     *exec.Cmd
 }
 
@@ -47,8 +47,8 @@
 	t.Helper()
 	x := &installation{dir: t.TempDir()}
 	x.socket = filepath.Join(x.dir, "s")
-	x.disco = testbed.NewDiscovery(t, 1, testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testbed.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
-	x.write(t, "config.json", string(testbed.ConfigText(x.disco.Addr().String(), "null")))
+	x.disco = agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0), agenttest.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
+	x.write(t, "config.json", string(agenttest.ConfigText(x.disco.Addr().String(), "null")))
 	x.write(t, "own.toml", fmt.Sprintf("[generations]\nsocket = %q\nstate = %q\n", x.socket, filepath.Join(x.dir, "state")))
 	x.start(t)
 	return x
@@ -75,7 +75,7 @@
 	}
 	started := x.program
 	t.Cleanup(func() { started.Process.Kill(); started.Wait() })
-	testbed.Eventually(t, "the agent answers", func() bool {
+	agenttest.Eventually(t, "the agent answers", func() bool {
 		var s admin.Status
 		return json.Unmarshal([]byte(x.try("status", "--json").out), &s) == nil && s.Servers == 2
 	})
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -18,12 +18,12 @@
 
 	"pgregory.net/rapid"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/atomicfile/faultfs"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
-	"appleledge/internal/testbed"
 )
 
 var names = generation.Names{Classes: []generation.Class{{Name: "form-check", Aim: time.Second}, {Name: "refund-record", Aim: time.Second}},
@@ -426,7 +426,7 @@
 		t.Fatal("it did not leave")
 	}
 	close(keeper.leave)
-	testbed.Eventually(t, "the change is in force", func() bool {
+	agenttest.Eventually(t, "the change is in force", func() bool {
 		x.core.mu.Lock()
 		defer x.core.mu.Unlock()
 		return x.hash() == p.Hash
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // raw is a client that writes what it likes.
@@ -265,7 +265,7 @@
 func TestAnUploadThatWasNotReadGoesElsewhere(t *testing.T) {
 	b := newBackend(t, says(served))
 	large := strings.Repeat("x", 3*million)
-	a, _ := withOperators(t, newFakeDiscovery(t, 1, entryText("s-1", testbed.Refusing(t), "Ready", 0), entryText("s-2", b.Addr().String(), "Ready", 0)))
+	a, _ := withOperators(t, newFakeDiscovery(t, 1, entryText("s-1", agenttest.Refusing(t), "Ready", 0), entryText("s-2", b.Addr().String(), "Ready", 0)))
 	for range 6 {
 		client := a.raw(t)
 		client.send(head("POST", "/pay", "HTTP/1.1", fmt.Sprint("Content-Length: ", len(large))) + large)
@@ -456,7 +456,7 @@
 		return err == nil
 	})
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
-	a := startOn(t, d, 0, func(c *Config) { c.Operator, c.MemoryMB = testbed.Refusing(t), 1 }, Extras{}, slog.New(slog.DiscardHandler))
+	a := startOn(t, d, 0, func(c *Config) { c.Operator, c.MemoryMB = agenttest.Refusing(t), 1 }, Extras{}, slog.New(slog.DiscardHandler))
 	var holding []*raw
 	for range 2 { // which is all that 256 KB have room for
 		c := a.raw(t)
@@ -497,7 +497,7 @@
 func TestHalfWrittenHeadsMakeRoom(t *testing.T) {
 	b := newBackend(t, says(served))
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
-	a := startOn(t, d, 0, func(c *Config) { c.Operator, c.Sockets = testbed.Refusing(t), leastSockets }, Extras{}, slog.New(slog.DiscardHandler))
+	a := startOn(t, d, 0, func(c *Config) { c.Operator, c.Sockets = agenttest.Refusing(t), leastSockets }, Extras{}, slog.New(slog.DiscardHandler))
 	slow := a.raw(t)
 	text := head("POST", "/pay", "HTTP/1.1", "Content-Length: 2") + "hi"
 	slow.send(text[:1])
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/downstream/http1"
-	"appleledge/internal/testbed"
 )
 
 // dial opens a connection to the agent that closes with the test.
@@ -199,7 +199,7 @@
 		passedOn.Store(r.Header.Get("X-Request-ID"), true)
 		return says(served)(c, r, n)
 	})
-	var log testbed.LockedBuffer
+	var log agenttest.LockedBuffer
 	a := startOn(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(*Config) {}, Extras{}, slog.New(slog.NewTextHandler(&log, nil)))
 	begun := log.Count("\n")
 	const check = "GET /form-check HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: rude\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 900m\r\n"
--- a/internal/agent/figures_test.go
+++ b/internal/agent/figures_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/logstats"
-	"appleledge/internal/testbed"
 )
 
 // What an agent counts stands in its log, and adds up to what was done.
 func TestFiguresInTheLog(t *testing.T) {
 	b := newBackend(t, says(served))
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
-	log := &testbed.LockedBuffer{}
+	log := &agenttest.LockedBuffer{}
 	a := startOn(t, d, 0, func(*Config) {}, Extras{Figures: 20 * time.Millisecond}, slog.New(slog.NewTextHandler(log, nil)))
 	const requests = 3
 	for range requests {
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/agenttest"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
-	"appleledge/internal/testbed"
 )
 
 // ledger is what servers have seen of each request: at which of them its attempts came in, and when.
@@ -40,12 +40,12 @@
 type operated struct {
 	*running
 	client  *admin.Client
-	disco   *testbed.Discovery
+	disco   *agenttest.Discovery
 	ledger  *ledger
-	servers []*testbed.Backend
+	servers []*agenttest.Backend
 	hung    []atomic.Bool
 	rejects atomic.Int64 // in a thousand, turned away unseen
-	log     *testbed.LockedBuffer
+	log     *agenttest.LockedBuffer
 }
 
 const rejected = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -53,7 +53,7 @@
 // operate starts an agent with so many servers, s-0 and so on.
 func operate(t *testing.T, servers int, state string) *operated {
 	t.Helper()
-	o := &operated{ledger: &ledger{seen: map[string][]string{}}, hung: make([]atomic.Bool, servers), log: &testbed.LockedBuffer{}}
+	o := &operated{ledger: &ledger{seen: map[string][]string{}}, hung: make([]atomic.Bool, servers), log: &agenttest.LockedBuffer{}}
 	for i := range servers {
 		o.servers = append(o.servers, newBackend(t, func(c net.Conn, r *http.Request, _ int) bool {
 			o.ledger.saw(fmt.Sprint("s-", i), r.Header.Get("X-Request-Id"))
--- a/internal/agent/golden_fleet_test.go
+++ b/internal/agent/golden_fleet_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"testing"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/golden"
-	"appleledge/internal/testbed"
 )
 
 // What is held of overload is shown to operators as it was, each figure in its place.
@@ -33,7 +33,7 @@
 		if !may {
 			text = bytes.Replace(text, []byte(`"Peers":true`), []byte(`"Peers":false`), 1)
 		}
-		cfg, err := parseConfig(text, testbed.NoEnv)
+		cfg, err := parseConfig(text, agenttest.NoEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
 )
 
@@ -62,7 +62,7 @@
 func goldenCounters(t *testing.T) counters {
 	t.Helper()
 	clock, quiet := engine.NewClock(), slog.New(slog.DiscardHandler)
-	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	core := engine.New(policy, clock, conns, quiet)
 	core.Count(site.Logic.Classes)
 	core.TurnedAway(&engine.Call{ID: "r"})
-	conns.Update(true, []engine.Member{{Server: balancer.Server{ID: "s-1"}, Addr: testbed.Refusing(t)}})
+	conns.Update(true, []engine.Member{{Server: balancer.Server{ID: "s-1"}, Addr: agenttest.Refusing(t)}})
 	if _, err := conns.Get(t.Context(), conns.Backend("s-1")); err == nil {
 		t.Fatal("a connection to where nothing listens")
 	}
@@ -103,14 +103,14 @@
 // The line as it is written.
 func TestGoldenFiguresLine(t *testing.T) {
 	f := goldenCounters(t)
-	log := &testbed.LockedBuffer{}
+	log := &agenttest.LockedBuffer{}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		f.log(ctx, time.Millisecond, slog.New(slog.NewTextHandler(log, nil)))
 	}()
-	testbed.Eventually(t, "two lines", func() bool { return log.Count("\n") > 1 })
+	agenttest.Eventually(t, "two lines", func() bool { return log.Count("\n") > 1 })
 	stop()
 	<-done
 	lines := strings.SplitAfter(log.String(), "\n")
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"appleledge/internal/admission"
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/golden"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 )
 
 // The keys that the platform may leave out of a configuration.
@@ -37,7 +37,7 @@
 
 // The line of the storm watch, but for its time and how long the state has lasted.
 func TestGoldenStormLine(t *testing.T) {
-	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,13 +52,13 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
-	log := &testbed.LockedBuffer{}
+	log := &agenttest.LockedBuffer{}
 	logged := make(chan struct{})
 	go func() {
 		defer close(logged)
 		logStorms(ctx, core, clock, time.Hour, slog.New(slog.NewTextHandler(log, nil)))
 	}()
-	testbed.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
+	agenttest.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
 	stop()
 	<-done
 	<-logged
@@ -68,7 +68,7 @@
 
 // The line of a recovery, at a time that stands still: a fleet of three after a loss of power, one of which has answered.
 func TestGoldenRecoveryLine(t *testing.T) {
-	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,11 +95,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
-	log := &testbed.LockedBuffer{}
+	log := &agenttest.LockedBuffer{}
 	k := &keeping{set: Recovery{LogEvery: time.Hour}, core: core, log: slog.New(slog.NewTextHandler(log, nil))}
 	said := make(chan struct{})
 	go func() { defer close(said); k.say(ctx, clock) }()
-	testbed.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
+	agenttest.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
 	stop()
 	<-done
 	<-said
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -11,28 +11,28 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 )
 
 // The stand-ins, by the names that the tests here use.
 var (
-	configText       = testbed.ConfigText
-	noEnv            = testbed.NoEnv
-	listen           = testbed.Listen
-	refusing         = testbed.Refusing
-	eventually       = testbed.Eventually
-	newBackend       = testbed.NewBackend
-	newFakeDiscovery = testbed.NewDiscovery
-	says             = testbed.Says
-	silent           = testbed.Silent
-	entryText        = testbed.EntryText
-	listText         = testbed.ListText
+	configText       = agenttest.ConfigText
+	noEnv            = agenttest.NoEnv
+	listen           = agenttest.Listen
+	refusing         = agenttest.Refusing
+	eventually       = agenttest.Eventually
+	newBackend       = agenttest.NewBackend
+	newFakeDiscovery = agenttest.NewDiscovery
+	says             = agenttest.Says
+	silent           = agenttest.Silent
+	entryText        = agenttest.EntryText
+	listText         = agenttest.ListText
 )
 
 const (
-	patience = testbed.Patience
-	served   = testbed.Served
+	patience = agenttest.Patience
+	served   = agenttest.Served
 )
 
 // running is an agent under test.
@@ -45,19 +45,19 @@
 }
 
 // start runs an agent on the fake discovery and waits until it is ready. It accepts for so long when it drains.
-func start(t *testing.T, d *testbed.Discovery, acceptFor time.Duration) *running {
+func start(t *testing.T, d *agenttest.Discovery, acceptFor time.Duration) *running {
 	t.Helper()
 	return startWith(t, d, acceptFor, func(*Config) {})
 }
 
 // startWith is start with a changed configuration.
-func startWith(t *testing.T, d *testbed.Discovery, acceptFor time.Duration, change func(*Config)) *running {
+func startWith(t *testing.T, d *agenttest.Discovery, acceptFor time.Duration, change func(*Config)) *running {
 	t.Helper()
 	return startOn(t, d, acceptFor, change, Extras{}, slog.New(slog.DiscardHandler))
 }
 
 // startOn is startWith with what an agent's own settings switch on, and a log.
-func startOn(t testing.TB, d *testbed.Discovery, acceptFor time.Duration, change func(*Config), with Extras, log *slog.Logger) *running {
+func startOn(t testing.TB, d *agenttest.Discovery, acceptFor time.Duration, change func(*Config), with Extras, log *slog.Logger) *running {
 	t.Helper()
 	cfg, err := parseConfig(configText(d.Addr().String(), "null"), noEnv)
 	if err != nil {
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
-	"appleledge/internal/testbed"
 )
 
 // joinAll is a [join] section for every class, the ones that must not run twice too: the engine has to keep those out.
@@ -31,7 +31,7 @@
 
 // gate is a backend that answers each request with its number, when it is opened.
 type gate struct {
-	*testbed.Backend
+	*agenttest.Backend
 	open   chan struct{}
 	head   string      // of its answers
 	breaks atomic.Bool // the connection of the next request, in place of an answer
@@ -56,7 +56,7 @@
 
 // startJoining starts an agent that joins, with a backend, and returns its engine as well. Aims are far off, so that nobody
 // leads a flight of his own because the machine is slow.
-func startJoining(t *testing.T, b *testbed.Backend, with Extras) (*running, *engine.Engine) {
+func startJoining(t *testing.T, b *agenttest.Backend, with Extras) (*running, *engine.Engine) {
 	var core *engine.Engine
 	with.Fronts = []Front{{Name: "look-out", Open: func(c Core) (func(context.Context) error, error) {
 		core = c.Engine
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/engine"
 	"appleledge/internal/harness/controlplane"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/xds"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 )
 
 // A migration from the platform's list to a control plane and back, under load: the same servers go under other ids
@@ -41,7 +41,7 @@
 		endpoints = append(endpoints, controlplane.Endpoint{ID: fmt.Sprint("x-", i), Host: "127.0.0.1", Port: addr.Port})
 	}
 	d := newFakeDiscovery(t, 1, entries...)
-	var log testbed.LockedBuffer
+	var log agenttest.LockedBuffer
 	with := Extras{
 		Membership: membership.Options{FailAfter: 200 * time.Millisecond, Hold: 200 * time.Millisecond},
 		Sources: []Source{{Name: "xds", Sockets: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
--- a/internal/agent/operator_test.go
+++ b/internal/agent/operator_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // operators call an agent under test.
@@ -26,8 +26,8 @@
 }
 
 // withOperators is an agent that operators can call.
-func withOperators(t *testing.T, d *testbed.Discovery) (*running, operators) {
-	addr := testbed.Refusing(t)
+func withOperators(t *testing.T, d *agenttest.Discovery) (*running, operators) {
+	addr := agenttest.Refusing(t)
 	a := startOn(t, d, 0, func(c *Config) { c.Operator = addr }, Extras{}, slog.New(slog.DiscardHandler))
 	o := operators{t, addr}
 	a.wait(t, "operators can call", func() bool { status, _ := o.call("GET", "/ops/readiness"); return status == 200 })
@@ -83,7 +83,7 @@
 			served++
 		}
 	}
-	uses := func(b *testbed.Backend, of string) {
+	uses := func(b *agenttest.Backend, of string) {
 		t.Helper()
 		eventually(t, of+" is used", func() bool { n := b.Requests(); ask(1); return b.Requests() > n })
 	}
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/atomicfile"
-	"appleledge/internal/testbed"
 )
 
 // machine is what outlasts an agent's lives: its disk, and the name of its run.
@@ -19,11 +19,11 @@
 	t   *testing.T
 	dir string
 	fs  atomicfile.FS
-	log *testbed.LockedBuffer
+	log *agenttest.LockedBuffer
 }
 
 func newMachine(t *testing.T) *machine {
-	m := &machine{t: t, dir: t.TempDir(), log: &testbed.LockedBuffer{}}
+	m := &machine{t: t, dir: t.TempDir(), log: &agenttest.LockedBuffer{}}
 	m.run("run-1")
 	return m
 }
@@ -38,9 +38,9 @@
 func (m *machine) file() string { return filepath.Join(m.dir, knowledge) }
 
 // start starts an agent that keeps what it knows, with operators, and waits until it answers them.
-func (m *machine) start(d *testbed.Discovery) (*running, operators) {
+func (m *machine) start(d *agenttest.Discovery) (*running, operators) {
 	m.t.Helper()
-	addr := testbed.Refusing(m.t)
+	addr := agenttest.Refusing(m.t)
 	with := Extras{Disk: m.fs, Recovery: &Recovery{Dir: m.dir, RunFile: filepath.Join(m.dir, "run"), Every: 100 * time.Millisecond,
 		ListWait: 50 * time.Millisecond, LogEvery: time.Second}}
 	a := startOn(m.t, d, 0, func(c *Config) { c.Operator, c.Listen = addr, "127.0.0.1:0" }, with, slog.New(slog.NewTextHandler(m.log, nil)))
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // reloading is an agent with a configuration file that a test replaces.
@@ -24,7 +24,7 @@
 	t    *testing.T
 	file string
 	hup  chan os.Signal
-	log  testbed.LockedBuffer
+	log  agenttest.LockedBuffer
 }
 
 func startReloading(t *testing.T, discovery string) *reloading {
@@ -172,7 +172,7 @@
 func TestFiguresWhileClassesChange(t *testing.T) {
 	b := newBackend(t, says(served))
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
-	o := operators{t, testbed.Refusing(t)}
+	o := operators{t, agenttest.Refusing(t)}
 	a := startReloadingFor(t, d.Addr().String(), o.addr, Extras{})
 	text := string(configText(d.Addr().String(), "null"))
 	named := func(i int) []byte {
--- a/internal/agent/ties_test.go
+++ b/internal/agent/ties_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // Two agents side by side, as at a planned restart: a refund that may have run by way of the one goes to the same pod by way of
@@ -21,7 +21,7 @@
 // request, and is told of.
 func TestTiesFromOneProcessToTheNext(t *testing.T) {
 	t.Parallel()
-	var servers []*testbed.Backend
+	var servers []*agenttest.Backend
 	var entries []string
 	for i := range 6 {
 		b := newBackend(t, func(c net.Conn, r *http.Request, _ int) bool {
@@ -41,7 +41,7 @@
 		return seen
 	}
 	d := newFakeDiscovery(t, 1, entries...)
-	dir, log := t.TempDir(), &testbed.LockedBuffer{}
+	dir, log := t.TempDir(), &agenttest.LockedBuffer{}
 	begin := func() *running {
 		return startOn(t, d, time.Millisecond, func(*Config) {}, Extras{Ties: &Ties{Dir: dir, Most: 1000, Tail: 10 * time.Second, Budget: time.Second}},
 			slog.New(slog.NewTextHandler(log, nil)))
--- a/internal/testbed/testbed.go
+++ b/internal/agenttest/testbed.go
@@ -1,5 +1,5 @@
-// Package testbed holds the stand-ins that tests share: backends and discovery on loopback sockets.
-package testbed
+// Package agenttest holds the stand-ins that tests share: backends and discovery on loopback sockets.
+package agenttest
 
 import (
 	"bufio"
--- a/internal/connlimit/crossings_test.go
+++ b/internal/connlimit/crossings_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // gated is a connection whose reads hold what has come until the gate opens, so that something else comes first.
@@ -97,7 +97,7 @@
 		t.Errorf("the client got %q, %v", all, err)
 	}
 	far.Close()
-	testbed.Eventually(t, "its place is free", func() bool { return l.Open() == 0 })
+	agenttest.Eventually(t, "its place is free", func() bool { return l.Open() == 0 })
 }
 
 // A close over bytes that were not read does not reset the connection: the client reads its answer and a proper end. The place is
@@ -127,7 +127,7 @@
 				t.Errorf("the client got %q, %v", all, err)
 			}
 			client(far)
-			testbed.Eventually(t, "its place is free", func() bool { return l.Open() == 0 })
+			agenttest.Eventually(t, "its place is free", func() bool { return l.Open() == 0 })
 		})
 	}
 }
@@ -218,7 +218,7 @@
 		} {
 			t.Run(name+" behind "+sent, func(t *testing.T) {
 				t.Parallel()
-				l := &counting{Listener: New(testbed.Listen(t), 2, Options{})}
+				l := &counting{Listener: New(agenttest.Listen(t), 2, Options{})}
 				ready, began, left := make(chan struct{}), make(chan struct{}), make(chan struct{})
 				srv := &http.Server{ConnState: ConnState, ConnContext: ConnContext, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 					<-ready
@@ -246,7 +246,7 @@
 				if len(head) > 4<<10 {
 					reads = 2 // the head's, and that of the byte behind
 				}
-				testbed.Eventually(t, "it has been read as far as it will be", func() bool { return l.reads.Load() == reads })
+				agenttest.Eventually(t, "it has been read as far as it will be", func() bool { return l.reads.Load() == reads })
 				close(ready)
 				<-began
 				if !tt.once {
@@ -260,7 +260,7 @@
 				default:
 				}
 				goes(far.(*net.TCPConn))
-				testbed.Eventually(t, "its request is given up", func() bool {
+				agenttest.Eventually(t, "its request is given up", func() bool {
 					select {
 					case <-left:
 						return true
@@ -285,7 +285,7 @@
 		t.Error("it has left while it waits")
 	}
 	far.Close()
-	testbed.Eventually(t, "it has left", func() bool { return Left(ctx) })
+	agenttest.Eventually(t, "it has left", func() bool { return Left(ctx) })
 }
 
 // What is done for a connection ends with it, and so does looking whether its client has gone, in either order.
--- a/internal/connlimit/places_test.go
+++ b/internal/connlimit/places_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // listener is one of so many places whose connections a test opens.
@@ -16,7 +16,7 @@
 }
 
 func listen(t *testing.T, most int, o Options) listener {
-	return listener{t, New(testbed.Listen(t), most, o)}
+	return listener{t, New(agenttest.Listen(t), most, o)}
 }
 
 // accept opens a connection and takes it.
--- a/internal/downstream/extproc/bench_test.go
+++ b/internal/downstream/extproc/bench_test.go
@@ -23,11 +23,11 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
 )
 
@@ -109,7 +109,7 @@
 		extprocv3.RegisterExternalProcessorServer(srv, bare{})
 		go srv.Serve(l)
 	} else {
-		site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
+		site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
 		if err != nil {
 			return err
 		}
--- a/internal/downstream/extproc/faults_test.go
+++ b/internal/downstream/extproc/faults_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/standinproxy"
-	"appleledge/internal/testbed"
 )
 
 // effect is one execution of a refund at a server.
@@ -101,7 +101,7 @@
 	var clients sync.WaitGroup
 	for range atOnce {
 		clients.Go(func() {
-			client := http.Client{Transport: &http.Transport{}, Timeout: testbed.Patience}
+			client := http.Client{Transport: &http.Transport{}, Timeout: agenttest.Patience}
 			defer client.CloseIdleConnections()
 			for key := range work {
 				req, err := http.NewRequest(http.MethodPost, front.URL+"/refund-record", strings.NewReader("form"))
--- a/internal/downstream/extproc/full_test.go
+++ b/internal/downstream/extproc/full_test.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"testing"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/settings"
-	"appleledge/internal/testbed"
 )
 
 // A processor that is full refuses new requests, which promises that trying again is harmless. A further try of one that may
@@ -27,7 +27,7 @@
 					t.Fatalf("answered %d", a.status)
 				}
 				a.cancel()
-				testbed.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
+				agenttest.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
 			}
 			if held := r.server.held.Load(); held != 2 {
 				t.Fatalf("%d are held", held)
@@ -75,9 +75,9 @@
 	q := request{id: newID(), class: "pay"}
 	o := openStream(t, client)
 	o.send(q.message())
-	testbed.Eventually(t, "the request is there", func() bool { return r.server.held.Load() == 1 })
+	agenttest.Eventually(t, "the request is there", func() bool { return r.server.held.Load() == 1 })
 	o.cancel()
-	testbed.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
+	agenttest.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
 	r.run()
 	if a := try(q.id, "pay", "2"); a.to == "" {
 		t.Errorf("the try after one with no decision is answered %d", a.status)
--- a/internal/downstream/extproc/harness_test.go
+++ b/internal/downstream/extproc/harness_test.go
@@ -20,12 +20,12 @@
 	healthv1 "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/settings"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
 )
 
@@ -36,7 +36,7 @@
 	engine *engine.Engine
 	pool   *connpool.Pool
 	addr   string
-	log    *testbed.LockedBuffer
+	log    *agenttest.LockedBuffer
 	run    func() // starts the engine
 	stop   func() // as SIGTERM does
 	served chan error
@@ -53,7 +53,7 @@
 // testSite is the platform's settings of the tests.
 func testSite(t testing.TB) simwire.Site {
 	t.Helper()
-	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, log: &testbed.LockedBuffer{}, served: make(chan error, 1)}
+	r := &rig{t: t, log: &agenttest.LockedBuffer{}, served: make(chan error, 1)}
 	log := slog.New(slog.NewTextHandler(r.log, nil))
 	clock := engine.NewClock()
 	r.pool = connpool.New(time.Second, time.Minute, 100)
@@ -141,7 +141,7 @@
 // quiet waits until nothing is open, in the front, the engine and the module.
 func (r *rig) quiet() {
 	r.t.Helper()
-	testbed.Eventually(r.t, "nothing is open", func() bool {
+	agenttest.Eventually(r.t, "nothing is open", func() bool {
 		l := r.engine.Load()
 		return l.Calls == 0 && len(l.InFlight) == 0 && r.server.held.Load() == 0 && r.server.streams.Load() == 0
 	})
@@ -150,7 +150,7 @@
 // noneOut waits until no attempt is in flight.
 func (r *rig) noneOut() {
 	r.t.Helper()
-	testbed.Eventually(r.t, "no attempt is in flight", func() bool { return len(r.engine.Load().InFlight) == 0 })
+	agenttest.Eventually(r.t, "no attempt is in flight", func() bool { return len(r.engine.Load().InFlight) == 0 })
 }
 
 var lastID atomic.Int64
--- a/internal/downstream/extproc/load_test.go
+++ b/internal/downstream/extproc/load_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/net/http2/hpack"
 	"google.golang.org/protobuf/proto"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/settings"
-	"appleledge/internal/testbed"
 )
 
 // raw is a connection that speaks HTTP/2 frame by frame, as a peer that is out of order would.
@@ -95,7 +95,7 @@
 func (r *rig) serves() {
 	r.t.Helper()
 	client := r.client()
-	testbed.Eventually(r.t, "another proxy is served", func() bool {
+	agenttest.Eventually(r.t, "another proxy is served", func() bool {
 		o := openStream(r.t, client)
 		defer o.cancel()
 		o.send(request{id: newID(), class: "form-check"}.message())
@@ -129,7 +129,7 @@
 			}
 		}
 	}
-	testbed.Eventually(t, "all came", func() bool {
+	agenttest.Eventually(t, "all came", func() bool {
 		return r.server.Counts.Snapshot().StreamsRefused+uint64(r.server.streams.Load()) >= connections*each-most || r.server.streams.Load() == 0
 	})
 	if n := r.server.streams.Load(); n > most {
@@ -158,7 +158,7 @@
 	c := dialRaw(t, r.addr)
 	part := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: make([]byte, 8<<10)}}}
-	c.conn.SetWriteDeadline(time.Now().Add(testbed.Patience))
+	c.conn.SetWriteDeadline(time.Now().Add(agenttest.Patience))
 	for range each {
 		id, err := c.open()
 		if err != nil {
--- a/internal/downstream/extproc/measure_test.go
+++ b/internal/downstream/extproc/measure_test.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"appleledge/internal/agent"
+	"appleledge/internal/agenttest"
 	"appleledge/internal/standinproxy"
-	"appleledge/internal/testbed"
 )
 
 // measureEnv switches on what takes minutes and is not for CI.
@@ -70,7 +70,7 @@
 
 // day is a fleet that lives through a hang, a drain and a rolling deploy, as discovery tells of them.
 type day struct {
-	discovery *testbed.Discovery
+	discovery *agenttest.Discovery
 	formers   []*former
 	version   int
 }
@@ -85,7 +85,7 @@
 	if !f.started.IsZero() {
 		started = f.started.UnixMilli()
 	}
-	return testbed.EntryText(f.id, f.srv.Listener.Addr().String(), state, started)
+	return agenttest.EntryText(f.id, f.srv.Listener.Addr().String(), state, started)
 }
 
 const dayLength = 24 * time.Second
@@ -98,7 +98,7 @@
 		d.formers = append(d.formers, f)
 		entries = append(entries, f.entry("Ready"))
 	}
-	d.discovery = testbed.NewDiscovery(t, d.version, entries...)
+	d.discovery = agenttest.NewDiscovery(t, d.version, entries...)
 	return d
 }
 
@@ -193,10 +193,10 @@
 		t.Cleanup(f.srv.Close)
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(file, testbed.ConfigText(d.discovery.Addr().String(), "null"), 0o600); err != nil {
+	if err := os.WriteFile(file, agenttest.ConfigText(d.discovery.Addr().String(), "null"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	direct := testbed.Refusing(t)
+	direct := agenttest.Refusing(t)
 	env := map[string]string{"PROXY_CONFIG": file, "PROXY_LISTEN": direct}
 	cfg, err := agent.LoadConfig(func(name string) string { return env[name] })
 	if err != nil {
@@ -222,7 +222,7 @@
 			t.Error(err)
 		}
 	})
-	testbed.Eventually(t, "the agent is ready", func() bool {
+	agenttest.Eventually(t, "the agent is ready", func() bool {
 		resp, err := http.Get("http://" + direct + "/ready")
 		if err == nil {
 			resp.Body.Close()
--- a/internal/downstream/extproc/server_test.go
+++ b/internal/downstream/extproc/server_test.go
@@ -17,11 +17,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/settings"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 )
 
 func TestDecision(t *testing.T) {
@@ -132,9 +132,9 @@
 	client, q := r.client(), request{id: newID(), class: "pay"}
 	o := openStream(t, client)
 	o.send(q.message())
-	testbed.Eventually(t, "the request is there", func() bool { return r.server.held.Load() == 1 })
+	agenttest.Eventually(t, "the request is there", func() bool { return r.server.held.Load() == 1 })
 	o.cancel()
-	testbed.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
+	agenttest.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
 	r.run()
 	r.list(2)
 	r.quiet()
@@ -153,9 +153,9 @@
 	client, q := r.client(), request{id: newID(), class: "pay"}
 	o := openStream(t, client)
 	o.send(q.message())
-	testbed.Eventually(t, "the request is there", func() bool { return r.server.held.Load() == 1 })
+	agenttest.Eventually(t, "the request is there", func() bool { return r.server.held.Load() == 1 })
 	o.cancel()
-	testbed.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
+	agenttest.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
 	r.run()
 	r.quiet()
 	if a := ask(t, client, q); a.to == "" {
@@ -166,7 +166,7 @@
 // relay passes bytes between a client and the processor until it is told to fall silent, as a cut cable does: nothing
 // closes.
 func relay(t *testing.T, to string) (addr string, silence func()) {
-	l := testbed.Listen(t)
+	l := agenttest.Listen(t)
 	var mute sync.RWMutex
 	silent := false
 	copyTo := func(dst, src net.Conn) {
@@ -224,7 +224,7 @@
 	}
 	silence()
 	r.noneOut()
-	testbed.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
+	agenttest.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
 	if c := r.server.Counts.Snapshot(); c.GaveUpAfter != 1 || c.Unknown != 1 {
 		t.Errorf("%+v", c)
 	}
@@ -581,7 +581,7 @@
 	r.list(2)
 	o := openStream(t, r.client())
 	o.send(request{id: newID(), class: "pay", change: map[string]string{"x-timeout": "40m"}}.message())
-	testbed.Eventually(t, "the request is there", func() bool { return r.server.held.Load() == 1 })
+	agenttest.Eventually(t, "the request is there", func() bool { return r.server.held.Load() == 1 })
 	time.Sleep(60 * time.Millisecond)
 	r.run()
 	if a := read(o); a.status != http.StatusServiceUnavailable { // nothing was sent, so that trying again is harmless
@@ -599,7 +599,7 @@
 	client := r.client()
 	q := request{id: newID(), class: "pay", change: map[string]string{"x-timeout": "200m"}}
 	a := ask(t, client, q)
-	testbed.Eventually(t, "the request is over", func() bool { return r.engine.Load().Calls == 0 })
+	agenttest.Eventually(t, "the request is over", func() bool { return r.engine.Load().Calls == 0 })
 	if again := ask(t, client, q); again.status != http.StatusBadGateway {
 		t.Errorf("the next try: %v", again.raw)
 	}
@@ -748,7 +748,7 @@
 	m := request{id: newID(), class: "pay"}.message()
 	m.ObservabilityMode = true
 	o.send(m)
-	testbed.Eventually(t, "it is seen", func() bool { return r.server.Counts.Snapshot().Observed == 1 })
+	agenttest.Eventually(t, "it is seen", func() bool { return r.server.Counts.Snapshot().Observed == 1 })
 	time.Sleep(400 * time.Millisecond)
 	if err := o.finish(); err != nil {
 		t.Errorf("it was broken: %v", err)
@@ -787,7 +787,7 @@
 			t.Errorf("with no server: %v, %v", s, err)
 		}
 		r.list(1)
-		testbed.Eventually(t, "it serves", func() bool { s, _ := check(); return s == healthv1.HealthCheckResponse_SERVING })
+		agenttest.Eventually(t, "it serves", func() bool { s, _ := check(); return s == healthv1.HealthCheckResponse_SERVING })
 	}
 }
 
@@ -798,7 +798,7 @@
 	client := r.client()
 	a := ask(t, client, request{id: newID(), class: "refund-record"})
 	r.stop()
-	testbed.Eventually(t, "new connections are refused", func() bool {
+	agenttest.Eventually(t, "new connections are refused", func() bool {
 		c, err := net.Dial("tcp", r.addr)
 		if err == nil {
 			c.Close()
@@ -819,7 +819,7 @@
 			t.Error(err)
 		}
 		r.served <- nil
-	case <-time.After(testbed.Patience):
+	case <-time.After(agenttest.Patience):
 		t.Fatal("it did not end")
 	}
 	if c := r.server.Counts.Snapshot(); c.Served != 1 {
@@ -840,7 +840,7 @@
 	select {
 	case <-r.served:
 		r.served <- nil
-	case <-time.After(testbed.Patience):
+	case <-time.After(agenttest.Patience):
 		t.Fatal("it did not end")
 	}
 }
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/connlimit"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/testbed"
 )
 
 // When too much is open, what comes is refused at once: past the limit on descriptors nothing would be answered at
@@ -44,7 +44,7 @@
 
 // A request whose connection was ended before it began is not sent on: its client sends it once more, and must not have two.
 func TestARequestBehindTheEndOfItsConnection(t *testing.T) {
-	l := connlimit.New(testbed.Listen(t), 2, connlimit.Options{})
+	l := connlimit.New(agenttest.Listen(t), 2, connlimit.Options{})
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 	}
 	core := engine.New(b, engine.NewClock(), noFleet{}, slog.New(slog.DiscardHandler))
 	go core.Run(t.Context())
-	l := connlimit.New(testbed.Listen(t), 2, connlimit.Options{})
+	l := connlimit.New(agenttest.Listen(t), 2, connlimit.Options{})
 	s := New(Options{Engine: core, Rules: requesthead.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}}, Clock: engine.NewClock()}, l)
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -86,7 +86,7 @@
 	defer raw.Close()
 	ctx := connlimit.ConnContext(t.Context(), raw)
 	far.Close()
-	testbed.Eventually(t, "the close has come", func() bool { return connlimit.Left(ctx) })
+	agenttest.Eventually(t, "the close has come", func() bool { return connlimit.Left(ctx) })
 	defer func() {
 		if err := recover(); err != http.ErrAbortHandler {
 			t.Errorf("%v", err)
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 func ask(t *testing.T, d *Discovery, query string) (l list, status int) {
 	t.Helper()
-	client := http.Client{Timeout: testbed.Patience}
+	client := http.Client{Timeout: agenttest.Patience}
 	resp, err := client.Get("http://" + d.Addr + "/v1/endpoints" + query)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/formserver_test.go
+++ b/internal/emulator/formserver_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 var testClasses = []Class{
@@ -23,7 +23,7 @@
 	t.Helper()
 	ledger := NewLedger()
 	if limits.IdleClose == 0 {
-		limits.IdleClose = testbed.Patience
+		limits.IdleClose = agenttest.Patience
 	}
 	epoch := time.Now()
 	f, err := Listen("s-1", NewServer("s-1", spec, NewPod(0, 2*time.Second, ledger), 1, 0, true), testClasses, 1, epoch, limits)
@@ -44,7 +44,7 @@
 	if key != "" {
 		r.Header.Set("Idempotency-Key", key)
 	}
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testbed.Patience}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: agenttest.Patience}
 	resp, err := client.Do(r)
 	if err != nil {
 		return nil, "", err
@@ -76,7 +76,7 @@
 	f, ledger := start(t, Spec{Cores: 1, Speed: 0.001, Slots: 1, Queue: 1}, Listening{}) // several seconds a request
 	for i := range 2 {
 		go get(f, "refund-record", fmt.Sprint(i), fmt.Sprint(i))
-		testbed.Eventually(t, "it is held", func() bool { return f.Held() == i+1 })
+		agenttest.Eventually(t, "it is held", func() bool { return f.Held() == i+1 })
 	}
 	resp, _, err := get(f, "refund-record", "2", "2")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Not-Processed") != "1" {
@@ -95,9 +95,9 @@
 		t.Fatal(err)
 	}
 	io.WriteString(c, "POST /refund-record HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
-	testbed.Eventually(t, "it is held", func() bool { return f.Held() == 1 })
+	agenttest.Eventually(t, "it is held", func() bool { return f.Held() == 1 })
 	c.Close()
-	testbed.Eventually(t, "it is done", func() bool { return f.Held() == 0 })
+	agenttest.Eventually(t, "it is done", func() bool { return f.Held() == 0 })
 	if n := len(ledger.Effects()); n != 1 {
 		t.Errorf("%d effects", n)
 	}
@@ -119,7 +119,7 @@
 	}
 	defer noise.Close()
 	io.WriteString(noise, "POST /refund-record HTTP/1.1\r\nHost: x\r\nX-Request-ID: 2\r\nIdempotency-Key: b\r\nContent-Length: 0\r\n\r\n")
-	noise.SetReadDeadline(time.Now().Add(testbed.Patience))
+	noise.SetReadDeadline(time.Now().Add(agenttest.Patience))
 	if text, err := bufio.NewReader(noise).ReadString('r'); err != nil || !strings.HasPrefix(text, "\x16") {
 		t.Errorf("%q, %v", text, err)
 	}
@@ -168,7 +168,7 @@
 		t.Error("a third connection was served")
 	}
 	held[0].Close()
-	testbed.Eventually(t, "the place is free", func() bool { _, _, err := get(f, "form-check", "3", ""); return err == nil })
+	agenttest.Eventually(t, "the place is free", func() bool { _, _, err := get(f, "form-check", "3", ""); return err == nil })
 }
 
 // Many clients at once are all answered, and the model ends empty.
--- a/internal/harness/cluster/fleet.go
+++ b/internal/harness/cluster/fleet.go
@@ -23,10 +23,10 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/emulator"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/harness/loopback"
-	"appleledge/internal/testbed"
 )
 
 // Environment variables by which a test binary that stands in for the program is told.
@@ -118,7 +118,7 @@
 	cmd      *exec.Cmd // nil: it is down
 	ended    chan error
 	ClockOff time.Duration // by which the machine's wall clock is ahead, from the next start on
-	Log      *testbed.LockedBuffer
+	Log      *agenttest.LockedBuffer
 }
 
 // Start starts a fleet and waits until all agents are ready.
@@ -143,7 +143,7 @@
 	for i := range o.Agents {
 		h := f.hold()
 		a := &Agent{Number: i, Addr: h.Addr(), Operator: h.Port(1), fleet: f, host: h, dir: filepath.Join(f.dir, fmt.Sprint("agent-", i)),
-			Log: &testbed.LockedBuffer{}}
+			Log: &agenttest.LockedBuffer{}}
 		f.must(os.MkdirAll(filepath.Join(a.dir, "ties"), 0o700))
 		a.Keys(key)
 		f.Agents = append(f.Agents, a)
@@ -378,7 +378,7 @@
 		discovery, err = f.Lines.list(a.Number, discovery)
 		f.must(err)
 	}
-	text := strings.Replace(string(testbed.ConfigText(discovery, "null")), `"Balancers":2,"Me":0`,
+	text := strings.Replace(string(agenttest.ConfigText(discovery, "null")), `"Balancers":2,"Me":0`,
 		fmt.Sprintf(`"Balancers":%d,"Me":%d`, f.options.Agents, a.Number), 1)
 	a.config = text
 	own := fmt.Sprintf("[affinity]\ndir = %q\nsync = true\nbudget = %q\n[recovery]\ndir = %q\nrun_file = %q\nevery = \"300ms\"\n",
@@ -429,7 +429,7 @@
 	select {
 	case err := <-ended:
 		a.fleet.must(err)
-	case <-time.After(testbed.Patience):
+	case <-time.After(agenttest.Patience):
 		old.Process.Kill()
 		a.fleet.t.Fatalf("the old process of agent %d does not end\n%s", a.Number, a.Log)
 	}
@@ -438,7 +438,7 @@
 // Ready waits until the agent has servers to send to.
 func (a *Agent) Ready() {
 	a.fleet.t.Helper()
-	testbed.Eventually(a.fleet.t, fmt.Sprintf("agent %d is ready", a.Number), func() bool {
+	agenttest.Eventually(a.fleet.t, fmt.Sprintf("agent %d is ready", a.Number), func() bool {
 		select {
 		case err := <-a.ended:
 			a.cmd = nil // nobody else is to wait for its end
@@ -452,7 +452,7 @@
 // Keeps waits until what the agent knows is on its disk.
 func (a *Agent) Keeps() {
 	a.fleet.t.Helper()
-	testbed.Eventually(a.fleet.t, fmt.Sprintf("agent %d keeps what it knows", a.Number), func() bool {
+	agenttest.Eventually(a.fleet.t, fmt.Sprintf("agent %d keeps what it knows", a.Number), func() bool {
 		return strings.Contains(a.Sees(), `"keeping": "written`)
 	})
 }
--- a/internal/harness/fleetgen/fleetgen_test.go
+++ b/internal/harness/fleetgen/fleetgen_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
@@ -21,7 +22,6 @@
 	"appleledge/internal/membership/listing"
 	"appleledge/internal/membership/platform"
 	"appleledge/internal/membership/xds"
-	"appleledge/internal/testbed"
 )
 
 const churn = `
@@ -74,7 +74,7 @@
 	}
 	for _, delta := range []bool{false, true} {
 		sources[fmt.Sprint("xds, delta ", delta)] = xds.New(xds.Options{Server: plane.Addr(), Node: "n", Delta: delta, Zones: reader.Zones,
-			FirstFetch: testbed.Patience, BackoffLeast: 10 * time.Millisecond, BackoffMost: time.Second, Keepalive: 10 * time.Second,
+			FirstFetch: agenttest.Patience, BackoffLeast: 10 * time.Millisecond, BackoffMost: time.Second, Keepalive: 10 * time.Second,
 			MaxMessage: 16 << 20, LogEvery: time.Minute}, clock, log)
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -106,7 +106,7 @@
 		t.Errorf("%d steps left %d servers", steps, len(f.Servers()))
 	}
 	for name := range sources {
-		testbed.Eventually(t, name+" tells the fleet", func() bool {
+		agenttest.Eventually(t, name+" tells the fleet", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return maps.EqualFunc(have[name], want(f, clock), func(m, w engine.Member) bool { return m == w })
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/denylist"
 	"appleledge/internal/golden"
-	"appleledge/internal/testbed"
 )
 
 // goldenState is what operators hold out.
@@ -50,7 +50,7 @@
 	}
 	t.Cleanup(func() { near.Close(); far.Close() })
 	for _, c := range []net.Conn{near, far} {
-		if err := c.SetDeadline(time.Now().Add(testbed.Patience)); err != nil {
+		if err := c.SetDeadline(time.Now().Add(agenttest.Patience)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/hotrestart/link_test.go
+++ b/internal/hotrestart/link_test.go
@@ -14,8 +14,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/denylist"
-	"appleledge/internal/testbed"
 )
 
 // host is a process under test.
@@ -115,7 +115,7 @@
 	old.Enter(t.Context(), Serving)
 	old.give(t, "a", true)
 	fresh := process(t, dir, false)
-	testbed.Eventually(t, "each has half", func() bool { return old.has(0.5)() && fresh.has(0.5)() })
+	agenttest.Eventually(t, "each has half", func() bool { return old.has(0.5)() && fresh.has(0.5)() })
 	if got := fresh.out(); !slices.Equal(got, []string{"a"}) {
 		t.Fatalf("the new process holds out %v", got)
 	}
@@ -145,13 +145,13 @@
 	}
 	c.Close()
 	old.end()
-	testbed.Eventually(t, "the new one has all", fresh.has(1))
+	agenttest.Eventually(t, "the new one has all", fresh.has(1))
 	next := process(t, dir, false) // a second upgrade in a row
 	if got := next.out(); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("the third process holds out %v", got)
 	}
 	next.end() // and dies before its yes
-	testbed.Eventually(t, "the second one has all again", fresh.has(1))
+	agenttest.Eventually(t, "the second one has all again", fresh.has(1))
 }
 
 // Two processes that start in the same moment are one agent: whichever looks for the other first, one finds the other. Here the second one starts
@@ -169,7 +169,7 @@
 			}, slog.New(slog.DiscardHandler))
 			joined <- err
 		}()
-		testbed.Eventually(t, "the second one has looked for the first", func() bool {
+		agenttest.Eventually(t, "the second one has looked for the first", func() bool {
 			select {
 			case <-looked: // and found nobody
 				return true
@@ -197,7 +197,7 @@
 	if second.Alone() || second.Gate().Addr().String() != first.Gate().Addr().String() {
 		t.Error("the second one does not know of the first")
 	}
-	testbed.Eventually(t, "nor is the first one alone", func() bool { return !first.Alone() })
+	agenttest.Eventually(t, "nor is the first one alone", func() bool { return !first.Alone() })
 }
 
 // An order that comes while a process joins, behind the moment in which the bans were written down for it, is not missed.
@@ -222,7 +222,7 @@
 	close(told)
 	fresh := <-joined
 	<-given
-	testbed.Eventually(t, "the new process has it too", func() bool { return slices.Equal(fresh.out(), []string{"a"}) })
+	agenttest.Eventually(t, "the new process has it too", func() bool { return slices.Equal(fresh.out(), []string{"a"}) })
 }
 
 // One that holds the folder's lock and does nothing keeps nobody from starting.
@@ -240,7 +240,7 @@
 	if h := process(t, dir, true); !h.Alone() {
 		t.Error("it is not alone")
 	}
-	if took := time.Since(began); took < lockMost || took > testbed.Patience {
+	if took := time.Since(began); took < lockMost || took > agenttest.Patience {
 		t.Errorf("it took %v", took)
 	}
 }
@@ -283,7 +283,7 @@
 // A process of another user gets neither the clients' socket nor the bans, and counts for nothing.
 func TestAStrangerDoesNotJoin(t *testing.T) {
 	dir := t.TempDir()
-	log := &testbed.LockedBuffer{}
+	log := &agenttest.LockedBuffer{}
 	open := func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 	link, err := Join(dir, "n0", open, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
@@ -299,7 +299,7 @@
 	if stranger := process(t, dir, true); !stranger.Alone() || stranger.Gate().Addr().String() == link.Gate().Addr().String() {
 		t.Error("it was let in")
 	}
-	testbed.Eventually(t, "the log says why", func() bool { return log.Count("is not the agent's") == 1 })
+	agenttest.Eventually(t, "the log says why", func() bool { return log.Count("is not the agent's") == 1 })
 	if !link.Alone() || !h.has(1)() {
 		t.Error("it counts as a process of the agent")
 	}
@@ -417,7 +417,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-		case <-time.After(testbed.Patience):
+		case <-time.After(agenttest.Patience):
 			t.Fatal("nobody takes the connection")
 		}
 	}
@@ -437,7 +437,7 @@
 			t.Fatal(err)
 		}
 		there = accept(other)
-	case <-time.After(testbed.Patience):
+	case <-time.After(agenttest.Patience):
 		t.Fatal("nobody takes the connection")
 	}
 	for range 20 {
--- a/internal/membership/file/file_test.go
+++ b/internal/membership/file/file_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership/listing"
-	"appleledge/internal/testbed"
 )
 
 // A file is followed through edits, replacements and faults; what is wrong is named with its line and changes nothing.
@@ -26,8 +26,8 @@
 			t.Fatal(err)
 		}
 	}
-	var log testbed.LockedBuffer
-	h := testbed.NewSink()
+	var log agenttest.LockedBuffer
+	h := agenttest.NewSink()
 	s := &Source{Path: path, Poll: 5 * time.Millisecond, Reader: listing.Reader{Clock: engine.NewClock()}, Log: slog.New(slog.NewTextHandler(&log, nil))}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -40,30 +40,30 @@
 			if !u.Full || len(u.Members) != members {
 				t.Fatalf("%s: %+v", what, u)
 			}
-		case <-time.After(testbed.Patience):
+		case <-time.After(agenttest.Patience):
 			t.Fatalf("%s: nothing is said", what)
 		}
 	}
 	fault := func(what, want string) {
 		t.Helper()
-		testbed.Eventually(t, what, func() bool { return log.Count(want) > 0 })
+		agenttest.Eventually(t, what, func() bool { return log.Count(want) > 0 })
 		if len(h.Updates) > 0 {
 			t.Fatalf("%s: %+v", what, <-h.Updates)
 		}
 	}
-	one, two := testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testbed.EntryText("s-2", "127.0.0.1:2", "Ready", 0)
+	one, two := agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0), agenttest.EntryText("s-2", "127.0.0.1:2", "Ready", 0)
 	fault("no file", "no such file")
-	write(testbed.ListText(1, true, one))
+	write(agenttest.ListText(1, true, one))
 	update("the first", 1)
-	write(testbed.ListText(1, true, one, two)) // no version counts
+	write(agenttest.ListText(1, true, one, two)) // no version counts
 	update("another", 2)
 	write("{\"servers\":\n[" + one + ",\n" + two[:20])
 	fault("cut midway", "line 3: unexpected EOF")
-	write(testbed.ListText(2, true, one, testbed.EntryText("s-3", "no address", "Ready", 0)))
+	write(agenttest.ListText(2, true, one, agenttest.EntryText("s-3", "no address", "Ready", 0)))
 	fault("a bad entry", `server \"s-3\": address no address: missing port`)
 	write("{}")
 	fault("no servers", "an empty list is written as")
-	write(testbed.ListText(1, true, one, two)) // as before the faults: said again, which ends the loss
+	write(agenttest.ListText(1, true, one, two)) // as before the faults: said again, which ends the loss
 	update("mended", 2)
 	write(`{"servers":[]}`)
 	update("an empty list", 0)
--- a/internal/membership/file/golden_test.go
+++ b/internal/membership/file/golden_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
-	"appleledge/internal/testbed"
 )
 
 // A file in the platform's form, as committed with package listing.
@@ -23,7 +23,7 @@
 	}
 	var now time.Duration
 	s := &Source{Path: path, Reader: listing.Reader{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.DrivenClock(&now)}}
-	to := testbed.NewSink()
+	to := agenttest.NewSink()
 	if err := s.look(to); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/platform/asked_test.go
+++ b/internal/membership/platform/asked_test.go
@@ -12,11 +12,11 @@
 	"testing/synctest"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
-	"appleledge/internal/testbed"
 )
 
 // scripted is a discovery that answers call after call as a script says, the last way for good.
@@ -61,37 +61,37 @@
 // A list that is asked for is one service's work for all agents: an agent asks for no more than it needs. What it holds
 // stands until something newer can be read.
 func TestWhatIsAskedFor(t *testing.T) {
-	ready := func(id string) string { return testbed.EntryText(id, "127.0.0.1:1", "Ready", 0) }
-	gone := testbed.EntryText("s-old", "", "Gone", 0)
+	ready := func(id string) string { return agenttest.EntryText(id, "127.0.0.1:1", "Ready", 0) }
+	gone := agenttest.EntryText("s-old", "", "Gone", 0)
 	for name, tt := range map[string]struct {
 		answers []string
 		calls   []string // the first ones
 		ids     []string // of what is told after the known list, update by update
 	}{
-		"changes since the known list":         {[]string{testbed.ListText(43, false, ready("s-a"))}, []string{"41", "43"}, []string{"s-a"}},
-		"nothing has changed":                  {[]string{testbed.ListText(41, false), testbed.ListText(42, false, gone)}, []string{"41", "41", "42"}, []string{"s-old"}},
-		"too much has changed":                 {[]string{testbed.ListText(90, true, ready("s-b"))}, []string{"41", "90"}, []string{"s-b"}},
-		"turned away":                          {[]string{"503", "503", testbed.ListText(42, false, ready("s-a"))}, []string{"41", "41", "41", "42"}, []string{"s-a"}},
-		"another discovery, which counts anew": {[]string{testbed.ListText(5, false), testbed.ListText(5, true, ready("s-c"))}, []string{"41", "whole", "5"}, []string{"s-c"}},
-		"broken off once":                      {[]string{`{"version":43,"full":false,"serv`, testbed.ListText(43, false, ready("s-a"))}, []string{"41", "41", "43"}, []string{"s-a"}},
-		"can't be read again and again":        {[]string{"<html>", "<html>", testbed.ListText(44, true, ready("s-b"))}, []string{"41", "41", "whole", "44"}, []string{"s-b"}},
-		"longer than any list":                 {[]string{strings.Repeat(" ", longestList+1), testbed.ListText(43, false, ready("s-a"))}, []string{"41", "41", "43"}, []string{"s-a"}},
-		"empty all at once":                    {[]string{testbed.ListText(43, true), testbed.ListText(44, false, ready("s-a"))}, []string{"41", "43", "44"}, []string{"", "s-a"}},
-		"an older version than was seen": {[]string{testbed.ListText(44, false, ready("s-a")), testbed.ListText(42, false, gone), testbed.ListText(45, false, ready("s-d"))},
+		"changes since the known list":         {[]string{agenttest.ListText(43, false, ready("s-a"))}, []string{"41", "43"}, []string{"s-a"}},
+		"nothing has changed":                  {[]string{agenttest.ListText(41, false), agenttest.ListText(42, false, gone)}, []string{"41", "41", "42"}, []string{"s-old"}},
+		"too much has changed":                 {[]string{agenttest.ListText(90, true, ready("s-b"))}, []string{"41", "90"}, []string{"s-b"}},
+		"turned away":                          {[]string{"503", "503", agenttest.ListText(42, false, ready("s-a"))}, []string{"41", "41", "41", "42"}, []string{"s-a"}},
+		"another discovery, which counts anew": {[]string{agenttest.ListText(5, false), agenttest.ListText(5, true, ready("s-c"))}, []string{"41", "whole", "5"}, []string{"s-c"}},
+		"broken off once":                      {[]string{`{"version":43,"full":false,"serv`, agenttest.ListText(43, false, ready("s-a"))}, []string{"41", "41", "43"}, []string{"s-a"}},
+		"can't be read again and again":        {[]string{"<html>", "<html>", agenttest.ListText(44, true, ready("s-b"))}, []string{"41", "41", "whole", "44"}, []string{"s-b"}},
+		"longer than any list":                 {[]string{strings.Repeat(" ", longestList+1), agenttest.ListText(43, false, ready("s-a"))}, []string{"41", "41", "43"}, []string{"s-a"}},
+		"empty all at once":                    {[]string{agenttest.ListText(43, true), agenttest.ListText(44, false, ready("s-a"))}, []string{"41", "43", "44"}, []string{"", "s-a"}},
+		"an older version than was seen": {[]string{agenttest.ListText(44, false, ready("s-a")), agenttest.ListText(42, false, gone), agenttest.ListText(45, false, ready("s-d"))},
 			[]string{"41", "44", "44", "45"}, []string{"s-a", "s-d"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := &scripted{answers: tt.answers}
-			l := testbed.Listen(t)
+			l := agenttest.Listen(t)
 			srv := &http.Server{Handler: s}
 			go srv.Serve(l)
 			t.Cleanup(func() { srv.Close() })
-			var log testbed.LockedBuffer
+			var log agenttest.LockedBuffer
 			d, events := follower(t, l.Addr().String(), &log)
 			d.asked = true
 			var err error
-			if d.known, err = listing.Parse([]byte(testbed.ListText(41, true, ready("s-old")))); err != nil {
+			if d.known, err = listing.Parse([]byte(agenttest.ListText(41, true, ready("s-old")))); err != nil {
 				t.Fatal(err)
 			}
 			d.Ask()
@@ -120,7 +120,7 @@
 					t.Fatalf("told %+v, want %s", u, want)
 				}
 			}
-			testbed.Eventually(t, fmt.Sprint("the calls are ", tt.calls), func() bool {
+			agenttest.Eventually(t, fmt.Sprint("the calls are ", tt.calls), func() bool {
 				calls := s.called()
 				return len(calls) >= len(tt.calls) && slices.Equal(calls[:len(tt.calls)], tt.calls)
 			})
@@ -149,22 +149,22 @@
 // A watch that falls silent may have had a drain to tell, which counts as told 2 s after its wait: what is new is asked for before
 // that, once and without the module, which would wait for seconds so as not to swamp a discovery that is out of reach.
 func TestSilentWatchIsAskedAgainAtOnce(t *testing.T) {
-	drains := testbed.EntryText("s-old", "127.0.0.1:1", "Terminating", 0)
-	s := &scripted{answers: []string{"silence", testbed.ListText(42, false, drains), "silence", "silence", "503"}}
-	l := testbed.Listen(t)
+	drains := agenttest.EntryText("s-old", "127.0.0.1:1", "Terminating", 0)
+	s := &scripted{answers: []string{"silence", agenttest.ListText(42, false, drains), "silence", "silence", "503"}}
+	l := agenttest.Listen(t)
 	srv := &http.Server{Handler: s}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
 	d, events := follower(t, l.Addr().String(), io.Discard)
 	d.asked, d.longWait, d.askMost = true, 10*time.Millisecond, time.Hour // so that neither the module nor the time has it asked again
-	d.known, _ = listing.Parse([]byte(testbed.ListText(41, true, testbed.EntryText("s-old", "127.0.0.1:1", "Ready", 0))))
+	d.known, _ = listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:1", "Ready", 0))))
 	d.Ask()
 	follow(t, d, events)
 	next(t, events) // the known list
 	if u := next(t, events); len(u.Members) != 1 || u.Members[0].State != balancer.Draining {
 		t.Errorf("told %+v, want the drain", u)
 	}
-	testbed.Eventually(t, "the module is told when that was in vain, too", func() bool { return len(events.Losses) > 0 })
+	agenttest.Eventually(t, "the module is told when that was in vain, too", func() bool { return len(events.Losses) > 0 })
 	if calls := s.called(); len(calls) != 4 {
 		t.Errorf("calls %v, want two watches, and one more call after each", calls)
 	}
@@ -173,15 +173,15 @@
 // What is listed counts as told some seconds after discovery could be reached, whatever calls have failed: an agent that holds a
 // list asks for what is new by then, also where the module backs off for longer, and no two agents at the same times.
 func TestAnAskedListIsAskedForInTime(t *testing.T) {
-	drains := testbed.EntryText("s-old", "127.0.0.1:1", "Terminating", 0)
-	s := &scripted{answers: []string{"503", "503", "503", testbed.ListText(42, false, drains)}}
-	l := testbed.Listen(t)
+	drains := agenttest.EntryText("s-old", "127.0.0.1:1", "Terminating", 0)
+	s := &scripted{answers: []string{"503", "503", "503", agenttest.ListText(42, false, drains)}}
+	l := agenttest.Listen(t)
 	srv := &http.Server{Handler: s}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
 	d, events := follower(t, l.Addr().String(), io.Discard)
 	d.asked, d.askMost = true, 20*time.Millisecond
-	d.known, _ = listing.Parse([]byte(testbed.ListText(41, true, testbed.EntryText("s-old", "127.0.0.1:1", "Ready", 0))))
+	d.known, _ = listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:1", "Ready", 0))))
 	d.Ask() // once: the module says no more
 	follow(t, d, events)
 	next(t, events) // the known list
@@ -206,13 +206,13 @@
 
 // movesInTime moves an agent that holds a list, of an earlier life or as the first discovery has told it, to another one.
 func movesInTime(t *testing.T, known bool) {
-	list := testbed.ListText(41, true, testbed.EntryText("s-old", "127.0.0.1:1", "Ready", 0))
+	list := agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:1", "Ready", 0))
 	from := &scripted{answers: []string{list, "silence", "silence", "silence"}}
-	drains := testbed.EntryText("s-old", "127.0.0.1:1", "Terminating", 0)
-	to := &scripted{answers: []string{"503", "503", "503", testbed.ListText(5, true, drains)}}
+	drains := agenttest.EntryText("s-old", "127.0.0.1:1", "Terminating", 0)
+	to := &scripted{answers: []string{"503", "503", "503", agenttest.ListText(5, true, drains)}}
 	at := make([]string, 0, 2)
 	for _, s := range []*scripted{from, to} {
-		l := testbed.Listen(t)
+		l := agenttest.Listen(t)
 		srv := &http.Server{Handler: s}
 		go srv.Serve(l)
 		t.Cleanup(func() { srv.Close() })
@@ -222,12 +222,12 @@
 	d.asked, d.askMost = true, 20*time.Millisecond
 	if known {
 		d.known, _ = listing.Parse([]byte(list))
-		from.answers[0] = testbed.ListText(42, false)
+		from.answers[0] = agenttest.ListText(42, false)
 	}
 	d.Ask() // once: the module says no more
 	follow(t, d, events)
 	next(t, events) // the first list
-	testbed.Eventually(t, "the first discovery is watched", func() bool { return len(from.called()) == 2 })
+	agenttest.Eventually(t, "the first discovery is watched", func() bool { return len(from.called()) == 2 })
 	d.Move(at[1])
 	if u := next(t, events); !u.Full || len(u.Members) != 1 || u.Members[0].State != balancer.Draining {
 		t.Errorf("told %+v, want the drain", u)
@@ -244,7 +244,7 @@
 	} else {
 		end()
 	}
-	l, err := listing.Parse([]byte(testbed.ListText(1, true)))
+	l, err := listing.Parse([]byte(agenttest.ListText(1, true)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/platform/golden_test.go
+++ b/internal/membership/platform/golden_test.go
@@ -16,19 +16,19 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
-	"appleledge/internal/testbed"
 )
 
 // goldenAnswers answers calls with committed lists, by the version that they are asked from, and others with silence. It keeps what
 // was asked byte by byte, each call once: one that is late is made again.
 func goldenAnswers(t *testing.T, lists map[string]string) (addr string, asked func() string) {
 	t.Helper()
-	l := testbed.Listen(t)
+	l := agenttest.Listen(t)
 	answers := map[string][]byte{}
 	for since, name := range lists {
 		answers[since] = golden.Read(t, "listing/"+name+".json")
@@ -86,9 +86,9 @@
 // A pushed list from the committed answers: what the sink is told, what is asked, and what is logged.
 func TestGoldenPushedList(t *testing.T) {
 	addr, asked := goldenAnswers(t, map[string]string{"": "full", "41": "change", "42": "drain", "43": "removal", "44": "malformed"})
-	var log testbed.LockedBuffer
+	var log agenttest.LockedBuffer
 	var now time.Duration
-	to := testbed.NewSink()
+	to := agenttest.NewSink()
 	d := New(Options{Addr: addr, Zones: []string{"edinburgh-dc", "lerwick-dc"}}, engine.DrivenClock(&now),
 		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
 	follow(t, d, to)
@@ -109,7 +109,7 @@
 			t.Errorf("update %d:\n got  %+v\n want %+v", i, got, want)
 		}
 	}
-	testbed.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=45") })
+	agenttest.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=45") })
 	golden.Equal(t, "platform/pushed_requests.txt", []byte(asked()))
 	golden.Equal(t, "platform/pushed.log", []byte(log.String()))
 }
@@ -119,19 +119,19 @@
 	addr, asked := goldenAnswers(t, map[string]string{"": "full", "41": "nothing"})
 	var now time.Duration
 	d := New(Options{Addr: addr, Asked: true}, engine.DrivenClock(&now), slog.New(slog.DiscardHandler))
-	follow(t, d, testbed.NewSink())
+	follow(t, d, agenttest.NewSink())
 	d.Ask()
-	testbed.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=44") })
+	agenttest.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=44") })
 	golden.Equal(t, "platform/asked_requests.txt", []byte(regexp.MustCompile(`timeout_ms=\d+`).ReplaceAllString(asked(), "timeout_ms=N")))
 }
 
 // What is logged when discovery is out of reach and back, when the clock is off, and when nothing is said of a whole list.
 func TestGoldenLog(t *testing.T) {
-	var log testbed.LockedBuffer
+	var log agenttest.LockedBuffer
 	var now time.Duration
 	d := New(Options{Addr: "127.0.0.1:1", Dated: true, Known: listing.List{Version: 40}}, engine.DrivenClock(&now),
 		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
-	d.to = testbed.NewSink()
+	d.to = agenttest.NewSink()
 	d.outOfReach(context.DeadlineExceeded)
 	full, err := listing.Parse(golden.Read(t, "listing/full.json"))
 	if err != nil {
--- a/internal/membership/platform/platform_test.go
+++ b/internal/membership/platform/platform_test.go
@@ -14,54 +14,54 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
-	"appleledge/internal/testbed"
 )
 
 // follower is a discovery client whose updates a test reads.
-func follower(t *testing.T, url string, log io.Writer) (*Discovery, testbed.Sink) {
+func follower(t *testing.T, url string, log io.Writer) (*Discovery, agenttest.Sink) {
 	t.Helper()
-	h := testbed.NewSink()
+	h := agenttest.NewSink()
 	d := New(Options{Addr: url, Zones: []string{"edinburgh-dc"}}, engine.NewClock(), slog.New(slog.NewTextHandler(log, nil)))
 	d.to = h
 	return d, h
 }
 
 // follow runs it until the test ends.
-func follow(t *testing.T, d *Discovery, to testbed.Sink) {
+func follow(t *testing.T, d *Discovery, to agenttest.Sink) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { d.Run(ctx, to); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
 }
 
-func next(t *testing.T, h testbed.Sink) membership.Update {
+func next(t *testing.T, h agenttest.Sink) membership.Update {
 	t.Helper()
 	select {
 	case u := <-h.Updates:
 		return u
-	case <-time.After(testbed.Patience):
+	case <-time.After(agenttest.Patience):
 		t.Fatal("no list came")
 	}
 	return membership.Update{}
 }
 
 func TestFollowsChanges(t *testing.T) {
-	f := testbed.NewDiscovery(t, 41, testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testbed.EntryText("s-2", "127.0.0.1:2", "Ready", 5))
+	f := agenttest.NewDiscovery(t, 41, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0), agenttest.EntryText("s-2", "127.0.0.1:2", "Ready", 5))
 	d, events := follower(t, f.Addr().String(), io.Discard)
 	follow(t, d, events)
 	if l := next(t, events); !l.Full || len(l.Members) != 2 || l.Members[0].Addr != "127.0.0.1:1" || l.Members[1].Started == 0 ||
 		l.Members[0].Started != 0 {
 		t.Errorf("%+v", l)
 	}
-	f.Set(43, false, testbed.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
+	f.Set(43, false, agenttest.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
 	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Draining {
 		t.Errorf("%+v", l)
 	}
-	f.Set(44, false, testbed.EntryText("s-1", "", "Gone", 0))
+	f.Set(44, false, agenttest.EntryText("s-1", "", "Gone", 0))
 	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Gone {
 		t.Errorf("%+v", l)
 	}
@@ -72,11 +72,11 @@
 
 // Watches go on back to back: a later call would be a new watch, and what changed meanwhile might be missed.
 func TestWatchesGoOn(t *testing.T) {
-	f := testbed.NewDiscovery(t, 1, testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	f := agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	d, events := follower(t, f.Addr().String(), io.Discard)
 	follow(t, d, events)
 	next(t, events)
-	testbed.Eventually(t, "a second watch", func() bool { _, n := f.Calls(); return n > 1 })
+	agenttest.Eventually(t, "a second watch", func() bool { _, n := f.Calls(); return n > 1 })
 	if len(events.Updates) > 0 {
 		t.Error("a watch without news brought some")
 	}
@@ -84,17 +84,17 @@
 
 // In an outage the last list stands; the silence is noticed, and the first list after it is a whole one.
 func TestOutage(t *testing.T) {
-	f := testbed.NewDiscovery(t, 1, testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
-	var log testbed.LockedBuffer
+	f := agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	var log agenttest.LockedBuffer
 	d, events := follower(t, f.Addr().String(), &log)
 	follow(t, d, events)
 	next(t, events)
 	f.Silence(true)
-	testbed.Eventually(t, "the silence is noticed", func() bool { return log.Count("out of reach") == 1 })
+	agenttest.Eventually(t, "the silence is noticed", func() bool { return log.Count("out of reach") == 1 })
 	if len(events.Updates) > 0 {
 		t.Errorf("the outage changed the list: %+v", <-events.Updates)
 	}
-	f.Set(5, true, testbed.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
+	f.Set(5, true, agenttest.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
 	f.Silence(false)
 	if l := next(t, events); !l.Full || len(l.Members) != 1 || l.Members[0].ID != "s-2" {
 		t.Errorf("%+v", l)
@@ -106,7 +106,7 @@
 
 // An older list than the one held, such as a late answer or an agent restored from a newer one, changes nothing.
 func TestVersionsOnlyGoForward(t *testing.T) {
-	d, events := follower(t, testbed.Refusing(t), io.Discard)
+	d, events := follower(t, agenttest.Refusing(t), io.Discard)
 	takes := func(text string, whole bool) error {
 		t.Helper()
 		l, err := listing.Parse([]byte(text))
@@ -115,19 +115,19 @@
 		}
 		return d.take(l, whole)
 	}
-	ready := testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
+	ready := agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
 	for _, step := range []struct {
 		text   string
 		whole  bool
 		fails  bool
 		events int
 	}{
-		{testbed.ListText(7, true, ready), true, false, 1},
-		{testbed.ListText(6, true, ready), true, false, 0},
-		{testbed.ListText(7, false, ready), false, false, 0},
-		{testbed.ListText(6, false, ready), false, true, 0},
-		{testbed.ListText(9, false, ready), true, true, 0},
-		{testbed.ListText(9, false, ready), false, false, 1},
+		{agenttest.ListText(7, true, ready), true, false, 1},
+		{agenttest.ListText(6, true, ready), true, false, 0},
+		{agenttest.ListText(7, false, ready), false, false, 0},
+		{agenttest.ListText(6, false, ready), false, true, 0},
+		{agenttest.ListText(9, false, ready), true, true, 0},
+		{agenttest.ListText(9, false, ready), false, false, 1},
 	} {
 		if err := takes(step.text, step.whole); (err != nil) != step.fails {
 			t.Errorf("%s: %v", step.text, err)
@@ -147,8 +147,8 @@
 // After a restart discovery's list comes before the known one, which may name what has gone; the known one is used
 // where discovery does not answer, and any list from discovery is newer then, whatever its version.
 func TestKnownListIsTheSecondChoice(t *testing.T) {
-	f := testbed.NewDiscovery(t, 3, testbed.EntryText("s-new", "127.0.0.1:1", "Ready", 0))
-	known, err := listing.Parse([]byte(testbed.ListText(41, true, testbed.EntryText("s-old", "127.0.0.1:2", "Ready", 0))))
+	f := agenttest.NewDiscovery(t, 3, agenttest.EntryText("s-new", "127.0.0.1:1", "Ready", 0))
+	known, err := listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:2", "Ready", 0))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,14 +168,14 @@
 
 // A malformed entry neither spoils the list nor takes its backend from it, and is logged once.
 func TestMalformedEntries(t *testing.T) {
-	var log testbed.LockedBuffer
-	d, events := follower(t, testbed.Refusing(t), &log)
+	var log agenttest.LockedBuffer
+	d, events := follower(t, agenttest.Refusing(t), &log)
 	for i, entries := range [][]string{
-		{testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testbed.EntryText("s-2", "127.0.0.1:2", "Ready", 0)},
-		{testbed.EntryText("s-1", "127.0.0.1:1", "Asleep", 0), testbed.EntryText("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
-			testbed.EntryText("s-4", "127.0.0.1:4", "Ready", 0)},
+		{agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0), agenttest.EntryText("s-2", "127.0.0.1:2", "Ready", 0)},
+		{agenttest.EntryText("s-1", "127.0.0.1:1", "Asleep", 0), agenttest.EntryText("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
+			agenttest.EntryText("s-4", "127.0.0.1:4", "Ready", 0)},
 	} {
-		l, err := listing.Parse([]byte(testbed.ListText(i, true, entries...)))
+		l, err := listing.Parse([]byte(agenttest.ListText(i, true, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -199,7 +199,7 @@
 
 // Where the list must be asked for, the module says when; a failed call is told to it.
 func TestAskedDiscovery(t *testing.T) {
-	d, events := follower(t, testbed.Refusing(t), io.Discard)
+	d, events := follower(t, agenttest.Refusing(t), io.Discard)
 	d.asked = true
 	follow(t, d, events)
 	d.Ask()
@@ -208,7 +208,7 @@
 		if !errors.Is(err, membership.ErrUnsubscribed) {
 			t.Error(err)
 		}
-	case <-time.After(testbed.Patience):
+	case <-time.After(agenttest.Patience):
 		t.Fatal("the failure was not told")
 	}
 }
@@ -216,8 +216,8 @@
 // Where the list is subscribed to, the new discovery is asked without waiting for the module, whose subscription
 // was with the old one.
 func TestMoveOfAnAskedDiscovery(t *testing.T) {
-	f := testbed.NewDiscovery(t, 1, testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
-	d, events := follower(t, testbed.Refusing(t), &testbed.LockedBuffer{})
+	f := agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	d, events := follower(t, agenttest.Refusing(t), &agenttest.LockedBuffer{})
 	d.asked = true
 	follow(t, d, events)
 	d.Move(f.Addr().String())
@@ -229,12 +229,12 @@
 // A discovery that answers every watch at once with the same list is told on, and fills no log.
 func TestSameListIsLoggedOnce(t *testing.T) {
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		io.WriteString(w, testbed.ListText(1, true, testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
+		io.WriteString(w, agenttest.ListText(1, true, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
 	})}
-	l := testbed.Listen(t)
+	l := agenttest.Listen(t)
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
-	var log testbed.LockedBuffer
+	var log agenttest.LockedBuffer
 	d, events := follower(t, l.Addr().String(), &log)
 	follow(t, d, events)
 	for range 4 {
@@ -274,7 +274,7 @@
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
-		io.WriteString(w, testbed.ListText(version, true, testbed.EntryText(fmt.Sprint("s-", version), "127.0.0.1:1", "Ready", 0)))
+		io.WriteString(w, agenttest.ListText(version, true, agenttest.EntryText(fmt.Sprint("s-", version), "127.0.0.1:1", "Ready", 0)))
 	}))
 	t.Cleanup(server.Close)
 	d, events := follower(t, strings.TrimPrefix(server.URL, "http://"), io.Discard)
@@ -286,14 +286,14 @@
 		mute = is
 	}
 	set(true)
-	testbed.Eventually(t, "a call begins beside one that hangs", func() bool {
+	agenttest.Eventually(t, "a call begins beside one that hangs", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return most > 1
 	})
 	set(false)
-	testbed.Eventually(t, "the list of now", func() bool { l := next(t, events); return l.Members[0].ID == "s-5" })
-	testbed.Eventually(t, "calls that are not wanted any more end", func() bool {
+	agenttest.Eventually(t, "the list of now", func() bool { l := next(t, events); return l.Members[0].ID == "s-5" })
+	agenttest.Eventually(t, "calls that are not wanted any more end", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return hang == 0
@@ -365,8 +365,8 @@
 // move, a watch that was open when discovery fell silent, or an answer that has begun and does not go on. What is new counts as
 // told at once.
 func TestNoCallThatHangsIsWaitedFor(t *testing.T) {
-	ready := testbed.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
-	whole, drains := testbed.ListText(7, true, ready), testbed.ListText(8, false, testbed.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
+	ready := agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
+	whole, drains := agenttest.ListText(7, true, ready), agenttest.ListText(8, false, agenttest.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
 	for name, tt := range map[string]struct {
 		watch  bool // hangs, else a call for the whole list
 		slowly bool
@@ -392,7 +392,7 @@
 			d, events := follower(t, at, io.Discard)
 			d.answerIn, d.bodyIn = time.Hour, time.Hour // the call hangs on, however late the machine runs
 			if tt.moved {
-				d.addr, d.at = testbed.Refusing(t), "" // where it is before
+				d.addr, d.at = agenttest.Refusing(t), "" // where it is before
 				follow(t, d, events)
 				d.Move(at)
 			} else {
@@ -428,7 +428,7 @@
 	d, events := follower(t, strings.TrimPrefix(server.URL, "http://"), io.Discard)
 	began := time.Now()
 	follow(t, d, events)
-	testbed.Eventually(t, "some calls are given up", func() bool { return d.Counts().Failed >= 4 })
+	agenttest.Eventually(t, "some calls are given up", func() bool { return d.Counts().Failed >= 4 })
 	mu.Lock()
 	defer mu.Unlock()
 	if beside := int(callTimeout/retryPause) + 1; most > beside || most < 2 {
--- a/internal/membership/xds/source_test.go
+++ b/internal/membership/xds/source_test.go
@@ -18,11 +18,11 @@
 	"github.com/envoyproxy/go-control-plane/pkg/server/v3"
 	"google.golang.org/grpc"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/harness/controlplane"
 	"appleledge/internal/membership"
-	"appleledge/internal/testbed"
 )
 
 // list is what a source has told, as a table makes it.
@@ -74,9 +74,9 @@
 }
 
 // follow runs a source on a control plane until the test ends.
-func follow(t *testing.T, addr string, log *testbed.LockedBuffer, change func(*Options)) *list {
+func follow(t *testing.T, addr string, log *agenttest.LockedBuffer, change func(*Options)) *list {
 	t.Helper()
-	o := Options{Server: addr, Node: "n1", Zones: []string{"edinburgh-dc"}, FirstFetch: testbed.Patience, BackoffLeast: 20 * time.Millisecond,
+	o := Options{Server: addr, Node: "n1", Zones: []string{"edinburgh-dc"}, FirstFetch: agenttest.Patience, BackoffLeast: 20 * time.Millisecond,
 		BackoffMost: 200 * time.Millisecond, Keepalive: 10 * time.Second, MaxMessage: 16 << 20, LogEvery: time.Minute}
 	change(&o)
 	l := &list{table: membership.NewTable(membership.Options{}, 1), members: map[string]engine.Member{}}
@@ -107,7 +107,7 @@
 // eventuallySays waits until the list says so.
 func eventuallySays(t *testing.T, what string, l *list, want string) {
 	t.Helper()
-	testbed.Eventually(t, what+": "+want, func() bool { return l.says() == want })
+	agenttest.Eventually(t, what+": "+want, func() bool { return l.says() == want })
 }
 
 // bothVariants runs a test in the state of the world and incrementally.
@@ -124,7 +124,7 @@
 	bothVariants(t, func(t *testing.T, variant func(*Options)) {
 		p := start(t, "127.0.0.1:0")
 		addr := p.Addr()
-		var log testbed.LockedBuffer
+		var log agenttest.LockedBuffer
 		l := follow(t, addr, &log, variant)
 		p.Set(controlplane.Cluster("a"), controlplane.Cluster("b"))
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", up), endpoint("a2", up)), controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", up)))
@@ -141,7 +141,7 @@
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", controlplane.Endpoint{Host: "not.an.address", Port: 1}),
 			controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", drain)))
 		eventuallySays(t, "what is good of a response that is refused", l, "a1d a2 b1d")
-		testbed.Eventually(t, "the refusal", func() bool { return strings.Contains(p.Refusal(), `"not.an.address" is no IP address`) })
+		agenttest.Eventually(t, "the refusal", func() bool { return strings.Contains(p.Refusal(), `"not.an.address" is no IP address`) })
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", up)), controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", up)))
 		eventuallySays(t, "the next good ones", l, "a1 b1")
 
@@ -159,7 +159,7 @@
 		eventuallySays(t, "a cluster that is removed", l, "a7")
 
 		p.Stop()
-		testbed.Eventually(t, "the loss", func() bool { return l.lostTimes() > 0 })
+		agenttest.Eventually(t, "the loss", func() bool { return l.lostTimes() > 0 })
 		if got := l.says(); got != "a7" {
 			t.Errorf("the loss made it %q", got)
 		}
@@ -181,9 +181,9 @@
 		p := start(t, "127.0.0.1:0")
 		p.Stubborn(true)
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", controlplane.Endpoint{Host: "not.an.address", Port: 1}))
-		var log testbed.LockedBuffer
+		var log agenttest.LockedBuffer
 		follow(t, p.Addr(), &log, func(o *Options) { variant(o); o.Clusters = []string{"a"}; o.BackoffMost = time.Hour })
-		testbed.Eventually(t, "five refusals", func() bool { return p.Counts().Nacks >= 5 }) // at 0, 20, 60, 140 and 300 ms
+		agenttest.Eventually(t, "five refusals", func() bool { return p.Counts().Nacks >= 5 }) // at 0, 20, 60, 140 and 300 ms
 		time.Sleep(300 * time.Millisecond)
 		if n := p.Counts().Nacks; n > 7 {
 			t.Errorf("%d refusals within the time of seven", n)
@@ -199,8 +199,8 @@
 	p := start(t, "127.0.0.1:0")
 	p.Silence(true)
 	p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", corev3.HealthStatus_UNKNOWN)))
-	l := follow(t, p.Addr(), &testbed.LockedBuffer{}, func(o *Options) { o.Clusters = []string{"a"}; o.FirstFetch = 50 * time.Millisecond })
-	testbed.Eventually(t, "the loss", func() bool { return l.lostTimes() == 1 })
+	l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Clusters = []string{"a"}; o.FirstFetch = 50 * time.Millisecond })
+	agenttest.Eventually(t, "the loss", func() bool { return l.lostTimes() == 1 })
 	p.Silence(false)
 	eventuallySays(t, "late", l, "a1")
 	if n := p.Counts().Streams; n != 1 {
@@ -213,7 +213,7 @@
 	bothVariants(t, func(t *testing.T, variant func(*Options)) {
 		p := start(t, "127.0.0.1:0")
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", corev3.HealthStatus_UNKNOWN)))
-		l := follow(t, p.Addr(), &testbed.LockedBuffer{}, func(o *Options) { variant(o); o.Clusters = []string{"a"} })
+		l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { variant(o); o.Clusters = []string{"a"} })
 		eventuallySays(t, "the first list", l, "a1")
 		updates := func() int {
 			l.mu.Lock()
@@ -222,8 +222,8 @@
 		}
 		before, sent := updates(), p.Counts().Sent
 		p.Break()
-		testbed.Eventually(t, "the loss", func() bool { return l.lostTimes() > 0 })
-		testbed.Eventually(t, "it is heard again", func() bool { return updates() > before })
+		agenttest.Eventually(t, "the loss", func() bool { return l.lostTimes() > 0 })
+		agenttest.Eventually(t, "it is heard again", func() bool { return updates() > before })
 		if n := p.Counts().Sent; n != sent || l.says() != "a1" {
 			t.Errorf("%d resources were sent again, and the list is %q", n-sent, l.says())
 		}
@@ -237,7 +237,7 @@
 	p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", corev3.HealthStatus_UNKNOWN)))
 	var lists []*list
 	for i := range agents {
-		lists = append(lists, follow(t, p.Addr(), &testbed.LockedBuffer{}, func(o *Options) {
+		lists = append(lists, follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) {
 			o.Clusters, o.Me, o.Delta, o.BackoffLeast, o.BackoffMost = []string{"a"}, i, i%2 == 0, 100*time.Millisecond, time.Second
 		}))
 	}
@@ -268,8 +268,8 @@
 		name := fmt.Sprint("c", i)
 		p.Set(controlplane.Cluster(name), controlplane.Assignment(name, "edinburgh-dc", controlplane.Endpoint{Host: "127.0.0.1", Port: 1 + i}))
 	}
-	l := follow(t, p.Addr(), &testbed.LockedBuffer{}, func(o *Options) { o.Delta, o.Subset, o.Me = true, 4, 7 })
-	testbed.Eventually(t, "four servers", func() bool { return len(strings.Fields(l.says())) == 4 })
+	l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Delta, o.Subset, o.Me = true, 4, 7 })
+	agenttest.Eventually(t, "four servers", func() bool { return len(strings.Fields(l.says())) == 4 })
 	if n := p.Counts().Sent; n != 32+4 {
 		t.Errorf("%d resources were sent, want the 32 clusters and the endpoints of four", n)
 	}
@@ -291,7 +291,7 @@
 				t.Fatal(err)
 			}
 		}
-		l := testbed.Listen(t)
+		l := agenttest.Listen(t)
 		g := grpc.NewServer()
 		discoveryv3.RegisterAggregatedDiscoveryServiceServer(g, server.NewServer(ctx, c, nil))
 		go g.Serve(l)
@@ -299,7 +299,7 @@
 		const up, drain = corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING
 		one, two := controlplane.Cluster("a"), controlplane.Cluster("b")
 		set("9", []types.Resource{one}, []types.Resource{controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", up))})
-		said := follow(t, l.Addr().String(), &testbed.LockedBuffer{}, variant)
+		said := follow(t, l.Addr().String(), &agenttest.LockedBuffer{}, variant)
 		eventuallySays(t, "the first list", said, "a1")
 		set("10", []types.Resource{one, two}, []types.Resource{controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", drain)),
 			controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", up))})
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
-	"appleledge/internal/testbed"
 )
 
 // fake is an agent with a server "s-1".
@@ -48,7 +48,7 @@
 }
 
 func serve(t *testing.T, f *fake) string {
-	l := testbed.Listen(t)
+	l := agenttest.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testbed.Patience))
+	c.SetDeadline(time.Now().Add(agenttest.Patience))
 	io.WriteString(c, text)
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
--- a/internal/sockstate/peek_test.go
+++ b/internal/sockstate/peek_test.go
@@ -4,12 +4,12 @@
 	"net"
 	"testing"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // pair are two ends of a connection that close with the test.
 func pair(t *testing.T) (near, far net.Conn) {
-	l := testbed.Listen(t)
+	l := agenttest.Listen(t)
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -45,12 +45,12 @@
 	if _, err := far.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
-	testbed.Eventually(t, "bytes wait", func() bool { return Look(c) == Bytes }) // one is read, the other waits behind it
+	agenttest.Eventually(t, "bytes wait", func() bool { return Look(c) == Bytes }) // one is read, the other waits behind it
 	if a, b := <-got, <-got; a != 'a' || b != 'b' {
 		t.Errorf("read %c%c", a, b)
 	}
 	far.Close()
-	testbed.Eventually(t, "it has ended", func() bool { return Look(c) == Ended })
+	agenttest.Eventually(t, "it has ended", func() bool { return Look(c) == Ended })
 	if _, more := <-got; more {
 		t.Error("something was read behind the end")
 	}
@@ -79,12 +79,12 @@
 			if _, err := far.Write(make([]byte, 8<<10)); err != nil {
 				t.Fatal(err)
 			}
-			testbed.Eventually(t, "bytes wait", func() bool { return Look(c) == Bytes })
+			agenttest.Eventually(t, "bytes wait", func() bool { return Look(c) == Bytes })
 			if Gone(c) {
 				t.Error("gone with bytes")
 			}
 			end(far.(*net.TCPConn))
-			testbed.Eventually(t, "it has gone", func() bool { return Gone(c) })
+			agenttest.Eventually(t, "it has gone", func() bool { return Gone(c) })
 		})
 	}
 	near, _ := net.Pipe()
--- a/internal/standinproxy/proxy_test.go
+++ b/internal/standinproxy/proxy_test.go
@@ -17,7 +17,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"appleledge/internal/testbed"
+	"appleledge/internal/agenttest"
 )
 
 // processor is a processor whose choices a test states, one a try: an endpoint, or "" for a refusal.
@@ -88,7 +88,7 @@
 
 // start runs the processor and a proxy that asks it, and returns the proxy's address.
 func (p *processor) start(t *testing.T) string {
-	l := testbed.Listen(t)
+	l := agenttest.Listen(t)
 	srv := grpc.NewServer()
 	extprocv3.RegisterExternalProcessorServer(srv, p)
 	var serving sync.WaitGroup
@@ -125,10 +125,10 @@
 
 // Each try is asked for, told of and counted, until one is served.
 func TestTriesUntilServed(t *testing.T) {
-	failing := testbed.NewBackend(t, testbed.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"))
-	breaking := testbed.NewBackend(t, func(net.Conn, *http.Request, int) bool { return false })
-	fine := testbed.NewBackend(t, testbed.Says(testbed.Served))
-	p := &processor{choices: []string{testbed.Refusing(t), breaking.Addr().String(), failing.Addr().String(), fine.Addr().String()}}
+	failing := agenttest.NewBackend(t, agenttest.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"))
+	breaking := agenttest.NewBackend(t, func(net.Conn, *http.Request, int) bool { return false })
+	fine := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
+	p := &processor{choices: []string{agenttest.Refusing(t), breaking.Addr().String(), failing.Addr().String(), fine.Addr().String()}}
 	resp, body := post(t, p.start(t))
 	if resp.StatusCode != http.StatusOK || body != "fine" {
 		t.Errorf("%d %q", resp.StatusCode, body)
@@ -156,7 +156,7 @@
 
 // Without the processor nothing is sent on one's own.
 func TestNoProcessor(t *testing.T) {
-	conn, err := grpc.NewClient("passthrough:///"+testbed.Refusing(t), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient("passthrough:///"+agenttest.Refusing(t), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -15,6 +15,7 @@
 
 	"appleledge/internal/admission"
 	"appleledge/internal/affinity"
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
@@ -24,7 +25,6 @@
 	"appleledge/internal/generation"
 	"appleledge/internal/golden"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
 )
 
@@ -100,20 +100,20 @@
 
 // The whole page as it is served: its content type, and the series of an engine with an attempt in flight, without values.
 func TestGoldenSeries(t *testing.T) {
-	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	core, conns, _ := newEngine(t, site)
 	member := engine.Member{Server: balancer.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}
 	core.Tell(engine.Listed{Members: []engine.Member{member}})
-	testbed.Eventually(t, "the engine is ready", core.Ready)
+	agenttest.Eventually(t, "the engine is ready", core.Ready)
 	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Caller: make(ear, 1), Carrier: waits{}})
-	testbed.Eventually(t, "the attempt is out", func() bool { return core.Load().InFlight["s-1"] == 1 })
+	agenttest.Eventually(t, "the attempt is out", func() bool { return core.Load().InFlight["s-1"] == 1 })
 	s := &Server{Engine: core, Pool: conns, Peers: goldenPeers, Shares: goldenShares, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error, 1)
-	l := testbed.Listen(t)
+	l := agenttest.Listen(t)
 	go func(l net.Listener) { served <- s.Serve(ctx, l) }(l)
 	defer func() { stop(); <-served }()
 	resp, err := http.Get("http://" + l.Addr().String() + "/metrics")
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -12,20 +12,20 @@
 	"time"
 
 	"appleledge/internal/admission"
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/simwire"
-	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
 )
 
 // The page is read over a socket, in Prometheus' text format, with the figures of an engine at work; other paths are
 // not found, and it ends with its context.
 func TestPage(t *testing.T) {
-	site, err := simwire.DecodeSettings([]byte(testbed.SettingsText))
+	site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/connpool/pool_test.go
+++ b/internal/upstream/connpool/pool_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/testbed"
 )
 
 // newTestPool is a pool with one backend, b.
@@ -35,7 +35,7 @@
 
 // A kept connection that the far end has closed is found out before a request is lost on it.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	l := testbed.Listen(t)
+	l := agenttest.Listen(t)
 	p := newTestPool(t, l.Addr().String(), 100)
 	first := take(t, p, "b")
 	p.Put(first, true)
@@ -44,14 +44,14 @@
 		t.Fatal(err)
 	}
 	far.Close()
-	testbed.Eventually(t, "the close has come", func() bool { return !first.quiet() })
+	agenttest.Eventually(t, "the close has come", func() bool { return !first.quiet() })
 	if take(t, p, "b") == first {
 		t.Error("the closed connection was used")
 	}
 }
 
 func TestConnectionsAreKeptButNotTooLong(t *testing.T) {
-	p := newTestPool(t, testbed.Listen(t).Addr().String(), 100)
+	p := newTestPool(t, agenttest.Listen(t).Addr().String(), 100)
 	first := take(t, p, "b")
 	for range 3 {
 		p.Put(first, true)
@@ -74,7 +74,7 @@
 
 // A silent backend gets only its part of the connections, and what is idle makes room for what is needed.
 func TestConnectionLimits(t *testing.T) {
-	quiet, fine := testbed.Listen(t), testbed.Listen(t)
+	quiet, fine := agenttest.Listen(t), agenttest.Listen(t)
 	p := newTestPool(t, quiet.Addr().String(), 8)
 	for range 2 {
 		take(t, p, "b")
@@ -97,7 +97,7 @@
 
 // The connection used last is used first, so that those not needed grow old and close.
 func TestMostRecentlyUsedFirst(t *testing.T) {
-	p := newTestPool(t, testbed.Listen(t).Addr().String(), 100)
+	p := newTestPool(t, agenttest.Listen(t).Addr().String(), 100)
 	var held []*Conn
 	for range 3 {
 		c, err := p.Get(context.Background(), p.Backend("b"))
@@ -119,7 +119,7 @@
 // Whatever is taken, given back, evicted and listed, in whatever order: the counts that are kept are those of what there
 // is, and the ring of connections that wait holds each of them once, the longest wait first.
 func TestCountsAgreeWithWhatThereIs(t *testing.T) {
-	addr := testbed.Listen(t).Addr().String()
+	addr := agenttest.Listen(t).Addr().String()
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(2*time.Second, time.Minute, 6)
 		defer p.Close()
@@ -165,7 +165,7 @@
 
 // A limit that falls closes what waits for use beyond it, and the pool is swept meanwhile.
 func TestLimitFalls(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
+	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	p := New(time.Second, time.Minute, 8)
 	defer p.Close()
 	p.Update(true, []engine.Member{{Server: balancer.Server{ID: "b"}, Addr: b.Addr().String()}})
@@ -212,7 +212,7 @@
 // Connections that rest behind their answers are not used and not in the way: at a backend's limit one of them makes room. One
 // that brought no answer needs no rest.
 func TestConnectionsRestBehindTheirAnswers(t *testing.T) {
-	p := newTestPool(t, testbed.Listen(t).Addr().String(), 8) // 2 of one backend
+	p := newTestPool(t, agenttest.Listen(t).Addr().String(), 8) // 2 of one backend
 	p.Settle = time.Hour
 	unused := take(t, p, "b")
 	p.Put(unused, true)
--- a/internal/upstream/http1/carrier_test.go
+++ b/internal/upstream/http1/carrier_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
-	"appleledge/internal/testbed"
 	"appleledge/internal/upstream/connpool"
 )
 
@@ -75,37 +75,37 @@
 		want   balancer.Result
 		idle   int
 	}{
-		"served":                     {testbed.Says(testbed.Served), balancer.OK, 1},
-		"served, then closed":        {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nfine"), balancer.OK, 0},
-		"chunked":                    {testbed.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), balancer.OK, 1},
-		"after an interim answer":    {testbed.Says("HTTP/1.1 103 Early Hints\r\n\r\n" + testbed.Served), balancer.OK, 1},
-		"more than one answer":       {testbed.Says(testbed.Served + testbed.Served), balancer.OK, 0},
-		"error":                      {testbed.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
-		"503 that may have run":      {testbed.Says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
-		"503 not processed":          {testbed.Says("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected, 1},
-		"504 not processed":          {testbed.Says("HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected, 1},
-		"500 that claims not to run": {testbed.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
+		"served":                     {agenttest.Says(agenttest.Served), balancer.OK, 1},
+		"served, then closed":        {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nfine"), balancer.OK, 0},
+		"chunked":                    {agenttest.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), balancer.OK, 1},
+		"after an interim answer":    {agenttest.Says("HTTP/1.1 103 Early Hints\r\n\r\n" + agenttest.Served), balancer.OK, 1},
+		"more than one answer":       {agenttest.Says(agenttest.Served + agenttest.Served), balancer.OK, 0},
+		"error":                      {agenttest.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
+		"503 that may have run":      {agenttest.Says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
+		"503 not processed":          {agenttest.Says("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected, 1},
+		"504 not processed":          {agenttest.Says("HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected, 1},
+		"500 that claims not to run": {agenttest.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Failed, 1},
 		"closed":                     {closes, balancer.Reset, 0},
 		"reset":                      {resets, balancer.Reset, 0},
-		"garbage":                    {testbed.Says("no HTTP at all\r\n\r\n"), balancer.Reset, 0},
-		"endless head":               {testbed.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswer)), balancer.Reset, 0},
-		"switching protocols":        {testbed.Says("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), balancer.Reset, 0},
-		"body over the limit": {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)),
+		"garbage":                    {agenttest.Says("no HTTP at all\r\n\r\n"), balancer.Reset, 0},
+		"endless head":               {agenttest.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswer)), balancer.Reset, 0},
+		"switching protocols":        {agenttest.Says("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), balancer.Reset, 0},
+		"body over the limit": {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)),
 			balancer.Reset, 0},
-		"chunks over the limit": {testbed.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000)),
+		"chunks over the limit": {agenttest.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000)),
 			balancer.Reset, 0},
 		// What follows leaves the connection open and testbed.Silent: it must not hold the attempt until its deadline.
-		"noise with no line":        {testbed.Says("\x16\x03\x01noise"), balancer.Reset, 0},
-		"noise like an answer":      {testbed.Says("HTTPS"), balancer.Reset, 0},
-		"half a head":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Le"), balancer.Reset, 0},
-		"half a body":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine"), balancer.Reset, 0},
-		"a chunk with no size":      {testbed.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\nfine\r\n"), balancer.Reset, 0},
-		"said to have 3 GB":         {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfine"), balancer.Reset, 0},
-		"two lengths":               {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nfine"), balancer.Reset, 0},
-		"negative length":           {testbed.Says("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nfine"), balancer.Reset, 0},
-		"no length, left open":      {testbed.Says("HTTP/1.1 200 OK\r\n\r\nfine"), balancer.Reset, 0},
-		"interim ones without end":  {testbed.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*mostInterim)), balancer.Reset, 0},
-		"good, and noise behind it": {testbed.Says(testbed.Served + "\x00noise"), balancer.OK, 0},
+		"noise with no line":        {agenttest.Says("\x16\x03\x01noise"), balancer.Reset, 0},
+		"noise like an answer":      {agenttest.Says("HTTPS"), balancer.Reset, 0},
+		"half a head":               {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Le"), balancer.Reset, 0},
+		"half a body":               {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine"), balancer.Reset, 0},
+		"a chunk with no size":      {agenttest.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\nfine\r\n"), balancer.Reset, 0},
+		"said to have 3 GB":         {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfine"), balancer.Reset, 0},
+		"two lengths":               {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nfine"), balancer.Reset, 0},
+		"negative length":           {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nfine"), balancer.Reset, 0},
+		"no length, left open":      {agenttest.Says("HTTP/1.1 200 OK\r\n\r\nfine"), balancer.Reset, 0},
+		"interim ones without end":  {agenttest.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*mostInterim)), balancer.Reset, 0},
+		"good, and noise behind it": {agenttest.Says(agenttest.Served + "\x00noise"), balancer.OK, 0},
 		// It may be cut: nothing tells where it should have ended.
 		"no length, then closed": {func(c net.Conn, r *http.Request, n int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nfine")
@@ -117,9 +117,9 @@
 		}, balancer.Reset, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := testbed.NewBackend(t, c.script)
+			b := agenttest.NewBackend(t, c.script)
 			f := newFixture(t, b.Addr().String(), 100)
-			a := f.attempt(testbed.Patience)
+			a := f.attempt(agenttest.Patience)
 			a.Sent = f.Clock.Now()
 			out := f.Carry(context.Background(), a)
 			if out.Result != c.want {
@@ -128,7 +128,7 @@
 			if (out.Result == balancer.OK) != (body(out) == "fine") {
 				t.Errorf("body %q", body(out))
 			}
-			if took := f.Clock.Now() - a.Sent; took > testbed.Patience/2 {
+			if took := f.Clock.Now() - a.Sent; took > agenttest.Patience/2 {
 				t.Errorf("it took %v", took)
 			}
 			if b.Requests() != 1 {
@@ -142,14 +142,14 @@
 }
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	f := newFixture(t, testbed.Refusing(t), 100)
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.ConnectFailed {
+	f := newFixture(t, agenttest.Refusing(t), 100)
+	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.ConnectFailed {
 		t.Errorf("result %v", out.Result)
 	}
 }
 
 func TestSilenceTimesOut(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Silent)
+	b := agenttest.NewBackend(t, agenttest.Silent)
 	f := newFixture(t, b.Addr().String(), 100)
 	if out := f.Carry(context.Background(), f.attempt(time.Second)); out.Result != balancer.TimedOut {
 		t.Errorf("result %v", out.Result)
@@ -162,13 +162,15 @@
 // A kept connection that breaks under a request gives one Reset: net/http's Transport would send the request
 // again by itself, which nobody decided on and which may repeat an effect.
 func TestNoHiddenResend(t *testing.T) {
-	b := testbed.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool { return n == 1 && testbed.Says(testbed.Served)(c, r, n) })
+	b := agenttest.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
+		return n == 1 && agenttest.Says(agenttest.Served)(c, r, n)
+	})
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = 0
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.OK {
+	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK {
 		t.Fatalf("first: %v", out.Result)
 	}
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.Reset {
+	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.Reset {
 		t.Errorf("second: %v", out.Result)
 	}
 	if b.Requests() != 2 || b.Connections() != 1 {
@@ -179,13 +181,13 @@
 // Nothing is written once the backend drains, is gone or has started anew, the request has ended, its time is
 // up or the backends may have forgotten its key: a dial may have taken that long.
 func TestNotSent(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
+	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	addr := b.Addr().String()
 	for name, change := range map[string]func(f *fixture, a *engine.Attempt){
 		"drains":    func(f *fixture, a *engine.Attempt) { f.list(addr, balancer.Draining, 0) },
 		"gone":      func(f *fixture, a *engine.Attempt) { f.Pool.Update(true, nil) },
 		"restarted": func(f *fixture, a *engine.Attempt) { f.list(addr, balancer.Ready, 7) },
-		"moved":     func(f *fixture, a *engine.Attempt) { f.list(testbed.Refusing(t), balancer.Ready, 0) },
+		"moved":     func(f *fixture, a *engine.Attempt) { f.list(agenttest.Refusing(t), balancer.Ready, 0) },
 		"ended":     func(f *fixture, a *engine.Attempt) { a.Call.Close() },
 		"left":      func(f *fixture, a *engine.Attempt) { engine.New(nil, f.Clock, nil, nil).ClientLeft(a.Call) }, // which has not heard of it
 		"late":      func(f *fixture, a *engine.Attempt) { a.Until, a.WriteBy = 0, 0 },
@@ -197,7 +199,7 @@
 		t.Run(name, func(t *testing.T) {
 			before := b.Requests()
 			f := newFixture(t, addr, 100)
-			a := f.attempt(testbed.Patience)
+			a := f.attempt(agenttest.Patience)
 			change(f, a)
 			if out := f.Carry(context.Background(), a); out.Result != balancer.NotSent {
 				t.Errorf("result %v", out.Result)
@@ -211,13 +213,13 @@
 
 // A repeat that only who remembers the first may get goes over a connection that was there before the first.
 func TestOnlyOverAConnectionFromBefore(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
+	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = 0
-	if out := f.Carry(t.Context(), f.attempt(testbed.Patience)); out.Result != balancer.OK {
+	if out := f.Carry(t.Context(), f.attempt(agenttest.Patience)); out.Result != balancer.OK {
 		t.Fatal(out.Result)
 	}
-	a := f.attempt(testbed.Patience)
+	a := f.attempt(agenttest.Patience)
 	a.OnlySince = f.Clock.Now()
 	if out := f.Carry(t.Context(), a); out.Result != balancer.OK || b.Connections() != 1 {
 		t.Errorf("result %v, %d connections", out.Result, b.Connections())
@@ -225,7 +227,7 @@
 }
 
 func TestListChangesCloseConnections(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
+	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	addr := b.Addr().String()
 	f := newFixture(t, addr, 100)
 	for i, change := range []func(){
@@ -236,7 +238,7 @@
 		},
 	} {
 		f.list(addr, balancer.Ready, 0)
-		f.Carry(context.Background(), f.attempt(testbed.Patience))
+		f.Carry(context.Background(), f.attempt(agenttest.Patience))
 		if f.idle() != 1 {
 			t.Fatalf("%d: no connection was kept", i)
 		}
@@ -248,14 +250,14 @@
 }
 
 func TestRequestGoesOnUnchanged(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
+	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Carry(context.Background(), f.attempt(1500*time.Millisecond))
 	if b.Requests() != 1 {
 		t.Fatal("nothing came")
 	}
 	r, sent := b.Request(0)
-	left, err := requesthead.ParseTimeout(r.Header.Get("X-Timeout"), testbed.Patience)
+	left, err := requesthead.ParseTimeout(r.Header.Get("X-Timeout"), agenttest.Patience)
 	if err != nil || left > 1500*time.Millisecond {
 		t.Errorf("X-Timeout %q: %v", r.Header.Get("X-Timeout"), err)
 	}
@@ -280,9 +282,9 @@
 
 // A malformed report spoils neither the answer that brought it nor the module's averages.
 func TestMalformedReportIsPassedOver(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Says("HTTP/1.1 200 OK\r\nX-Server-Load: util=NaN,qps=3\r\nContent-Length: 4\r\n\r\nfine"))
+	b := agenttest.NewBackend(t, agenttest.Says("HTTP/1.1 200 OK\r\nX-Server-Load: util=NaN,qps=3\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, b.Addr().String(), 100)
-	out := f.Carry(context.Background(), f.attempt(testbed.Patience))
+	out := f.Carry(context.Background(), f.attempt(agenttest.Patience))
 	if out.Result != balancer.OK || out.Report != balancer.NoReport || len(f.reports) != 1 {
 		t.Errorf("%v %+v %v", out.Result, out.Report, f.reports)
 	}
@@ -290,9 +292,9 @@
 
 // A report that can be read counts, also behind one that can't.
 func TestReportBehindAMalformedOne(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Says("HTTP/1.1 200 OK\r\nX-Server-Load: %%%\r\nX-Server-Load: util=0.5\r\nContent-Length: 4\r\n\r\nfine"))
+	b := agenttest.NewBackend(t, agenttest.Says("HTTP/1.1 200 OK\r\nX-Server-Load: %%%\r\nX-Server-Load: util=0.5\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, b.Addr().String(), 100)
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.OK || out.Report.Util != 0.5 {
+	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || out.Report.Util != 0.5 {
 		t.Errorf("%v %+v", out.Result, out.Report)
 	}
 }
@@ -317,16 +319,16 @@
 
 // A dial that is never up fails in the connect time-out, and meanwhile holds up nothing else.
 func TestDeadDial(t *testing.T) {
-	dead, fine := testbed.NewBackend(t, testbed.Says(testbed.Served)), testbed.NewBackend(t, testbed.Says(testbed.Served))
+	dead, fine := agenttest.NewBackend(t, agenttest.Says(agenttest.Served)), agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	f := newFixture(t, dead.Addr().String(), 100)
 	f.Pool.Dialer.Timeout = time.Second
 	began := f.holdDials(dead.Addr().String(), nil)
-	first := f.attempt(testbed.Patience)
+	first := f.attempt(agenttest.Patience)
 	f.Pool.Update(false, []engine.Member{{Server: balancer.Server{ID: "other"}, Addr: fine.Addr().String()}})
 	done := make(chan engine.Outcome)
 	go func() { done <- f.Carry(context.Background(), first) }()
 	<-began
-	second := f.attempt(testbed.Patience)
+	second := f.attempt(agenttest.Patience)
 	second.Life = f.Pool.Life("other")
 	if out := f.Carry(context.Background(), second); out.Result != balancer.OK {
 		t.Errorf("to another backend meanwhile: %v", out.Result)
@@ -338,13 +340,13 @@
 
 // A backend that begins to drain while the dial goes on gets nothing, though the connection comes up.
 func TestDrainDuringDial(t *testing.T) {
-	b := testbed.NewBackend(t, testbed.Says(testbed.Served))
+	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	addr := b.Addr().String()
 	f := newFixture(t, addr, 100)
-	f.Pool.Dialer.Timeout = testbed.Patience
+	f.Pool.Dialer.Timeout = agenttest.Patience
 	up := make(chan struct{})
 	began := f.holdDials(addr, up)
-	a := f.attempt(testbed.Patience)
+	a := f.attempt(agenttest.Patience)
 	done := make(chan engine.Outcome)
 	go func() { done <- f.Carry(context.Background(), a) }()
 	<-began
@@ -358,11 +360,11 @@
 // That there is no room for a connection is the agent's own lack: told as a failure of the backend, it would make the
 // module shun one that is well.
 func TestNoRoomIsNotTheBackendsFault(t *testing.T) {
-	f := newFixture(t, testbed.Listen(t).Addr().String(), 4)
+	f := newFixture(t, agenttest.Listen(t).Addr().String(), 4)
 	if _, err := f.Pool.Get(context.Background(), f.Pool.Backend("b")); err != nil {
 		t.Fatal(err)
 	}
-	if out := f.Carry(context.Background(), f.attempt(testbed.Patience)); out.Result != balancer.NotSent {
+	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.NotSent {
 		t.Errorf("an attempt with no place: %v", out.Result)
 	}
 }
@@ -373,7 +375,7 @@
 	var mu sync.Mutex
 	before := map[net.Conn]string{}
 	var sent []net.Conn
-	b := testbed.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
+	b := agenttest.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nanswer %d", n)
 		mu.Lock()
 		defer mu.Unlock()
@@ -386,7 +388,7 @@
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = time.Hour
 	for n := range 3 {
-		if out := f.Carry(t.Context(), f.attempt(testbed.Patience)); out.Result != balancer.OK || body(out) != fmt.Sprint("answer ", n+1) {
+		if out := f.Carry(t.Context(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || body(out) != fmt.Sprint("answer ", n+1) {
 			t.Errorf("request %d: %v, %q", n+1, out.Result, body(out))
 		}
 	}
@@ -399,5 +401,5 @@
 	}
 	mu.Unlock()
 	f.Pool.Settle = 0 // all have rested long enough
-	testbed.Eventually(t, "the one that got more is closed", func() bool { f.Pool.Sweep(); return f.idle() == 2 })
+	agenttest.Eventually(t, "the one that got more is closed", func() bool { f.Pool.Sweep(); return f.idle() == 2 })
 }
