--- a/cmd/extprocproxy/main.go
+++ b/cmd/extprocproxy/main.go
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"appleledge/internal/standinproxy"
+	"appleledge/internal/extprocproxy"
 )
 
 const usage = `extprocproxy takes HTTP/1.1 requests, asks an external processor where each one goes, and forwards it there. It
@@ -53,7 +53,7 @@
 		return fmt.Errorf("-processor %s: %w", *processor, err)
 	}
 	defer conn.Close()
-	proxy := standinproxy.New(extprocv3.NewExternalProcessorClient(conn))
+	proxy := extprocproxy.New(extprocv3.NewExternalProcessorClient(conn))
 	proxy.Tries = *tries
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/downstream/extproc/faults_test.go
+++ b/internal/downstream/extproc/faults_test.go
@@ -16,7 +16,7 @@
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/standinproxy"
+	"appleledge/internal/extprocproxy"
 )
 
 // effect is one execution of a refund at a server.
@@ -88,7 +88,7 @@
 	}
 	r := newRig(t, options{})
 	r.engine.Tell(engine.Listed{Full: true, Members: members})
-	proxy := standinproxy.New(r.client())
+	proxy := extprocproxy.New(r.client())
 	proxy.TryTimeout = 250 * time.Millisecond
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/downstream/extproc/measure_test.go
+++ b/internal/downstream/extproc/measure_test.go
@@ -20,7 +20,7 @@
 
 	"appleledge/internal/agent"
 	"appleledge/internal/agenttest"
-	"appleledge/internal/standinproxy"
+	"appleledge/internal/extprocproxy"
 )
 
 // measureEnv switches on what takes minutes and is not for CI.
@@ -231,7 +231,7 @@
 	})
 	url := "http://" + direct
 	if processor {
-		proxy := httptest.NewServer(standinproxy.New(clientOf(t, l.Addr().String())))
+		proxy := httptest.NewServer(extprocproxy.New(clientOf(t, l.Addr().String())))
 		t.Cleanup(proxy.Close)
 		url = proxy.URL
 	}
--- a/internal/standinproxy/proxy.go
+++ b/internal/extprocproxy/proxy.go
@@ -1,7 +1,7 @@
-// Package standinproxy is a small HTTP/1.1 proxy that asks an external processor where each request goes, as Envoy with
+// Package extprocproxy is a small HTTP/1.1 proxy that asks an external processor where each request goes, as Envoy with
 // its ext_proc filter would. It stands in for a real proxy in tests, and lets operators try the processor
 // (cmd/extprocproxy). It is not meant for service.
-package standinproxy
+package extprocproxy
 
 import (
 	"bytes"
--- a/internal/standinproxy/proxy_test.go
+++ b/internal/extprocproxy/proxy_test.go
@@ -1,4 +1,4 @@
-package standinproxy
+package extprocproxy
 
 import (
 	"context"
