--- a/cmd/scenario/main.go
+++ b/cmd/scenario/main.go
@@ -22,7 +22,7 @@
     rehearse check FILE ...           reads scripts and says what is wrong with them
     rehearse compare A B              sets two reports side by side that run has written with -json
 
-A script is a TOML file; rehearsals/ has some to start from. Each command's -h lists its flags.
+A script is a TOML file; scenarios/ has some to start from. Each command's -h lists its flags.
 `
 
 func main() {
--- a/internal/scenario/simulate_test.go
+++ b/internal/scenario/simulate_test.go
@@ -160,7 +160,7 @@
 
 // The rehearsals of the repository can be read, and some of them run here, the days of many agents among them, keep the rules and hold what they assert.
 func TestRehearsals(t *testing.T) {
-	files, err := filepath.Glob("../../rehearsals/*.toml")
+	files, err := filepath.Glob("../../scenarios/*.toml")
 	if err != nil || len(files) < 12 {
 		t.Fatalf("%d rehearsals, %v", len(files), err)
 	}
