--- a/cmd/appleledge-extproc/main_test.go
+++ b/cmd/appleledge-extproc/main_test.go
@@ -19,6 +19,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // TestMain lets the test binary stand in for the program, in a process of its own that takes real signals.
@@ -44,7 +45,7 @@
 	}
 	cmd = exec.Command(os.Args[0], "-settings", file)
 	cmd.Env = append(os.Environ(), "APPLELEDGE_AS_PROGRAM=1", "PROXY_CONFIG="+config)
-	giveUp := time.AfterFunc(agenttest.Patience, func() { cmd.Process.Kill() })
+	giveUp := time.AfterFunc(agenttest.Patience, func() { besteffort.Ignore(cmd.Process.Kill()) })
 	t.Cleanup(func() { giveUp.Stop() })
 	return cmd, file
 }
@@ -76,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer besteffort.Close(conn)
 	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Patience)
 	defer cancel()
 	stream, err := extprocv3.NewExternalProcessorClient(conn).Process(ctx, grpc.WaitForReady(true))
@@ -99,12 +100,12 @@
 	if err := os.WriteFile(file, []byte("[external_processor]\nlisten = 7\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd.Process.Signal(syscall.SIGHUP)
+	besteffort.Ignore(cmd.Process.Signal(syscall.SIGHUP))
 	if line := reach("settings not reloaded"); !strings.Contains(line, "settings.toml:2: ") {
 		t.Errorf("logged %s", line)
 	}
 	reach("configuration reloaded")
-	cmd.Process.Signal(syscall.SIGTERM)
+	besteffort.Ignore(cmd.Process.Signal(syscall.SIGTERM))
 	reach("external processor drained")
 	for lines.Scan() {
 	}
--- a/cmd/appleledge/main_test.go
+++ b/cmd/appleledge/main_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"appleledge/internal/agent"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/cli"
 	"appleledge/internal/harness/cluster"
 	"appleledge/internal/settings"
@@ -67,7 +68,7 @@
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
 	}
-	giveUp := time.AfterFunc(20*time.Second, func() { program.Process.Kill() })
+	giveUp := time.AfterFunc(20*time.Second, func() { besteffort.Ignore(program.Process.Kill()) })
 	defer giveUp.Stop()
 	lines := bufio.NewScanner(log)
 	reach := func(text string) {
@@ -81,13 +82,13 @@
 	}
 	reach("listening")
 	for range 2 {
-		program.Process.Signal(syscall.SIGHUP)
+		besteffort.Ignore(program.Process.Signal(syscall.SIGHUP))
 		reach("configuration reloaded")
 	}
-	program.Process.Signal(syscall.SIGTERM)
+	besteffort.Ignore(program.Process.Signal(syscall.SIGTERM))
 	reach("draining")
-	program.Process.Signal(syscall.SIGTERM) // neither cuts the drain short
-	program.Process.Signal(syscall.SIGHUP)
+	besteffort.Ignore(program.Process.Signal(syscall.SIGTERM)) // neither cuts the drain short
+	besteffort.Ignore(program.Process.Signal(syscall.SIGHUP))
 	reach("drained")
 	for lines.Scan() {
 	}
--- a/cmd/appleledge/restart_test.go
+++ b/cmd/appleledge/restart_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 const podWindow = 2 * time.Second
@@ -65,13 +66,13 @@
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { program.Process.Kill(); program.Wait() })
+	t.Cleanup(func() { besteffort.Ignore(program.Process.Kill()); besteffort.Ignore(program.Wait()) })
 	agenttest.Eventually(t, "the agent is ready", func() bool {
 		resp, err := http.Get("http://" + addr + "/ready")
 		if err != nil {
 			return false
 		}
-		resp.Body.Close()
+		besteffort.Close(resp.Body)
 		return resp.StatusCode == http.StatusOK
 	})
 	return program
@@ -129,8 +130,8 @@
 	if err != nil {
 		return false
 	}
-	defer resp.Body.Close()
-	io.Copy(io.Discard, resp.Body)
+	defer besteffort.Close(resp.Body)
+	besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
 	return resp.StatusCode == http.StatusOK
 }
 
@@ -164,8 +165,8 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			for range 10 {
 				time.Sleep(time.Duration(200+rng.IntN(700)) * time.Millisecond)
-				program.Process.Kill()
-				program.Wait()
+				besteffort.Ignore(program.Process.Kill())
+				besteffort.Ignore(program.Wait())
 				program = agentAt(t, args, config, x.addr)
 			}
 			time.Sleep(time.Second)
--- a/cmd/appleledge/upgrade_generations_test.go
+++ b/cmd/appleledge/upgrade_generations_test.go
@@ -14,6 +14,7 @@
 	"appleledge/internal/admin"
 	"appleledge/internal/agenttest"
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/plan"
 )
@@ -80,7 +81,7 @@
 			g.t.Fatal(err)
 		}
 		_, err = g.request(c, bufio.NewReader(c))
-		c.Close()
+		besteffort.Close(c)
 		if err != nil {
 			g.t.Fatal(err)
 		}
@@ -104,8 +105,8 @@
 	for name, end := range map[string]func(in *installation, old *version){
 		"the old one is told to end": (*installation).retire,
 		"the old one is killed": func(_ *installation, old *version) {
-			old.Process.Kill()
-			<-old.ended
+			besteffort.Ignore(old.Process.Kill())
+			besteffort.Ignore(<-old.ended)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -129,7 +130,7 @@
 			g.all(g.one, "after two upgrades")
 			agenttest.Eventually(t, "the last one takes changes", func() bool { return g.apply("s-2") == nil })
 			g.all(g.two, "a change was applied to the last one")
-			last.Process.Signal(syscall.SIGTERM)
+			besteffort.Ignore(last.Process.Signal(syscall.SIGTERM))
 		})
 	}
 }
@@ -140,8 +141,8 @@
 	g := govern(t)
 	old := g.next()
 	next := g.next()
-	next.Process.Kill()
-	<-next.ended
+	besteffort.Ignore(next.Process.Kill())
+	besteffort.Ignore(<-next.ended)
 	if err := g.apply("s-1"); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/appleledge/upgrade_test.go
+++ b/cmd/appleledge/upgrade_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // installation is an agent whose versions are started beside one another.
@@ -75,7 +76,7 @@
 		in.t.Fatal(err)
 	}
 	go func() { v.ended <- v.Wait() }()
-	in.t.Cleanup(func() { v.Process.Kill() })
+	in.t.Cleanup(func() { besteffort.Ignore(v.Process.Kill()) })
 	switch addr := v.address("msg=listening agent=n0 addr="); {
 	case in.listen == "":
 		in.listen = addr
@@ -120,15 +121,15 @@
 	if err != nil {
 		return 0
 	}
-	defer resp.Body.Close()
-	io.Copy(io.Discard, resp.Body)
+	defer besteffort.Close(resp.Body)
+	besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
 	return resp.StatusCode
 }
 
 // retire ends a version as the platform does, and waits until it has drained.
 func (in *installation) retire(v *version) {
 	in.t.Helper()
-	v.Process.Signal(syscall.SIGTERM)
+	besteffort.Ignore(v.Process.Signal(syscall.SIGTERM))
 	select {
 	case err := <-v.ended:
 		if err != nil {
@@ -145,7 +146,7 @@
 }
 
 func (in *installation) send(c net.Conn, r *bufio.Reader, id string) (keep bool, err error) {
-	c.SetDeadline(time.Now().Add(agenttest.Patience))
+	besteffort.Ignore(c.SetDeadline(time.Now().Add(agenttest.Patience)))
 	if _, err := fmt.Fprintf(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Tenant-Id: glasgow-airport\r\nX-Timeout: 2000m\r\nContent-Length: 2\r\n\r\nhi", id); err != nil {
 		return false, err
 	}
@@ -172,7 +173,7 @@
 		var r *bufio.Reader
 		defer func() {
 			if c != nil {
-				c.Close()
+				besteffort.Close(c)
 			}
 		}()
 		for {
@@ -187,7 +188,7 @@
 			if kept {
 				if keep, err = in.send(c, r, id); err != nil { // as the platform's clients do, once more on a new one
 					in.crossed.Add(1)
-					c.Close()
+					besteffort.Close(c)
 				}
 			}
 			if !kept || err != nil {
@@ -202,7 +203,7 @@
 				in.lost.Add(1)
 			}
 			if c != nil && !(keep && keeps) {
-				c.Close()
+				besteffort.Close(c)
 				c = nil
 			}
 		}
@@ -226,8 +227,8 @@
 		if round == 1 {
 			stillborn := in.start(agenttest.Refusing(t)) // no discovery: it has nothing to send to
 			agenttest.Eventually(t, "it answers operators", func() bool { return in.call(stillborn, "GET", "readiness") == 503 })
-			stillborn.Process.Kill()
-			<-stillborn.ended
+			besteffort.Ignore(stillborn.Process.Kill())
+			besteffort.Ignore(<-stillborn.ended)
 		}
 		next := in.ready(in.start(in.disco.Addr().String()))
 		in.retire(now)
@@ -258,13 +259,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer besteffort.Close(c)
 	r := bufio.NewReader(c)
 	if keep, err := in.request(c, r); err != nil || !keep {
 		t.Fatal(keep, err)
 	}
 	in.ready(in.start(in.disco.Addr().String()))
-	old.Process.Signal(syscall.SIGTERM)
+	besteffort.Ignore(old.Process.Signal(syscall.SIGTERM))
 	agenttest.Eventually(t, "it is draining", func() bool { return old.log.Count("draining") == 1 })
 	if keep, err := in.request(c, r); err != nil || keep || in.served.Load() != 2 {
 		t.Errorf("kept: %v, %v, %d served; the old one:\n%s", keep, err, in.served.Load(), old.log)
@@ -275,20 +276,20 @@
 func TestUpgradesThatGoWrong(t *testing.T) {
 	for name, wrong := range map[string]func(in *installation, old, next *version) (left *version){
 		"the old one is killed before it was told to end": func(in *installation, old, next *version) *version {
-			old.Process.Kill()
-			<-old.ended
+			besteffort.Ignore(old.Process.Kill())
+			besteffort.Ignore(<-old.ended)
 			return next
 		},
 		"the old one is killed midway": func(in *installation, old, next *version) *version {
-			old.Process.Signal(syscall.SIGTERM)
+			besteffort.Ignore(old.Process.Signal(syscall.SIGTERM))
 			time.Sleep(100 * time.Millisecond)
-			old.Process.Kill()
-			<-old.ended
+			besteffort.Ignore(old.Process.Kill())
+			besteffort.Ignore(<-old.ended)
 			return next
 		},
 		"the new one is killed after its yes": func(in *installation, old, next *version) *version {
-			next.Process.Kill()
-			<-next.ended
+			besteffort.Ignore(next.Process.Kill())
+			besteffort.Ignore(<-next.ended)
 			return old
 		},
 	} {
@@ -305,7 +306,7 @@
 				if _, err := in.request(c, bufio.NewReader(c)); err != nil {
 					t.Error(err)
 				}
-				c.Close()
+				besteffort.Close(c)
 			}
 			if n := in.served.Load(); n != 20 {
 				t.Errorf("%d of 20 are served", n)
@@ -332,7 +333,7 @@
 				t.Fatal(err)
 			}
 			_, err = in.request(c, bufio.NewReader(c))
-			c.Close()
+			besteffort.Close(c)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -363,7 +364,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer besteffort.Close(c)
 		if _, err := in.request(c, bufio.NewReader(c)); err != nil && !errors.Is(err, io.EOF) {
 			t.Fatal(err)
 		}
@@ -380,12 +381,12 @@
 		if err := os.WriteFile(v.config, []byte("{"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		v.Process.Signal(syscall.SIGHUP)
+		besteffort.Ignore(v.Process.Signal(syscall.SIGHUP))
 		agenttest.Eventually(t, "a broken file is turned down", func() bool { return in.stats(v)["svc.config_reload_errors"] == "1" })
 		if err := os.WriteFile(v.config, agenttest.ConfigText(in.disco.Addr().String(), "null"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		v.Process.Signal(syscall.SIGHUP)
+		besteffort.Ignore(v.Process.Signal(syscall.SIGHUP))
 		agenttest.Eventually(t, "a good one is taken", func() bool { return in.stats(v)["svc.config_reloads"] == "1" })
 	}
 	in.retire(old)
@@ -393,7 +394,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer besteffort.Close(c)
 	if _, err := in.request(c, bufio.NewReader(c)); err != nil || in.served.Load() != 1 {
 		t.Errorf("%d served, %v", in.served.Load(), err)
 	}
@@ -415,7 +416,7 @@
 		if err != nil {
 			return false
 		}
-		defer resp.Body.Close()
+		defer besteffort.Close(resp.Body)
 		text, err := io.ReadAll(resp.Body)
 		return err == nil && strings.Contains(string(text), "appleledge_ready 1")
 	})
@@ -427,7 +428,7 @@
 	if err != nil {
 		return nil
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	figures := map[string]string{}
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 		key, value, _ := strings.Cut(lines.Text(), "=")
--- a/cmd/appleledgectl/affinity.go
+++ b/cmd/appleledgectl/affinity.go
@@ -14,6 +14,7 @@
 	"appleledge/internal/affinity"
 	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 )
 
 // affinityCommands look into the folder in which agents keep where refunds went. They need no agent.
@@ -24,7 +25,7 @@
 		Long:  "Looks into the folder that the section [affinity] of an agent's settings names. No agent has to run, and one that does is not disturbed.",
 	}
 	cmd.PersistentFlags().StringVar(&c.dir, "dir", "", "the `folder`")
-	cmd.MarkPersistentFlagRequired("dir")
+	besteffort.Ignore(cmd.MarkPersistentFlagRequired("dir"))
 	cmd.AddCommand(
 		c.inspecting("stat", "Say what the files hold", 0, c.stat),
 		c.inspecting("check", "Check each record; exits with 1 where any is damaged", 0, c.checkFiles),
--- a/cmd/appleledgectl/commands.go
+++ b/cmd/appleledgectl/commands.go
@@ -14,6 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
@@ -182,7 +183,7 @@
 	if err := c.call(cmd, http.MethodPost, admin.PathLock, lock, &admin.Lock{}); err != nil {
 		return err
 	}
-	defer c.call(cmd, http.MethodDelete, admin.PathLock, lock, &struct{}{}) // it ends by itself as well
+	defer func() { besteffort.Ignore(c.call(cmd, http.MethodDelete, admin.PathLock, lock, &struct{}{})) }() // it ends by itself as well
 	if err := show.Plan(c.out, p); err != nil {
 		return err
 	}
--- a/cmd/appleledgectl/console.go
+++ b/cmd/appleledgectl/console.go
@@ -18,6 +18,7 @@
 	"github.com/spf13/cobra"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/fleetconfig/hclfile"
 	"appleledge/internal/plan"
@@ -176,7 +177,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	data, err := io.ReadAll(io.LimitReader(f, plan.MostBytes+1))
 	if err == nil && len(data) > plan.MostBytes {
 		err = fmt.Errorf("%s has more than %d bytes", path, plan.MostBytes)
--- a/cmd/appleledgectl/figures.go
+++ b/cmd/appleledgectl/figures.go
@@ -7,6 +7,7 @@
 
 	"github.com/spf13/cobra"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/logstats"
 )
 
@@ -46,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer besteffort.Close(file)
 	if err := sum.Read(file); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/appleledgectl/fleet.go
+++ b/cmd/appleledgectl/fleet.go
@@ -15,6 +15,7 @@
 
 	"github.com/spf13/cobra"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/operator"
 )
 
@@ -63,7 +64,7 @@
 	if err != nil {
 		return f, err
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	if resp.StatusCode == http.StatusNotFound {
 		return f, fmt.Errorf("the agent at %s has no view of a fleet: neither [recovery] nor [peers] is in its settings", agent)
 	}
--- a/cmd/appleledgectl/golden_test.go
+++ b/cmd/appleledgectl/golden_test.go
@@ -15,6 +15,7 @@
 	"github.com/fatih/color"
 
 	"appleledge/internal/admin"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/fleetconfig/hclfile"
 	"appleledge/internal/golden"
@@ -49,7 +50,7 @@
 			if r.Method+" "+r.URL.Path != "GET /ops/fleet" {
 				t.Errorf("asked %s %s", r.Method, r.URL)
 			}
-			w.Write(golden.Read(t, "operator/"+name+".json"))
+			besteffort.IgnoreResult(w.Write(golden.Read(t, "operator/"+name+".json")))
 		}))
 		defer agent.Close()
 		f, err := askFleet(t.Context(), strings.TrimPrefix(agent.URL, "http://"))
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -21,6 +21,7 @@
 	"appleledge/internal/agent"
 	"appleledge/internal/agenttest"
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/cli"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
@@ -74,7 +75,7 @@
 		t.Fatal(err)
 	}
 	started := x.program
-	t.Cleanup(func() { started.Process.Kill(); started.Wait() })
+	t.Cleanup(func() { besteffort.Ignore(started.Process.Kill()); besteffort.Ignore(started.Wait()) })
 	agenttest.Eventually(t, "the agent answers", func() bool {
 		var s admin.Status
 		return json.Unmarshal([]byte(x.try("status", "--json").out), &s) == nil && s.Servers == 2
@@ -178,9 +179,9 @@
 		go func() { // meanwhile the platform's configuration is read again and again, and the list of servers asked for anew
 			defer close(killed)
 			for until := time.Now().Add(at); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-				program.Process.Signal(syscall.SIGHUP)
+				besteffort.Ignore(program.Process.Signal(syscall.SIGHUP))
 			}
-			program.Process.Kill()
+			besteffort.Ignore(program.Process.Kill())
 		}()
 		for n := 0; ; n++ {
 			var p plan.Plan
@@ -195,7 +196,7 @@
 			acknowledged = p.Hash
 		}
 		<-killed
-		program.Wait()
+		besteffort.Ignore(program.Wait())
 		x.start(t)
 		switch now := hash().Hash; now {
 		case acknowledged:
--- a/cmd/extprocproxy/main.go
+++ b/cmd/extprocproxy/main.go
@@ -16,6 +16,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/extprocproxy"
 )
 
@@ -52,7 +53,7 @@
 	if err != nil {
 		return fmt.Errorf("-processor %s: %w", *processor, err)
 	}
-	defer conn.Close()
+	defer besteffort.Close(conn)
 	proxy := extprocproxy.New(extprocv3.NewExternalProcessorClient(conn))
 	proxy.Tries = *tries
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/fleetgen/main.go
+++ b/cmd/fleetgen/main.go
@@ -15,6 +15,7 @@
 
 	"github.com/spf13/cobra"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/emulator"
 	"appleledge/internal/harness/ballsbins"
 	"appleledge/internal/harness/controlplane"
@@ -261,7 +262,7 @@
 				return err
 			}
 			if err := ballsbins.Picture(f, constant, series...); err != nil {
-				f.Close()
+				besteffort.Close(f)
 				return err
 			}
 			return f.Close()
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/simwire"
 )
 
@@ -51,14 +52,14 @@
 		case simwire.Event:
 			actions = instances[m.Instance].Handle(now, m.Event)
 		case simwire.YourTurn:
-			out.Write(simwire.AppendYield(nil))
+			besteffort.IgnoreResult(out.Write(simwire.AppendYield(nil)))
 			if err := out.Flush(); err != nil {
 				return err
 			}
 		}
 		for _, a := range actions {
 			line = simwire.AppendAction(line[:0], m.Instance, a)
-			out.Write(line) // a failed write shows at the flush
+			besteffort.IgnoreResult(out.Write(line)) // a failed write shows at the flush
 		}
 	}
 }
--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
@@ -145,7 +146,7 @@
 		return Applied{}, err
 	}
 	if err := c.keep(ctx); err != nil {
-		c.command(ctx, func(_ time.Duration, m *generation.Manager) error { m.Unstage(); return nil })
+		besteffort.Ignore(c.command(ctx, func(_ time.Duration, m *generation.Manager) error { m.Unstage(); return nil }))
 		return Applied{}, refuse(KindDisk, fmt.Errorf("nothing was changed: %w", err))
 	}
 	return c.switchTo(ctx, p, why)
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -9,6 +9,8 @@
 	"net"
 	"net/http"
 	"strings"
+
+	"appleledge/internal/besteffort"
 )
 
 // Client calls an agent at its socket.
@@ -41,7 +43,7 @@
 	if err != nil {
 		return fmt.Errorf("the agent can't be reached: %w", err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 4*mostBody))
 	if err != nil {
 		return fmt.Errorf("the agent's answer was cut: %w", err)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -15,6 +15,7 @@
 
 	"golang.org/x/net/netutil"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
@@ -37,7 +38,7 @@
 	if _, err := os.Lstat(path); err == nil {
 		c, err := net.Dial("unix", path)
 		if err == nil {
-			c.Close()
+			besteffort.Close(c)
 			return nil, fmt.Errorf("%s: another process listens there", path)
 		}
 		if !errors.Is(err, syscall.ECONNREFUSED) {
@@ -68,7 +69,7 @@
 		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), patience)
 		defer cancel()
 		if srv.Shutdown(last) != nil {
-			srv.Close()
+			besteffort.Close(srv)
 		}
 	})
 	defer stopped()
@@ -213,6 +214,6 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(status)
-		json.NewEncoder(w).Encode(out) // whoever left does not get it
+		besteffort.Ignore(json.NewEncoder(w).Encode(out)) // whoever left does not get it
 	})
 }
--- a/internal/affinity/bindinglog/bench_test.go
+++ b/internal/affinity/bindinglog/bench_test.go
@@ -13,6 +13,7 @@
 
 	"appleledge/internal/affinity"
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 )
 
 // keeper is a way to keep records; many goroutines call it at a time, and it returns when the record is kept.
@@ -45,7 +46,7 @@
 					return fmt.Errorf("not kept")
 				}
 				return nil
-			}, func() { close(ended); <-done; l.Close() }
+			}, func() { close(ended); <-done; besteffort.Close(l) }
 		},
 		"bbolt": func() (keeper, func()) {
 			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: !lasting})
@@ -60,7 +61,7 @@
 			return func(r affinity.Record) error {
 				data := r.Append(nil, func(d time.Duration) int64 { return int64(d) })
 				return db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(name).Put(data[:16], data[16:]) })
-			}, func() { db.Close() }
+			}, func() { besteffort.Close(db) }
 		},
 		"wal": func() (keeper, func()) {
 			l, err := wal.Open(filepath.Join(b.TempDir(), "wal"), &wal.Options{NoSync: !lasting})
@@ -74,7 +75,7 @@
 				defer mu.Unlock()
 				n++
 				return l.Write(n, r.Append(nil, func(d time.Duration) int64 { return int64(d) }))
-			}, func() { l.Close() }
+			}, func() { besteffort.Close(l) }
 		},
 	}
 }
--- a/internal/affinity/bindinglog/inspect.go
+++ b/internal/affinity/bindinglog/inspect.go
@@ -13,6 +13,7 @@
 
 	"appleledge/internal/affinity"
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 )
 
 // Report is what a file of ties holds.
@@ -55,7 +56,7 @@
 	if err != nil {
 		return r, err
 	}
-	defer file.Close()
+	defer besteffort.Close(file)
 	data, err := readFrom(file, 0)
 	if err != nil {
 		return r, err
--- a/internal/affinity/bindinglog/tielog.go
+++ b/internal/affinity/bindinglog/tielog.go
@@ -20,6 +20,7 @@
 
 	"appleledge/internal/affinity"
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 )
 
 // Options say where and how ties are kept.
@@ -173,7 +174,7 @@
 	}
 	err := l.write(data)
 	if err != nil && l.file != nil {
-		l.file.Close() // what is in it is read up to where it is whole
+		besteffort.Close(l.file) // what is in it is read up to where it is whole
 		l.file = nil
 	}
 	batch.err = err
@@ -282,7 +283,7 @@
 		return err
 	}
 	data, err := readFrom(f, l.read[name])
-	f.Close()
+	besteffort.Close(f)
 	if err != nil {
 		return err
 	}
@@ -394,7 +395,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	data, err := readFrom(f, 0)
 	if err != nil {
 		return 0, err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,6 +13,7 @@
 	"appleledge/internal/admin"
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/connlimit"
 	downstreamhttp1 "appleledge/internal/downstream/http1"
@@ -157,7 +158,7 @@
 
 // serve is Run on a listener that is open.
 func serve(ctx context.Context, cfg Config, reloads Reloads, listener net.Listener, log *slog.Logger, with Extras) error {
-	defer listener.Close()
+	defer besteffort.Close(listener)
 	policy, err := balancer.New(cfg.Site.Logic, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/downstream/http1"
 	"appleledge/internal/downstream/requesthead"
 )
@@ -219,7 +220,7 @@
 		t.Fatal("the agent did not end")
 	}
 	if c, err := net.Dial("tcp", a.addr); err == nil {
-		c.Close()
+		besteffort.Close(c)
 		t.Error("it still listens")
 	}
 }
@@ -254,7 +255,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { besteffort.Close(c) })
 		in := bufio.NewReader(c)
 		return c, func(path string) (*http.Response, error) {
 			r := a.newRequest(t, http.MethodPost, path, "x")
@@ -333,7 +334,7 @@
 					return
 				}
 				body, err := io.ReadAll(resp.Body)
-				resp.Body.Close()
+				besteffort.Close(resp.Body)
 				if err != nil || resp.StatusCode != http.StatusOK || string(body) != "fine" {
 					t.Errorf("%d %q, %v", resp.StatusCode, body, err)
 				}
@@ -379,7 +380,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer besteffort.Close(c)
 	in := bufio.NewReader(c)
 	for i := range 3 {
 		r := a.newRequest(t, http.MethodPost, "/refund-record", "x")
@@ -423,7 +424,7 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(c), r); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("a large body that could not be waited for: %+v, %v", resp, err)
 	}
-	c.Close()
+	besteffort.Close(c)
 	http.DefaultClient.CloseIdleConnections()
 	if err := <-a.done; err != nil {
 		t.Error(err)
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // raw is a client that writes what it likes.
@@ -31,8 +32,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	t.Cleanup(func() { besteffort.Close(c) })
+	besteffort.Ignore(c.SetDeadline(time.Now().Add(patience)))
 	return &raw{t, c, bufio.NewReader(c)}
 }
 
@@ -77,16 +78,16 @@
 func rawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) (addr string, conns *atomic.Int64) {
 	l, conns := listen(t), &atomic.Int64{}
 	var all sync.WaitGroup
-	t.Cleanup(func() { l.Close(); all.Wait() })
+	t.Cleanup(func() { besteffort.Close(l); all.Wait() })
 	all.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { besteffort.Close(c) })
 			conns.Add(1)
-			all.Go(func() { defer c.Close(); serve(c, bufio.NewReader(c)) })
+			all.Go(func() { defer besteffort.Close(c); serve(c, bufio.NewReader(c)) })
 		}
 	})
 	return l.Addr().String(), conns
@@ -148,7 +149,7 @@
 		client := a.raw(t)
 		client.send(text)
 		if strings.Contains(name, "stops") {
-			client.Conn.(*net.TCPConn).CloseWrite()
+			besteffort.Ignore(client.Conn.(*net.TCPConn).CloseWrite())
 		}
 		if resp, _, err := client.answer("POST"); err != nil || resp.StatusCode < 400 || resp.StatusCode == 503 {
 			t.Errorf("%s: %v %v", name, resp, err)
@@ -224,12 +225,14 @@
 			if _, err := http.ReadRequest(in); err != nil {
 				return
 			}
-			io.CopyN(io.Discard, in, million)
+			besteffort.IgnoreResult(io.CopyN(io.Discard, in, million))
 			then(c)
 		}
 	}
-	say := func(text string) func(net.Conn) { return func(c net.Conn) { io.WriteString(c, text) } }
-	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0) }
+	say := func(text string) func(net.Conn) {
+		return func(c net.Conn) { besteffort.IgnoreResult(io.WriteString(c, text)) }
+	}
+	reset := func(c net.Conn) { besteffort.Ignore(c.(*net.TCPConn).SetLinger(0)) }
 	for _, c := range []struct {
 		name   string
 		path   string
@@ -242,14 +245,16 @@
 		{"turned away whole", "/pay", whole(say("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")), http.StatusServiceUnavailable, large},
 		{"reset after it", "/pay", whole(reset), http.StatusBadGateway, large},
 		{"an error after it", "/refund-record", whole(say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), http.StatusBadGateway, large},
-		{"no answer", "/pay", whole(func(c net.Conn) { io.Copy(io.Discard, c) }), http.StatusBadGateway, large},
+		{"no answer", "/pay", whole(func(c net.Conn) { besteffort.IgnoreResult(io.Copy(io.Discard, c)) }), http.StatusBadGateway, large},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			addr, conns := rawServer(t, c.answer)
 			a, _ := withOperators(t, newFakeDiscovery(t, 1, entryText("s-1", addr, "Ready", 0)))
 			client := a.raw(t)
-			go io.WriteString(client, head("POST", c.path, "HTTP/1.1", "Idempotency-Key: k", fmt.Sprint("Content-Length: ", c.size))+strings.Repeat("x", c.size))
+			go func() {
+				besteffort.IgnoreResult(io.WriteString(client, head("POST", c.path, "HTTP/1.1", "Idempotency-Key: k", fmt.Sprint("Content-Length: ", c.size))+strings.Repeat("x", c.size)))
+			}()
 			resp, _, err := client.answer("POST")
 			if err != nil || resp.StatusCode != c.want {
 				t.Errorf("%v %v, want %d", resp, err, c.want)
@@ -306,12 +311,12 @@
 		{"large, to a reset", func(c net.Conn) {
 			cut("HTTP/1.1 200 OK\r\n\r\n"+large[:million], 1<<20, 0)(c)
 			time.Sleep(50 * time.Millisecond)
-			c.(*net.TCPConn).SetLinger(0)
+			besteffort.Ignore(c.(*net.TCPConn).SetLinger(0))
 		}, "", true, 200},
 		{"small, to a reset", func(c net.Conn) {
 			cut("HTTP/1.1 200 OK\r\n\r\n"+large[:400], 1<<20, 0)(c)
 			time.Sleep(50 * time.Millisecond)
-			c.(*net.TCPConn).SetLinger(0)
+			besteffort.Ignore(c.(*net.TCPConn).SetLinger(0))
 		}, "", false, 502},
 		{"without end", cut("HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat(large, 12), 1<<20, 0), "", true, 200},
 		{"large", cut(stated+large, 1<<20, 0), large, false, 200},
@@ -322,7 +327,7 @@
 		{"large, reset midway", func(c net.Conn) {
 			cut(stated+large[:million], 1<<20, 0)(c)
 			time.Sleep(50 * time.Millisecond)
-			c.(*net.TCPConn).SetLinger(0)
+			besteffort.Ignore(c.(*net.TCPConn).SetLinger(0))
 		}, "", true, 200},
 		{"large, closed midway", cut(stated+large[:million], 1<<20, 0), "", true, 200},
 		{"chunks, closed midway", cut("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n200000\r\n"+large[:million], 1<<20, 0), "", true, 200},
@@ -415,7 +420,7 @@
 				case <-over:
 					return
 				case <-time.After(100 * time.Millisecond):
-					io.WriteString(client, large[:6400])
+					besteffort.IgnoreResult(io.WriteString(client, large[:6400]))
 				}
 			}
 		})
@@ -465,7 +470,9 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	waiting := a.raw(t)
-	go io.WriteString(waiting, head("POST", "/pay", "HTTP/1.1", fmt.Sprint("Content-Length: ", len(large)))+large)
+	go func() {
+		besteffort.IgnoreResult(io.WriteString(waiting, head("POST", "/pay", "HTTP/1.1", fmt.Sprint("Content-Length: ", len(large)))+large))
+	}()
 	for range 3 {
 		c := a.raw(t)
 		c.send(head("GET", "/form-check", "HTTP/1.1"))
@@ -520,8 +527,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Req")
+			defer besteffort.Close(c)
+			besteffort.IgnoreResult(io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: a\r\nX-Req"))
 			open++
 		}
 		if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.status != http.StatusOK {
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/downstream/http1"
 )
 
@@ -25,14 +26,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { besteffort.Close(c) })
 	return c
 }
 
 // ends waits until the far side closes the connection, and returns what came before.
 func ends(t *testing.T, c net.Conn) string {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(patience))
+	besteffort.Ignore(c.SetReadDeadline(time.Now().Add(patience)))
 	text, err := io.ReadAll(c)
 	if err, ok := err.(net.Error); ok && err.Timeout() {
 		t.Fatalf("still open, after %q", text)
@@ -51,7 +52,7 @@
 	for i := range 4 * places {
 		c := a.dial(t)
 		if i%2 == 0 {
-			io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
+			besteffort.IgnoreResult(io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n"))
 		}
 	}
 	began := time.Now()
@@ -96,7 +97,7 @@
 		"half body": head + "X-Timeout: 999999m\r\nContent-Length: 100\r\n\r\nhalf",
 	} {
 		c := a.dial(t)
-		io.WriteString(c, text)
+		besteffort.IgnoreResult(io.WriteString(c, text))
 		if got := ends(t, c); strings.Contains(got, " 200 ") || strings.Contains(got, " 503 ") {
 			t.Errorf("%s: %q", name, got)
 		}
@@ -114,8 +115,8 @@
 	inner := "GET /form-check HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 2\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 999m\r\n\r\n"
 	for _, length := range []string{fmt.Sprintf("Content-Length: %d\r\n", len(inner)+5), ""} {
 		c := a.dial(t)
-		io.WriteString(c, "POST /refund-record HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 1\r\nX-Tenant-Id: lerwick-port\r\n"+
-			"X-Timeout: 999m\r\nIdempotency-Key: 1\r\n"+length+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+inner)
+		besteffort.IgnoreResult(io.WriteString(c, "POST /refund-record HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 1\r\nX-Tenant-Id: lerwick-port\r\n"+
+			"X-Timeout: 999m\r\nIdempotency-Key: 1\r\n"+length+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+inner))
 		got := ends(t, c)
 		if !strings.HasPrefix(got, "HTTP/1.1 411 ") || strings.Count(got, "HTTP/1.1") != 1 {
 			t.Errorf("answered %q", got)
@@ -138,7 +139,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "it is at the backend", func() bool { return b.Requests() == 1 })
-	c.(*net.TCPConn).CloseWrite()
+	besteffort.Ignore(c.(*net.TCPConn).CloseWrite())
 	if got := ends(t, c); got != "" {
 		t.Errorf("answered %q", got)
 	}
@@ -159,7 +160,7 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
+	besteffort.Close(resp.Body)
 	ends(t, c)
 	if open := time.Since(began); open < 2*time.Second {
 		t.Errorf("closed after %v already", open)
@@ -205,7 +206,7 @@
 	const check = "GET /form-check HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: rude\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 900m\r\n"
 	const refund = "POST /refund-record HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: rude\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 900m\r\nIdempotency-Key: 1\r\n"
 	var noise [64 << 10]byte
-	rand.NewChaCha8([32]byte{1}).Read(noise[:])
+	besteffort.IgnoreResult(rand.NewChaCha8([32]byte{1}).Read(noise[:]))
 	rude := map[string]string{
 		"noise":                       string(noise[:]),
 		"much of nothing":             strings.Repeat("\x00", 64<<10),
@@ -223,9 +224,9 @@
 		"a bad one before a good one": strings.Replace(check, "900m", "soon", 1) + "\r\n" + check + "\r\n",
 	}
 	ends := map[string]func(net.Conn){
-		"goes":             func(c net.Conn) { c.Close() },
-		"resets":           func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"ends its sending": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
+		"goes":             func(c net.Conn) { besteffort.Close(c) },
+		"resets":           func(c net.Conn) { besteffort.Ignore(c.(*net.TCPConn).SetLinger(0)); besteffort.Close(c) },
+		"ends its sending": func(c net.Conn) { besteffort.Ignore(c.(*net.TCPConn).CloseWrite()) },
 		"rests":            func(net.Conn) {},
 	}
 	var clients sync.WaitGroup
@@ -233,7 +234,7 @@
 		for _, end := range ends {
 			c := a.dial(t)
 			clients.Go(func() {
-				io.WriteString(c, text) // the agent may have closed by now
+				besteffort.IgnoreResult(io.WriteString(c, text)) // the agent may have closed by now
 				end(c)
 			})
 		}
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -12,6 +12,7 @@
 	"appleledge/internal/admin"
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/generation"
@@ -168,10 +169,10 @@
 
 func (g *governing) close() {
 	if g.socket != nil {
-		g.socket.Close()
+		besteffort.Close(g.socket)
 	}
 	if g.release != nil {
-		g.release() // the process gives the lock back in any case
+		besteffort.Ignore(g.release()) // the process gives the lock back in any case
 	}
 }
 
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -19,6 +19,7 @@
 
 	"appleledge/internal/admin"
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 	"appleledge/internal/plan"
@@ -152,8 +153,8 @@
 				resp, err := client.Do(r)
 				status := 0 // no answer
 				if err == nil {
-					io.Copy(io.Discard, resp.Body)
-					resp.Body.Close()
+					besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
+					besteffort.Close(resp.Body)
 					status = resp.StatusCode
 				}
 				mu.Lock()
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/simwire"
 )
 
@@ -97,7 +98,7 @@
 	if err != nil {
 		return 0
 	}
-	resp.Body.Close()
+	besteffort.Close(resp.Body)
 	return resp.StatusCode
 }
 
@@ -136,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -14,6 +14,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
 )
@@ -155,7 +156,7 @@
 					ended <- 0
 					return
 				}
-				resp.Body.Close()
+				besteffort.Close(resp.Body)
 				ended <- resp.StatusCode
 			}()
 			eventually(t, "the first leads", func() bool { return g.Requests() == 1 })
@@ -212,8 +213,8 @@
 						bad.Add(1)
 						continue
 					}
-					io.Copy(io.Discard, resp.Body)
-					if resp.Body.Close(); resp.StatusCode != http.StatusOK {
+					besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
+					if besteffort.Close(resp.Body); resp.StatusCode != http.StatusOK {
 						bad.Add(1)
 					}
 				}
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/harness/controlplane"
 	"appleledge/internal/membership"
@@ -69,8 +70,8 @@
 					failed.Add(1)
 					continue
 				}
-				io.Copy(io.Discard, resp.Body)
-				if resp.Body.Close(); resp.StatusCode != http.StatusOK {
+				besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
+				if besteffort.Close(resp.Body); resp.StatusCode != http.StatusOK {
 					failed.Add(1)
 				}
 			}
--- a/internal/agent/operator_test.go
+++ b/internal/agent/operator_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // operators call an agent under test.
@@ -44,7 +45,7 @@
 	if err != nil {
 		return 0, ""
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	text, _ := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(text)
 }
@@ -195,18 +196,18 @@
 	}
 	f := os.NewFile(uintptr(fd), "dark")
 	l, err := net.FileListener(f)
-	f.Close()
+	besteffort.Close(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &dark{t: t, l: l, addr: l.Addr().String()}
-	t.Cleanup(func() { l.Close(); d.reader.Wait() })
+	t.Cleanup(func() { besteffort.Close(l); d.reader.Wait() })
 	for range 16 {
 		c, err := net.DialTimeout("tcp", d.addr, 100*time.Millisecond)
 		if err != nil {
 			return d
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { besteffort.Close(c) })
 		d.fill = append(d.fill, c)
 	}
 	t.Fatal("its queue is never full")
@@ -221,7 +222,7 @@
 			if err != nil {
 				return
 			}
-			d.t.Cleanup(func() { c.Close() })
+			d.t.Cleanup(func() { besteffort.Close(c) })
 			d.reader.Go(func() {
 				n, _ := io.Copy(io.Discard, c)
 				d.came.Add(n)
@@ -249,8 +250,8 @@
 				default:
 				}
 				if resp, err := client.Do(a.newRequest(t, http.MethodGet, "/form-check", "")); err == nil {
-					io.Copy(io.Discard, resp.Body)
-					resp.Body.Close()
+					besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
+					besteffort.Close(resp.Body)
 					asked.Add(1)
 				}
 			}
@@ -261,9 +262,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer besteffort.Close(c)
 		if i%2 == 0 {
-			io.WriteString(c, "PUT /ops/backends/down/s-1 HTTP/1.1\r\n")
+			besteffort.IgnoreResult(io.WriteString(c, "PUT /ops/backends/down/s-1 HTTP/1.1\r\n"))
 		}
 	}
 	eventually(t, "there is load", func() bool { return asked.Load() > 100 })
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -15,6 +15,7 @@
 	"appleledge/internal/affinity/bindinglog"
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/recovery"
@@ -314,7 +315,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.release != nil {
-		k.release()
+		besteffort.Ignore(k.release())
 		k.release = nil
 	}
 }
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -12,6 +12,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 )
 
 // machine is what outlasts an agent's lives: its disk, and the name of its run.
@@ -134,7 +135,7 @@
 				t.Fatal(err)
 			}
 		}, "is another agent's"},
-		{"gone", func(m *machine) { os.Remove(m.file()) }, "nothing is kept from before"},
+		{"gone", func(m *machine) { besteffort.Ignore(os.Remove(m.file())) }, "nothing is kept from before"},
 		{"on a full disk", func(m *machine) { m.fs = full{} }, "can't be kept"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/agent/ties_test.go
+++ b/internal/agent/ties_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // Two agents side by side, as at a planned restart: a refund that may have run by way of the one goes to the same pod by way of
@@ -124,8 +125,8 @@
 				b.Error(err)
 				return
 			}
-			io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
+			besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
+			besteffort.Close(resp.Body)
 			mu.Lock()
 			defer mu.Unlock()
 			took[a] = append(took[a], time.Since(began))
--- a/internal/agenttest/testbed.go
+++ b/internal/agenttest/testbed.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/harness/loopback"
 	"appleledge/internal/membership"
 )
@@ -46,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { besteffort.Close(l) })
 	return l
 }
 
@@ -110,7 +111,7 @@
 func NewBackend(t testing.TB, script func(c net.Conn, r *http.Request, n int) bool) *Backend {
 	b := &Backend{Listener: Listen(t)}
 	var all sync.WaitGroup
-	t.Cleanup(func() { b.Close(); all.Wait() })
+	t.Cleanup(func() { besteffort.Close(b); all.Wait() })
 	all.Go(func() {
 		for {
 			c, err := b.Accept()
@@ -120,7 +121,7 @@
 			b.mu.Lock()
 			b.conns++
 			b.mu.Unlock()
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { besteffort.Close(c) })
 			all.Go(func() { b.serve(c, script) })
 		}
 	})
@@ -128,7 +129,7 @@
 }
 
 func (b *Backend) serve(c net.Conn, script func(c net.Conn, r *http.Request, n int) bool) {
-	defer c.Close()
+	defer besteffort.Close(c)
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
@@ -180,7 +181,7 @@
 
 // Silent is a script that takes a request and never answers.
 func Silent(c net.Conn, _ *http.Request, _ int) bool {
-	io.Copy(io.Discard, c)
+	besteffort.IgnoreResult(io.Copy(io.Discard, c))
 	return false
 }
 
@@ -223,8 +224,8 @@
 	d.Set(version, true, entries...)
 	srv := &http.Server{Handler: d}
 	var running sync.WaitGroup
-	running.Go(func() { srv.Serve(d) })
-	t.Cleanup(func() { srv.Close(); running.Wait() })
+	running.Go(func() { besteffort.Ignore(srv.Serve(d)) })
+	t.Cleanup(func() { besteffort.Close(srv); running.Wait() })
 	return d
 }
 
@@ -270,13 +271,13 @@
 		switch {
 		case mute:
 		case err != nil:
-			io.WriteString(w, whole)
+			besteffort.IgnoreResult(io.WriteString(w, whole))
 			return
 		case version > since:
-			io.WriteString(w, text)
+			besteffort.IgnoreResult(io.WriteString(w, text))
 			return
 		case time.Now().After(end):
-			io.WriteString(w, ListText(since, false))
+			besteffort.IgnoreResult(io.WriteString(w, ListText(since, false)))
 			return
 		}
 		time.Sleep(2 * time.Millisecond)
--- a/internal/atomicfile/golden_test.go
+++ b/internal/atomicfile/golden_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	. "appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/golden"
 )
 
@@ -47,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer release()
+	defer func() { besteffort.Ignore(release()) }()
 	if _, err := committed.SetAside(time.Date(2026, 1, 2, 3, 4, 5, 6, time.FixedZone("", 3600))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/atomicfile/store.go
+++ b/internal/atomicfile/store.go
@@ -17,6 +17,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"appleledge/internal/besteffort"
 )
 
 // Most is the longest document, in bytes.
@@ -123,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
+	defer besteffort.Close(r)
 	data, err := io.ReadAll(io.LimitReader(r, Most+1024))
 	if err != nil {
 		return nil, err
@@ -152,7 +154,7 @@
 		}
 	}()
 	if err := f.write(next, doc); err != nil {
-		f.FS.Remove(next) // what is left of it is of no use; the error that counts is the first
+		besteffort.Ignore(f.FS.Remove(next)) // what is left of it is of no use; the error that counts is the first
 		return err
 	}
 	if err := f.FS.Rename(next, f.Path); err != nil {
@@ -193,7 +195,7 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		besteffort.Close(f)
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", path, ErrLocked)
 		}
--- a/internal/atomicfile/store_test.go
+++ b/internal/atomicfile/store_test.go
@@ -13,6 +13,7 @@
 
 	. "appleledge/internal/atomicfile"
 	"appleledge/internal/atomicfile/faultfs"
+	"appleledge/internal/besteffort"
 )
 
 // A machine that stops at any operation of a write, or a disk that fails at it, leaves the old document or the new one; one
@@ -106,5 +107,5 @@
 	if err != nil {
 		t.Fatal(fmt.Errorf("after its release: %w", err))
 	}
-	again()
+	besteffort.Ignore(again())
 }
--- a/internal/connlimit/crossings_test.go
+++ b/internal/connlimit/crossings_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // gated is a connection whose reads hold what has come until the gate opens, so that something else comes first.
@@ -96,7 +97,7 @@
 	if all, err := io.ReadAll(far); string(all) != "answer" || err != nil {
 		t.Errorf("the client got %q, %v", all, err)
 	}
-	far.Close()
+	besteffort.Close(far)
 	agenttest.Eventually(t, "its place is free", func() bool { return l.Open() == 0 })
 }
 
@@ -104,9 +105,9 @@
 // free as soon as the client has closed too, or has had a while for it.
 func TestAnAnswerOutlivesTheClose(t *testing.T) {
 	for name, client := range map[string]func(net.Conn){
-		"closes":          func(c net.Conn) { c.Close() },
+		"closes":          func(c net.Conn) { besteffort.Close(c) },
 		"rests":           func(net.Conn) {},
-		"goes on sending": func(c net.Conn) { c.Write(make([]byte, 2*lingerMost)) },
+		"goes on sending": func(c net.Conn) { besteffort.IgnoreResult(c.Write(make([]byte, 2*lingerMost))) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := listen(t, 3, Options{})
@@ -141,7 +142,7 @@
 	if _, err := over.Write([]byte("answer")); err != nil {
 		t.Fatal(err)
 	}
-	over.Close()
+	besteffort.Close(over)
 	began := time.Now()
 	l.accept()
 	if !l.has(silent) || l.has(over) {
@@ -205,9 +206,9 @@
 func TestAClientThatGoesIsNoticed(t *testing.T) {
 	behind := make([]byte, 16<<10)
 	for name, goes := range map[string]func(*net.TCPConn){
-		"closes":           func(c *net.TCPConn) { c.Close() },
-		"ends its sending": func(c *net.TCPConn) { c.CloseWrite() },
-		"resets":           func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		"closes":           func(c *net.TCPConn) { besteffort.Close(c) },
+		"ends its sending": func(c *net.TCPConn) { besteffort.Ignore(c.CloseWrite()) },
+		"resets":           func(c *net.TCPConn) { besteffort.Ignore(c.SetLinger(0)); besteffort.Close(c) },
 	} {
 		for sent, tt := range map[string]struct {
 			text []byte
@@ -228,13 +229,13 @@
 					close(left)
 					panic(http.ErrAbortHandler)
 				})}
-				go srv.Serve(l)
-				t.Cleanup(func() { srv.Close() })
+				go func() { besteffort.Ignore(srv.Serve(l)) }()
+				t.Cleanup(func() { besteffort.Close(srv) })
 				far, err := net.Dial("tcp", l.Addr().String())
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer far.Close()
+				defer besteffort.Close(far)
 				head := []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 				if tt.once {
 					head = append(head, tt.text...)
@@ -284,7 +285,7 @@
 	if Left(ctx) {
 		t.Error("it has left while it waits")
 	}
-	far.Close()
+	besteffort.Close(far)
 	agenttest.Eventually(t, "it has left", func() bool { return Left(ctx) })
 }
 
@@ -292,7 +293,7 @@
 func TestNothingOutlivesAConnection(t *testing.T) {
 	for name, ends := range map[string]func(c *conn){
 		"its request is over": func(c *conn) { c.now(unused) },
-		"it is closed":        func(c *conn) { c.Close() },
+		"it is closed":        func(c *conn) { besteffort.Close(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -307,7 +308,7 @@
 				}
 				ctx := ConnContext(t.Context(), c)
 				c.now(inUse)
-				go far.Write([]byte("x"))
+				go func() { besteffort.IgnoreResult(far.Write([]byte("x"))) }()
 				if _, err := c.Read(make([]byte, 1)); err != nil {
 					t.Fatal(err)
 				}
@@ -320,7 +321,7 @@
 				if looks() {
 					t.Error("it is looked at still")
 				}
-				c.Close()
+				besteffort.Close(c)
 				if ctx.Err() == nil {
 					t.Error("its context goes on")
 				}
--- a/internal/connlimit/places.go
+++ b/internal/connlimit/places.go
@@ -12,6 +12,7 @@
 	"sync/atomic"
 	"time"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/sockstate"
 )
 
@@ -161,7 +162,7 @@
 	}
 	t.mu.Unlock()
 	for _, c := range resting {
-		c.Close()
+		besteffort.Close(c)
 	}
 }
 
@@ -215,7 +216,7 @@
 		}
 		c.ended, c.closes = true, true // in this moment: a request that it brings now is not begun
 		t.mu.Unlock()
-		c.finish()
+		besteffort.Ignore(c.finish())
 		runtime.Gosched() // its reader lets go of the descriptor only when it has run
 		t.mu.Lock()
 	}
@@ -293,9 +294,9 @@
 
 // linger drops what comes until the client has closed, for a while, and closes.
 func (c *conn) linger() {
-	late := time.AfterFunc(lingerFor, func() { c.finish() })
+	late := time.AfterFunc(lingerFor, func() { besteffort.Ignore(c.finish()) })
 	defer late.Stop()
-	defer c.finish()
+	defer func() { besteffort.Ignore(c.finish()) }()
 	if c.Conn.SetReadDeadline(time.Time{}) != nil {
 		return
 	}
@@ -332,7 +333,7 @@
 	}
 	t.mu.Unlock()
 	for _, c := range left {
-		c.finish()
+		besteffort.Ignore(c.finish())
 	}
 }
 
@@ -358,7 +359,7 @@
 	}
 	c.table.mu.Unlock()
 	if ends {
-		c.Close()
+		besteffort.Close(c)
 	}
 }
 
--- a/internal/connlimit/places_test.go
+++ b/internal/connlimit/places_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // listener is one of so many places whose connections a test opens.
@@ -26,12 +27,12 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	l.t.Cleanup(func() { far.Close() })
+	l.t.Cleanup(func() { besteffort.Close(far) })
 	c, err := l.Accept()
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	l.t.Cleanup(func() { c.Close() })
+	l.t.Cleanup(func() { besteffort.Close(c) })
 	return c.(*conn), far
 }
 
@@ -67,7 +68,7 @@
 	// With all in use the next one waits, until one is free or the listener closes.
 	done := make(chan error)
 	go func() { _, err := table.Accept(); done <- err }()
-	table.Close()
+	besteffort.Close(table)
 	if err := <-done; err == nil {
 		t.Error("accepted beyond the limit")
 	}
--- a/internal/downstream/extproc/bench_test.go
+++ b/internal/downstream/extproc/bench_test.go
@@ -25,6 +25,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/simwire"
@@ -92,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer besteffort.Close(f)
 		if err := pprof.StartCPUProfile(f); err != nil {
 			return err
 		}
@@ -107,7 +108,7 @@
 	if kind == "bare" {
 		srv := grpc.NewServer(grpc.MaxConcurrentStreams(benchStreams))
 		extprocv3.RegisterExternalProcessorServer(srv, bare{})
-		go srv.Serve(l)
+		go func() { besteffort.Ignore(srv.Serve(l)) }()
 	} else {
 		site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
 		if err != nil {
@@ -131,7 +132,7 @@
 			members = append(members, member(i, balancer.Ready))
 		}
 		e.Tell(engine.Listed{Full: true, Members: members})
-		go s.Serve(ctx, l)
+		go func() { besteffort.Ignore(s.Serve(ctx, l)) }()
 	}
 	fmt.Println(l.Addr())
 	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
@@ -172,7 +173,7 @@
 	if err := cmd.Start(); err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { in.Close(); cmd.Wait() })
+	b.Cleanup(func() { besteffort.Close(in); besteffort.Ignore(cmd.Wait()) })
 	c := &child{in: in, out: bufio.NewScanner(out)}
 	if !c.out.Scan() {
 		b.Fatal("the server did not start")
@@ -212,7 +213,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer conn.Close()
+		defer besteffort.Close(conn)
 		clients = append(clients, extprocv3.NewExternalProcessorClient(conn))
 	}
 	took := make([][]time.Duration, streams)
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -22,6 +22,7 @@
 	"google.golang.org/grpc/test/bufconn"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/connlimit"
 	downstreamhttp1 "appleledge/internal/downstream/http1"
 	"appleledge/internal/downstream/requesthead"
@@ -229,14 +230,14 @@
 		l := bufconn.Listen(1 << 20)
 		ctx, stop := context.WithCancel(context.Background())
 		served := make(chan struct{})
-		go func() { defer close(served); server.Serve(ctx, l) }()
+		go func() { defer close(served); besteffort.Ignore(server.Serve(ctx, l)) }()
 		t.Cleanup(func() { stop(); <-served })
 		conn, err := grpc.NewClient("passthrough:///processor", grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) { return l.DialContext(ctx) }))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { conn.Close() })
+		t.Cleanup(func() { besteffort.Close(conn) })
 		client := extprocv3.NewExternalProcessorClient(conn)
 		names := map[string]string{}
 		for i := range 10 {
--- a/internal/downstream/extproc/faults_test.go
+++ b/internal/downstream/extproc/faults_test.go
@@ -15,6 +15,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/extprocproxy"
 )
@@ -46,7 +47,7 @@
 
 func (f *faulty) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	key := r.Header.Get("Idempotency-Key")
-	io.Copy(io.Discard, r.Body)
+	besteffort.IgnoreResult(io.Copy(io.Discard, r.Body))
 	h := fnv.New32a()
 	fmt.Fprint(h, key, f.number)
 	fault := h.Sum32() % 100
@@ -61,15 +62,15 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	case fault < 30: // the connection breaks when it has run
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
-			c.(*net.TCPConn).SetLinger(0)
-			c.Close()
+			besteffort.Ignore(c.(*net.TCPConn).SetLinger(0))
+			besteffort.Close(c)
 		}
 	case fault < 40: // longer than the proxy waits
 		time.Sleep(400 * time.Millisecond)
 		fallthrough
 	default:
 		w.Header().Set("X-Server-Load", "util=0.3,qps=20,eps=0")
-		io.WriteString(w, "booked")
+		besteffort.IgnoreResult(io.WriteString(w, "booked"))
 	}
 }
 
@@ -118,8 +119,8 @@
 					t.Errorf("%s got no answer: %v", key, err)
 					continue
 				}
-				io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
+				besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
+				besteffort.Close(resp.Body)
 				mu.Lock()
 				answers[resp.StatusCode]++
 				mu.Unlock()
--- a/internal/downstream/extproc/harness_test.go
+++ b/internal/downstream/extproc/harness_test.go
@@ -22,6 +22,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/settings"
@@ -134,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { besteffort.Close(conn) })
 	return extprocv3.NewExternalProcessorClient(conn)
 }
 
@@ -235,7 +236,7 @@
 
 // finish ends the sending in order and waits for the processor's end.
 func (o *open) finish() error {
-	o.stream.CloseSend()
+	besteffort.Ignore(o.stream.CloseSend())
 	for {
 		if _, err := o.stream.Recv(); err != nil {
 			if errors.Is(err, io.EOF) {
@@ -339,7 +340,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { besteffort.Close(conn) })
 	return healthv1.NewHealthClient(conn)
 }
 
--- a/internal/downstream/extproc/load_test.go
+++ b/internal/downstream/extproc/load_test.go
@@ -16,6 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/settings"
 )
 
@@ -34,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { besteffort.Close(c) })
 	r := &raw{t: t, conn: c, framer: http2.NewFramer(c, nil), next: 1}
 	if _, err := io.WriteString(c, http2.ClientPreface); err != nil {
 		t.Fatal(err)
@@ -46,14 +47,14 @@
 	encoder := hpack.NewEncoder(&buf)
 	for _, f := range [][2]string{{":method", "POST"}, {":scheme", "http"}, {":path", extprocv3.ExternalProcessor_Process_FullMethodName}, {":authority", "agent"},
 		{"content-type", "application/grpc"}, {"te", "trailers"}} {
-		encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
+		besteffort.Ignore(encoder.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]}))
 	}
 	r.head = buf.Bytes()
 	return r
 }
 
 // discard reads what comes and drops it.
-func (r *raw) discard() { go io.Copy(io.Discard, r.conn) }
+func (r *raw) discard() { go func() { besteffort.IgnoreResult(io.Copy(io.Discard, r.conn)) }() }
 
 // open opens a stream and returns its number; an error means that the processor has closed the connection.
 func (r *raw) open() (id uint32, err error) {
@@ -158,7 +159,7 @@
 	c := dialRaw(t, r.addr)
 	part := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: make([]byte, 8<<10)}}}
-	c.conn.SetWriteDeadline(time.Now().Add(agenttest.Patience))
+	besteffort.Ignore(c.conn.SetWriteDeadline(time.Now().Add(agenttest.Patience)))
 	for range each {
 		id, err := c.open()
 		if err != nil {
@@ -166,9 +167,9 @@
 		}
 		head := request{id: newID(), class: "refund-record", body: true, change: map[string]string{"content-length": "65536"}}.message()
 		head.ProtocolConfig = &extprocv3.ProtocolConfiguration{RequestBodyMode: filterv3.ProcessingMode_FULL_DUPLEX_STREAMED}
-		c.send(id, head)
+		besteffort.Ignore(c.send(id, head))
 		for range parts / 2 { // within the window of the stream; what comes back is never taken
-			c.send(id, part)
+			besteffort.Ignore(c.send(id, part))
 		}
 	}
 	places := r.server.Settings.MaxOpen / duplexPart
@@ -196,7 +197,7 @@
 	}
 	head := request{id: newID(), class: "refund-record", body: true, change: map[string]string{"content-length": "65536", "x-timeout": "500m"}}.message()
 	head.ProtocolConfig = &extprocv3.ProtocolConfiguration{RequestBodyMode: filterv3.ProcessingMode_FULL_DUPLEX_STREAMED}
-	c.send(id, head)
+	besteffort.Ignore(c.send(id, head))
 	part := &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: make([]byte, 8<<10)}}}
 	for range 14 { // more than the processor keeps for a stream, and less than that and the stream's own window
--- a/internal/downstream/extproc/measure_test.go
+++ b/internal/downstream/extproc/measure_test.go
@@ -20,6 +20,7 @@
 
 	"appleledge/internal/agent"
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/extprocproxy"
 )
 
@@ -48,7 +49,7 @@
 }
 
 func (f *former) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	io.Copy(io.Discard, r.Body)
+	besteffort.IgnoreResult(io.Copy(io.Discard, r.Body))
 	if f.hangs.Load() {
 		<-r.Context().Done()
 		return
@@ -65,7 +66,7 @@
 	}
 	time.Sleep(took)
 	w.Header().Set("X-Server-Load", fmt.Sprintf("util=%.2f,qps=60,eps=0", min(1, float64(f.busy.Load())/8)))
-	io.WriteString(w, "fine")
+	besteffort.IgnoreResult(io.WriteString(w, "fine"))
 }
 
 // day is a fleet that lives through a hang, a drain and a rolling deploy, as discovery tells of them.
@@ -164,8 +165,8 @@
 			status := 0
 			if err == nil {
 				status = resp.StatusCode
-				io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
+				besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
+				besteffort.Close(resp.Body)
 			}
 			took := time.Since(sent)
 			mu.Lock()
@@ -225,7 +226,7 @@
 	agenttest.Eventually(t, "the agent is ready", func() bool {
 		resp, err := http.Get("http://" + direct + "/ready")
 		if err == nil {
-			resp.Body.Close()
+			besteffort.Close(resp.Body)
 		}
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
--- a/internal/downstream/extproc/server_test.go
+++ b/internal/downstream/extproc/server_test.go
@@ -19,6 +19,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/settings"
 	"appleledge/internal/simwire"
@@ -83,7 +84,7 @@
 		"unknown to the proxy":    {func(a asked) { a.answer(ownReply("no_healthy_upstream")) }, true, false},
 		"details never heard of":  {func(a asked) { a.answer(ownReply("something_new")) }, false, false},
 		"given up":                {func(a asked) { a.cancel() }, false, false},
-		"ended with no response":  {func(a asked) { a.finish() }, false, false},
+		"ended with no response":  {func(a asked) { besteffort.Ignore(a.finish()) }, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, options{})
@@ -180,7 +181,7 @@
 			s := silent
 			mute.RUnlock()
 			if !s {
-				dst.Write(buf[:n])
+				besteffort.IgnoreResult(dst.Write(buf[:n]))
 			}
 		}
 	}
@@ -192,10 +193,10 @@
 			}
 			up, err := net.Dial("tcp", to)
 			if err != nil {
-				c.Close()
+				besteffort.Close(c)
 				return
 			}
-			t.Cleanup(func() { c.Close(); up.Close() })
+			t.Cleanup(func() { besteffort.Close(c); besteffort.Close(up) })
 			go copyTo(up, c)
 			go copyTo(c, up)
 		}
@@ -731,7 +732,7 @@
 		m.ObservabilityMode = true
 		o.send(m)
 	}
-	o.stream.CloseSend()
+	besteffort.Ignore(o.stream.CloseSend())
 	if resp, err := o.stream.Recv(); err == nil || err.Error() != "EOF" {
 		t.Errorf("%v, %v", resp, err)
 	}
@@ -801,7 +802,7 @@
 	agenttest.Eventually(t, "new connections are refused", func() bool {
 		c, err := net.Dial("tcp", r.addr)
 		if err == nil {
-			c.Close()
+			besteffort.Close(c)
 		}
 		return err != nil
 	})
@@ -838,7 +839,8 @@
 	ask(t, r.client(), request{id: newID(), class: "refund-record"})
 	r.stop()
 	select {
-	case <-r.served:
+	case err := <-r.served:
+		besteffort.Ignore(err)
 		r.served <- nil
 	case <-time.After(agenttest.Patience):
 		t.Fatal("it did not end")
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/connlimit"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
@@ -28,9 +29,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	io.WriteString(c, request)
-	c.(*net.TCPConn).CloseWrite()
+	defer besteffort.Close(c)
+	besteffort.IgnoreResult(io.WriteString(c, request))
+	besteffort.Ignore(c.(*net.TCPConn).CloseWrite())
 	answer, err := io.ReadAll(bufio.NewReader(c))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -13,6 +13,7 @@
 	"sync/atomic"
 	"time"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/connlimit"
 	"appleledge/internal/downstream/requesthead"
@@ -100,8 +101,8 @@
 		s.Log.Warn("drained, but some connections were still open")
 	}
 	s.clients.Drop()
-	srv.Close()
-	<-failed
+	besteffort.Close(srv)
+	besteffort.Ignore(<-failed)
 	s.Log.Info("drained")
 	return nil
 }
@@ -250,7 +251,7 @@
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
-	io.WriteString(w, "ready\n")
+	besteffort.IgnoreResult(io.WriteString(w, "ready\n"))
 }
 
 // write writes an answer, or how it begins. An error means that the client has gone, which net/http deals with.
@@ -271,9 +272,9 @@
 	for _, header := range requesthead.ComeBack(a) {
 		h.Set(header[0], header[1])
 	}
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	besteffort.Ignore(http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)))
 	w.WriteHeader(statuses[a.Kind])
-	w.Write(resp.Body)
+	besteffort.IgnoreResult(w.Write(resp.Body))
 }
 
 // accept reads a request and checks it. What of a large body still comes is an Upload. The body must be there in time, or come
@@ -412,7 +413,7 @@
 	}
 	s.lameDuck(ctx, wait)
 	s.closing.Store(true)
-	s.clients.Close()
+	besteffort.Close(s.clients)
 	s.clients.Shut() // not net/http's Shutdown, which closes what is idle also in the moment in which it brings a request
 	return s.await(ctx, func() bool { return s.clients.Open() == 0 })
 }
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -10,6 +10,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/connlimit"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
@@ -49,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer besteffort.Close(far)
 	raw, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -83,9 +84,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer raw.Close()
+	defer besteffort.Close(raw)
 	ctx := connlimit.ConnContext(t.Context(), raw)
-	far.Close()
+	besteffort.Close(far)
 	agenttest.Eventually(t, "the close has come", func() bool { return connlimit.Left(ctx) })
 	defer func() {
 		if err := recover(); err != http.ErrAbortHandler {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Entry is a server as the list has it, in the form of the platform's protocol.
@@ -72,7 +74,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", d.endpoints)
 	d.srv = &http.Server{Handler: mux, ReadHeaderTimeout: mostWait}
-	d.served.Go(func() { d.srv.Serve(l) })
+	d.served.Go(func() { besteffort.Ignore(d.srv.Serve(l)) })
 	return d, nil
 }
 
@@ -85,7 +87,7 @@
 	}
 	d.tell()
 	d.mu.Unlock()
-	d.srv.Close()
+	besteffort.Close(d.srv)
 	d.served.Wait()
 }
 
@@ -201,5 +203,5 @@
 
 func write(w http.ResponseWriter, l list) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(l) // an error means that the caller has gone
+	besteffort.Ignore(json.NewEncoder(w).Encode(l)) // an error means that the caller has gone
 }
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 func ask(t *testing.T, d *Discovery, query string) (l list, status int) {
@@ -17,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	if resp.StatusCode == http.StatusOK {
 		if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
 			t.Fatal(err)
--- a/internal/emulator/formserver.go
+++ b/internal/emulator/formserver.go
@@ -13,6 +13,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Class says what requests of a class are to a form server.
@@ -25,7 +27,7 @@
 // Draw is what a request costs. It follows from its id alone, so that it is the same at every server and in every run.
 func (c Class) Draw(seed uint64, id string) (work, wait time.Duration) {
 	h := fnv.New64a()
-	io.WriteString(h, id)
+	besteffort.IgnoreResult(io.WriteString(h, id))
 	random := rand.New(rand.NewPCG(h.Sum64(), seed))
 	between := func(r [2]time.Duration) time.Duration {
 		return r[0] + time.Duration(random.Float64()*float64(r[1]-r[0]))
@@ -96,7 +98,7 @@
 	}
 	f.timer = time.AfterFunc(hour, f.wake)
 	f.srv = &http.Server{Handler: f, IdleTimeout: limits.IdleClose, ReadHeaderTimeout: limits.IdleClose, ConnState: f.connState}
-	f.served.Go(func() { f.srv.Serve(&limited{Listener: l, most: limits.MaxConns}) })
+	f.served.Go(func() { besteffort.Ignore(f.srv.Serve(&limited{Listener: l, most: limits.MaxConns})) })
 	return f, nil
 }
 
@@ -188,11 +190,11 @@
 	close(f.ends)
 	f.timer.Stop()
 	for _, c := range f.left {
-		c.Close()
+		besteffort.Close(c)
 	}
 	f.left = nil
 	f.mu.Unlock()
-	f.srv.Close()
+	besteffort.Close(f.srv)
 	f.served.Wait()
 }
 
@@ -263,13 +265,13 @@
 	case reset:
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 			if tcp, ok := c.(interface{ SetLinger(int) error }); ok {
-				tcp.SetLinger(0)
+				besteffort.Ignore(tcp.SetLinger(0))
 			}
-			c.Close()
+			besteffort.Close(c)
 		}
 	case spoil:
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil { // left open: it is of no further use
-			io.WriteString(c, "\x16\x03\x01 this is no answer")
+			besteffort.IgnoreResult(io.WriteString(c, "\x16\x03\x01 this is no answer"))
 			f.leaveOpen(c)
 		}
 	case done.Failed:
@@ -279,7 +281,7 @@
 		f.report(w)
 		text := "form " + id + " by " + f.Name + "\n"
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-		io.WriteString(w, text)
+		besteffort.IgnoreResult(io.WriteString(w, text))
 	}
 }
 
@@ -291,7 +293,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.left = append(f.left, c); len(f.left) > mostLeft || f.closed {
-		f.left[0].Close()
+		besteffort.Close(f.left[0])
 		f.left = f.left[1:]
 	}
 }
@@ -339,7 +341,7 @@
 		}
 		l.mu.Unlock()
 		if full {
-			c.Close()
+			besteffort.Close(c)
 			continue
 		}
 		return &counted{Conn: c, l: l}, nil
--- a/internal/emulator/formserver_test.go
+++ b/internal/emulator/formserver_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 var testClasses = []Class{
@@ -49,7 +50,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	return resp, string(body), err
 }
@@ -75,7 +76,7 @@
 func TestFormServerTurnsAway(t *testing.T) {
 	f, ledger := start(t, Spec{Cores: 1, Speed: 0.001, Slots: 1, Queue: 1}, Listening{}) // several seconds a request
 	for i := range 2 {
-		go get(f, "refund-record", fmt.Sprint(i), fmt.Sprint(i))
+		go func() { _, _, _ = get(f, "refund-record", fmt.Sprint(i), fmt.Sprint(i)) }()
 		agenttest.Eventually(t, "it is held", func() bool { return f.Held() == i+1 })
 	}
 	resp, _, err := get(f, "refund-record", "2", "2")
@@ -94,9 +95,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, "POST /refund-record HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
+	besteffort.IgnoreResult(io.WriteString(c, "POST /refund-record HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n"))
 	agenttest.Eventually(t, "it is held", func() bool { return f.Held() == 1 })
-	c.Close()
+	besteffort.Close(c)
 	agenttest.Eventually(t, "it is done", func() bool { return f.Held() == 0 })
 	if n := len(ledger.Effects()); n != 1 {
 		t.Errorf("%d effects", n)
@@ -117,9 +118,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer noise.Close()
-	io.WriteString(noise, "POST /refund-record HTTP/1.1\r\nHost: x\r\nX-Request-ID: 2\r\nIdempotency-Key: b\r\nContent-Length: 0\r\n\r\n")
-	noise.SetReadDeadline(time.Now().Add(agenttest.Patience))
+	defer besteffort.Close(noise)
+	besteffort.IgnoreResult(io.WriteString(noise, "POST /refund-record HTTP/1.1\r\nHost: x\r\nX-Request-ID: 2\r\nIdempotency-Key: b\r\nContent-Length: 0\r\n\r\n"))
+	besteffort.Ignore(noise.SetReadDeadline(time.Now().Add(agenttest.Patience)))
 	if text, err := bufio.NewReader(noise).ReadString('r'); err != nil || !strings.HasPrefix(text, "\x16") {
 		t.Errorf("%q, %v", text, err)
 	}
@@ -136,9 +137,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	io.WriteString(c, "GET /form-check HTTP/1.1\r\nHost: x\r\nX-Request-ID: 4\r\n\r\n")
-	c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
+	defer besteffort.Close(c)
+	besteffort.IgnoreResult(io.WriteString(c, "GET /form-check HTTP/1.1\r\nHost: x\r\nX-Request-ID: 4\r\n\r\n"))
+	besteffort.Ignore(c.SetReadDeadline(time.Now().Add(200 * time.Millisecond)))
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Errorf("a hung server says something")
 	}
@@ -157,8 +158,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		io.WriteString(c, "GET /form-check HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\n\r\n")
+		defer besteffort.Close(c)
+		besteffort.IgnoreResult(io.WriteString(c, "GET /form-check HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\n\r\n"))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatal(err)
 		}
@@ -167,7 +168,7 @@
 	if _, _, err := get(f, "form-check", "2", ""); err == nil {
 		t.Error("a third connection was served")
 	}
-	held[0].Close()
+	besteffort.Close(held[0])
 	agenttest.Eventually(t, "the place is free", func() bool { _, _, err := get(f, "form-check", "3", ""); return err == nil })
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -14,6 +14,7 @@
 	"appleledge/internal/admission"
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/fleet/recovery"
 	"appleledge/internal/generation"
@@ -493,7 +494,7 @@
 		}
 	case shared:
 		if s := e.sharer(); s != nil {
-			s.Take(e.clock.Now(), ev.from, ev.body) // what can't be read is counted there
+			besteffort.Ignore(s.Take(e.clock.Now(), ev.from, ev.body)) // what can't be read is counted there
 		}
 	}
 }
--- a/internal/engine/ties_test.go
+++ b/internal/engine/ties_test.go
@@ -8,6 +8,7 @@
 
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/generation"
 )
@@ -96,7 +97,7 @@
 		if m.Stage(ready, 0, "", base, true) != nil {
 			t.Fatal("not staged")
 		}
-		m.Switch(x.now, "")
+		besteffort.IgnoreResult(m.Switch(x.now, ""))
 	}
 	nothing := func(*tiedEngine) {}
 	for name, tt := range map[string]struct {
--- a/internal/extprocproxy/proxy.go
+++ b/internal/extprocproxy/proxy.go
@@ -18,6 +18,8 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	"google.golang.org/protobuf/types/known/structpb"
+
+	"appleledge/internal/besteffort"
 )
 
 const (
@@ -93,7 +95,7 @@
 			}
 			w.Header().Set("Content-Length", strconv.Itoa(len(res.body)))
 			w.WriteHeader(res.status)
-			w.Write(res.body) // an error means that the client has gone
+			besteffort.IgnoreResult(w.Write(res.body)) // an error means that the client has gone
 			return
 		}
 	}
@@ -221,7 +223,7 @@
 	if err != nil {
 		return result{}, localReply(details(err))
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	if err != nil || len(text) > maxBody {
 		return result{}, localReply("upstream_reset_after_response_started{connection_termination}")
--- a/internal/extprocproxy/proxy_test.go
+++ b/internal/extprocproxy/proxy_test.go
@@ -18,6 +18,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // processor is a processor whose choices a test states, one a try: an endpoint, or "" for a refusal.
@@ -92,13 +93,13 @@
 	srv := grpc.NewServer()
 	extprocv3.RegisterExternalProcessorServer(srv, p)
 	var serving sync.WaitGroup
-	serving.Go(func() { srv.Serve(l) })
+	serving.Go(func() { besteffort.Ignore(srv.Serve(l)) })
 	t.Cleanup(func() { srv.Stop(); serving.Wait() })
 	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { besteffort.Close(conn) })
 	front := httptest.NewServer(New(extprocv3.NewExternalProcessorClient(conn)))
 	t.Cleanup(front.Close)
 	return front.URL
@@ -115,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
@@ -160,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer besteffort.Close(conn)
 	front := httptest.NewServer(New(extprocv3.NewExternalProcessorClient(conn)))
 	defer front.Close()
 	if resp, _ := post(t, front.URL); resp.StatusCode != http.StatusBadGateway {
--- a/internal/fleet/gossip/core_test.go
+++ b/internal/fleet/gossip/core_test.go
@@ -100,7 +100,7 @@
 		}
 		if n.links != nil { // the work of it; lives are not proved here
 			b := n.links[m.From].Seal(m)
-			n.links[m.To].Open(n.now, m.From, b)
+			_, _, _ = n.links[m.To].Open(n.now, m.From, b)
 		}
 		heap.Push(&n.queue, packet{n.now + n.delay/2 + time.Duration(n.rng.Int64N(int64(n.delay))), n.lives[m.To], m})
 	}
--- a/internal/fleet/gossip/link_test.go
+++ b/internal/fleet/gossip/link_test.go
@@ -167,16 +167,16 @@
 	old, b := NewLink(0, 2, only(keyOne), random), NewLink(1, 2, only(keyOne), random)
 	_, hello, _ := b.Open(now, 0, old.Seal(Message{Kind: Ping, To: 1}))
 	_, proof, _ := old.Open(now, 1, hello)
-	b.Open(now, 0, proof)
+	_, _, _ = b.Open(now, 0, proof)
 	unheard := old.Seal(Message{Kind: Ping, To: 1, Number: 7})
 	fresh := NewLink(0, 2, only(keyOne), random)
 	now += time.Second
 	_, hello, _ = b.Open(now, 0, fresh.Seal(Message{Kind: Ping, To: 1}))
 	_, renewed, _ := fresh.Open(now, 1, hello)
-	b.Open(now, 0, renewed)
+	_, _, _ = b.Open(now, 0, renewed)
 	now += time.Second
-	b.Open(now, 0, NewLink(0, 2, only(keyOne), random).Seal(Message{Kind: Ping, To: 1})) // whom b asks again
-	b.Open(now, 0, proof)
+	_, _, _ = b.Open(now, 0, NewLink(0, 2, only(keyOne), random).Seal(Message{Kind: Ping, To: 1})) // whom b asks again
+	_, _, _ = b.Open(now, 0, proof)
 	if _, _, err := b.Open(now, 0, unheard); !errors.Is(err, ErrStale) {
 		t.Errorf("a datagram of the life before: %v", err)
 	}
--- a/internal/fleet/gossip/node.go
+++ b/internal/fleet/gossip/node.go
@@ -14,6 +14,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Host is who a Node tells what it hears.
@@ -179,7 +181,7 @@
 	var reading sync.WaitGroup
 	reading.Go(func() { read(socket, came) })
 	n.loop(ctx, socket, came, host)
-	socket.Close()
+	besteffort.Close(socket)
 	reading.Wait()
 }
 
--- a/internal/fleet/overload/door.go
+++ b/internal/fleet/overload/door.go
@@ -13,6 +13,7 @@
 
 	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 )
 
 // Options are what a Door goes by.
@@ -203,8 +204,8 @@
 	binary.LittleEndian.PutUint64(b[:], d.salt)
 	var h xxhash.Digest
 	h.Reset()
-	h.Write(b[:])
-	h.WriteString(a.Key)
+	besteffort.IgnoreResult(h.Write(b[:]))
+	besteffort.IgnoreResult(h.WriteString(a.Key))
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
--- a/internal/fleet/overload/share_test.go
+++ b/internal/fleet/overload/share_test.go
@@ -12,6 +12,7 @@
 
 	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 )
 
 var classes = []admission.Class{{Worth: 2, Aim: 600 * time.Millisecond, Safe: true}, {Worth: 10, Aim: 600 * time.Millisecond}}
@@ -96,7 +97,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d := door(4)
 		for i := range 3 {
-			d.Take(start+time.Duration(i)*time.Second, 1+i%3, text)
+			besteffort.Ignore(d.Take(start+time.Duration(i)*time.Second, 1+i%3, text))
 		}
 		p := settle(d, start+3*time.Second)
 		for _, x := range append(append([]float64{p.limit, p.refused, p.trust}, p.asked.First...), p.asked.Again...) {
@@ -444,8 +445,8 @@
 	d.Listed("s", true, true)
 	for i := range 50_000 {
 		now := start + time.Duration(i)*time.Millisecond
-		d.Take(now, 1+i%49, Body{Digests: []Digest{digest(i%70_000%65_536, 1, 1)}, Reports: []Report{{uint32(i), 0.5, 5, 0}},
-			Voices: []Voice{{uint32(i), i % 60, 0}}}.append(nil))
+		besteffort.Ignore(d.Take(now, 1+i%49, Body{Digests: []Digest{digest(i%70_000%65_536, 1, 1)}, Reports: []Report{{uint32(i), 0.5, 5, 0}},
+			Voices: []Voice{{uint32(i), i % 60, 0}}}.append(nil)))
 		if i%500 == 0 {
 			if body, to := d.Tell(now, 203); len(body) > 203 || to > toBusy {
 				t.Fatalf("%d bytes to %d", len(body), to)
--- a/internal/fleetconfig/hclfile/hclfile.go
+++ b/internal/fleetconfig/hclfile/hclfile.go
@@ -16,6 +16,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 	"github.com/zclconf/go-cty/cty"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 )
 
@@ -143,7 +144,7 @@
 		return nil
 	}
 	w := &growth{}
-	hclsyntax.Walk(body, w)
+	besteffort.Ignore(hclsyntax.Walk(body, w))
 	return w.diags
 }
 
--- a/internal/harness/cluster/disk.go
+++ b/internal/harness/cluster/disk.go
@@ -17,6 +17,7 @@
 	"syscall"
 
 	"appleledge/internal/atomicfile"
+	"appleledge/internal/besteffort"
 )
 
 // Disk is a file system in a folder of the real one that outlasts its process, and of which LosePower takes away what was not synced:
@@ -63,7 +64,7 @@
 		return nil, err
 	}
 	d.mu.Lock()
-	end = func() { f.Close(); d.mu.Unlock() }
+	end = func() { besteffort.Close(f); d.mu.Unlock() }
 	if err = errors.Join(syscall.Flock(int(f.Fd()), syscall.LOCK_EX), d.read()); err != nil {
 		end()
 	}
--- a/internal/harness/cluster/fleet.go
+++ b/internal/harness/cluster/fleet.go
@@ -24,6 +24,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/emulator"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/harness/loopback"
@@ -421,7 +422,7 @@
 func (a *Agent) Upgrade() {
 	a.fleet.t.Helper()
 	old, ended := a.cmd, a.ended
-	a.fleet.t.Cleanup(func() { old.Process.Kill() })
+	a.fleet.t.Cleanup(func() { besteffort.Ignore(old.Process.Kill()) })
 	a.Operator = a.host.Port(2 + a.starts) // the old one still answers at its own
 	a.Start()
 	a.Ready()
@@ -430,7 +431,7 @@
 	case err := <-ended:
 		a.fleet.must(err)
 	case <-time.After(agenttest.Patience):
-		old.Process.Kill()
+		besteffort.Ignore(old.Process.Kill())
 		a.fleet.t.Fatalf("the old process of agent %d does not end\n%s", a.Number, a.Log)
 	}
 }
@@ -465,8 +466,8 @@
 	if err != nil {
 		return 0
 	}
-	defer resp.Body.Close()
-	io.Copy(io.Discard, resp.Body)
+	defer besteffort.Close(resp.Body)
+	besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
 	return resp.StatusCode
 }
 
@@ -476,7 +477,7 @@
 // Signal tells the process.
 func (a *Agent) Signal(s syscall.Signal) {
 	if a.cmd != nil {
-		a.cmd.Process.Signal(s)
+		besteffort.Ignore(a.cmd.Process.Signal(s))
 	}
 }
 
@@ -486,7 +487,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	text, _ := io.ReadAll(resp.Body)
 	return string(text)
 }
@@ -495,7 +496,7 @@
 
 func (a *Agent) wait() {
 	if a.cmd != nil {
-		<-a.ended
+		besteffort.Ignore(<-a.ended)
 		a.cmd = nil
 	}
 }
@@ -539,7 +540,7 @@
 			continue
 		}
 		text, err := io.ReadAll(resp.Body)
-		resp.Body.Close()
+		besteffort.Close(resp.Body)
 		if err == nil && resp.StatusCode == http.StatusOK {
 			if len(bytes.TrimSpace(text)) == 0 {
 				f.Broken("%s was served with nothing", r.Key)
--- a/internal/harness/cluster/lines.go
+++ b/internal/harness/cluster/lines.go
@@ -12,6 +12,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Line is what becomes of what passes between an agent's machine and a server or the list.
@@ -75,7 +77,7 @@
 	proxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) }
 	proxy.ModifyResponse = func(r *http.Response) error {
 		text, err := io.ReadAll(r.Body)
-		r.Body.Close()
+		besteffort.Close(r.Body)
 		if err != nil {
 			return err
 		}
@@ -90,7 +92,7 @@
 	l.mu.Lock()
 	l.lists = append(l.lists, inner)
 	l.mu.Unlock()
-	l.all.Go(func() { inner.Serve(listener) })
+	l.all.Go(func() { besteffort.Ignore(inner.Serve(listener)) })
 	return l.relay(agent, Discovery, listener.Addr().String())
 }
 
@@ -151,13 +153,13 @@
 	l.closed = true
 	for _, r := range l.relays {
 		close(r.done)
-		r.listener.Close()
+		besteffort.Close(r.listener)
 		r.reset()
 	}
 	lists := l.lists
 	l.mu.Unlock()
 	for _, s := range lists {
-		s.Close()
+		besteffort.Close(s)
 	}
 	l.all.Wait()
 }
@@ -203,7 +205,7 @@
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer besteffort.Close(far)
 	if !r.hold(near, far) {
 		return
 	}
@@ -247,9 +249,9 @@
 
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		besteffort.Ignore(t.SetLinger(0))
 	}
-	c.Close()
+	besteffort.Close(c)
 }
 
 // pump carries one direction until it ends, and passes the end on.
@@ -273,7 +275,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if t, ok := to.(*net.TCPConn); ok {
-				t.CloseWrite()
+				besteffort.Ignore(t.CloseWrite())
 			}
 			return
 		}
--- a/internal/harness/cluster/network.go
+++ b/internal/harness/cluster/network.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleet/gossip"
 )
 
@@ -156,7 +157,7 @@
 
 // Inject sends a datagram to an agent as if another had.
 func (n *Network) Inject(from, to int, text []byte) {
-	n.sockets[to][from].WriteToUDPAddrPort(text, n.at[to]) // what can't be sent is lost, as datagrams are
+	besteffort.IgnoreResult(n.sockets[to][from].WriteToUDPAddrPort(text, n.at[to])) // what can't be sent is lost, as datagrams are
 }
 
 // Seen are the last datagrams that passed.
@@ -171,7 +172,7 @@
 	for _, row := range n.sockets {
 		for _, c := range row {
 			if c != nil {
-				c.Close()
+				besteffort.Close(c)
 			}
 		}
 	}
--- a/internal/harness/cluster/offer.go
+++ b/internal/harness/cluster/offer.go
@@ -8,6 +8,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Offered is what clients ask of a fleet that do not wait for answers: requests come evenly, whatever becomes of them.
@@ -115,7 +117,7 @@
 	if err != nil {
 		return 0, time.Since(began)
 	}
-	io.Copy(io.Discard, resp.Body)
-	resp.Body.Close()
+	besteffort.IgnoreResult(io.Copy(io.Discard, resp.Body))
+	besteffort.Close(resp.Body)
 	return resp.StatusCode, time.Since(began)
 }
--- a/internal/harness/controlplane/controlplane.go
+++ b/internal/harness/controlplane/controlplane.go
@@ -23,6 +23,8 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
+
+	"appleledge/internal/besteffort"
 )
 
 // Types of resources, by their URLs.
@@ -88,7 +90,7 @@
 	p := &Plane{addr: l.Addr().String(), grpc: grpc.NewServer(), have: map[string]map[string]versioned{Clusters: {}, Endpoints: {}},
 		streams: map[*stream]bool{}, acked: map[string]string{}}
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(p.grpc, p)
-	go p.grpc.Serve(l) // ends with Stop
+	go func() { besteffort.Ignore(p.grpc.Serve(l)) }() // ends with Stop
 	return p, nil
 }
 
@@ -260,7 +262,8 @@
 		}
 		select {
 		case <-s.wake:
-		case <-ended:
+		case err := <-ended:
+			besteffort.Ignore(err)
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/harness/fleetgen/backends.go
+++ b/internal/harness/fleetgen/backends.go
@@ -6,6 +6,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Backends answer requests at the addresses of a fleet's servers, all alike: 200 with a few bytes and a load report. A
@@ -28,21 +30,21 @@
 	if err != nil {
 		return "127.0.0.1", 1 // nothing listens there
 	}
-	b.serving.Go(func() { b.server.Serve(l) })
+	b.serving.Go(func() { besteffort.Ignore(b.server.Serve(l)) })
 	return "127.0.0.1", l.Addr().(*net.TCPAddr).Port
 }
 
 func (b *Backends) answer(w http.ResponseWriter, r *http.Request) {
-	io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
+	besteffort.IgnoreResult(io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20)))
 	time.Sleep(b.Busy)
 	w.Header().Set("X-Server-Load", "util=0.5,qps=10,eps=0")
-	io.WriteString(w, "fine")
+	besteffort.IgnoreResult(io.WriteString(w, "fine"))
 }
 
 // Close ends all of them.
 func (b *Backends) Close() {
 	if b.server != nil {
-		b.server.Close()
+		besteffort.Close(b.server)
 	}
 	b.serving.Wait()
 }
--- a/internal/harness/loopback/loopback.go
+++ b/internal/harness/loopback/loopback.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"net"
 	"net/netip"
+
+	"appleledge/internal/besteffort"
 )
 
 // Host is an address in 127/8 with all its ports, TCP and UDP, that no other holder on the machine has. Nothing listens there
@@ -37,4 +39,4 @@
 }
 
 // Close lets the host go.
-func (h *Host) Close() { h.claim.Close() }
+func (h *Host) Close() { besteffort.Close(h.claim) }
--- a/internal/harness/loopback/loopback_test.go
+++ b/internal/harness/loopback/loopback_test.go
@@ -4,6 +4,7 @@
 	"net"
 	"testing"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/harness/loopback"
 )
 
@@ -21,14 +22,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer other.Close()
+		defer besteffort.Close(other)
 		for _, addr := range []string{h.Addr(), h.Port(1), h.Port(2)} {
 			if held[addr] {
 				t.Fatalf("%s is held twice", addr)
 			}
 			held[addr] = true
 			if c, err := net.Dial("tcp", addr); err == nil {
-				c.Close()
+				besteffort.Close(c)
 				t.Fatalf("somebody listens at %s", addr)
 			}
 			for range 2 {
@@ -36,12 +37,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				l.Close()
+				besteffort.Close(l)
 				u, err := net.ListenPacket("udp", addr)
 				if err != nil {
 					t.Fatal(err)
 				}
-				u.Close()
+				besteffort.Close(u)
 			}
 		}
 	}
--- a/internal/harness/overhead/measure.go
+++ b/internal/harness/overhead/measure.go
@@ -22,6 +22,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/emulator"
 	"appleledge/internal/harness/fleetgen"
 	"appleledge/internal/harness/loopback"
@@ -74,7 +75,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { besteffort.Ignore(os.RemoveAll(dir)) }()
 	place, err := loopback.Hold()
 	if err != nil {
 		return Result{}, err
@@ -131,7 +132,7 @@
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {})
 	mux.Handle("/", proxy)
 	srv := &http.Server{Addr: addr, Handler: mux, ReadHeaderTimeout: time.Minute}
-	stop := context.AfterFunc(ctx, func() { srv.Close() })
+	stop := context.AfterFunc(ctx, func() { besteffort.Close(srv) })
 	defer stop()
 	if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -171,9 +172,9 @@
 		return r, err
 	}
 	defer func() {
-		t.cmd.Process.Signal(syscall.SIGTERM)
-		force := time.AfterFunc(5*time.Second, func() { t.cmd.Process.Kill() })
-		t.cmd.Wait()
+		besteffort.Ignore(t.cmd.Process.Signal(syscall.SIGTERM))
+		force := time.AfterFunc(5*time.Second, func() { besteffort.Ignore(t.cmd.Process.Kill()) })
+		besteffort.Ignore(t.cmd.Wait())
 		force.Stop()
 	}()
 	if err := waitReady(ctx, t.addr); err != nil {
@@ -202,7 +203,7 @@
 func waitReady(ctx context.Context, addr string) error {
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + addr + "/ready"); err == nil {
-			if resp.Body.Close(); resp.StatusCode == http.StatusOK {
+			if besteffort.Close(resp.Body); resp.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
@@ -235,7 +236,7 @@
 					time.Sleep(time.Until(due))
 				}
 				if ok := ask(ctx, client, addr, fmt.Sprintf("%d-%d-%d", began.UnixNano(), c, n)); ok {
-					own.RecordValue(max(1, time.Since(due).Microseconds()))
+					besteffort.Ignore(own.RecordValue(max(1, time.Since(due).Microseconds())))
 				} else if ctx.Err() == nil {
 					lost++
 				}
@@ -263,7 +264,7 @@
 		return false
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
-	resp.Body.Close()
+	besteffort.Close(resp.Body)
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
--- a/internal/hotrestart/gate.go
+++ b/internal/hotrestart/gate.go
@@ -4,6 +4,8 @@
 	"net"
 	"sync"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Gate is a listener whose connections wait in its queue while it is shut, where another process that shares the socket may
@@ -39,7 +41,7 @@
 	if open {
 		until = time.Time{}
 	}
-	g.SetDeadline(until) // fails of a closed listener alone, whose Accept fails as well
+	besteffort.Ignore(g.SetDeadline(until)) // fails of a closed listener alone, whose Accept fails as well
 	g.moved.Broadcast()
 }
 
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/denylist"
 	"appleledge/internal/golden"
 )
@@ -48,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
+	t.Cleanup(func() { besteffort.Close(near); besteffort.Close(far) })
 	for _, c := range []net.Conn{near, far} {
 		if err := c.SetDeadline(time.Now().Add(agenttest.Patience)); err != nil {
 			t.Fatal(err)
@@ -92,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer besteffort.Close(l)
 	near, far := connection(t)
 	link, set := alone(), denylist.New(10)
 	link.user, link.gate = os.Geteuid(), NewGate(l.(*net.TCPListener))
@@ -102,7 +103,7 @@
 	if err := link.welcome(t.Context(), newPeer(near)); err != nil {
 		t.Fatal(err)
 	}
-	near.Close()
+	besteffort.Close(near)
 	var got []byte
 	for chunk := make([]byte, 4096); ; {
 		n, err := far.Read(chunk)
@@ -117,18 +118,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer old.Close()
+	defer besteffort.Close(old)
 	go func() {
 		if c, err := old.Accept(); err == nil {
-			c.Write(committed)
-			c.Close()
+			besteffort.IgnoreResult(c.Write(committed))
+			besteffort.Close(c)
 		}
 	}()
 	j, passed, err := join(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer j.conn.Close()
+	defer besteffort.Close(j.conn)
 	state := goldenState()
 	if want := (message{Phase: Serving, Bans: &state}); passed != nil || !reflect.DeepEqual(j.first, want) {
 		t.Errorf("the committed welcome reads as %+v, with the listener %v", j.first, passed)
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -20,6 +20,7 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/denylist"
 	"appleledge/internal/unixsocket"
 )
@@ -106,7 +107,7 @@
 		found, listener, err := join(l.path(name))
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist):
-			os.Remove(l.path(name)) // its process is gone
+			besteffort.Ignore(os.Remove(l.path(name))) // its process is gone
 			continue
 		case err != nil:
 			log.Warn("another process of the agent does not answer", "socket", name, "error", err)
@@ -115,7 +116,7 @@
 		if listener != nil && passed == nil {
 			passed = listener
 		} else if listener != nil {
-			listener.Close()
+			besteffort.Close(listener)
 		}
 		l.add(found.peer, found.first)
 		log.Info("beside another process of the agent", "phase", found.first.Phase.String(), "listener", listener != nil)
@@ -151,7 +152,7 @@
 		err := unix.Flock(fd, unix.LOCK_EX|unix.LOCK_NB)
 		switch {
 		case err == nil:
-			return func() { unix.Flock(fd, unix.LOCK_UN) }
+			return func() { besteffort.Ignore(unix.Flock(fd, unix.LOCK_UN)) }
 		case (err == unix.EWOULDBLOCK || err == unix.EINTR) && time.Since(began) < lockMost:
 			continue
 		}
@@ -205,9 +206,9 @@
 	conn := c.(*net.UnixConn)
 	defer func() {
 		if err != nil {
-			conn.Close()
+			besteffort.Close(conn)
 			if listener != nil {
-				listener.Close()
+				besteffort.Close(listener)
 			}
 		}
 	}()
@@ -244,7 +245,7 @@
 		return nil, err
 	}
 	f := os.NewFile(uintptr(fds[0]), "listener")
-	defer f.Close()
+	defer besteffort.Close(f)
 	return net.FileListener(f)
 }
 
@@ -314,14 +315,14 @@
 // Close ends the connections to the others, who then go on without this process. Run does so at its end.
 func (l *Link) Close() {
 	if l.own != nil {
-		l.own.Close() // which removes the file
+		besteffort.Close(l.own) // which removes the file
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.peers {
-		p.conn.Close()
+		besteffort.Close(p.conn)
 	}
-	l.dir.Close()
+	besteffort.Close(l.dir)
 }
 
 // settle lets the process do what its phase and the others' want.
@@ -416,7 +417,7 @@
 			p := newPeer(conn)
 			if err := l.welcome(ctx, p); err != nil {
 				l.log.Warn("a process that starts beside this one could not join", "error", err)
-				conn.Close()
+				besteffort.Close(conn)
 				return
 			}
 			l.follow(ctx, p)
@@ -496,7 +497,7 @@
 		_, err = p.conn.Write(append(line, '\n'))
 	}
 	if err != nil { // a part of a line may be out: what follows could not be read
-		p.conn.Close()
+		besteffort.Close(p.conn)
 	}
 	return err
 }
@@ -556,7 +557,7 @@
 
 // lost notes that another process has ended.
 func (l *Link) lost(p *peer) {
-	p.conn.Close()
+	besteffort.Close(p.conn)
 	l.mu.Lock()
 	delete(l.peers, p.number)
 	l.process.Lost(p.number)
--- a/internal/hotrestart/link_test.go
+++ b/internal/hotrestart/link_test.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/denylist"
 )
 
@@ -104,7 +105,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); link.Run(ctx, h) }()
-	h.end = func() { stop(); <-done; link.gate.Close() }
+	h.end = func() { stop(); <-done; besteffort.Close(link.gate) }
 	t.Cleanup(h.end)
 	return h
 }
@@ -138,12 +139,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer besteffort.Close(far)
 	c, err := fresh.Gate().Accept() // the old one, whose gate is shut, would keep it
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
+	besteffort.Close(c)
 	old.end()
 	agenttest.Eventually(t, "the new one has all", fresh.has(1))
 	next := process(t, dir, false) // a second upgrade in a row
@@ -192,8 +193,8 @@
 		t.Fatal(err)
 	}
 	both.Go(func() { second.Run(ctx, &host{Link: second, set: denylist.New(10)}) })
-	defer second.gate.Close()
-	defer first.gate.Close()
+	defer besteffort.Close(second.gate)
+	defer besteffort.Close(first.gate)
 	if second.Alone() || second.Gate().Addr().String() != first.Gate().Addr().String() {
 		t.Error("the second one does not know of the first")
 	}
@@ -232,7 +233,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer besteffort.Close(held)
 	if err := unix.Flock(int(held.Fd()), unix.LOCK_EX); err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +271,7 @@
 		t.Fatal(err)
 	}
 	l.SetUnlinkOnClose(false) // as a killed process leaves it
-	l.Close()
+	besteffort.Close(l)
 	h := process(t, dir, true)
 	if _, err := os.Lstat(stale); err == nil {
 		t.Error("the file of a process that is gone is still there")
@@ -294,7 +295,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); link.Run(ctx, h) }()
-	defer func() { stop(); <-done; link.gate.Close() }()
+	defer func() { stop(); <-done; besteffort.Close(link.gate) }()
 	link.Enter(t.Context(), Serving)
 	if stranger := process(t, dir, true); !stranger.Alone() || stranger.Gate().Addr().String() == link.Gate().Addr().String() {
 		t.Error("it was let in")
@@ -312,7 +313,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer besteffort.Close(l)
 	began := time.Now()
 	if h := process(t, dir, true); !h.Alone() {
 		t.Error("it counts as a process")
@@ -331,21 +332,21 @@
 		if err != nil {
 			t.Skip(err)
 		}
-		defer near.Close()
+		defer besteffort.Close(near)
 		link := &Link{log: slog.New(slog.DiscardHandler), process: NewProcess(), peers: map[int]*peer{}, wait: map[int]chan<- struct{}{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
+		defer besteffort.Close(l)
 		link.gate = NewGate(l.(*net.TCPListener))
 		h := &host{Link: link, set: denylist.New(2)}
 		link.host = h
 		p := newPeer(near)
 		link.add(p, message{})
-		go func() { far.Write(text); far.CloseWrite() }()
+		go func() { besteffort.IgnoreResult(far.Write(text)); besteffort.Ignore(far.CloseWrite()) }()
 		link.follow(t.Context(), p)
-		far.Close()
+		besteffort.Close(far)
 		if n := len(h.out()); n > 2 {
 			t.Errorf("%d are held out", n)
 		}
@@ -361,12 +362,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { besteffort.Ignore(os.RemoveAll(dir)) }()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, "s"), Net: "unix"})
 	if err != nil {
 		return nil, nil, err
 	}
-	defer l.Close()
+	defer besteffort.Close(l)
 	if far, err = net.DialUnix("unix", nil, l.Addr().(*net.UnixAddr)); err != nil {
 		return nil, nil, err
 	}
@@ -385,12 +386,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer shared.Close()
+	defer besteffort.Close(shared)
 	other, err := net.FileListener(shared)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
+	defer besteffort.Close(other)
 	g := NewGate(l.(*net.TCPListener))
 	accept := func(l net.Listener) chan error {
 		accepted := make(chan error, 1)
@@ -408,7 +409,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { besteffort.Close(c) })
 	}
 	comes := func(from <-chan error) {
 		t.Helper()
@@ -450,13 +451,13 @@
 		t.Fatalf("accepted by a gate that is shut, %v", err)
 	default:
 	}
-	other.Close()
-	<-there
+	besteffort.Close(other)
+	besteffort.Ignore(<-there)
 	g.Set(true)
 	dial()
 	comes(here)
 	here = accept(g)
-	g.Close()
+	besteffort.Close(g)
 	if err := <-here; err == nil {
 		t.Error("accepted by a gate that is closed")
 	}
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -12,6 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
 )
@@ -61,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	info, err := f.Stat()
 	if err != nil {
 		return err
--- a/internal/membership/platform/asked_test.go
+++ b/internal/membership/platform/asked_test.go
@@ -14,6 +14,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
@@ -49,7 +50,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	io.WriteString(w, answer)
+	besteffort.IgnoreResult(io.WriteString(w, answer))
 }
 
 func (s *scripted) called() []string {
@@ -85,8 +86,8 @@
 			s := &scripted{answers: tt.answers}
 			l := agenttest.Listen(t)
 			srv := &http.Server{Handler: s}
-			go srv.Serve(l)
-			t.Cleanup(func() { srv.Close() })
+			go func() { besteffort.Ignore(srv.Serve(l)) }()
+			t.Cleanup(func() { besteffort.Close(srv) })
 			var log agenttest.LockedBuffer
 			d, events := follower(t, l.Addr().String(), &log)
 			d.asked = true
@@ -101,7 +102,8 @@
 			go func() {
 				for {
 					select {
-					case <-events.Losses: // the module's part
+					case err := <-events.Losses:
+						besteffort.Ignore(err) // the module's part
 						d.Ask()
 					case <-ended:
 						return
@@ -153,8 +155,8 @@
 	s := &scripted{answers: []string{"silence", agenttest.ListText(42, false, drains), "silence", "silence", "503"}}
 	l := agenttest.Listen(t)
 	srv := &http.Server{Handler: s}
-	go srv.Serve(l)
-	t.Cleanup(func() { srv.Close() })
+	go func() { besteffort.Ignore(srv.Serve(l)) }()
+	t.Cleanup(func() { besteffort.Close(srv) })
 	d, events := follower(t, l.Addr().String(), io.Discard)
 	d.asked, d.longWait, d.askMost = true, 10*time.Millisecond, time.Hour // so that neither the module nor the time has it asked again
 	d.known, _ = listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:1", "Ready", 0))))
@@ -177,8 +179,8 @@
 	s := &scripted{answers: []string{"503", "503", "503", agenttest.ListText(42, false, drains)}}
 	l := agenttest.Listen(t)
 	srv := &http.Server{Handler: s}
-	go srv.Serve(l)
-	t.Cleanup(func() { srv.Close() })
+	go func() { besteffort.Ignore(srv.Serve(l)) }()
+	t.Cleanup(func() { besteffort.Close(srv) })
 	d, events := follower(t, l.Addr().String(), io.Discard)
 	d.asked, d.askMost = true, 20*time.Millisecond
 	d.known, _ = listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:1", "Ready", 0))))
@@ -214,8 +216,8 @@
 	for _, s := range []*scripted{from, to} {
 		l := agenttest.Listen(t)
 		srv := &http.Server{Handler: s}
-		go srv.Serve(l)
-		t.Cleanup(func() { srv.Close() })
+		go func() { besteffort.Ignore(srv.Serve(l)) }()
+		t.Cleanup(func() { besteffort.Close(srv) })
 		at = append(at, l.Addr().String())
 	}
 	d, events := follower(t, at[0], io.Discard)
--- a/internal/membership/platform/golden_test.go
+++ b/internal/membership/platform/golden_test.go
@@ -18,6 +18,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
 	"appleledge/internal/membership"
@@ -36,7 +37,7 @@
 	var mu sync.Mutex
 	var heads []string
 	serve := func(c net.Conn) {
-		defer c.Close()
+		defer besteffort.Close(c)
 		for r := bufio.NewReader(c); ; {
 			head, err := readHead(r)
 			if err != nil {
--- a/internal/membership/platform/platform.go
+++ b/internal/membership/platform/platform.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
@@ -386,7 +387,7 @@
 		return answer{err: err}
 	}
 	defer time.AfterFunc(bodyIn, cancel).Stop()
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		return answer{err: fmt.Errorf("discovery answered %s", resp.Status)}
 	}
--- a/internal/membership/platform/platform_test.go
+++ b/internal/membership/platform/platform_test.go
@@ -16,6 +16,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 	"appleledge/internal/membership/listing"
@@ -229,11 +230,11 @@
 // A discovery that answers every watch at once with the same list is told on, and fills no log.
 func TestSameListIsLoggedOnce(t *testing.T) {
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		io.WriteString(w, agenttest.ListText(1, true, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
+		besteffort.IgnoreResult(io.WriteString(w, agenttest.ListText(1, true, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))))
 	})}
 	l := agenttest.Listen(t)
-	go srv.Serve(l)
-	t.Cleanup(func() { srv.Close() })
+	go func() { besteffort.Ignore(srv.Serve(l)) }()
+	t.Cleanup(func() { besteffort.Close(srv) })
 	var log agenttest.LockedBuffer
 	d, events := follower(t, l.Addr().String(), &log)
 	follow(t, d, events)
@@ -274,7 +275,7 @@
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
-		io.WriteString(w, agenttest.ListText(version, true, agenttest.EntryText(fmt.Sprint("s-", version), "127.0.0.1:1", "Ready", 0)))
+		besteffort.IgnoreResult(io.WriteString(w, agenttest.ListText(version, true, agenttest.EntryText(fmt.Sprint("s-", version), "127.0.0.1:1", "Ready", 0))))
 	}))
 	t.Cleanup(server.Close)
 	d, events := follower(t, strings.TrimPrefix(server.URL, "http://"), io.Discard)
@@ -338,8 +339,8 @@
 	h.mu.Unlock()
 	if hangs {
 		if h.slowly {
-			io.WriteString(w, "{")
-			http.NewResponseController(w).Flush()
+			besteffort.IgnoreResult(io.WriteString(w, "{"))
+			besteffort.Ignore(http.NewResponseController(w).Flush())
 		}
 		<-r.Context().Done()
 		h.mu.Lock()
@@ -351,7 +352,7 @@
 		<-r.Context().Done() // what comes later is of no interest
 		return
 	}
-	io.WriteString(w, h.answer(r.URL.RawQuery))
+	besteffort.IgnoreResult(io.WriteString(w, h.answer(r.URL.RawQuery)))
 }
 
 // asked are the calls that came while another one hung.
--- a/internal/membership/xds/source.go
+++ b/internal/membership/xds/source.go
@@ -23,6 +23,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/membership"
 )
@@ -74,7 +75,7 @@
 		to.Lost(err)
 		return
 	}
-	defer conn.Close()
+	defer besteffort.Close(conn)
 	m := newMachine(reader{s.options.Zones, s.clock}, s.options.Delta, s.options.Clusters, s.options.Subset, s.options.Me)
 	refused := map[string]*refusals{}
 	for _, t := range []string{ClusterType, EndpointType} {
--- a/internal/membership/xds/source_test.go
+++ b/internal/membership/xds/source_test.go
@@ -20,6 +20,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/harness/controlplane"
 	"appleledge/internal/membership"
@@ -294,7 +295,7 @@
 		l := agenttest.Listen(t)
 		g := grpc.NewServer()
 		discoveryv3.RegisterAggregatedDiscoveryServiceServer(g, server.NewServer(ctx, c, nil))
-		go g.Serve(l)
+		go func() { besteffort.Ignore(g.Serve(l)) }()
 		defer g.Stop()
 		const up, drain = corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING
 		one, two := controlplane.Cluster("a"), controlplane.Cluster("b")
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"net/http"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Fleet is the fleet as one agent sees it.
@@ -91,7 +93,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
-	e.Encode(f) // a caller that has left needs nothing
+	besteffort.Ignore(e.Encode(f)) // a caller that has left needs nothing
 }
 
 // Seconds is a time in seconds, for figures.
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -12,6 +12,7 @@
 	"strings"
 	"testing"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/fleetconfig"
 	"appleledge/internal/golden"
 )
@@ -37,7 +38,7 @@
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(method, path, nil))
 		fmt.Fprintf(&b, "%s\n%d\n", line, w.Code)
-		w.Header().Write(&b)
+		besteffort.Ignore(w.Header().Write(&b))
 		fmt.Fprintf(&b, "%s\n", w.Body)
 	}
 	return strings.ReplaceAll(b.String(), "\r", "")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -13,6 +13,7 @@
 	"strings"
 	"time"
 
+	"appleledge/internal/besteffort"
 	"appleledge/internal/connlimit"
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
@@ -66,7 +67,7 @@
 		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), endPatience)
 		defer cancel()
 		if srv.Shutdown(last) != nil {
-			srv.Close()
+			besteffort.Close(srv)
 		}
 	})()
 	s.Log.Info("listening for operators", "addr", l.Addr().String())
@@ -104,7 +105,7 @@
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
-	io.WriteString(w, "ready\n")
+	besteffort.IgnoreResult(io.WriteString(w, "ready\n"))
 }
 
 func (s *Server) stats(w http.ResponseWriter, r *http.Request) {
@@ -114,7 +115,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	io.WriteString(w, f.String())
+	besteffort.IgnoreResult(io.WriteString(w, f.String()))
 }
 
 // hold takes a server out or back.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/denylist"
 	"appleledge/internal/engine"
 )
@@ -70,9 +71,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(agenttest.Patience))
-	io.WriteString(c, text)
+	defer besteffort.Close(c)
+	besteffort.Ignore(c.SetDeadline(time.Now().Add(agenttest.Patience)))
+	besteffort.IgnoreResult(io.WriteString(c, text))
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -148,9 +149,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer besteffort.Close(c)
 		if i%2 == 0 {
-			io.WriteString(c, "GET /ops/stats HTTP/1.1\r\nHo")
+			besteffort.IgnoreResult(io.WriteString(c, "GET /ops/stats HTTP/1.1\r\nHo"))
 		}
 	}
 	began := time.Now()
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -10,6 +10,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // Tally is what clients have seen.
@@ -119,7 +121,7 @@
 	resp, err := c.http.Do(r)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
+		besteffort.Close(resp.Body)
 	}
 	took := time.Since(began)
 	c.mu.Lock()
--- a/internal/scenario/live.go
+++ b/internal/scenario/live.go
@@ -21,6 +21,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/emulator"
 	"appleledge/internal/harness/loopback"
 )
@@ -106,7 +107,7 @@
 	if err != nil {
 		return Day{}, fmt.Errorf("a folder for the agents' configurations: %w", err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { besteffort.Ignore(os.RemoveAll(dir)) }()
 	d, err := emulator.NewDiscovery("127.0.0.1:0")
 	if err != nil {
 		return Day{}, err
@@ -354,7 +355,7 @@
 func (l *live) killAgent(number int, down time.Duration, power bool) {
 	l.agents[number].end(syscall.SIGKILL)
 	if power {
-		l.newRun(l.agents[number])
+		besteffort.Ignore(l.newRun(l.agents[number]))
 	}
 	l.restart(l.agents[number], down)
 }
@@ -445,7 +446,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer besteffort.Close(log)
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("agent %d: %w", a.number+1, err)
@@ -459,7 +460,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cmd != nil {
-		a.cmd.Process.Signal(s)
+		besteffort.Ignore(a.cmd.Process.Signal(s))
 	}
 }
 
@@ -478,9 +479,9 @@
 	if a.cmd == nil {
 		return
 	}
-	a.cmd.Process.Signal(s)
-	force := time.AfterFunc(agentTerm, func() { a.cmd.Process.Kill() })
-	a.cmd.Wait()
+	besteffort.Ignore(a.cmd.Process.Signal(s))
+	force := time.AfterFunc(agentTerm, func() { besteffort.Ignore(a.cmd.Process.Kill()) })
+	besteffort.Ignore(a.cmd.Wait())
 	force.Stop()
 	a.cmd = nil
 }
@@ -620,7 +621,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return 0, 0, err
 	}
--- a/internal/scenario/quickstart.go
+++ b/internal/scenario/quickstart.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"appleledge/internal/agent"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/harness/loopback"
 )
 
@@ -45,12 +46,12 @@
 	if err != nil {
 		return Tally{}, fmt.Errorf("a folder for the agent's configuration: %w", err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { besteffort.Ignore(os.RemoveAll(dir)) }()
 	addr, ended, stop, err := q.agent(fleet, dir)
 	if err != nil {
 		return Tally{}, err
 	}
-	defer func() { stop(); <-ended }()
+	defer func() { stop(); besteffort.Ignore(<-ended) }()
 	fmt.Fprintf(q.Out, "%d form servers (%s), their list, and an agent are up on loopback.\n", q.Servers, fleet.Kinds())
 	fmt.Fprintf(q.Out, "The agent is at http://%s. Meanwhile, from another terminal:\n\n", addr)
 	fmt.Fprintf(q.Out, "    curl -i -H 'X-Request-ID: mine-1' -H 'X-Tenant-Id: lerwick-port' -H 'X-Timeout: 2000m' http://%s/form-check\n\n", addr)
@@ -108,7 +109,7 @@
 	client := http.Client{Timeout: time.Second}
 	for until := time.Now().Add(startWait); ; time.Sleep(10 * time.Millisecond) {
 		if resp, err := client.Get("http://" + addr + "/ready"); err == nil {
-			resp.Body.Close()
+			besteffort.Close(resp.Body)
 			if resp.StatusCode == http.StatusOK {
 				return addr, result, stop, nil
 			}
@@ -121,7 +122,7 @@
 		}
 		if time.Now().After(until) {
 			stop()
-			<-result
+			besteffort.Ignore(<-result)
 			return "", nil, nil, fmt.Errorf("the agent was not ready within %v", startWait)
 		}
 	}
--- a/internal/scenario/ready.go
+++ b/internal/scenario/ready.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"net/http"
 	"time"
+
+	"appleledge/internal/besteffort"
 )
 
 // waitReady waits until an agent answers that it is ready.
@@ -12,7 +14,7 @@
 	defer client.CloseIdleConnections()
 	for until := time.Now().Add(startWait); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		if resp, err := client.Get("http://" + addr + "/ready"); err == nil {
-			resp.Body.Close()
+			besteffort.Close(resp.Body)
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
--- a/internal/scenario/verbs_test.go
+++ b/internal/scenario/verbs_test.go
@@ -8,6 +8,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"appleledge/internal/besteffort"
 )
 
 // Loads that swing are felt second by second, and leave the load as it was.
@@ -117,7 +119,7 @@
 		if err := Simulate(script(t, text), 1).JSON(f); err != nil {
 			t.Fatal(err)
 		}
-		f.Close()
+		besteffort.Close(f)
 		d, err := LoadDay(path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sockstate/peek_test.go
+++ b/internal/sockstate/peek_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"appleledge/internal/agenttest"
+	"appleledge/internal/besteffort"
 )
 
 // pair are two ends of a connection that close with the test.
@@ -14,11 +15,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
+	t.Cleanup(func() { besteffort.Close(far) })
 	if near, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close() })
+	t.Cleanup(func() { besteffort.Close(near) })
 	return near, far
 }
 
@@ -49,12 +50,12 @@
 	if a, b := <-got, <-got; a != 'a' || b != 'b' {
 		t.Errorf("read %c%c", a, b)
 	}
-	far.Close()
+	besteffort.Close(far)
 	agenttest.Eventually(t, "it has ended", func() bool { return Look(c) == Ended })
 	if _, more := <-got; more {
 		t.Error("something was read behind the end")
 	}
-	c.Close()
+	besteffort.Close(c)
 	if s := Look(c); s != Unknown {
 		t.Errorf("closed here: %v", s)
 	}
@@ -67,9 +68,9 @@
 // The end is seen behind bytes that nobody takes, and none is seen before it has come.
 func TestGone(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
-		"closes":           func(c *net.TCPConn) { c.Close() },
-		"ends its sending": func(c *net.TCPConn) { c.CloseWrite() },
-		"resets":           func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		"closes":           func(c *net.TCPConn) { besteffort.Close(c) },
+		"ends its sending": func(c *net.TCPConn) { besteffort.Ignore(c.CloseWrite()) },
+		"resets":           func(c *net.TCPConn) { besteffort.Ignore(c.SetLinger(0)); besteffort.Close(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, far := pair(t)
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -17,6 +17,7 @@
 	"appleledge/internal/affinity"
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/coalesce"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
@@ -115,12 +116,12 @@
 	served := make(chan error, 1)
 	l := agenttest.Listen(t)
 	go func(l net.Listener) { served <- s.Serve(ctx, l) }(l)
-	defer func() { stop(); <-served }()
+	defer func() { stop(); besteffort.Ignore(<-served) }()
 	resp, err := http.Get("http://" + l.Addr().String() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -20,6 +20,7 @@
 	"appleledge/internal/admission"
 	"appleledge/internal/affinity"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
@@ -55,7 +56,7 @@
 	})
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: patience, WriteTimeout: patience, IdleTimeout: patience, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelWarn)} // a rude peer must not flood the log
-	stopped := context.AfterFunc(ctx, func() { srv.Close() })
+	stopped := context.AfterFunc(ctx, func() { besteffort.Close(srv) })
 	defer stopped()
 	s.Log.Info("telemetry listening", "addr", l.Addr().String())
 	if err := srv.Serve(netutil.LimitListener(l, mostAtOnce)); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -14,6 +14,7 @@
 	"appleledge/internal/admission"
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
@@ -99,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != want {
 		t.Fatalf("%s: %d, %v", url, resp.StatusCode, err)
--- a/internal/testgate/known.go
+++ b/internal/testgate/known.go
@@ -8,6 +8,8 @@
 	"io/fs"
 	"os"
 	"strings"
+
+	"appleledge/internal/besteffort"
 )
 
 // TestID names a test or subtest by the import path of its package and its full name.
@@ -97,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer besteffort.Close(file)
 	list, err := ReadKnown(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/internal/unixsocket/localsocket.go
+++ b/internal/unixsocket/localsocket.go
@@ -8,6 +8,8 @@
 	"net"
 	"os"
 	"syscall"
+
+	"appleledge/internal/besteffort"
 )
 
 // Listen opens a socket at path with the mode 0600. The mode is the descriptor's before it is bound, from which the kernel makes
@@ -24,7 +26,7 @@
 		return nil, err
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm()&0o077 != 0 {
-		l.Close()
+		besteffort.Close(l)
 		return nil, fmt.Errorf("%s: this system makes no socket for its owner alone (%w)", path, errors.Join(err, errors.ErrUnsupported))
 	}
 	return l.(*net.UnixListener), nil
--- a/internal/unixsocket/localsocket_test.go
+++ b/internal/unixsocket/localsocket_test.go
@@ -7,6 +7,8 @@
 	"sync"
 	"syscall"
 	"testing"
+
+	"appleledge/internal/besteffort"
 )
 
 func TestSocketsOpenedAtOnceAreTheirOwnersAndLeaveTheUmaskAlone(t *testing.T) {
@@ -26,7 +28,7 @@
 				if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 					t.Errorf("mode %v, %v", info.Mode(), err)
 				}
-				l.Close()
+				besteffort.Close(l)
 				if _, err := os.Stat(path); !os.IsNotExist(err) {
 					t.Errorf("the file stays: %v", err)
 				}
@@ -45,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer besteffort.Close(l)
 	if _, err := Listen(path); err == nil {
 		t.Error("opened twice")
 	}
--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 	"appleledge/internal/sockstate"
 )
@@ -171,7 +172,7 @@
 
 // drop closes a connection that is in no idle list.
 func (p *Pool) drop(c *Conn) {
-	c.Close()
+	besteffort.Close(c)
 	delete(p.open, c)
 	c.backend.conns--
 }
@@ -257,7 +258,7 @@
 	defer p.mu.Unlock()
 	p.opening--
 	if err == nil && p.closed {
-		raw.Close()
+		besteffort.Close(raw)
 		err = net.ErrClosed
 	}
 	if err != nil {
@@ -381,7 +382,7 @@
 		p.dismiss(c)
 	}
 	for c := range p.open {
-		c.Close()
+		besteffort.Close(c)
 	}
 }
 
--- a/internal/upstream/connpool/pool_test.go
+++ b/internal/upstream/connpool/pool_test.go
@@ -12,6 +12,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/engine"
 )
 
@@ -43,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far.Close()
+	besteffort.Close(far)
 	agenttest.Eventually(t, "the close has come", func() bool { return !first.quiet() })
 	if take(t, p, "b") == first {
 		t.Error("the closed connection was used")
--- a/internal/upstream/http1/carrier_test.go
+++ b/internal/upstream/http1/carrier_test.go
@@ -15,6 +15,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/upstream/connpool"
@@ -62,7 +63,7 @@
 }
 
 func resets(c net.Conn, _ *http.Request, _ int) bool {
-	c.(*net.TCPConn).SetLinger(0)
+	besteffort.Ignore(c.(*net.TCPConn).SetLinger(0))
 	return false
 }
 
@@ -108,11 +109,11 @@
 		"good, and noise behind it": {agenttest.Says(agenttest.Served + "\x00noise"), balancer.OK, 0},
 		// It may be cut: nothing tells where it should have ended.
 		"no length, then closed": {func(c net.Conn, r *http.Request, n int) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nfine")
+			besteffort.IgnoreResult(io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nfine"))
 			return false
 		}, balancer.Reset, 0},
 		"truncated": {func(c net.Conn, r *http.Request, n int) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine")
+			besteffort.IgnoreResult(io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine"))
 			return false
 		}, balancer.Reset, 0},
 	} {
--- a/internal/upstream/http1/golden_test.go
+++ b/internal/upstream/http1/golden_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"appleledge/internal/balancer"
+	"appleledge/internal/besteffort"
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
 	"appleledge/internal/golden"
@@ -53,13 +54,13 @@
 		got := make(chan []byte)
 		go func() {
 			var all bytes.Buffer
-			all.ReadFrom(far)
+			besteffort.IgnoreResult(all.ReadFrom(far))
 			got <- all.Bytes()
 		}()
 		if _, ok, result := s.upload(&connpool.Conn{Conn: near}, attempt(in), u); !ok {
 			t.Fatalf("length %d: %v", length, result)
 		}
-		near.Close()
+		besteffort.Close(near)
 		out = append(append(out, <-got...), "\r\n----\r\n"...)
 	}
 	golden.Equal(t, "httpcarrier/attempts.txt", out)
