--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -36,7 +36,7 @@
 	now     time.Duration
 }
 
-func (c *core) Command(_ context.Context, do func(time.Duration, *generation.Manager)) error {
+func (c *core) WithGenerations(_ context.Context, do func(time.Duration, *generation.Manager)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now += time.Millisecond
@@ -441,7 +441,7 @@
 		t.Fatal(err)
 	}
 	x.core.now += time.Hour
-	if err := x.Engine.Command(t.Context(), func(now time.Duration, m *generation.Manager) { m.Tick(now) }); err != nil {
+	if err := x.Engine.WithGenerations(t.Context(), func(now time.Duration, m *generation.Manager) { m.Tick(now) }); err != nil {
 		t.Fatal(err)
 	}
 	disk.Left, disk.Fault = 0, syscall.EIO
--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -16,7 +16,7 @@
 
 // Engine runs what is to be done with the manager on the engine's goroutine.
 type Engine interface {
-	Command(ctx context.Context, do func(now time.Duration, m *generation.Manager)) error
+	WithGenerations(ctx context.Context, do func(now time.Duration, m *generation.Manager)) error
 }
 
 // Keeper keeps the state over a restart.
@@ -70,7 +70,7 @@
 }
 
 func (c *Changes) view(ctx context.Context) (v view, err error) {
-	err = c.Engine.Command(ctx, func(now time.Duration, m *generation.Manager) {
+	err = c.Engine.WithGenerations(ctx, func(now time.Duration, m *generation.Manager) {
 		v.now = now
 		v.servers, v.version = m.Servers()
 		v.config, v.number, _ = m.Config()
@@ -100,7 +100,7 @@
 	}
 	type turned struct{ refused, came float64 }
 	limits := map[string]turned{}
-	err = c.Engine.Command(ctx, func(now time.Duration, m *generation.Manager) {
+	err = c.Engine.WithGenerations(ctx, func(now time.Duration, m *generation.Manager) {
 		for _, l := range config.Limits {
 			refused, came := m.TurnedAway(now, l)
 			limits[l.Name] = turned{refused, came}
@@ -194,7 +194,7 @@
 
 // command runs do with the manager and returns its error.
 func (c *Changes) command(ctx context.Context, do func(time.Duration, *generation.Manager) error) (err error) {
-	if ended := c.Engine.Command(ctx, func(now time.Duration, m *generation.Manager) { err = do(now, m) }); ended != nil {
+	if ended := c.Engine.WithGenerations(ctx, func(now time.Duration, m *generation.Manager) { err = do(now, m) }); ended != nil {
 		return refuse(KindEnding, ended)
 	}
 	return err
@@ -297,7 +297,7 @@
 	c.changing.Lock()
 	defer c.changing.Unlock()
 	var changes uint64
-	if err := c.Engine.Command(ctx, func(_ time.Duration, m *generation.Manager) { changes = m.Changes() }); err != nil {
+	if err := c.Engine.WithGenerations(ctx, func(_ time.Duration, m *generation.Manager) { changes = m.Changes() }); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -313,7 +313,7 @@
 func (c *Changes) Status(ctx context.Context) (Status, error) {
 	s := Status{Agent: c.Agent}
 	var changes uint64
-	err := c.Engine.Command(ctx, func(now time.Duration, m *generation.Manager) { s.Status, changes = m.Status(now), m.Changes() })
+	err := c.Engine.WithGenerations(ctx, func(now time.Duration, m *generation.Manager) { s.Status, changes = m.Status(now), m.Changes() })
 	if err != nil {
 		return s, refuse(KindEnding, err)
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -65,7 +65,7 @@
 type broken struct{ err error }
 
 func (b broken) Save([]byte) error { return b.err }
-func (b broken) Command(context.Context, func(time.Duration, *generation.Manager)) error {
+func (b broken) WithGenerations(context.Context, func(time.Duration, *generation.Manager)) error {
 	return b.err
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -172,7 +172,7 @@
 	defer left()
 
 	toBackends, fromClients := shareSockets(cfg.Sockets - with.sockets() - cfg.operatorSockets())
-	clk := engine.NewClock().Shifted(with.ClockOff)
+	clk := engine.NewClock().WithOffset(with.ClockOff)
 	conns := connpool.New(cfg.Site.ConnectTimeout, cfg.Site.ConnIdle, toBackends)
 	core := engine.New(policy, clk, conns, log)
 	keep, err := with.openKept(cfg, clk, log)
@@ -187,7 +187,7 @@
 	disco := platform.New(seek, clk, log)
 	core.OnSubscribe(disco.Ask)
 	sources, names := with.open(disco, clk, cfg.Site, log)
-	hub := membership.NewHub(with.Membership, names, clk, core.Tell, log)
+	hub := membership.NewHub(with.Membership, names, clk, core.Post, log)
 	settled, rules := platformconfig.New(cfg.Site), &requesthead.InForce{}
 	rules.Put(settled.Rules())
 	others, err := with.openPeers(cfg, clk, log)
@@ -224,12 +224,12 @@
 	var door recovery.Door
 	if with.Storm != nil {
 		door = newStorm(cfg, *with.Storm)
-		core.Guard(door)
+		core.SetAdmission(door)
 		parts.Go(func() { logStorms(inner, core, clk, with.Storm.LogEvery, log) })
 	}
 	var rekey func() error
 	if others != nil {
-		core.Heed(with.heard(disco), others.Tell)
+		core.SetGossip(with.heard(disco), others.Tell)
 		parts.Go(func() { others.Run(leaving, core) })
 		rekey = func() error { return others.Rekey(with.Peers.KeyFile) }
 	}
@@ -245,7 +245,7 @@
 	if keep != nil {
 		keep.attach(core, clk, cfg, door, with.heard(disco), with.askFor())
 	}
-	core.Name(cfg.Site.Logic.Classes)
+	core.SetClassNames(cfg.Site.Logic.Classes)
 	reloading := reload{clock: clk, core: core, disco: disco, terms: settled, rules: rules, keys: cfg.keys, own: own, peers: rekey, log: log}
 	var large *downstreamhttp1.Large
 	var crowd connlimit.Options
@@ -268,7 +268,7 @@
 		return err
 	}
 	if with.Figures > 0 {
-		core.Count(cfg.Site.Logic.Classes)
+		core.TrackLatency(cfg.Site.Logic.Classes)
 		look := counters{core, conns, disco}
 		parts.Go(func() { look.log(inner, with.Figures, log) })
 	}
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -38,7 +38,7 @@
 
 // held is what the agent holds and believes now. Shares are in thousandths, so that their sum over agents is one.
 func (f counters) held() []any {
-	c, p := f.conns.Count(), f.core.Load().Picture
+	c, p := f.conns.Count(), f.core.Stats().Balancer
 	share := func(x float64) int { return int(math.Round(1000 * x)) }
 	return []any{"held_open", c.Open, "held_idle", c.Idle, "held_agents", 1, "held_use", share(p.Use), "held_late", share(p.Late),
 		"held_waiting", share(p.Waiting), "held_shed", share(p.Shed), "held_view", p.Drawn, "held_cold", p.Cold, "held_ejected", p.Ejected}
@@ -51,7 +51,7 @@
 }
 
 func (f counters) counts() (all []count) {
-	t, p, d := f.core.Load().Tally, f.conns.Count(), f.disco.Counts()
+	t, p, d := f.core.Stats().Counters, f.conns.Count(), f.disco.Counts()
 	add := func(name string, n uint64) { all = append(all, count{name, n}) }
 	for kind, name := range engine.AnswerKinds {
 		var n uint64
@@ -63,7 +63,7 @@
 	for kind, name := range engine.SendKinds {
 		add("send_"+name, t.Sends[kind])
 	}
-	add("send_cold", t.Cold)
+	add("send_cold", t.SlowStart)
 	for result, name := range balancer.Results {
 		add("end_"+name, t.Attempts[result])
 	}
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -30,21 +30,21 @@
 
 func (v fleetView) see(ctx context.Context) (operator.Fleet, error) {
 	f := operator.Fleet{Agent: v.name}
-	load := v.core.Load()
+	load := v.core.Stats()
 	if st := load.Recovery; st != nil && v.keep != nil {
 		r := operator.Recovery{Phase: st.Phase.String(), Why: st.Why, ForS: operator.Seconds(v.clock.Now() - st.Since), LetIn: rounded(st.Rate),
 			Warm: rounded(st.Warm), Servers: st.Servers, Answered: st.Heard, Trials: st.Counts.Trials, InVain: st.Counts.Vain,
 			Refused: map[string]uint64{}, Trusted: v.keep.trust.String(), Keeping: v.keep.standing()}
 		for class, n := range st.Counts.Refused {
-			if class < len(load.Tally.Classes) {
-				r.Refused[load.Tally.Classes[class]] = n
+			if class < len(load.Counters.Classes) {
+				r.Refused[load.Counters.Classes[class]] = n
 			}
 		}
 		f.Recovery = &r
 	}
 	if v.peers != nil {
 		st := v.peers.Status()
-		held, counts, err := v.core.Held(ctx)
+		held, counts, err := v.core.HeldByGossip(ctx)
 		if err != nil {
 			return f, err
 		}
@@ -60,7 +60,7 @@
 		if err != nil {
 			return f, err
 		}
-		f.Overload = overloadOf(st, load.Tally.Classes)
+		f.Overload = overloadOf(st, load.Counters.Classes)
 	}
 	return f, nil
 }
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -51,7 +51,7 @@
 		g.close()
 		return nil, err
 	}
-	core.Govern(manager, cfg.Site.Zones)
+	core.SetGenerations(manager, cfg.Site.Zones)
 	return g, nil
 }
 
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -72,8 +72,8 @@
 	}
 	conns := connpool.New(time.Second, time.Minute, 10)
 	core := engine.New(policy, clock, conns, quiet)
-	core.Count(site.Logic.Classes)
-	core.TurnedAway(&engine.Call{ID: "r"})
+	core.TrackLatency(site.Logic.Classes)
+	core.CountRejected(&engine.Call{ID: "r"})
 	conns.Update(true, []engine.Member{{Server: balancer.Server{ID: "s-1"}, Addr: agenttest.Refusing(t)}})
 	if _, err := conns.Get(t.Context(), conns.Backend("s-1")); err == nil {
 		t.Fatal("a connection to where nothing listens")
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -47,8 +47,8 @@
 	}
 	f, clock := goldenCounters(t), engine.NewClock()
 	core := engine.New(policy, clock, f.conns, slog.New(slog.DiscardHandler))
-	core.Count(site.Logic.Classes)
-	core.Guard(stormy{})
+	core.TrackLatency(site.Logic.Classes)
+	core.SetAdmission(stormy{})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
@@ -77,9 +77,9 @@
 		t.Fatal(err)
 	}
 	now := 20 * time.Second
-	clock := engine.DrivenClock(&now)
+	clock := engine.ManualClock(&now)
 	core := engine.New(policy, clock, goldenCounters(t).conns, slog.New(slog.DiscardHandler))
-	core.Count(site.Logic.Classes)
+	core.TrackLatency(site.Logic.Classes)
 	var classes []recovery.Class
 	for _, c := range site.Logic.Classes {
 		classes = append(classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
@@ -91,7 +91,7 @@
 	}
 	r.Begin(18*time.Second, before, "power")
 	r.Outcome(19*time.Second, "s-1", true, false, 20, 0.8)
-	core.Return(r, func() bool { return true }, func() {})
+	core.SetRecovery(r, func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
--- a/internal/agent/join.go
+++ b/internal/agent/join.go
@@ -37,7 +37,7 @@
 	for _, c := range site.Classes { // as the module words its refusals
 		after = min(after, c.Aim/2)
 	}
-	core.Join(set.Options, after)
+	core.SetCoalescing(set.Options, after)
 	return j, nil
 }
 
@@ -61,7 +61,7 @@
 func logJoins(ctx context.Context, core *engine.Engine, interval time.Duration, log *slog.Logger) {
 	var last coalesce.Counts
 	every(ctx, interval, func() {
-		c := core.Load().Joins
+		c := core.Stats().Coalescing
 		if c.Flights == last.Flights && c.Alone == last.Alone {
 			return
 		}
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -76,7 +76,7 @@
 func begin(t *testing.T, core *engine.Engine, r *http.Request, calls int, replies chan<- reply) {
 	t.Helper()
 	go func() { replies <- send(t, r) }()
-	eventually(t, "the request is with the engine", func() bool { return core.Load().Calls == calls })
+	eventually(t, "the request is with the engine", func() bool { return core.Stats().Calls == calls })
 }
 
 // Which requests are answered together, over sockets: the number of them that reach the backend, of three.
@@ -165,7 +165,7 @@
 			served := "answer 1"
 			if how == "leaves" { // and the attempt fails: there is another one, for the caller who is still there
 				leave()
-				eventually(t, "its place is given up", func() bool { return core.Load().Joins.Waiting == 1 && <-ended == 0 })
+				eventually(t, "its place is given up", func() bool { return core.Stats().Coalescing.Waiting == 1 && <-ended == 0 })
 				g.breaks.Store(true)
 				served = "answer 2"
 			}
@@ -224,7 +224,7 @@
 		if reached[on] = b.Requests(); bad.Load() > 0 {
 			t.Errorf("joining %v: %d requests were not served", on, bad.Load())
 		}
-		if c := core.Load(); c.Calls > 0 || c.Joins.Waiting+c.Joins.Groups > 0 {
+		if c := core.Stats(); c.Calls > 0 || c.Coalescing.Waiting+c.Coalescing.Groups > 0 {
 			t.Errorf("left at the end: %+v", c)
 		}
 	}
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -34,10 +34,10 @@
 func (o operating) Ready() bool { return o.ready() }
 
 func (o operating) Figures(ctx context.Context) (f operator.Figures, err error) {
-	if f.Fleet, err = o.core.Fleet(ctx); err != nil {
+	if f.Fleet, err = o.core.EndpointCounts(ctx); err != nil {
 		return f, err
 	}
-	f.Tally, f.Reloads, f.ReloadErrors = o.core.Tally(), o.reloads.taken.Load(), o.reloads.refused.Load()
+	f.Tally, f.Reloads, f.ReloadErrors = o.core.Counters(), o.reloads.taken.Load(), o.reloads.refused.Load()
 	return f, nil
 }
 
@@ -60,7 +60,7 @@
 }
 
 func hold(ctx context.Context, core *engine.Engine, server string, out bool) error {
-	return core.Bans(ctx, func(now time.Duration, s *denylist.Set) error {
+	return core.WithDenylist(ctx, func(now time.Duration, s *denylist.Set) error {
 		if out {
 			return s.Down(now, server)
 		}
@@ -83,7 +83,7 @@
 		set.Restore(o.link.Inherited(), clk.FromUnix)
 	}
 	set.Restore(o.keep.bans(), clk.FromUnix)
-	o.core.Hold(set)
+	o.core.SetDenylist(set)
 	s := &operator.Server{Agent: o, Fleet: o.fleet, Log: log}
 	return func(ctx context.Context) error { return s.Serve(ctx, l) }, nil
 }
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -38,7 +38,7 @@
 	alone := newStorm(cfg, Storm{Remember: x.Overload.Remember})
 	s := &sharing{set: *x.Overload, core: core, log: log, door: overload.New(overload.Options{Self: site.Me, Agents: site.Balancers,
 		Classes: stormClasses(site.Classes), Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
-	core.Guard(s.door)
+	core.SetAdmission(s.door)
 	return s
 }
 
@@ -48,7 +48,7 @@
 		return errors.New("overload: the agent knows of no others")
 	}
 	s.door.Among(others.Self(), others.Agents())
-	s.core.ShareBy(s.door)
+	s.core.SetOverload(s.door)
 	return nil
 }
 
@@ -57,7 +57,7 @@
 	every(ctx, shareLook, func() {
 		var body []byte
 		var to int
-		if err := s.core.Sharing(ctx, func(now time.Duration) { body, to = s.door.Tell(now, gossip.MostBody) }); err == nil && body != nil {
+		if err := s.core.WithOverload(ctx, func(now time.Duration) { body, to = s.door.Tell(now, gossip.MostBody) }); err == nil && body != nil {
 			others.Share(body, to)
 		}
 	})
@@ -77,7 +77,7 @@
 
 // status returns how the door stands.
 func (s *sharing) status(ctx context.Context) (st overload.Status, err error) {
-	err = s.core.Sharing(ctx, func(now time.Duration) { st = s.door.Status(now) })
+	err = s.core.WithOverload(ctx, func(now time.Duration) { st = s.door.Status(now) })
 	return st, err
 }
 
@@ -103,4 +103,4 @@
 	})
 }
 
-var _ engine.Sharer = (*overload.Door)(nil)
+var _ engine.OverloadHandler = (*overload.Door)(nil)
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -179,14 +179,14 @@
 	default:
 		r.Begin(clk.Now(), recovery.Before{}, "nothing is known from before")
 	}
-	core.Return(r, heard, func() {
+	core.SetRecovery(r, heard, func() {
 		select {
 		case k.wake <- struct{}{}:
 		default:
 		}
 	})
 	if k.trust != ondisk.Complete { // whatever is on the disk: it may be a backup's, or of before the last that was sent
-		core.Forgot(clk.Now() + k.repeats)
+		core.FailUnknownRepeatsUntil(clk.Now() + k.repeats)
 	}
 }
 
@@ -278,8 +278,8 @@
 
 // document is what the agent knows now; ok is false before it has been told of any server.
 func (k *keeping) document(ctx context.Context) (d ondisk.Document, ok bool, err error) {
-	known, err := k.core.Known(ctx)
-	if err != nil || len(known.Members) == 0 && len(known.Bans.Out) == 0 {
+	known, err := k.core.Snapshot(ctx)
+	if err != nil || len(known.Members) == 0 && len(known.Denylist.Out) == 0 {
 		return d, false, err
 	}
 	now, err := k.now()
@@ -287,17 +287,17 @@
 		return d, false, err
 	}
 	d = ondisk.Document{Agent: now.Agent, Run: now.Run, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
-		Usual: map[string]float64{}, Use: rounded(known.Before.Use), Bans: known.Bans}
+		Usual: map[string]float64{}, Use: rounded(known.Recovery.Use), Bans: known.Denylist}
 	for _, m := range known.Members {
 		d.Servers = append(d.Servers, k.reader.Entry(m))
 	}
-	for _, s := range known.Before.Servers {
+	for _, s := range known.Recovery.Servers {
 		if s.Capacity > 0 {
 			d.Capacity[s.ID] = rounded(s.Capacity)
 		}
 	}
-	names := k.core.Tally().Classes
-	for class, rate := range known.Before.Usual {
+	names := k.core.Counters().Classes
+	for class, rate := range known.Recovery.Usual {
 		if class < len(names) && rate > 0 {
 			d.Usual[names[class]] = rounded(rate)
 		}
@@ -324,7 +324,7 @@
 func (k *keeping) say(ctx context.Context, clk engine.Clock) {
 	last, logged := recovery.Status{}, time.Duration(0)
 	every(ctx, statusLook, func() {
-		st := k.core.Load().Recovery
+		st := k.core.Stats().Recovery
 		if st == nil {
 			return
 		}
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -70,9 +70,9 @@
 	}
 	r.keys = c.keys
 	rules := r.terms.Rules()
-	r.core.Name(tell.Classes)
-	changed, misfit := r.own.tell(engine.Retuned{Retune: tell, Number: rules.Number})
-	r.core.Tell(changed)
+	r.core.SetClassNames(tell.Classes)
+	changed, misfit := r.own.tell(engine.SettingsChanged{Retune: tell, Version: rules.Number})
+	r.core.Post(changed)
 	r.rules.Put(rules)
 	r.disco.Move(c.Discovery)
 	var names []string
--- a/internal/agent/sections.go
+++ b/internal/agent/sections.go
@@ -29,15 +29,15 @@
 
 // tell adds what the sections have to hear of classes that change. The error names a setting that does not fit them any more:
 // it says what is not done for that.
-func (s *sections) tell(r engine.Retuned) (engine.Retuned, error) {
+func (s *sections) tell(r engine.SettingsChanged) (engine.SettingsChanged, error) {
 	r.Names = namesOf(s.site, r.Classes)
 	s.current.Store(&r.Names)
-	r.Door = stormClasses(r.Classes)
+	r.Admission = stormClasses(r.Classes)
 	if s.joins == nil {
 		return r, nil
 	}
 	set, err := s.joins(r.Classes)
-	r.Joins = set.Options.Classes
-	s.atFront.atFront.Classes.Store(joined(r.Joins))
+	r.Coalescing = set.Options.Classes
+	s.atFront.atFront.Classes.Store(joined(r.Coalescing))
 	return r, err
 }
--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -35,13 +35,13 @@
 func logStorms(ctx context.Context, core *engine.Engine, clk engine.Clock, interval time.Duration, log *slog.Logger) {
 	last, logged := admission.Counts{}, time.Duration(0)
 	every(ctx, stormLook, func() {
-		c, now := core.Load().Door, clk.Now()
+		c, now := core.Stats().Admission, clk.Now()
 		changed := c.State != last.State || c.Since != last.Since
 		if changed && (c.State != admission.Calm || last.State != admission.Calm) || c.State != admission.Calm && now-logged >= interval {
 			logged = now
 			attrs := []any{"state", c.State.String(), "for", (now - c.Since).Round(time.Millisecond), "why", c.Why,
 				"limit", math.Round(c.Limit*10) / 10, "in_flight", c.InFlight, "storms", c.Storms, "too_late", c.Late, "bound", c.Bound}
-			names := core.Tally().Classes // read later than the counts: it has them all
+			names := core.Counters().Classes // read later than the counts: it has them all
 			for i, class := range c.Refused {
 				attrs = append(attrs, slog.Group(names[i], "refused_first", class[0], "refused_again", class[1]))
 			}
--- a/internal/agent/ties.go
+++ b/internal/agent/ties.go
@@ -56,7 +56,7 @@
 	table := affinity.New(affinity.Options{Most: set.Most, Window: window, Tail: set.Tail})
 	if set.Dir == "" {
 		var secret affinity.Secret // nobody else's table has to be the same
-		core.Tie(table, secret, nil)
+		core.SetAffinity(table, secret, nil)
 		return nil, nil
 	}
 	o := bindinglog.Options{Dir: set.Dir, FS: x.disk(), Sync: set.Sync, Lasts: window + set.Tail, Now: clk.Now}
@@ -80,7 +80,7 @@
 	log.Info("ties of earlier processes read", "records", len(found.Records), "ties", table.Counts().Entries, "took", time.Since(began))
 	t := &tying{log: l, core: core, budget: set.Budget, out: log}
 	t.damaged(found)
-	core.Tie(table, secret, t)
+	core.SetAffinity(table, secret, t)
 	return t, nil
 }
 
@@ -108,7 +108,9 @@
 }
 
 // Append hands a record over to be kept.
-func (t *tying) Append(r affinity.Record) engine.TieCommit { return commit{t.log.Append(r), t.budget} }
+func (t *tying) Append(r affinity.Record) engine.BindingCommit {
+	return commit{t.log.Append(r), t.budget}
+}
 
 type commit struct {
 	*bindinglog.Commit
@@ -153,7 +155,7 @@
 		failed = err != nil
 		t.damaged(found)
 		if len(found.Records) > 0 {
-			t.core.Tell(engine.Restored{Records: found.Records})
+			t.core.Post(engine.BindingsRestored{Records: found.Records})
 		}
 	})
 }
--- a/internal/cli/telemetry.go
+++ b/internal/cli/telemetry.go
@@ -21,7 +21,7 @@
 		if err != nil && !taken {
 			return nil, fmt.Errorf("%s: %w", f.Where("telemetry.listen"), err)
 		}
-		c.Engine.Count(c.Site.Logic.Classes)
+		c.Engine.TrackLatency(c.Site.Logic.Classes)
 		s := &telemetry.Server{Engine: c.Engine, Pool: c.Pool, Peers: c.Peers, Shares: c.Overload, Log: c.Log}
 		return func(ctx context.Context) error {
 			if taken {
--- a/internal/downstream/extproc/bench_test.go
+++ b/internal/downstream/extproc/bench_test.go
@@ -131,7 +131,7 @@
 		for i := range 14 {
 			members = append(members, member(i, balancer.Ready))
 		}
-		e.Tell(engine.Listed{Full: true, Members: members})
+		e.Post(engine.EndpointUpdate{Full: true, Members: members})
 		go func() { besteffort.Ignore(s.Serve(ctx, l)) }()
 	}
 	fmt.Println(l.Addr())
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -107,14 +107,14 @@
 func changes(e *engine.Engine, clock engine.Clock) {
 	tell := func(after time.Duration, ev engine.Event) {
 		time.Sleep(after)
-		e.Tell(ev)
+		e.Post(ev)
 	}
-	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Draining)}})
-	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Gone)}})
-	tell(200*time.Millisecond, engine.ListUnavailable{})
+	tell(300*time.Millisecond, engine.EndpointUpdate{Members: []engine.Member{member(1, balancer.Draining)}})
+	tell(300*time.Millisecond, engine.EndpointUpdate{Members: []engine.Member{member(1, balancer.Gone)}})
+	tell(200*time.Millisecond, engine.EndpointsUnavailable{})
 	restarted := member(2, balancer.Ready)
 	restarted.Started = clock.Now()
-	tell(200*time.Millisecond, engine.Listed{Members: []engine.Member{restarted, member(9, balancer.Ready)}})
+	tell(200*time.Millisecond, engine.EndpointUpdate{Members: []engine.Member{restarted, member(9, balancer.Ready)}})
 }
 
 // scripted is a carrier that plays the recording.
@@ -123,7 +123,7 @@
 	got    *decided
 }
 
-func (s scripted) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (s scripted) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	s.got.send(a.Call.ID, a.Number, a.Server)
 	p := s.stream[a.Call.ID].outcome(a.Number, a.Server)
 	time.Sleep(p.took)
@@ -167,7 +167,7 @@
 	for i := range 9 {
 		members = append(members, member(i, balancer.Ready))
 	}
-	w.engine.Tell(engine.Listed{Full: true, Members: members})
+	w.engine.Post(engine.EndpointUpdate{Full: true, Members: members})
 	go changes(w.engine, w.clock)
 }
 
--- a/internal/downstream/extproc/faults_test.go
+++ b/internal/downstream/extproc/faults_test.go
@@ -88,7 +88,7 @@
 			Server: balancer.Server{ID: fmt.Sprint("s", i), Cell: i / 2, Weight: 1}})
 	}
 	r := newRig(t, options{})
-	r.engine.Tell(engine.Listed{Full: true, Members: members})
+	r.engine.Post(engine.EndpointUpdate{Full: true, Members: members})
 	proxy := extprocproxy.New(r.client())
 	proxy.TryTimeout = 250 * time.Millisecond
 	var mu sync.Mutex
--- a/internal/downstream/extproc/harness_test.go
+++ b/internal/downstream/extproc/harness_test.go
@@ -116,7 +116,7 @@
 	for i := range n {
 		members = append(members, member(i, balancer.Ready))
 	}
-	r.engine.Tell(engine.Listed{Full: true, Members: members})
+	r.engine.Post(engine.EndpointUpdate{Full: true, Members: members})
 }
 
 func member(i int, state balancer.State) engine.Member {
@@ -143,7 +143,7 @@
 func (r *rig) quiet() {
 	r.t.Helper()
 	agenttest.Eventually(r.t, "nothing is open", func() bool {
-		l := r.engine.Load()
+		l := r.engine.Stats()
 		return l.Calls == 0 && len(l.InFlight) == 0 && r.server.held.Load() == 0 && r.server.streams.Load() == 0
 	})
 }
@@ -151,7 +151,7 @@
 // noneOut waits until no attempt is in flight.
 func (r *rig) noneOut() {
 	r.t.Helper()
-	agenttest.Eventually(r.t, "no attempt is in flight", func() bool { return len(r.engine.Load().InFlight) == 0 })
+	agenttest.Eventually(r.t, "no attempt is in flight", func() bool { return len(r.engine.Stats().InFlight) == 0 })
 }
 
 var lastID atomic.Int64
--- a/internal/downstream/extproc/message.go
+++ b/internal/downstream/extproc/message.go
@@ -70,13 +70,13 @@
 	if err != nil {
 		return nil, err
 	}
-	call.Try = try
+	call.CallerAttempt = try
 	hint, there, err := subsetHint(req, s.Settings.MaxSubset)
 	if err != nil {
 		return nil, err
 	}
 	if there {
-		call.Among = s.known(hint)
+		call.Candidates = s.known(hint)
 	}
 	return call, nil
 }
@@ -417,10 +417,10 @@
 	return strconv.FormatInt(max(0, d.Milliseconds()), 10) + "m"
 }
 
-var answerStatuses = [...]int{engine.Served: http.StatusConflict, engine.Refused: http.StatusServiceUnavailable,
+var answerStatuses = [...]int{engine.Served: http.StatusConflict, engine.Rejected: http.StatusServiceUnavailable,
 	engine.Failed: http.StatusBadGateway, engine.Conflict: http.StatusConflict}
 
-var answerTexts = [...]string{engine.Served: "served elsewhere", engine.Refused: "refused: trying again is harmless",
+var answerTexts = [...]string{engine.Served: "served elsewhere", engine.Rejected: "refused: trying again is harmless",
 	engine.Failed: "failed: it may have run", engine.Conflict: "another request is open under this id"}
 
 // immediate is a final answer that the agent gives in place of a backend.
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -80,7 +80,7 @@
 
 // New returns a server. The engine remembers ended requests from then on, so that it must not run yet.
 func New(o Options) *Server {
-	o.Engine.RememberEnded(o.Settings.RememberMost, time.Duration(o.Settings.Remember))
+	o.Engine.SetOutcomeCache(o.Settings.RememberMost, time.Duration(o.Settings.Remember))
 	return &Server{Options: o, linger: lingerTime}
 }
 
@@ -118,7 +118,7 @@
 
 // attrs are the counts for a log line, with the ended requests that were forgotten early: those could run once more.
 func (s *Server) attrs(now Snapshot) []any {
-	return append(now.attrs(), "forgotten_early", s.Engine.Load().ForgottenEarly)
+	return append(now.attrs(), "forgotten_early", s.Engine.Stats().ForgottenEarly)
 }
 
 // drain sends GOAWAY and waits for the open streams. What is still open then is cut off.
--- a/internal/downstream/extproc/server_test.go
+++ b/internal/downstream/extproc/server_test.go
@@ -43,7 +43,7 @@
 	if left := a.header["x-timeout"]; left == "" || left == "2000m" {
 		t.Errorf("the server is told to be waited for for %q", left)
 	}
-	if l := r.engine.Load(); l.Calls != 1 || len(l.InFlight) != 1 {
+	if l := r.engine.Stats(); l.Calls != 1 || len(l.InFlight) != 1 {
 		t.Errorf("%+v", l)
 	}
 	a.answer(whole("200", "x-server-load", "util=0.5,qps=10,eps=0"))
@@ -350,8 +350,8 @@
 	if c := r.server.Counts.Snapshot(); c.Unusable == 0 {
 		t.Errorf("the module never chose it, so that nothing was tested: %+v", c)
 	}
-	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Draining)}})
-	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Gone)}})
+	r.engine.Post(engine.EndpointUpdate{Members: []engine.Member{member(drained, balancer.Draining)}})
+	r.engine.Post(engine.EndpointUpdate{Members: []engine.Member{member(drained, balancer.Gone)}})
 	for _, b := range append(open, a) {
 		b.answer(whole("200"))
 	}
@@ -370,16 +370,16 @@
 		}
 	}
 	refusedAtOnce("before the first list")
-	r.engine.Tell(engine.ListUnavailable{})
+	r.engine.Post(engine.EndpointsUnavailable{})
 	refusedAtOnce("with the list away from the start")
 	r.list(2)
-	r.engine.Tell(engine.ListUnavailable{})
+	r.engine.Post(engine.EndpointsUnavailable{})
 	if a := ask(t, client, request{id: newID(), class: "refund-record"}); a.to == "" {
 		t.Errorf("with the list away, the last one stands: %v", a.raw)
 	} else {
 		a.answer(whole("200"))
 	}
-	r.engine.Tell(engine.Listed{Full: true})
+	r.engine.Post(engine.EndpointUpdate{Full: true})
 	refusedAtOnce("with an empty list")
 	r.quiet()
 }
@@ -435,7 +435,7 @@
 		}
 		got[0].answer(whole("200"))
 	}
-	direct := &engine.Call{ID: newID(), Deadline: time.Hour, Caller: ignore{}, Carrier: never{}}
+	direct := &engine.Call{ID: newID(), Deadline: time.Hour, Responder: ignore{}, Transport: never{}}
 	r.engine.Arrive(direct)
 	if a := ask(t, client, request{id: direct.ID, class: "form-check"}); a.status != http.StatusConflict {
 		t.Errorf("with the id of a request in direct mode: %v", a.raw)
@@ -451,7 +451,7 @@
 // never is a carrier that waits until the end.
 type never struct{}
 
-func (never) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (never) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	<-ctx.Done()
 	return engine.Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport}
 }
@@ -475,7 +475,7 @@
 		t.Fatalf("the next try: %v", second.raw)
 	}
 	first.answer(whole("200")) // it lost, and must not end the second
-	if l := r.engine.Load(); l.Calls != 1 || len(l.InFlight) != 1 {
+	if l := r.engine.Stats(); l.Calls != 1 || len(l.InFlight) != 1 {
 		t.Errorf("%+v", l)
 	}
 	second.answer(whole("200"))
@@ -600,7 +600,7 @@
 	client := r.client()
 	q := request{id: newID(), class: "pay", change: map[string]string{"x-timeout": "200m"}}
 	a := ask(t, client, q)
-	agenttest.Eventually(t, "the request is over", func() bool { return r.engine.Load().Calls == 0 })
+	agenttest.Eventually(t, "the request is over", func() bool { return r.engine.Stats().Calls == 0 })
 	if again := ask(t, client, q); again.status != http.StatusBadGateway {
 		t.Errorf("the next try: %v", again.raw)
 	}
@@ -765,7 +765,7 @@
 		ask(t, client, request{id: newID(), class: "pay"}).answer(whole("200"))
 		r.noneOut()
 	}
-	if n := r.engine.Load().ForgottenEarly; n != 1 {
+	if n := r.engine.Stats().ForgottenEarly; n != 1 {
 		t.Errorf("%d forgotten", n)
 	}
 }
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -49,8 +49,8 @@
 	mayDuplex  bool            // has one of the places for such streams
 }
 
-// Choose is called by the engine.
-func (st *stream) Choose(a *engine.Attempt) { st.told <- verdict{attempt: a} }
+// HandOver is called by the engine.
+func (st *stream) HandOver(a *engine.Attempt) { st.told <- verdict{attempt: a} }
 
 // Answer is called by the engine. After the decision it is not for the proxy: the client's time is over, or it is served.
 func (st *stream) Answer(a engine.Answer) {
@@ -159,8 +159,8 @@
 		s.Counts.badInput.Add(1)
 		return immediateError(err), nil
 	}
-	call.Full = s.held.Add(1) > int64(s.Settings.MaxOpen) // an earlier try may have run, which the engine knows
-	call.Caller, st.call = st, call
+	call.AtCapacity = s.held.Add(1) > int64(s.Settings.MaxOpen) // an earlier try may have run, which the engine knows
+	call.Responder, st.call = st, call
 	st.expiry.Reset(call.Deadline - s.Clock.Now() + s.linger)
 	s.Engine.Arrive(call)
 	for {
@@ -186,11 +186,11 @@
 // started anew, or the time may be over. From here on the attempt counts as one that may run.
 func (st *stream) hand(a *engine.Attempt) *extprocv3.ProcessingResponse {
 	now := st.s.Clock.Now()
-	backend, _ := a.Life.(*connpool.Backend)
-	valid := min(a.WriteBy-now, time.Duration(st.s.Settings.DecisionValid))
+	backend, _ := a.Incarnation.(*connpool.Backend)
+	valid := min(a.WriteDeadline-now, time.Duration(st.s.Settings.DecisionValid))
 	if valid < time.Millisecond || !st.s.Pool.TakesNew(backend) {
 		st.s.Counts.unusable.Add(1)
-		st.s.Engine.Unusable(a)
+		st.s.Engine.RejectAttempt(a)
 		return nil
 	}
 	if st.ctx.Err() != nil {
@@ -199,7 +199,7 @@
 	st.attempt = a
 	st.handed.Store(true)
 	st.s.Counts.decisions.Add(1)
-	return decision(choice{addr: backend.Addr(), valid: valid, useBy: st.s.Clock.At(now + valid), left: a.Until - now,
+	return decision(choice{addr: backend.Addr(), valid: valid, useBy: st.s.Clock.At(now + valid), left: a.Deadline - now,
 		metadata: st.s.metadata.of(backend.Addr()), override: st.s.Settings.ModeOverride && st.fullDuplex == [2]bool{}})
 }
 
@@ -220,7 +220,7 @@
 	if result, own := localReply(req, h); own && out.Result == balancer.Failed {
 		out.Result, out.Report = result, balancer.NoReport
 	}
-	out.Elsewhere = st.elsewhere(req, header)
+	out.FromOtherServer = st.elsewhere(req, header)
 	if out.Result == balancer.OK && !h.GetEndOfStream() {
 		st.answered = &out
 		return
@@ -231,7 +231,7 @@
 // elsewhere compares the endpoint that served with the chosen one, where the proxy tells.
 func (st *stream) elsewhere(req *extprocv3.ProcessingRequest, header http.Header) bool {
 	served := servedBy(req, header)
-	backend, _ := st.attempt.Life.(*connpool.Backend)
+	backend, _ := st.attempt.Incarnation.(*connpool.Backend)
 	if served == "" || served == backend.Addr() {
 		return false
 	}
@@ -258,7 +258,7 @@
 	st.ended = true
 	st.attempt, st.answered = nil, nil
 	st.s.countResult(out.Result)
-	st.s.Engine.Ended(out)
+	st.s.Engine.EndAttempt(out)
 }
 
 // end settles what is open when the stream has ended.
@@ -269,7 +269,7 @@
 		if !st.handed.Load() && !st.ended {
 			st.s.Counts.gaveUpBefore.Add(1)
 		}
-		st.s.Engine.GaveUp(st.call.ID, st)
+		st.s.Engine.Abandon(st.call.ID, st)
 	case st.answered != nil && errors.Is(err, errClean):
 		st.responseEnd()
 	default: // it was handed over, and what became of it is not known
@@ -281,7 +281,7 @@
 // count counts a final answer that the agent gives itself.
 func (s *Server) count(kind engine.AnswerKind) {
 	switch kind {
-	case engine.Refused:
+	case engine.Rejected:
 		s.Counts.refused.Add(1)
 	case engine.Conflict:
 		s.Counts.conflicts.Add(1)
--- a/internal/downstream/http1/body.go
+++ b/internal/downstream/http1/body.go
@@ -264,7 +264,7 @@
 
 func newCaller() *caller { return &caller{answer: make(chan engine.Answer, 1)} }
 
-// Answer is for engine.Caller.
+// Answer is for engine.Responder.
 func (c *caller) Answer(a engine.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -45,9 +45,9 @@
 	answers := []engine.Answer{
 		{Kind: engine.Served, Payload: body},
 		{Kind: engine.Served, Payload: &http1.Response{}},
-		{Kind: engine.Refused},
-		{Kind: engine.Refused, RetryAfter: 1250 * time.Millisecond},
-		{Kind: engine.Refused, RetryAfter: 1250 * time.Millisecond, Limit: 17},
+		{Kind: engine.Rejected},
+		{Kind: engine.Rejected, RetryAfter: 1250 * time.Millisecond},
+		{Kind: engine.Rejected, RetryAfter: 1250 * time.Millisecond, Limit: 17},
 		{Kind: engine.Failed},
 		{Kind: engine.Conflict},
 	}
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -36,9 +36,9 @@
 	Rules     requesthead.Checker
 	Engine    *engine.Engine
 	Clock     engine.Clock
-	Carrier   engine.Carrier // of the calls
-	MostHeld  int            // requests open at a time; 0: as many as there are connections
-	AcceptFor time.Duration  // new connections are accepted for so long after the signal to end
+	Carrier   engine.Transport // of the calls
+	MostHeld  int              // requests open at a time; 0: as many as there are connections
+	AcceptFor time.Duration    // new connections are accepted for so long after the signal to end
 	// Leave is told that the signal has come. It reports whether another process serves now and takes new connections. It
 	// may be nil.
 	Leave func() bool
@@ -125,7 +125,7 @@
 }
 
 // statuses are the answers' kinds in HTTP.
-var statuses = [...]int{engine.Served: http.StatusOK, engine.Refused: http.StatusServiceUnavailable,
+var statuses = [...]int{engine.Served: http.StatusOK, engine.Rejected: http.StatusServiceUnavailable,
 	engine.Failed: http.StatusBadGateway, engine.Conflict: http.StatusConflict}
 
 // ServeHTTP gives each request its one answer.
@@ -173,7 +173,7 @@
 		return
 	}
 	waits := newCaller()
-	c.Caller = waits
+	c.Responder = waits
 	if connlimit.Left(r.Context()) { // while the request lay unread: nothing begins for who has gone
 		panic(http.ErrAbortHandler)
 	}
@@ -185,7 +185,7 @@
 			s.answer(w, r, up, a)
 			return
 		case <-last: // also what was taken before the signal has to be answered by now
-			s.Engine.LastWord(c)
+			s.Engine.ForceAnswer(c)
 			last = nil
 		case <-r.Context().Done():
 			waits.leave()
@@ -205,11 +205,11 @@
 
 // refuse turns away what the engine has not seen. Of its body there may be some that is not read.
 func (s *Server) refuse(w http.ResponseWriter, c *engine.Call, unread bool) {
-	s.Engine.TurnedAway(c)
+	s.Engine.CountRejected(c)
 	if unread {
 		w.Header().Set("Connection", "close")
 	}
-	write(w, engine.Answer{Kind: engine.Refused, RetryAfter: heldRetry})
+	write(w, engine.Answer{Kind: engine.Rejected, RetryAfter: heldRetry})
 }
 
 // answer writes the final answer.
@@ -302,13 +302,13 @@
 	if err != nil {
 		return c, nil, release, err
 	}
-	c.Carrier = s.Carrier
+	c.Transport = s.Carrier
 	if up != nil { // it has its real deadline when its last byte has been sent on
 		c.Upload, c.Deadline = up, s.Clock.Now()+slowest(r.ContentLength)+timeout
 	}
 	c.Payload = &http1.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: requesthead.Forwarded(r.Header), Body: body, Upload: up}
 	if up == nil {
-		c.Like = s.Joins.like(c, r, body)
+		c.CoalesceDigest = s.Joins.like(c, r, body)
 	}
 	return c, up, release, nil
 }
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -35,7 +35,7 @@
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") != "1" {
 		t.Errorf("%d %v", w.Code, w.Header())
 	}
-	if n := core.Tally(); n.Answers[0][engine.Refused] != 1 || n.Open != 0 {
+	if n := core.Counters(); n.Answers[0][engine.Rejected] != 1 || n.Open != 0 {
 		t.Errorf("counted %+v", n)
 	}
 	if s.held.Load() != 1 {
@@ -105,6 +105,6 @@
 // noFleet has no servers.
 type noFleet struct{}
 
-func (noFleet) Update(bool, []engine.Member) int { return 0 }
-func (noFleet) Life(string) engine.Life          { return nil }
-func (noFleet) Close()                           {}
+func (noFleet) Update(bool, []engine.Member) int      { return 0 }
+func (noFleet) Incarnation(string) engine.Incarnation { return nil }
+func (noFleet) Close()                                {}
--- a/internal/downstream/requesthead/intake.go
+++ b/internal/downstream/requesthead/intake.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	c.Attempts = attempts
+	c.MaxAttempts = attempts
 	if i := c.Class; i < len(other.Classes) { // the client's patience is what either allows
 		if longer, err := ParseTimeout(h.Header.Get(TimeoutHeader), other.Classes[i].Deadline); err == nil && longer > timeout {
 			timeout = longer
@@ -185,11 +185,11 @@
 		return nil, 0, BadRequest{http.StatusBadRequest, "unknown tenant"}
 	}
 	c := &engine.Call{ID: h.Header.Get(RequestIDHeader), Class: index, Tenant: tenant, Key: h.Header.Get(routeKeyHeader),
-		Deadline: began + timeout - min(deadlineMargin, timeout/4), Again: h.Header.Get(retriedHeader) == "1",
-		Effect: class.Effect, RepeatKey: h.Header.Get(KeyHeader), Path: h.Path, Header: h.Header,
-		Settings: rules.Number, Attempts: rules.Attempts}
+		Deadline: began + timeout - min(deadlineMargin, timeout/4), ClientRetry: h.Header.Get(retriedHeader) == "1",
+		Effect: class.Effect, IdempotencyKey: h.Header.Get(KeyHeader), Path: h.Path, Header: h.Header,
+		SettingsVersion: rules.Number, MaxAttempts: rules.Attempts}
 	if class.Effect == balancer.Keyed {
-		c.Window = class.Window
+		c.IdempotencyWindow = class.Window
 	}
 	return c, timeout, nil
 }
--- a/internal/engine/chooser.go
+++ b/internal/engine/chooser.go
@@ -8,37 +8,37 @@
 	"appleledge/internal/outcomecache"
 )
 
-// Chooser is a Caller that carries the attempts itself: a proxy that asks where each request goes. Attempts are made
+// ExternalCaller is a Responder that carries the attempts itself: a proxy that asks where each request goes. Attempts are made
 // one at a time, and a further one only when the chooser's side asks for it with a new call under the same id. Such a
 // call is the same request: the module decides, with all that it knows of the earlier attempts, whether there is
 // another one at all.
-type Chooser interface {
-	Caller
-	// Choose hands an attempt over, which Engine.Ended has to end. It is called on the engine's goroutine and must not
+type ExternalCaller interface {
+	Responder
+	// HandOver hands an attempt over, which Engine.EndAttempt has to end. It is called on the engine's goroutine and must not
 	// block. Unless it was ended before, the engine ends the attempt as timed out when its time is over.
-	Choose(*Attempt)
+	HandOver(*Attempt)
 	// Released is called once, when the engine holds this chooser no more.
 	Released()
 }
 
-// RememberEnded makes the engine remember how choosers' calls ended that may have run and must not run twice: so many
+// SetOutcomeCache makes the engine remember how choosers' calls ended that may have run and must not run twice: so many
 // of them, each for so long after its end. A proxy that comes again with such an id gets no new attempt. It is called
 // before Run, where there are choosers.
-func (e *Engine) RememberEnded(most int, keep time.Duration) {
+func (e *Engine) SetOutcomeCache(most int, keep time.Duration) {
 	e.ended, e.keep = outcomecache.New[AnswerKind](most), keep
 	e.neverRan = outcomecache.New[struct{}](most)
 }
 
-// Ended tells how an attempt that was handed to a chooser ended. Only the first word counts.
-func (e *Engine) Ended(o Outcome) { e.Tell(o) }
+// EndAttempt tells how an attempt that was handed to a chooser ended. Only the first word counts.
+func (e *Engine) EndAttempt(o Outcome) { e.Post(o) }
 
-// Unusable says that an attempt was not handed over, because its server takes nothing new any more or its time is over,
+// RejectAttempt says that an attempt was not handed over, because its server takes nothing new any more or its time is over,
 // while the chooser's side still waits: it gets another attempt or the final answer.
-func (e *Engine) Unusable(a *Attempt) { e.Tell(unusable{a}) }
+func (e *Engine) RejectAttempt(a *Attempt) { e.Post(unusable{a}) }
 
-// GaveUp says that a chooser's side is gone and holds no attempt of the call under that id: one that was made for it
+// Abandon says that a chooser's side is gone and holds no attempt of the call under that id: one that was made for it
 // meanwhile was never handed over. Another try may have taken the call over since, which goes on.
-func (e *Engine) GaveUp(id string, by Chooser) { e.Tell(gaveUp{id, by}) }
+func (e *Engine) Abandon(id string, by ExternalCaller) { e.Post(gaveUp{id, by}) }
 
 // resume takes a call that is a further try of a request which is known. It reports whether the call was one.
 func (e *Engine) resume(c *Call) bool {
@@ -57,7 +57,7 @@
 		return false
 	}
 	if old.out > 0 {
-		if c.Try <= old.Try || old.Try == 0 {
+		if c.CallerAttempt <= old.CallerAttempt || old.CallerAttempt == 0 {
 			return false // nothing says that the earlier try is over
 		}
 		e.outcome(Outcome{Attempt: old.last, Result: balancer.Cancelled, Report: balancer.NoReport})
@@ -67,7 +67,7 @@
 		}
 	}
 	old.release()
-	old.Caller, old.chooser, old.Try, old.Among = c.Caller, c.chooser, c.Try, c.Among
+	old.Responder, old.chooser, old.CallerAttempt, old.Candidates = c.Responder, c.chooser, c.CallerAttempt, c.Candidates
 	e.decide(balancer.Retry{Request: c.ID, Among: old.among()})
 	return true
 }
@@ -83,7 +83,7 @@
 	if c.Effect != balancer.Safe && e.neverRan != nil {
 		now := e.clock.Now()
 		_, known := e.neverRan.Get(now, c.ID)
-		if c.Try > 1 && !known {
+		if c.CallerAttempt > 1 && !known {
 			e.reject(c, Answer{Kind: Failed})
 			return false
 		}
@@ -91,13 +91,13 @@
 			e.neverRan.Put(now, c.ID, struct{}{}, now)
 		}
 	}
-	if c.Full && c.before.May {
+	if c.AtCapacity && c.before.May {
 		e.reject(c, Answer{Kind: Failed})
 		return false
 	}
-	if c.Full {
+	if c.AtCapacity {
 		e.cameToNothing(c)
-		e.reject(c, Answer{Kind: Refused, RetryAfter: fullRetry})
+		e.reject(c, Answer{Kind: Rejected, RetryAfter: fullRetry})
 		return false
 	}
 	return true
@@ -113,22 +113,22 @@
 
 // sameAs reports whether the two can be tries of one request.
 func (c *Call) sameAs(other *Call) bool {
-	return c.Class == other.Class && c.Tenant == other.Tenant && c.Key == other.Key && c.RepeatKey == other.RepeatKey
+	return c.Class == other.Class && c.Tenant == other.Tenant && c.Key == other.Key && c.IdempotencyKey == other.IdempotencyKey
 }
 
 // choose hands an attempt to its chooser. What a proxy never ends is ended when its time is over.
-func (e *Engine) choose(c *Call, a *Attempt, tie TieCommit) {
+func (e *Engine) choose(c *Call, a *Attempt, tie BindingCommit) {
 	c.last = a
-	a.expiry = time.AfterFunc(a.Until-a.Sent, func() {
-		e.Tell(Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport})
+	a.expiry = time.AfterFunc(a.Deadline-a.Sent, func() {
+		e.Post(Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport})
 	})
 	if tie == nil {
-		c.chooser.Choose(a)
+		c.chooser.HandOver(a)
 		return
 	}
 	e.attempts.Go(func() {
 		e.wait(tie)
-		e.Tell(kept{a})
+		e.Post(kept{a})
 	})
 }
 
@@ -136,7 +136,7 @@
 // another try has taken the call over.
 func (e *Engine) handOver(a *Attempt) {
 	if !a.over && !a.Call.closed.Load() {
-		a.Call.chooser.Choose(a)
+		a.Call.chooser.HandOver(a)
 	}
 }
 
@@ -181,7 +181,7 @@
 	if e.ended == nil || c.chooser == nil || c.Effect == balancer.Safe {
 		return
 	}
-	if kind == Refused {
+	if kind == Rejected {
 		if c.ranSince == 0 {
 			e.cameToNothing(c)
 		}
--- a/internal/engine/chooser_test.go
+++ b/internal/engine/chooser_test.go
@@ -18,12 +18,17 @@
 // noDeadline hides the test's deadline, which can't be asked for in a bubble.
 type noDeadline struct{ rapid.TB }
 
+// incarnation is a server's only run.
+type incarnation string
+
+func (incarnation) IsIncarnation() {}
+
 // noFleet is a fleet that needs no connections.
 type noFleet struct{}
 
-func (noFleet) Update(_ bool, members []Member) int { return len(members) }
-func (noFleet) Life(server string) Life             { return server }
-func (noFleet) Close()                              {}
+func (noFleet) Update(_ bool, members []Member) int   { return len(members) }
+func (noFleet) Incarnation(server string) Incarnation { return incarnation(server) }
+func (noFleet) Close()                                {}
 
 // proxied is a chooser that keeps what it is told.
 type proxied struct {
@@ -34,7 +39,7 @@
 	released int
 }
 
-func (p *proxied) Choose(a *Attempt) {
+func (p *proxied) HandOver(a *Attempt) {
 	if p.attempt != nil && !p.attempt.over {
 		p.m.t.Fatalf("%s: a second attempt while one is out", p.id)
 	}
@@ -87,7 +92,7 @@
 		t.Fatal(err)
 	}
 	e := New(b, NewClock(), noFleet{}, slog.New(slog.DiscardHandler))
-	e.RememberEnded(1000, keep)
+	e.SetOutcomeCache(1000, keep)
 	e.do(b.Start(e.clock.Now()))
 	m := &machine{t: t, e: e, ran: map[string][]*run{}, class: map[string]int{}, pools: map[uint64][]int{}, bound: map[*Call]uint64{}}
 	if rapid.Bool().Draw(t, "governed") {
@@ -95,14 +100,14 @@
 		for _, c := range classes() {
 			names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
 		}
-		e.Govern(generation.New(generation.Options{Names: names}), nil)
+		e.SetGenerations(generation.New(generation.Options{Names: names}), nil)
 	}
 	m.list()
 	return m
 }
 
 func (m *machine) list() {
-	l := Listed{Full: true}
+	l := EndpointUpdate{Full: true}
 	for i := range 6 {
 		state := balancer.State(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(m.t, "state"))
 		l.Members = append(l.Members, Member{Server: balancer.Server{ID: fmt.Sprint(i), Cell: i / 2, State: state}})
@@ -226,10 +231,10 @@
 	}
 	c := classes()[class]
 	p := &proxied{m: m, id: id}
-	call := &Call{ID: id, Class: class, Deadline: m.e.clock.Now() + c.Deadline, Effect: c.Effect, Caller: p,
-		Try: rapid.IntRange(0, 3).Draw(m.t, "try")}
+	call := &Call{ID: id, Class: class, Deadline: m.e.clock.Now() + c.Deadline, Effect: c.Effect, Responder: p,
+		CallerAttempt: rapid.IntRange(0, 3).Draw(m.t, "try")}
 	if c.Effect == balancer.Keyed {
-		call.Window = c.Window
+		call.IdempotencyWindow = c.Window
 	}
 	m.tries = append(m.tries, p)
 	m.e.handle(arrived{call})
@@ -261,7 +266,7 @@
 	case result == balancer.Rejected, result == balancer.ConnectFailed:
 		m.neverRan(p)
 	}
-	m.e.handle(Outcome{Attempt: p.attempt, Result: result, Report: balancer.NoReport, Elsewhere: elsewhere})
+	m.e.handle(Outcome{Attempt: p.attempt, Result: result, Report: balancer.NoReport, FromOtherServer: elsewhere})
 }
 
 func (m *machine) check() {
@@ -336,7 +341,7 @@
 		m := newMachine(rt)
 		m.class["0"] = 1
 		call := func(p *proxied, try int) *Call {
-			return &Call{ID: "0", Class: 1, Effect: balancer.Keyed, Window: window, Deadline: m.e.clock.Now() + deadline, Caller: p, Try: try}
+			return &Call{ID: "0", Class: 1, Effect: balancer.Keyed, IdempotencyWindow: window, Deadline: m.e.clock.Now() + deadline, Responder: p, CallerAttempt: try}
 		}
 		first, second, third := &proxied{m: m, id: "0"}, &proxied{m: m, id: "0"}, &proxied{m: m, id: "0"}
 		m.e.handle(arrived{call(first, 1)})
@@ -354,18 +359,18 @@
 func TestElsewhereTeachesNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newMachine(rt)
-		m.e.handle(Listed{Full: true, Members: []Member{{Server: balancer.Server{ID: "0"}}, {Server: balancer.Server{ID: "1"}}}})
+		m.e.handle(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "0"}}, {Server: balancer.Server{ID: "1"}}}})
 		got := map[string]int{}
 		for i := range 100 {
 			p := &proxied{m: m, id: fmt.Sprint(i)}
-			m.e.handle(arrived{&Call{ID: p.id, Deadline: m.e.clock.Now() + deadline, Caller: p}})
+			m.e.handle(arrived{&Call{ID: p.id, Deadline: m.e.clock.Now() + deadline, Responder: p}})
 			if p.attempt == nil {
 				rt.Fatalf("request %d got %v", i, p.answers)
 			}
 			got[p.attempt.Server]++
 			out := Outcome{Attempt: p.attempt, Result: balancer.OK, Report: balancer.NoReport}
 			if p.attempt.Server == "0" {
-				out.Result, out.Elsewhere = balancer.Failed, true
+				out.Result, out.FromOtherServer = balancer.Failed, true
 			}
 			m.e.handle(out)
 			m.e.handle(gaveUp{p.id, p})
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -12,15 +12,15 @@
 // NewClock starts a second in, because 0 stands for "never" in the module.
 func NewClock() Clock { return Clock{epoch: time.Now().Add(-time.Second)} }
 
-// Shifted is the clock of a machine whose wall clock is off: what lasts, the monotonic clock, is the same.
-func (c Clock) Shifted(off time.Duration) Clock {
+// WithOffset is the clock of a machine whose wall clock is off: what lasts, the monotonic clock, is the same.
+func (c Clock) WithOffset(off time.Duration) Clock {
 	c.off += off
 	return c
 }
 
-// DrivenClock is a clock whose time is what the caller says, for simulations. It starts at 0, which the caller must leave
+// ManualClock is a clock whose time is what the caller says, for simulations. It starts at 0, which the caller must leave
 // before events come, as 0 stands for "never".
-func DrivenClock(now *time.Duration) Clock { return Clock{epoch: time.Unix(0, 0), driven: now} }
+func ManualClock(now *time.Duration) Clock { return Clock{epoch: time.Unix(0, 0), driven: now} }
 
 // Now is the time since the epoch.
 func (c Clock) Now() time.Duration {
--- a/internal/engine/door.go
+++ b/internal/engine/door.go
@@ -8,8 +8,8 @@
 	"appleledge/internal/balancer"
 )
 
-// Door says which calls are let in to the module.
-type Door interface {
+// AdmissionController says which calls are let in to the module.
+type AdmissionController interface {
 	// Arrive lets a call in, or turns it away, which promises that trying again is harmless.
 	Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal)
 	// Done tells how one ended that was let in.
@@ -20,21 +20,21 @@
 // retuner is a Door that takes the classes as they are from now on, by their numbers.
 type retuner interface{ Retune([]admission.Class) }
 
-// Guard puts a door before the module. It is called before Run.
-func (e *Engine) Guard(d Door) { e.door = d }
+// SetAdmission puts a door before the module. It is called before Run.
+func (e *Engine) SetAdmission(d AdmissionController) { e.door = d }
 
 // admit lets a call in, or answers it.
 func (e *Engine) admit(c *Call) bool {
 	if e.door == nil {
 		return true
 	}
-	a := admission.Ask{Class: c.Class, Tenant: c.Tenant, Key: c.RepeatKey, Again: c.Again, Bound: c.Try > 1 || c.before.May, Deadline: c.Deadline}
+	a := admission.Ask{Class: c.Class, Tenant: c.Tenant, Key: c.IdempotencyKey, Again: c.ClientRetry, Bound: c.CallerAttempt > 1 || c.before.May, Deadline: c.Deadline}
 	if a.Key == "" && c.Effect == balancer.Safe && c.Key != "" {
 		a.Key = strconv.Itoa(c.Class) + " " + strconv.Itoa(c.Tenant) + " " + c.Key
 	}
 	p, told := e.door.Arrive(e.clock.Now(), a)
 	if p == nil {
-		e.finish(c, Answer{Kind: Refused, RetryAfter: told.After, Limit: told.Limit})
+		e.finish(c, Answer{Kind: Rejected, RetryAfter: told.After, Limit: told.Limit})
 		return false
 	}
 	c.pass = p
@@ -53,4 +53,4 @@
 }
 
 // ends are the door's, by the kinds of answers.
-var ends = [...]admission.End{Served: admission.Served, Refused: admission.Refused, Failed: admission.Failed, Conflict: admission.Left}
+var ends = [...]admission.End{Served: admission.Served, Rejected: admission.Refused, Failed: admission.Failed, Conflict: admission.Left}
--- a/internal/engine/door_test.go
+++ b/internal/engine/door_test.go
@@ -34,8 +34,8 @@
 // starter is a carrier that keeps the attempts; ear keeps the answers.
 type starter struct{ attempts []*Attempt }
 
-func (s *starter) Start(a *Attempt)                            { s.attempts = append(s.attempts, a) }
-func (s *starter) Carry(_ context.Context, a *Attempt) Outcome { return Outcome{Attempt: a} }
+func (s *starter) Start(a *Attempt)                                { s.attempts = append(s.attempts, a) }
+func (s *starter) RoundTrip(_ context.Context, a *Attempt) Outcome { return Outcome{Attempt: a} }
 
 type ear []Answer
 
@@ -49,29 +49,29 @@
 		t.Fatal(err)
 	}
 	now, k, s := time.Second, &keeper{}, &starter{}
-	e := New(b, DrivenClock(&now), noFleet{}, slog.New(slog.DiscardHandler))
-	e.Guard(k)
-	e.Begin()
-	e.Step(Listed{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
+	e := New(b, ManualClock(&now), noFleet{}, slog.New(slog.DiscardHandler))
+	e.SetAdmission(k)
+	e.Start()
+	e.Handle(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
 	call := func(id string, try int) (*Call, *ear) {
 		heard := &ear{}
-		c := &Call{ID: id, Class: 1, Effect: balancer.Keyed, Window: window, Deadline: now + deadline, RepeatKey: "key-" + id, Carrier: s, Caller: heard, Try: try}
-		e.Step(Arrival(c))
+		c := &Call{ID: id, Class: 1, Effect: balancer.Keyed, IdempotencyWindow: window, Deadline: now + deadline, IdempotencyKey: "key-" + id, Transport: s, Responder: heard, CallerAttempt: try}
+		e.Handle(CallArrived(c))
 		return c, heard
 	}
 	served, heard := call("served", 0)
-	e.Step(Outcome{Attempt: s.attempts[0], Result: balancer.OK, Report: balancer.NoReport})
+	e.Handle(Outcome{Attempt: s.attempts[0], Result: balancer.OK, Report: balancer.NoReport})
 	left, _ := call("left", 0)
-	e.Step(clientLeft{left})
-	e.Step(clientLeft{left})
+	e.Handle(clientLeft{left})
+	e.Handle(clientLeft{left})
 	failed, _ := call("failed", 0)
-	e.Step(Outcome{Attempt: s.attempts[2], Result: balancer.Reset, Report: balancer.NoReport})
+	e.Handle(Outcome{Attempt: s.attempts[2], Result: balancer.Reset, Report: balancer.NoReport})
 	if want := []admission.End{admission.Served, admission.Left, admission.Failed}; !slices.Equal(k.ends, want) || len(*heard) != 1 || !served.Closed() || !failed.Closed() {
 		t.Errorf("the door was told %v, want %v", k.ends, want)
 	}
 	k.shut = true
 	_, heard = call("new", 0)
-	if len(*heard) != 1 || (*heard)[0] != (Answer{Kind: Refused, RetryAfter: time.Second, Limit: 7}) || len(s.attempts) != 3 {
+	if len(*heard) != 1 || (*heard)[0] != (Answer{Kind: Rejected, RetryAfter: time.Second, Limit: 7}) || len(s.attempts) != 3 {
 		t.Errorf("turned away with %+v after %d attempts", *heard, len(s.attempts))
 	}
 	call("again", 2)
@@ -91,16 +91,16 @@
 		t.Fatal(err)
 	}
 	now := time.Second
-	e := New(b, DrivenClock(&now), noFleet{}, slog.New(slog.DiscardHandler))
-	e.RememberEnded(1, keep)
-	e.Begin()
-	e.Step(Listed{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
+	e := New(b, ManualClock(&now), noFleet{}, slog.New(slog.DiscardHandler))
+	e.SetOutcomeCache(1, keep)
+	e.Start()
+	e.Handle(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
 	try := func(id string, number int, full bool) *proxied {
 		p := &proxied{m: &machine{ran: map[string][]*run{}, class: map[string]int{}}, id: id}
-		e.Step(Arrival(&Call{ID: id, Class: 2, Effect: balancer.Unsafe, Deadline: now + deadline, Caller: p, Try: number, Full: full}))
+		e.Handle(CallArrived(&Call{ID: id, Class: 2, Effect: balancer.Unsafe, Deadline: now + deadline, Responder: p, CallerAttempt: number, AtCapacity: full}))
 		return p
 	}
-	if p := try("x", 1, true); len(p.answers) != 1 || p.answers[0].Kind != Refused {
+	if p := try("x", 1, true); len(p.answers) != 1 || p.answers[0].Kind != Rejected {
 		t.Fatalf("a full door answers %+v", p.answers)
 	}
 	for _, id := range []string{"x", "y"} { // the end of y pushes out that of x
@@ -108,7 +108,7 @@
 		if p.attempt == nil {
 			t.Fatalf("%s is answered %+v", id, p.answers)
 		}
-		e.Step(Outcome{Attempt: p.attempt, Result: balancer.Reset, Report: balancer.NoReport})
+		e.Handle(Outcome{Attempt: p.attempt, Result: balancer.Reset, Report: balancer.NoReport})
 		try(id, 3, false)
 	}
 	if p := try("x", 4, false); p.attempt != nil || len(p.answers) != 1 || p.answers[0].Kind != Failed {
@@ -133,14 +133,14 @@
 				x.end(a, tt.first)
 			}
 			sent := len(x.out.attempts)
-			x.Step(lastWord{a.Call})
-			x.Step(lastWord{a.Call})
+			x.Handle(lastWord{a.Call})
+			x.Handle(lastWord{a.Call})
 			if len(*heard) != 1 || (*heard)[0].Kind != tt.want {
 				t.Fatalf("answers %+v", *heard)
 			}
 			x.end(x.out.attempts[sent-1], balancer.Reset)
 			x.now += deadline
-			x.Step(nil)
+			x.Handle(nil)
 			if len(*heard) != 1 || len(x.out.attempts) != sent || len(x.calls) != 0 {
 				t.Errorf("%+v, %d attempts after %d, %d calls held", *heard, len(x.out.attempts), sent, len(x.calls))
 			}
@@ -152,20 +152,20 @@
 func TestLastWordOfJoined(t *testing.T) {
 	x := newTied(t, func(x *tiedEngine) {
 		class := coalesce.Class{Joined: true, Aim: deadline, Deadline: deadline}
-		x.Join(coalesce.Options{Classes: []coalesce.Class{class, {}, {}}, MostGroups: 4, MostWaiting: 4, Pause: time.Second}, 0)
+		x.SetCoalescing(coalesce.Options{Classes: []coalesce.Class{class, {}, {}}, MostGroups: 4, MostWaiting: 4, Pause: time.Second}, 0)
 	})
 	calls, heard := make([]*Call, 3), make([]ear, 3)
 	for i := range calls {
-		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Safe, Deadline: x.now + deadline, Carrier: x.out, Caller: &heard[i], Like: &coalesce.Digest{}}
-		x.Step(Arrival(calls[i]))
+		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Safe, Deadline: x.now + deadline, Transport: x.out, Responder: &heard[i], CoalesceDigest: &coalesce.Digest{}}
+		x.Handle(CallArrived(calls[i]))
 	}
 	if len(x.out.attempts) != 1 {
 		t.Fatalf("%d attempts for one flight", len(x.out.attempts))
 	}
-	x.Step(lastWord{calls[0]})
-	x.Step(lastWord{calls[1]})
+	x.Handle(lastWord{calls[0]})
+	x.Handle(lastWord{calls[1]})
 	x.end(x.out.attempts[0], balancer.OK)
-	for i, want := range []AnswerKind{Refused, Refused, Served} {
+	for i, want := range []AnswerKind{Rejected, Rejected, Served} {
 		if len(heard[i]) != 1 || heard[i][0].Kind != want {
 			t.Errorf("%d heard %+v, want one of kind %v", i, heard[i], want)
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -22,42 +22,42 @@
 )
 
 // Call is a client's request, by whatever front it came. A front fills it in and hands it to Engine.Arrive; the
-// engine gives it to Caller once, as one final answer, unless the client leaves first.
+// engine gives it to Responder once, as one final answer, unless the client leaves first.
 type Call struct {
-	ID            string
-	Class, Tenant int
-	Key           string          // what the request is about; may be empty
-	Deadline      time.Duration   // when the request is ended, on the engine's clock
-	Again         bool            // the client's own repeat
-	Effect        balancer.Effect // of its class
-	Window        time.Duration   // of a keyed class: how long after the first attempt another may begin; else 0
-	RepeatKey     string          // by which servers tell repeats; may be empty
-	Settings      int             // the number of the settings under which the class is what it is
-	Attempts      int             // that it may have; 0: as many as the module says
-	Payload       any             // what the front took, for the carrier
-	Carrier       Carrier         // of its attempts; nil where the caller is a Chooser
-	Caller        Caller
-	Like          *coalesce.Digest // what it asks, where it may be answered together with others; else nil
-	Upload        Upload           // what still comes of it, while it is sent on; nil where it is there whole
+	ID                string
+	Class, Tenant     int
+	Key               string          // what the request is about; may be empty
+	Deadline          time.Duration   // when the request is ended, on the engine's clock
+	ClientRetry       bool            // the client's own repeat
+	Effect            balancer.Effect // of its class
+	IdempotencyWindow time.Duration   // of a keyed class: how long after the first attempt another may begin; else 0
+	IdempotencyKey    string          // by which servers tell repeats; may be empty
+	SettingsVersion   int             // the number of the settings under which the class is what it is
+	MaxAttempts       int             // that it may have; 0: as many as the module says
+	Payload           any             // what the front took, for the carrier
+	Transport         Transport       // of its attempts; nil where the caller is a Chooser
+	Responder         Responder
+	CoalesceDigest    *coalesce.Digest // what it asks, where it may be answered together with others; else nil
+	Upload            Upload           // what still comes of it, while it is sent on; nil where it is there whole
 
 	// Read where a configuration is in force:
 	Path   string
 	Header map[string][]string // canonical names; only read
 
 	// Of calls whose caller is a Chooser:
-	Among []string // ids of the servers to choose among, sorted; nil: any
-	Try   int      // which of the caller's own tries this is, from 1; 0 where it does not say
-	Full  bool     // there is no room for a new request: it is taken only as a try of one that is known
+	Candidates    []string // ids of the servers to choose among, sorted; nil: any
+	CallerAttempt int      // which of the caller's own tries this is, from 1; 0 where it does not say
+	AtCapacity    bool     // there is no room for a new request: it is taken only as a try of one that is known
 
 	closed atomic.Bool // has its answer, or the client left; set by the engine only
 	gone   atomic.Bool // the client left, of which the engine may not have heard yet
 
 	// The engine's own:
-	sends, out int           // attempts made and in flight
-	ranSince   time.Duration // when the first attempt was sent that may have run; 0 without one
-	chooser    Chooser       // the Caller, where it is one
-	carried    int           // attempts that ended and had been handed over
-	last       *Attempt      // the latest attempt of a chooser's call
+	sends, out int            // attempts made and in flight
+	ranSince   time.Duration  // when the first attempt was sent that may have run; 0 without one
+	chooser    ExternalCaller // the Caller, where it is one
+	carried    int            // attempts that ended and had been handed over
+	last       *Attempt       // the latest attempt of a chooser's call
 	member     *coalesce.Member[*Call]
 	pass       *admission.Pass // of one that a door let in
 	began      time.Duration   // when the engine was told of it
@@ -76,8 +76,8 @@
 
 // Upload is a request of which a part is to be read while it is sent on.
 type Upload interface {
-	// Spent reports whether something was read that a further attempt would need.
-	Spent() bool
+	// Consumed reports whether something was read that a further attempt would need.
+	Consumed() bool
 }
 
 // Discarder is a payload that holds something on until it is used or discarded.
@@ -89,8 +89,8 @@
 	}
 }
 
-// Caller waits for the final answer of a call.
-type Caller interface {
+// Responder waits for the final answer of a call.
+type Responder interface {
 	// Answer is called at most once, on the engine's goroutine, and must not block.
 	Answer(Answer)
 }
@@ -101,7 +101,7 @@
 // The kinds of final answers.
 const (
 	Served   AnswerKind = iota // Payload is what a backend made for it
-	Refused                    // trying again is harmless
+	Rejected                   // trying again is harmless
 	Failed                     // no promise about its effect
 	Conflict                   // another call is open under the same id; this one was never looked at
 )
@@ -115,33 +115,33 @@
 	Limit      int           // of a Refused one: so many are let in at a time; 0 where nothing is said
 }
 
-// Carrier makes attempts.
-type Carrier interface {
-	// Carry makes one attempt and returns how it ended, exactly: what may have run is never said not to have. It
+// Transport makes attempts.
+type Transport interface {
+	// RoundTrip makes one attempt and returns how it ended, exactly: what may have run is never said not to have. It
 	// runs in a goroutine of its own and ends with the context, or at the attempt's Until.
-	Carry(ctx context.Context, a *Attempt) Outcome
+	RoundTrip(ctx context.Context, a *Attempt) Outcome
 }
 
-// Starter is a Carrier that does not wait: it begins an attempt, and Engine.Step with an Outcome ends it. Simulations
+// AsyncTransport is a Transport that does not wait: it begins an attempt, and Engine.Handle with an Outcome ends it. Simulations
 // carry so.
-type Starter interface {
-	Carrier
+type AsyncTransport interface {
+	Transport
 	// Start is called on the engine's goroutine and must not block.
 	Start(*Attempt)
 }
 
 // Attempt is one Send of the module: a call on its way to one server.
 type Attempt struct {
-	Call    *Call
-	Number  int
-	Server  string
-	Life    Life // the server's, at the time of the Send
-	Sent    time.Duration
-	Until   time.Duration // when to stop waiting
-	WriteBy time.Duration // when it is too late to begin: at Until, or earlier for a keyed request sent before
+	Call          *Call
+	Number        int
+	Server        string
+	Incarnation   Incarnation // the server's, at the time of the Send
+	Sent          time.Duration
+	Deadline      time.Duration // when to stop waiting
+	WriteDeadline time.Duration // when it is too late to begin: at Until, or earlier for a keyed request sent before
 
-	Barred    bool          // it must not be sent: nobody may be left who would drop it as a repeat
-	OnlySince time.Duration // only over a connection that was there then already; 0: over any
+	Forbidden      bool          // it must not be sent: nobody may be left who would drop it as a repeat
+	ConnectedSince time.Duration // only over a connection that was there then already; 0: over any
 
 	over   bool        // its outcome is known
 	tied   bool        // the table of ties counts it
@@ -151,15 +151,15 @@
 	tell   func(Event)   // the engine; nil of an attempt that none made
 }
 
-// Wrote says that the attempt was written whole. It may be called from any goroutine, once.
-func (a *Attempt) Wrote() {
+// MarkWritten says that the attempt was written whole. It may be called from any goroutine, once.
+func (a *Attempt) MarkWritten() {
 	if a.tally != nil {
 		a.tally.wrote()
 	}
 }
 
-// Uploaded says that the last byte of an Upload was written, and when the client will have given up its answer.
-func (a *Attempt) Uploaded(deadline time.Duration) {
+// UploadFinished says that the last byte of an Upload was written, and when the client will have given up its answer.
+func (a *Attempt) UploadFinished(deadline time.Duration) {
 	if a.tell != nil {
 		a.tell(uploaded{a, deadline})
 	}
@@ -172,9 +172,9 @@
 	Report  balancer.Report
 	Payload any  // of an OK: what the client gets
 	Private bool // of an OK: the backend says that it is for this caller alone
-	// Elsewhere says that the result is that of a server which the module did not choose. What the chosen one did is
+	// FromOtherServer says that the result is that of a server which the module did not choose. What the chosen one did is
 	// not known then, nor where the request may have run.
-	Elsewhere bool
+	FromOtherServer bool
 }
 
 // Member is a server of the list.
@@ -184,15 +184,19 @@
 	Kind string // of machine, as the list names it; may be empty
 }
 
-// Life is one life of a server under one address, as the fleet keeps it; only carriers look into it.
-type Life any
+// Incarnation is one run of a server under one address, from its start to the next, as the ServerPool keeps it. The engine
+// only passes it on: the transport that made it knows the type behind it. nil: the server is not known.
+type Incarnation interface {
+	// IsIncarnation marks the types that a ServerPool hands out; it is never called.
+	IsIncarnation()
+}
 
-// Fleet holds what carriers need to reach the servers of the list.
-type Fleet interface {
+// ServerPool holds what transports need to reach the servers of the list.
+type ServerPool interface {
 	// Update takes the list or a change of it and returns how many servers are ready.
 	Update(full bool, members []Member) (ready int)
-	// Life returns the present life of a server.
-	Life(server string) Life
+	// Incarnation returns the present life of a server.
+	Incarnation(server string) Incarnation
 	// Close ends all connections.
 	Close()
 }
@@ -208,30 +212,30 @@
 	// gaveUp says that a chooser ended with no attempt in its hands.
 	gaveUp struct {
 		id string
-		by Chooser
+		by ExternalCaller
 	}
 	// lastWord asks for the final answer of a call now.
 	lastWord struct{ call *Call }
 	// clientLeft says that nobody waits for the answer any more.
 	clientLeft struct{ call *Call }
 	// counted asks what is open.
-	counted struct{ reply chan<- Load }
-	// Listed brings the list of servers or a change of it.
-	Listed struct {
+	counted struct{ reply chan<- Stats }
+	// EndpointUpdate brings the list of servers or a change of it.
+	EndpointUpdate struct {
 		Full    bool
 		Members []Member
 		Drop    float64 // the share of requests that is to be turned away
 	}
-	// ListUnavailable says that a subscription ended or could not be had.
-	ListUnavailable struct{}
-	// Retuned brings settings that have changed, and their number; what is switched on beside the module hears of the classes
+	// EndpointsUnavailable says that a subscription ended or could not be had.
+	EndpointsUnavailable struct{}
+	// SettingsChanged brings settings that have changed, and their number; what is switched on beside the module hears of the classes
 	// as it needs them.
-	Retuned struct {
+	SettingsChanged struct {
 		balancer.Retune
-		Number int
-		Joins  []coalesce.Class
-		Door   []admission.Class
-		Names  generation.Names
+		Version    int
+		Coalescing []coalesce.Class
+		Admission  []admission.Class
+		Names      generation.Names
 	}
 	// uploaded says that the last byte of an attempt was written.
 	uploaded struct {
@@ -245,25 +249,25 @@
 	}
 )
 
-func (arrived) event()         {}
-func (unusable) event()        {}
-func (gaveUp) event()          {}
-func (clientLeft) event()      {}
-func (lastWord) event()        {}
-func (counted) event()         {}
-func (commanded) event()       {}
-func (Retuned) event()         {}
-func (uploaded) event()        {}
-func (Outcome) event()         {}
-func (Listed) event()          {}
-func (ListUnavailable) event() {}
+func (arrived) event()              {}
+func (unusable) event()             {}
+func (gaveUp) event()               {}
+func (clientLeft) event()           {}
+func (lastWord) event()             {}
+func (counted) event()              {}
+func (commanded) event()            {}
+func (SettingsChanged) event()      {}
+func (uploaded) event()             {}
+func (Outcome) event()              {}
+func (EndpointUpdate) event()       {}
+func (EndpointsUnavailable) event() {}
 
 // Engine is the one goroutine that owns the module: events come in by a channel, and it carries out what the
 // module decides. It does no I/O itself and waits for nothing but the next event or timer.
 type Engine struct {
 	balancer  *balancer.Balancer
 	clock     Clock
-	fleet     Fleet
+	fleet     ServerPool
 	subscribe func()
 	log       *slog.Logger
 	events    chan Event
@@ -278,7 +282,7 @@
 	neverRan  *outcomecache.Table[struct{}]   // those that ended, and of which no try can have run
 	keep      time.Duration                   // for how long they are remembered
 	joins     *joins                          // nil where nothing is joined
-	door      Door                            // nil where all are let in
+	door      AdmissionController             // nil where all are let in
 	tally     *tally                          // what is counted
 	governed  *governed                       // nil where no configuration is in force
 	ties      *ties                           // nil where none are kept
@@ -292,7 +296,7 @@
 const eventQueue = 1024
 
 // New returns an engine round the module. It does nothing before Run.
-func New(b *balancer.Balancer, c Clock, f Fleet, log *slog.Logger) *Engine {
+func New(b *balancer.Balancer, c Clock, f ServerPool, log *slog.Logger) *Engine {
 	return &Engine{balancer: b, clock: c, fleet: f, log: log, subscribe: func() {},
 		events: make(chan Event, eventQueue), done: make(chan struct{}), calls: map[string]*Call{}, tally: &tally{}}
 }
@@ -307,58 +311,58 @@
 func (e *Engine) Ready() bool { return e.ready.Load() }
 
 // Arrive hands over a call.
-func (e *Engine) Arrive(c *Call) { e.Tell(arrived{c}) }
+func (e *Engine) Arrive(c *Call) { e.Post(arrived{c}) }
 
 // ClientLeft says that nobody waits for the call's answer any more.
 func (e *Engine) ClientLeft(c *Call) {
 	c.gone.Store(true) // no attempt begins from here on, whatever the engine has to do first
-	e.Tell(clientLeft{c})
+	e.Post(clientLeft{c})
 }
 
-// LastWord asks for a call's final answer now, whatever time it has left: the process ends. What may have run has failed.
-func (e *Engine) LastWord(c *Call) { e.Tell(lastWord{c}) }
+// ForceAnswer asks for a call's final answer now, whatever time it has left: the process ends. What may have run has failed.
+func (e *Engine) ForceAnswer(c *Call) { e.Post(lastWord{c}) }
 
-// Load says what an engine holds.
-type Load struct {
+// Stats says what an engine holds.
+type Stats struct {
 	Calls    int            // open, or with attempts in flight
 	InFlight map[string]int // attempts, by server
 	// ForgottenEarly counts ended requests of choosers that a full table no longer remembers, before their time.
 	ForgottenEarly uint64
-	Joins          coalesce.Counts
-	Door           admission.Counts
-	Tally          Tally
-	Picture        balancer.Picture
+	Coalescing     coalesce.Counts
+	Admission      admission.Counts
+	Counters       Counters
+	Balancer       balancer.Picture
 	Generation     generation.Status
-	Ties           affinity.Counts
+	Affinity       affinity.Counts
 	Recovery       *recovery.Status // nil where none is switched on
 }
 
-// Load returns what the engine holds; it is empty once the engine has ended.
-func (e *Engine) Load() Load {
-	reply := make(chan Load, 1)
-	e.Tell(counted{reply})
+// Stats returns what the engine holds; it is empty once the engine has ended.
+func (e *Engine) Stats() Stats {
+	reply := make(chan Stats, 1)
+	e.Post(counted{reply})
 	select {
 	case l := <-reply:
 		return l
 	case <-e.done:
-		return Load{}
+		return Stats{}
 	}
 }
 
-func (e *Engine) load() Load {
-	l := Load{Calls: len(e.calls), InFlight: e.balancer.InFlight(), Picture: e.balancer.Picture()}
+func (e *Engine) load() Stats {
+	l := Stats{Calls: len(e.calls), InFlight: e.balancer.InFlight(), Balancer: e.balancer.Picture()}
 	if e.ended != nil {
 		l.ForgottenEarly = e.ended.Evicted()
 	}
 	if e.door != nil {
-		l.Door = e.door.Counts()
+		l.Admission = e.door.Counts()
 	}
-	l.Tally = e.tally.view()
+	l.Counters = e.tally.view()
 	if e.joins != nil {
-		l.Joins = e.joins.table.Counts()
+		l.Coalescing = e.joins.table.Counts()
 	}
 	if e.ties != nil {
-		l.Ties = e.ties.table.Counts()
+		l.Affinity = e.ties.table.Counts()
 	}
 	l.Recovery = e.recovery()
 	if e.governed != nil {
@@ -367,31 +371,31 @@
 	return l
 }
 
-// Tell hands an event to the engine, unless it has ended.
-func (e *Engine) Tell(ev Event) {
+// Post hands an event to the engine, unless it has ended.
+func (e *Engine) Post(ev Event) {
 	select {
 	case e.events <- ev:
 	case <-e.done:
 	}
 }
 
-// Begin starts an engine that has no goroutine of its own: the caller brings each event by Step, and calls Step with nil
+// Start starts an engine that has no goroutine of its own: the caller brings each event by Step, and calls Step with nil
 // when the time of Due has come. It is for simulations, in place of Run.
-func (e *Engine) Begin() { e.do(e.balancer.Start(e.clock.Now())) }
+func (e *Engine) Start() { e.do(e.balancer.Start(e.clock.Now())) }
 
-// Step handles an event, if there is one, and what is due.
-func (e *Engine) Step(ev Event) {
+// Handle handles an event, if there is one, and what is due.
+func (e *Engine) Handle(ev Event) {
 	if ev != nil {
 		e.handle(ev)
 	}
 	e.fire()
 }
 
-// Arrival is a call as an event, for Step.
-func Arrival(c *Call) Event { return arrived{c} }
+// CallArrived is a call as an event, for Step.
+func CallArrived(c *Call) Event { return arrived{c} }
 
-// Due is the time of the next timer, if there is one.
-func (e *Engine) Due() (at time.Duration, ok bool) {
+// NextTimer is the time of the next timer, if there is one.
+func (e *Engine) NextTimer() (at time.Duration, ok bool) {
 	if len(e.timers) > 0 {
 		at, ok = e.timers[0].due, true
 	}
@@ -430,7 +434,7 @@
 			armed = 0
 			e.fire()
 		}
-		if due, ok := e.Due(); ok && due != armed {
+		if due, ok := e.NextTimer(); ok && due != armed {
 			armed = due
 			wake.Reset(armed - e.clock.Now())
 		}
@@ -466,18 +470,18 @@
 		e.clientLeft(ev.call)
 	case lastWord:
 		e.lastWord(ev.call)
-	case Listed:
+	case EndpointUpdate:
 		e.list(ev)
-	case ListUnavailable:
+	case EndpointsUnavailable:
 		e.decide(balancer.ListUnavailable{})
-	case Retuned:
+	case SettingsChanged:
 		e.retuned(ev)
 	case uploaded:
 		e.uploaded(ev)
 	case commanded:
 		ev.do(e.clock.Now())
 		close(ev.done)
-	case Restored:
+	case BindingsRestored:
 		e.ties.table.Restore(e.clock.Now(), ev.Records)
 	case undurable:
 		e.ties.table.Undurable()
@@ -505,7 +509,7 @@
 // arrive takes a new call. A second one under the id of one that is not over could not be told from it.
 func (e *Engine) arrive(c *Call) {
 	c.began = e.clock.Now()
-	if c.chooser, _ = c.Caller.(Chooser); c.chooser != nil && e.resume(c) {
+	if c.chooser, _ = c.Responder.(ExternalCaller); c.chooser != nil && e.resume(c) {
 		return
 	}
 	e.tally.arrived(c)
@@ -520,7 +524,7 @@
 	if e.governed != nil && !e.bind(c) {
 		return
 	}
-	if e.joins != nil && c.Like != nil && e.join(c) {
+	if e.joins != nil && c.CoalesceDigest != nil && e.join(c) {
 		return
 	}
 	e.ask(c)
@@ -547,7 +551,7 @@
 	if c.closed.Load() {
 		return
 	}
-	end := Answer{Kind: Refused}
+	end := Answer{Kind: Rejected}
 	if c.ranSince != 0 || c.before.May {
 		end.Kind = Failed
 	}
@@ -562,16 +566,16 @@
 // ask brings a call to the module, past the door.
 func (e *Engine) ask(c *Call) {
 	e.calls[c.ID] = c
-	if c.Settings < e.settings-1 { // what its class was then is not known any more; it was never sent
-		e.finish(c, Answer{Kind: Refused})
+	if c.SettingsVersion < e.settings-1 { // what its class was then is not known any more; it was never sent
+		e.finish(c, Answer{Kind: Rejected})
 		return
 	}
 	if !e.admit(c) {
 		return
 	}
-	e.decide(balancer.Request{Was: c.Settings < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Again: c.Again,
+	e.decide(balancer.Request{Was: c.SettingsVersion < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Again: c.ClientRetry,
 		Among: c.among(), OnDemand: c.chooser != nil || c.Upload != nil, Uploads: c.Upload != nil,
-		Attempts: fewest(c.Attempts, c.bound.Attempts), Before: c.before})
+		Attempts: fewest(c.MaxAttempts, c.bound.Attempts), Before: c.before})
 }
 
 // fewest is the lower of two numbers of which 0 states none.
@@ -583,14 +587,14 @@
 }
 
 // retuned puts settings in force for what comes from now on.
-func (e *Engine) retuned(r Retuned) {
-	e.settings = r.Number
+func (e *Engine) retuned(r SettingsChanged) {
+	e.settings = r.Version
 	e.decide(r.Retune)
 	if e.joins != nil {
-		e.joins.table.Retune(r.Joins)
+		e.joins.table.Retune(r.Coalescing)
 	}
 	if d, ok := e.door.(retuner); ok {
-		d.Retune(r.Door)
+		d.Retune(r.Admission)
 	}
 	if e.governed != nil {
 		e.governed.manager.Retune(r.Names)
@@ -601,7 +605,7 @@
 func (e *Engine) reject(c *Call, a Answer) {
 	c.closed.Store(true)
 	e.tally.answered(e.clock.Now(), c, a.Kind)
-	c.Caller.Answer(a)
+	c.Responder.Answer(a)
 	c.release()
 }
 
@@ -618,11 +622,11 @@
 	if e.returning != nil {
 		e.returned(o)
 	}
-	if s := e.sharer(); s != nil && !a.Barred {
+	if s := e.sharer(); s != nil && !a.Forbidden {
 		s.Ended(e.clock.Now(), a.Server, o.Result, o.Report)
 	}
 	served := o.Result == balancer.OK
-	if o.Elsewhere {
+	if o.FromOtherServer {
 		o.Result, o.Report = balancer.Cancelled, balancer.NoReport
 	}
 	c.ended(o)
@@ -630,15 +634,15 @@
 		e.ties.ended(e.clock.Now(), a, o.Result)
 	}
 	c.carried++
-	spent := c.Upload != nil && c.Upload.Spent()
+	spent := c.Upload != nil && c.Upload.Consumed()
 	switch {
 	case served:
 		e.finish(c, Answer{Kind: Served, Payload: o.Payload, Private: o.Private})
 	case spent && (c.ranSince == 0 || c.Effect == balancer.Safe): // what it would need is gone
-		e.finish(c, Answer{Kind: Refused})
+		e.finish(c, Answer{Kind: Rejected})
 	case spent:
 		e.finish(c, Answer{Kind: Failed})
-	case o.Elsewhere && c.Effect != balancer.Safe: // the group in which it may be repeated is not known
+	case o.FromOtherServer && c.Effect != balancer.Safe: // the group in which it may be repeated is not known
 		e.finish(c, Answer{Kind: Failed})
 	}
 	e.decide(balancer.Outcome{Request: c.ID, Attempt: a.Number, Server: a.Server, Result: o.Result,
@@ -657,7 +661,7 @@
 	}
 }
 
-func (e *Engine) list(l Listed) {
+func (e *Engine) list(l EndpointUpdate) {
 	if e.governed != nil {
 		l = e.governed.listed(l)
 	}
@@ -665,7 +669,7 @@
 }
 
 // update brings the list of servers to the fleet and to the module.
-func (e *Engine) update(l Listed) {
+func (e *Engine) update(l EndpointUpdate) {
 	if e.held != nil {
 		l = e.held.listed(l)
 	}
@@ -676,7 +680,7 @@
 }
 
 // bring brings what is to be seen of a list to the fleet and to the module.
-func (e *Engine) bring(l Listed) {
+func (e *Engine) bring(l EndpointUpdate) {
 	if e.ties != nil {
 		e.ties.listed(l)
 	}
@@ -705,7 +709,7 @@
 			e.send(a)
 		case balancer.Refuse:
 			e.tally.givenUp(a.Why)
-			e.finish(e.calls[a.Request], Answer{Kind: Refused, RetryAfter: a.After})
+			e.finish(e.calls[a.Request], Answer{Kind: Rejected, RetryAfter: a.After})
 		case balancer.Fail:
 			e.tally.givenUp(a.Why)
 			e.finish(e.calls[a.Request], Answer{Kind: Failed})
@@ -727,12 +731,12 @@
 		e.returning.repeats(c, a, before)
 	}
 	if s := e.sharer(); s != nil {
-		if a.Barred = a.Barred || a.Number > 0 && !s.MayRetry(a.Sent); !a.Barred {
+		if a.Forbidden = a.Forbidden || a.Number > 0 && !s.MayRetry(a.Sent); !a.Forbidden {
 			s.Sent(a.Sent, act.Server, a.Number > 0)
 		}
 	}
-	a.Life, a.tally, a.tell = e.fleet.Life(act.Server), e.tally, e.Tell
-	var tie TieCommit
+	a.Incarnation, a.tally, a.tell = e.fleet.Incarnation(act.Server), e.tally, e.Post
+	var tie BindingCommit
 	if e.ties != nil {
 		tie = e.ties.begin(e.clock.Now(), c, a)
 	}
@@ -740,27 +744,27 @@
 		e.choose(c, a, tie)
 		return
 	}
-	if s, ok := c.Carrier.(Starter); ok {
+	if s, ok := c.Transport.(AsyncTransport); ok {
 		s.Start(a)
 		return
 	}
 	e.attempts.Go(func() {
 		e.wait(tie)
-		e.Tell(c.Carrier.Carry(e.ctx, a))
+		e.Post(c.Transport.RoundTrip(e.ctx, a))
 	})
 }
 
 // attempt is the next attempt of the request.
 func (c *Call) attempt(act balancer.Action, now time.Duration) *Attempt {
-	a := &Attempt{Call: c, Number: c.sends, Server: act.Server, Sent: now, Until: c.Deadline}
+	a := &Attempt{Call: c, Number: c.sends, Server: act.Server, Sent: now, Deadline: c.Deadline}
 	if act.After > 0 {
-		a.Until = min(a.Until, now+act.After)
+		a.Deadline = min(a.Deadline, now+act.After)
 	}
-	a.WriteBy = a.Until
+	a.WriteDeadline = a.Deadline
 	if c.ranSince == 0 {
 		c.ranSince = now
-	} else if c.Window > 0 { // the module decides by the time now, but the dial may take until after the window
-		a.WriteBy = min(a.Until, c.ranSince+c.Window)
+	} else if c.IdempotencyWindow > 0 { // the module decides by the time now, but the dial may take until after the window
+		a.WriteDeadline = min(a.Deadline, c.ranSince+c.IdempotencyWindow)
 	}
 	c.sends++
 	c.out++
@@ -790,7 +794,7 @@
 	if !c.flies {
 		e.tally.answered(e.clock.Now(), c, a.Kind)
 	}
-	c.Caller.Answer(a)
+	c.Responder.Answer(a)
 	e.remember(c, a.Kind)
 	e.forget(c)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -22,14 +22,14 @@
 		"turned away":  {window, balancer.Rejected, deadline},
 		"not keyed":    {0, balancer.Reset, deadline},
 	} {
-		r := &Call{Deadline: deadline, Window: c.window}
+		r := &Call{Deadline: deadline, IdempotencyWindow: c.window}
 		first := r.attempt(balancer.Action{Server: "b"}, time.Second)
-		if first.WriteBy != deadline {
-			t.Errorf("%s: the first may begin until %v", name, first.WriteBy)
+		if first.WriteDeadline != deadline {
+			t.Errorf("%s: the first may begin until %v", name, first.WriteDeadline)
 		}
 		r.ended(Outcome{Attempt: first, Result: c.first})
 		second := r.attempt(balancer.Action{Server: "b"}, 2*time.Second)
-		if second.WriteBy != c.want || second.Number != 1 || second.Until != deadline || r.out != 1 {
+		if second.WriteDeadline != c.want || second.Number != 1 || second.Deadline != deadline || r.out != 1 {
 			t.Errorf("%s: %+v with %d out", name, second, r.out)
 		}
 	}
@@ -37,7 +37,7 @@
 
 func TestAttemptEndsWithItsOwnTimeout(t *testing.T) {
 	r := &Call{Deadline: 9 * time.Second}
-	if a := r.attempt(balancer.Action{After: time.Second}, time.Second); a.Until != 2*time.Second || a.WriteBy != a.Until {
+	if a := r.attempt(balancer.Action{After: time.Second}, time.Second); a.Deadline != 2*time.Second || a.WriteDeadline != a.Deadline {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/engine/golden_texts_test.go
+++ b/internal/engine/golden_texts_test.go
@@ -10,7 +10,7 @@
 // Names of what is counted by kind, and the quantiles of a tally.
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
-	for i, kind := range []AnswerKind{Served, Refused, Failed, Conflict} {
+	for i, kind := range []AnswerKind{Served, Rejected, Failed, Conflict} {
 		out = fmt.Appendf(out, "answer %d %d %s\n", i, kind, AnswerKinds[kind])
 	}
 	out = fmt.Appendf(out, "%d answers\nsends %q\nquantiles %v\n", len(AnswerKinds), SendKinds, quantilesOf)
--- a/internal/engine/governed.go
+++ b/internal/engine/governed.go
@@ -21,25 +21,25 @@
 	drop    float64 // as the list said last
 }
 
-// Govern puts a configuration in force. zones are the names of the zones, in the order of the module's numbers. It is called
+// SetGenerations puts a configuration in force. zones are the names of the zones, in the order of the module's numbers. It is called
 // before Run.
-func (e *Engine) Govern(m *generation.Manager, zones []string) {
+func (e *Engine) SetGenerations(m *generation.Manager, zones []string) {
 	e.governed = &governed{manager: m, zones: zones, clock: e.clock, told: map[string]Member{}}
 }
 
 // ErrEnded says that the engine has ended.
 var ErrEnded = errors.New("the agent is ending")
 
-// Command runs do on the engine's goroutine, with the manager of the configuration in force. It waits until that is done.
-func (e *Engine) Command(ctx context.Context, do func(now time.Duration, m *generation.Manager)) error {
-	return e.command(ctx, func(now time.Duration) {
+// WithGenerations runs do on the engine's goroutine, with the manager of the configuration in force. It waits until that is done.
+func (e *Engine) WithGenerations(ctx context.Context, do func(now time.Duration, m *generation.Manager)) error {
+	return e.execute(ctx, func(now time.Duration) {
 		do(now, e.governed.manager)
 		e.tellMoved()
 	})
 }
 
 // command runs do on the engine's goroutine and waits until that is done.
-func (e *Engine) command(ctx context.Context, do func(now time.Duration)) error {
+func (e *Engine) execute(ctx context.Context, do func(now time.Duration)) error {
 	done := make(chan struct{})
 	select {
 	case e.events <- commanded{do, done}:
@@ -60,7 +60,7 @@
 // sent, and a chooser's call comes here only as a new request, so that trying again is harmless.
 func (e *Engine) bind(c *Call) bool {
 	a := generation.Ask{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Path: c.Path, Header: c.Header, Key: c.Key,
-		RepeatKey: c.RepeatKey, Deadline: c.Deadline}
+		RepeatKey: c.IdempotencyKey, Deadline: c.Deadline}
 	told, ok := e.governed.manager.Bind(e.clock.Now(), &a, &c.bound)
 	if !ok && c.before.May { // a refusal would promise that trying again is harmless
 		e.reject(c, Answer{Kind: Failed})
@@ -68,7 +68,7 @@
 	}
 	if !ok {
 		e.cameToNothing(c)
-		e.reject(c, Answer{Kind: Refused, RetryAfter: told.After, Limit: told.Most})
+		e.reject(c, Answer{Kind: Rejected, RetryAfter: told.After, Limit: told.Most})
 		return false
 	}
 	c.Deadline = c.bound.Deadline
@@ -83,22 +83,22 @@
 }
 
 // boundEnds are the manager's, by the kinds of answers.
-var boundEnds = [...]generation.End{Served: generation.Served, Refused: generation.Refused, Failed: generation.Failed, Conflict: generation.Left}
+var boundEnds = [...]generation.End{Served: generation.Served, Rejected: generation.Refused, Failed: generation.Failed, Conflict: generation.Left}
 
 // among are the servers that a call may go to: those of its pool and of its caller's choice, where there are such. The pool
 // is that of the configuration that the call is bound to, for all of its attempts.
 func (c *Call) among() []string {
 	pool := c.bound.Servers()
 	switch {
-	case c.pass != nil && c.pass.Among != nil && pool == nil && c.Among == nil && !c.before.May:
+	case c.pass != nil && c.pass.Among != nil && pool == nil && c.Candidates == nil && !c.before.May:
 		return c.pass.Among
 	case pool == nil, c.before.May: // what may have run goes to its pod, whatever the configuration makes of others
-		return c.Among
-	case c.Among == nil:
+		return c.Candidates
+	case c.Candidates == nil:
 		return pool
 	}
 	both := []string{}
-	for _, id := range c.Among {
+	for _, id := range c.Candidates {
 		if _, in := slices.BinarySearch(pool, id); in {
 			both = append(both, id)
 		}
@@ -107,7 +107,7 @@
 }
 
 // listed takes a list over and returns it with the configuration's drains.
-func (g *governed) listed(l Listed) Listed {
+func (g *governed) listed(l EndpointUpdate) EndpointUpdate {
 	changed := generation.Servers{}
 	if l.Full {
 		for id := range g.told {
@@ -126,7 +126,7 @@
 	}
 	g.manager.Listed(changed)
 	g.drop = l.Drop
-	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
+	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
 		out.Members = append(out.Members, g.drained(m))
 	}
@@ -157,7 +157,7 @@
 	if len(ids) == 0 {
 		return
 	}
-	l := Listed{Drop: e.governed.drop}
+	l := EndpointUpdate{Drop: e.governed.drop}
 	for _, id := range ids {
 		if m, there := e.governed.told[id]; there {
 			l.Members = append(l.Members, e.governed.drained(m))
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -16,14 +16,14 @@
 	drop float64 // as the list said last
 }
 
-// Hold lets operators hold servers out. It is called before Run.
-func (e *Engine) Hold(set *denylist.Set) { e.held = &held{set: set, told: map[string]Member{}} }
+// SetDenylist lets operators hold servers out. It is called before Run.
+func (e *Engine) SetDenylist(set *denylist.Set) { e.held = &held{set: set, told: map[string]Member{}} }
 
-// Bans runs do with the set on the engine's goroutine and waits until what it has changed holds: by then a server that is
+// WithDenylist runs do with the set on the engine's goroutine and waits until what it has changed holds: by then a server that is
 // held out gets nothing new.
-func (e *Engine) Bans(ctx context.Context, do func(now time.Duration, s *denylist.Set) error) error {
+func (e *Engine) WithDenylist(ctx context.Context, do func(now time.Duration, s *denylist.Set) error) error {
 	var told error
-	err := e.command(ctx, func(now time.Duration) {
+	err := e.execute(ctx, func(now time.Duration) {
 		before := e.held.overlaid()
 		told = do(now, e.held.set)
 		e.tellHeld(before)
@@ -35,7 +35,7 @@
 }
 
 // listed takes a list over and returns it with the bans.
-func (h *held) listed(l Listed) Listed {
+func (h *held) listed(l EndpointUpdate) EndpointUpdate {
 	if l.Full {
 		before := h.told
 		h.told = make(map[string]Member, len(l.Members))
@@ -48,7 +48,7 @@
 		}()
 	}
 	h.drop = l.Drop
-	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
+	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
 		if m.State == balancer.Gone {
 			delete(h.told, m.ID)
@@ -84,7 +84,7 @@
 
 // tellHeld tells the fleet and the module of servers that are seen otherwise than before.
 func (e *Engine) tellHeld(before map[string]Member) {
-	l := Listed{Drop: e.held.drop}
+	l := EndpointUpdate{Drop: e.held.drop}
 	for id, m := range e.held.told {
 		was, overlaid := before[id]
 		if !overlaid {
@@ -99,15 +99,15 @@
 	}
 }
 
-// FleetCounts say what an engine's list holds.
-type FleetCounts struct {
+// EndpointCounts say what an engine's list holds.
+type EndpointCounts struct {
 	Listed  int // servers of the list
 	Avoided int // of which the agent keeps away now, held out by hand or ejected by the module
 }
 
-// Fleet counts the servers of the list. It waits for the engine.
-func (e *Engine) Fleet(ctx context.Context) (n FleetCounts, err error) {
-	err = e.command(ctx, func(time.Duration) {
+// EndpointCounts counts the servers of the list. It waits for the engine.
+func (e *Engine) EndpointCounts(ctx context.Context) (n EndpointCounts, err error) {
+	err = e.execute(ctx, func(time.Duration) {
 		n.Listed = len(e.held.told)
 		ill := e.balancer.Ejected()
 		for id := range e.held.told {
--- a/internal/engine/joins.go
+++ b/internal/engine/joins.go
@@ -22,9 +22,9 @@
 	answer Answer
 }
 
-// Join makes the engine join calls that ask the same, where their front says what they ask. Whose time runs out while it
+// SetCoalescing makes the engine join calls that ask the same, where their front says what they ask. Whose time runs out while it
 // waits is told to come back after that long, or nothing where that is 0. It is called before Run.
-func (e *Engine) Join(o coalesce.Options, after time.Duration) {
+func (e *Engine) SetCoalescing(o coalesce.Options, after time.Duration) {
 	e.joins = &joins{table: coalesce.New[*Call](o), after: after}
 }
 
@@ -33,7 +33,7 @@
 	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Safe || c.bound.Servers() != nil {
 		return false // what is bound to a pool asks of other servers than what is not
 	}
-	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Ask[*Call]{Of: c, What: *c.Like, Class: c.Class, Tenant: c.Tenant,
+	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Ask[*Call]{Of: c, What: *c.CoalesceDigest, Class: c.Class, Tenant: c.Tenant,
 		Deadline: c.Deadline})
 	if verdict == coalesce.Alone {
 		return false
@@ -49,8 +49,8 @@
 // lead starts the flight that a member leads.
 func (e *Engine) lead(c *Call) {
 	f := c.member.Flight()
-	f.Work = &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: f.Until, Again: c.Again,
-		Payload: c.Payload, Carrier: c.Carrier, Settings: c.Settings, Attempts: c.Attempts, Caller: flight{e.joins, f}, flies: true}
+	f.Work = &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: f.Until, ClientRetry: c.ClientRetry,
+		Payload: c.Payload, Transport: c.Transport, SettingsVersion: c.SettingsVersion, MaxAttempts: c.MaxAttempts, Responder: flight{e.joins, f}, flies: true}
 	e.ask(f.Work)
 }
 
@@ -95,7 +95,7 @@
 		return coalesce.Private
 	case a.Kind == Served:
 		return coalesce.Served
-	case a.Kind == Refused:
+	case a.Kind == Rejected:
 		return coalesce.Refused
 	}
 	return coalesce.Failed
@@ -110,7 +110,7 @@
 		e.finish(m.Of, answer)
 	}
 	for _, m := range c.Expired { // only calls that may be repeated at will are joined: trying again is harmless
-		e.finish(m.Of, Answer{Kind: Refused, RetryAfter: e.joins.after})
+		e.finish(m.Of, Answer{Kind: Rejected, RetryAfter: e.joins.after})
 	}
 	for _, f := range c.Drop { // nobody waits for it, as if its client had left
 		if !f.Work.closed.Swap(true) {
--- a/internal/engine/returning.go
+++ b/internal/engine/returning.go
@@ -33,41 +33,41 @@
 		r.first = nil
 		return false
 	}
-	if _, since := r.first[c.RepeatKey]; since || c.RepeatKey == "" {
+	if _, since := r.first[c.IdempotencyKey]; since || c.IdempotencyKey == "" {
 		return false
 	}
-	if c.Again {
+	if c.ClientRetry {
 		return true
 	}
 	if len(r.first) < mostFirst {
-		r.first[c.RepeatKey] = struct{}{}
+		r.first[c.IdempotencyKey] = struct{}{}
 	}
 	return false
 }
 
-// Return puts a recovery at the door. heard says whether the list has been confirmed since the start; moved is called on the engine's
+// SetRecovery puts a recovery at the door. heard says whether the list has been confirmed since the start; moved is called on the engine's
 // goroutine when the list tells of another server, or of one that drains or is gone. It is called before Run, and in place of Guard.
-func (e *Engine) Return(r *recovery.Recovery, heard func() bool, moved func()) {
+func (e *Engine) SetRecovery(r *recovery.Recovery, heard func() bool, moved func()) {
 	e.returning = &returning{Recovery: r, heard: heard, moved: moved, told: map[string]Member{}}
-	e.Guard(r)
+	e.SetAdmission(r)
 }
 
-// Forgot says that what may have run before the start may not be remembered: until then a repeat of a keyed request, which its client
+// FailUnknownRepeatsUntil says that what may have run before the start may not be remembered: until then a repeat of a keyed request, which its client
 // marks as one and whose first try did not come since, is not sent anywhere and has failed. It is called before Run, after Return.
-func (e *Engine) Forgot(until time.Duration) {
+func (e *Engine) FailUnknownRepeatsUntil(until time.Duration) {
 	e.returning.forgot, e.returning.first = until, map[string]struct{}{}
 }
 
-// Known is what an agent has to remember over a loss of power.
-type Known struct {
-	Members []Member // as the list has them, by id
-	Before  recovery.Before
-	Bans    denylist.State
+// Snapshot is what an agent has to remember over a loss of power.
+type Snapshot struct {
+	Members  []Member // as the list has them, by id
+	Recovery recovery.Before
+	Denylist denylist.State
 }
 
-// Known returns what the engine knows. It waits for the engine, and is for one that has a recovery.
-func (e *Engine) Known(ctx context.Context) (k Known, err error) {
-	err = e.command(ctx, func(time.Duration) {
+// Snapshot returns what the engine knows. It waits for the engine, and is for one that has a recovery.
+func (e *Engine) Snapshot(ctx context.Context) (k Snapshot, err error) {
+	err = e.execute(ctx, func(time.Duration) {
 		told := e.returning.told
 		switch { // as the list has them: what lies over it is kept for itself
 		case e.governed != nil:
@@ -78,16 +78,16 @@
 		for _, id := range slices.Sorted(maps.Keys(told)) {
 			k.Members = append(k.Members, told[id])
 		}
-		k.Before = e.returning.Before()
+		k.Recovery = e.returning.Before()
 		if e.held != nil {
-			k.Bans = e.held.set.State(func(t time.Duration) int64 { return e.clock.At(t).UnixMilli() })
+			k.Denylist = e.held.set.State(func(t time.Duration) int64 { return e.clock.At(t).UnixMilli() })
 		}
 	})
 	return k, err
 }
 
 // listed takes a list over and returns it as the module is to see it.
-func (r *returning) listed(now time.Duration, l Listed) Listed {
+func (r *returning) listed(now time.Duration, l EndpointUpdate) EndpointUpdate {
 	heard, changed := r.heard(), false
 	if l.Full {
 		named := make(map[string]bool, len(l.Members))
@@ -116,7 +116,7 @@
 	if r.Settled(now); changed {
 		r.moved()
 	}
-	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
+	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
 		m.Started = r.Started(m.ID, m.Started)
 		out.Members = append(out.Members, m)
@@ -153,9 +153,9 @@
 	if c.Effect != balancer.Keyed || since == 0 {
 		return
 	}
-	a.OnlySince = since
+	a.ConnectedSince = since
 	if m, there := r.told[a.Server]; there {
-		a.Barred = a.Barred || !r.MayRepeat(m.Cell, since)
+		a.Forbidden = a.Forbidden || !r.MayRepeat(m.Cell, since)
 	}
 }
 
--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -13,7 +13,7 @@
 // returningEngine is an engine with ties and a recovery, whose list is of now.
 func returningEngine(t *testing.T, change func(*tiedEngine)) *tiedEngine {
 	return newTied(t, func(x *tiedEngine) {
-		x.Return(recovery.New(recovery.Options{Agents: 1, ColdFrom: 0.3, ColdFor: time.Second,
+		x.SetRecovery(recovery.New(recovery.Options{Agents: 1, ColdFrom: 0.3, ColdFor: time.Second,
 			Classes: []recovery.Class{{Worth: 1, Aim: time.Second, Safe: true}, {Worth: 5, Aim: time.Second}}}, nil), func() bool { return true }, func() {})
 		change(x)
 	})
@@ -25,7 +25,7 @@
 	first, _ := x.call("k", nil)
 	pod := cellOf(first)
 	x.end(first, balancer.Failed)
-	if again := x.out.attempts[len(x.out.attempts)-1]; again == first || cellOf(again) != pod || again.OnlySince != first.Sent || again.Barred {
+	if again := x.out.attempts[len(x.out.attempts)-1]; again == first || cellOf(again) != pod || again.ConnectedSince != first.Sent || again.Forbidden {
 		t.Fatalf("%+v after %+v", again, first)
 	}
 	x.now += 10 * time.Millisecond
@@ -35,10 +35,10 @@
 		}
 	}
 	x.now += 10 * time.Millisecond
-	if again, _ := x.call("k", nil); again == nil || !again.Barred {
+	if again, _ := x.call("k", nil); again == nil || !again.Forbidden {
 		t.Errorf("a repeat to a pod that has lost its power: %+v", again)
 	}
-	if other, _ := x.call("new", nil); other == nil || other.Barred || other.OnlySince != 0 {
+	if other, _ := x.call("new", nil); other == nil || other.Forbidden || other.ConnectedSince != 0 {
 		t.Errorf("a new request: %+v", other)
 	}
 }
@@ -49,11 +49,11 @@
 		heard = &ear{}
 		x.ids++
 		before := len(x.out.attempts)
-		x.Step(Arrival(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key,
-			Again: marked, Carrier: x.out, Caller: heard}))
+		x.Handle(CallArrived(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: balancer.Keyed, IdempotencyWindow: window, Deadline: x.now + deadline, IdempotencyKey: key,
+			ClientRetry: marked, Transport: x.out, Responder: heard}))
 		return len(x.out.attempts) > before, heard
 	}
-	x := returningEngine(t, func(x *tiedEngine) { x.Forgot(x.now + time.Minute) })
+	x := returningEngine(t, func(x *tiedEngine) { x.FailUnknownRepeatsUntil(x.now + time.Minute) })
 	if sent, heard := again(x, "from before", true); sent || len(*heard) != 1 || (*heard)[0].Kind != Failed {
 		t.Errorf("sent %v, %+v", sent, heard)
 	}
@@ -74,7 +74,7 @@
 func TestWordOfADrain(t *testing.T) {
 	var told []gossip.Fact
 	x := newTied(t, func(x *tiedEngine) {
-		x.Heed(func() bool { return true }, func(f gossip.Fact) { told = append(told, f) })
+		x.SetGossip(func() bool { return true }, func(f gossip.Fact) { told = append(told, f) })
 	})
 	uses := func() (n int) {
 		for range 40 {
@@ -91,16 +91,16 @@
 		t.Fatal("it is not used in calm")
 	}
 	x.now += time.Second
-	x.Step(Spoken(3, gossip.Fact{Kind: corroborate.Drains, ID: corroborate.Server("s1")}))
+	x.Handle(GossipReceived(3, gossip.Fact{Kind: corroborate.Drains, ID: corroborate.Server("s1")}))
 	if n := uses(); n != 0 {
 		t.Errorf("%d requests went to a server that drains by word", n)
 	}
 	x.now += 20 * time.Second
-	x.Step(nil)
+	x.Handle(nil)
 	if uses() == 0 {
 		t.Error("word holds for ever")
 	}
-	if x.list(Listed{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.Server("s2") {
+	if x.list(EndpointUpdate{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.Server("s2") {
 		t.Errorf("the others are told %v", told)
 	}
 }
--- a/internal/engine/shared.go
+++ b/internal/engine/shared.go
@@ -9,8 +9,8 @@
 	"appleledge/internal/fleet/corroborate"
 )
 
-// Sharer is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package share.
-type Sharer interface {
+// OverloadHandler is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package share.
+type OverloadHandler interface {
 	// MayRetry reports whether an attempt beyond a call's first may go out.
 	MayRetry(now time.Duration) bool
 	Sent(now time.Duration, server string, further bool)
@@ -19,14 +19,14 @@
 	Lives(alive []bool)
 	// Take takes what another agent tells. An error is a body that can't be read.
 	Take(now time.Duration, from int, body []byte) error
-	// Held are the servers that are held out on the word of others.
+	// HeldByGossip are the servers that are held out on the word of others.
 	Held(now time.Duration) []string
 }
 
-// ShareBy makes the agent one of many that handle overload together. It is called before Run, after Heed.
-func (e *Engine) ShareBy(s Sharer) { e.worded.sharer = s }
+// SetOverload makes the agent one of many that handle overload together. It is called before Run, after Heed.
+func (e *Engine) SetOverload(s OverloadHandler) { e.worded.sharer = s }
 
-func (e *Engine) sharer() Sharer {
+func (e *Engine) sharer() OverloadHandler {
 	if e.worded == nil {
 		return nil
 	}
@@ -41,15 +41,15 @@
 
 func (shared) event() {}
 
-// Share takes what another agent tells of overload.
-func (e *Engine) Share(from int, body []byte) { e.Tell(Shared(from, body)) }
+// HandleOverloadReport takes what another agent tells of overload.
+func (e *Engine) HandleOverloadReport(from int, body []byte) { e.Post(OverloadReported(from, body)) }
 
-// Shared is what another agent tells, as an event.
-func Shared(from int, body []byte) Event { return shared{from, body} }
+// OverloadReported is what another agent tells, as an event.
+func OverloadReported(from int, body []byte) Event { return shared{from, body} }
 
-// Sharing runs do on the engine's goroutine, beside the Sharer. It waits until that is done.
-func (e *Engine) Sharing(ctx context.Context, do func(now time.Duration)) error {
-	return e.command(ctx, do)
+// WithOverload runs do on the engine's goroutine, beside the Sharer. It waits until that is done.
+func (e *Engine) WithOverload(ctx context.Context, do func(now time.Duration)) error {
+	return e.execute(ctx, do)
 }
 
 // heldWith are the servers that are held out on others' word of a drain, and those on their word that they are ill.
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -18,25 +18,25 @@
 // SendKinds and AnswerKinds are the names of what is counted by kind, for logs and figures.
 var (
 	SendKinds   = [...]string{"first", "further", "copy"}
-	AnswerKinds = [...]string{Served: "served", Refused: "refused", Failed: "failed", Conflict: "conflict"}
+	AnswerKinds = [...]string{Served: "served", Rejected: "refused", Failed: "failed", Conflict: "conflict"}
 )
 
-// Tally is what became of calls and attempts since the engine was made, at one moment.
-type Tally struct {
-	Classes  []string                      // names, by number
-	Answers  [][4]uint64                   // by class and AnswerKind; calls that are joined count one by one
-	Left     []uint64                      // by class: calls whose client left first
-	Open     int                           // calls that have not ended
-	Written  uint64                        // attempts that were written whole to a server
-	Attempts [len(balancer.Results)]uint64 // by logic.Result
-	Sends    [len(SendKinds)]uint64        // by kind
-	Cold     uint64                        // of all these, to servers that had started lately
-	GivenUp  [len(balancer.Reasons)]uint64
-	Times    []Times // of served calls, by class, where they are kept
-}
-
-// Times are how long calls took of late, from when the engine was told of them.
-type Times struct {
+// Counters is what became of calls and attempts since the engine was made, at one moment.
+type Counters struct {
+	Classes   []string                      // names, by number
+	Answers   [][4]uint64                   // by class and AnswerKind; calls that are joined count one by one
+	Left      []uint64                      // by class: calls whose client left first
+	Open      int                           // calls that have not ended
+	Written   uint64                        // attempts that were written whole to a server
+	Attempts  [len(balancer.Results)]uint64 // by logic.Result
+	Sends     [len(SendKinds)]uint64        // by kind
+	SlowStart uint64                        // of all these, to servers that had started lately
+	GivenUp   [len(balancer.Reasons)]uint64
+	Latencies []LatencyStats // of served calls, by class, where they are kept
+}
+
+// LatencyStats are how long calls took of late, from when the engine was told of them.
+type LatencyStats struct {
 	Count     uint64 // since the engine was made
 	Sum       time.Duration
 	Quantiles map[float64]time.Duration // by share; of the last 30 s to a minute
@@ -45,12 +45,12 @@
 // tally is the one place that counts. Its lock makes a reading one moment, which does not wait for the engine's queue.
 type tally struct {
 	mu      sync.Mutex
-	counts  Tally
+	counts  Counters
 	windows []*latency.Window // none where no times are kept
 }
 
-// Name states the classes by number, as they come and go; what was counted of an earlier one stands.
-func (e *Engine) Name(classes []balancer.Class) {
+// SetClassNames states the classes by number, as they come and go; what was counted of an earlier one stands.
+func (e *Engine) SetClassNames(classes []balancer.Class) {
 	t := e.tally
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,9 +64,9 @@
 	}
 }
 
-// Count makes the engine keep the times of calls of these classes, for Load. It is called before Run.
-func (e *Engine) Count(classes []balancer.Class) {
-	e.Name(classes)
+// TrackLatency makes the engine keep the times of calls of these classes, for Load. It is called before Run.
+func (e *Engine) TrackLatency(classes []balancer.Class) {
+	e.SetClassNames(classes)
 	if len(e.tally.windows) > 0 {
 		return
 	}
@@ -75,13 +75,13 @@
 	}
 }
 
-// Tally returns what is counted. It waits for nothing that the engine does.
-func (e *Engine) Tally() Tally { return e.tally.view() }
+// Counters returns what is counted. It waits for nothing that the engine does.
+func (e *Engine) Counters() Counters { return e.tally.view() }
 
-// TurnedAway counts a call that its front has refused, which the engine has not seen.
-func (e *Engine) TurnedAway(c *Call) {
+// CountRejected counts a call that its front has refused, which the engine has not seen.
+func (e *Engine) CountRejected(c *Call) {
 	e.tally.arrived(c)
-	e.tally.answered(e.clock.Now(), c, Refused)
+	e.tally.answered(e.clock.Now(), c, Rejected)
 }
 
 // room makes room for a class.
@@ -129,12 +129,12 @@
 	t.counts.Answers[c.Class][kind]++
 	t.over(c)
 	if kind == Served && c.Class < len(t.windows) {
-		for len(t.counts.Times) <= c.Class {
-			t.counts.Times = append(t.counts.Times, Times{})
+		for len(t.counts.Latencies) <= c.Class {
+			t.counts.Latencies = append(t.counts.Latencies, LatencyStats{})
 		}
 		took := now - c.began
-		t.counts.Times[c.Class].Count++
-		t.counts.Times[c.Class].Sum += took
+		t.counts.Latencies[c.Class].Count++
+		t.counts.Latencies[c.Class].Sum += took
 		t.windows[c.Class].Add(now, took)
 	}
 }
@@ -160,7 +160,7 @@
 		t.counts.Sends[2]++
 	}
 	if cold {
-		t.counts.Cold++
+		t.counts.SlowStart++
 	}
 }
 
@@ -177,21 +177,21 @@
 }
 
 // view is a copy of what is counted.
-func (t *tally) view() Tally {
+func (t *tally) view() Counters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.counts
 	v.Classes, v.Answers, v.Left = slices.Clone(v.Classes), slices.Clone(v.Answers), slices.Clone(v.Left)
-	v.Times = nil
+	v.Latencies = nil
 	for i, w := range t.windows {
-		x := Times{Quantiles: map[float64]time.Duration{}}
-		if i < len(t.counts.Times) {
-			x.Count, x.Sum = t.counts.Times[i].Count, t.counts.Times[i].Sum
+		x := LatencyStats{Quantiles: map[float64]time.Duration{}}
+		if i < len(t.counts.Latencies) {
+			x.Count, x.Sum = t.counts.Latencies[i].Count, t.counts.Latencies[i].Sum
 		}
 		for _, q := range quantilesOf {
 			x.Quantiles[q] = w.Quantile(q)
 		}
-		v.Times = append(v.Times, x)
+		v.Latencies = append(v.Latencies, x)
 	}
 	return v
 }
--- a/internal/engine/ties.go
+++ b/internal/engine/ties.go
@@ -7,14 +7,14 @@
 	"appleledge/internal/balancer"
 )
 
-// TieLog keeps ties over a restart.
-type TieLog interface {
+// BindingLog keeps ties over a restart.
+type BindingLog interface {
 	// Append hands a record over, and must not block. What it returns may be waited for from any goroutine.
-	Append(affinity.Record) TieCommit
+	Append(affinity.Record) BindingCommit
 }
 
-// TieCommit is a record on its way to where it lasts.
-type TieCommit interface {
+// BindingCommit is a record on its way to where it lasts.
+type BindingCommit interface {
 	// Wait reports whether it lasts, and waits no longer than a stated budget for that.
 	Wait() bool
 }
@@ -24,21 +24,21 @@
 type ties struct {
 	table  *affinity.Table
 	secret affinity.Secret
-	log    TieLog         // nil: nothing lasts
+	log    BindingLog     // nil: nothing lasts
 	pods   map[string]pod // of servers, by id
 }
 
 type pod struct{ cell, zone int }
 
-// Tie makes the engine remember where keyed requests go. It is called before Run.
-func (e *Engine) Tie(t *affinity.Table, s affinity.Secret, l TieLog) {
+// SetAffinity makes the engine remember where keyed requests go. It is called before Run.
+func (e *Engine) SetAffinity(t *affinity.Table, s affinity.Secret, l BindingLog) {
 	e.ties = &ties{table: t, secret: s, log: l, pods: map[string]pod{}}
 }
 
-// Restored brings records that another process has kept.
-type Restored struct{ Records []affinity.Record }
+// BindingsRestored brings records that another process has kept.
+type BindingsRestored struct{ Records []affinity.Record }
 
-func (Restored) event() {}
+func (BindingsRestored) event() {}
 
 // undurable says that a tie could not be kept in time.
 type undurable struct{}
@@ -50,7 +50,7 @@
 
 func (kept) event() {}
 
-func (t *ties) listed(l Listed) {
+func (t *ties) listed(l EndpointUpdate) {
 	if l.Full {
 		clear(t.pods)
 	}
@@ -67,13 +67,13 @@
 // refused.
 func (e *Engine) tied(c *Call) {
 	if r := e.returning; r != nil && c.Effect == balancer.Keyed && r.unremembered(e.clock.Now(), c) {
-		c.before = balancer.Before{May: true, Since: e.clock.Now() - c.Window, Zone: -1, Cell: -1}
+		c.before = balancer.Before{May: true, Since: e.clock.Now() - c.IdempotencyWindow, Zone: -1, Cell: -1}
 		c.ranSince = max(c.before.Since, 1)
 	}
-	if e.ties == nil || c.Effect != balancer.Keyed || c.RepeatKey == "" {
+	if e.ties == nil || c.Effect != balancer.Keyed || c.IdempotencyKey == "" {
 		return
 	}
-	c.key = e.ties.secret.Key(c.RepeatKey)
+	c.key = e.ties.secret.Key(c.IdempotencyKey)
 	if tie, ok := e.ties.table.Lookup(e.clock.Now(), c.key); ok {
 		c.before = balancer.Before{May: true, Since: tie.Since, Zone: tie.Zone, Cell: tie.Pod}
 		c.ranSince = max(tie.Since, 1) // 0 stands for never
@@ -81,9 +81,9 @@
 }
 
 // begin notes an attempt that is about to be sent. What it returns is to be waited for before the first byte goes out.
-func (t *ties) begin(now time.Duration, c *Call, a *Attempt) TieCommit {
+func (t *ties) begin(now time.Duration, c *Call, a *Attempt) BindingCommit {
 	p, there := t.pods[a.Server]
-	if !there || c.Effect != balancer.Keyed || c.RepeatKey == "" {
+	if !there || c.Effect != balancer.Keyed || c.IdempotencyKey == "" {
 		return nil
 	}
 	a.tied = true
@@ -115,8 +115,8 @@
 }
 
 // wait waits for a tie to be kept, and counts one that is not in time. It runs in the attempt's goroutine.
-func (e *Engine) wait(c TieCommit) {
+func (e *Engine) wait(c BindingCommit) {
 	if c != nil && !c.Wait() {
-		e.Tell(undurable{})
+		e.Post(undurable{})
 	}
 }
--- a/internal/engine/ties_test.go
+++ b/internal/engine/ties_test.go
@@ -16,7 +16,7 @@
 // tieLog keeps what it is told.
 type tieLog struct{ records []affinity.Record }
 
-func (l *tieLog) Append(r affinity.Record) TieCommit {
+func (l *tieLog) Append(r affinity.Record) BindingCommit {
 	l.records = append(l.records, r)
 	return nil
 }
@@ -37,11 +37,11 @@
 		t.Fatal(err)
 	}
 	x := &tiedEngine{now: time.Second, log: &tieLog{}, out: &starter{}, door: &keeper{}}
-	x.Engine = New(b, DrivenClock(&x.now), noFleet{}, slog.New(slog.DiscardHandler))
-	x.Tie(affinity.New(affinity.Options{Most: 100, Window: window, Tail: time.Minute}), affinity.Secret{}, x.log)
+	x.Engine = New(b, ManualClock(&x.now), noFleet{}, slog.New(slog.DiscardHandler))
+	x.SetAffinity(affinity.New(affinity.Options{Most: 100, Window: window, Tail: time.Minute}), affinity.Secret{}, x.log)
 	change(x)
-	x.Begin()
-	x.list(Listed{Full: true, Members: x.members(balancer.Ready)})
+	x.Start()
+	x.list(EndpointUpdate{Full: true, Members: x.members(balancer.Ready)})
 	return x
 }
 
@@ -57,15 +57,15 @@
 }
 
 // call brings a refund, and returns its attempt, if it has one, and its answers.
-func (x *tiedEngine) call(key string, caller Caller) (*Attempt, *ear) {
+func (x *tiedEngine) call(key string, caller Responder) (*Attempt, *ear) {
 	heard := &ear{}
 	if caller == nil {
 		caller = heard
 	}
 	x.ids++
 	before := len(x.out.attempts)
-	x.Step(Arrival(&Call{ID: fmt.Sprint(x.ids), Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key,
-		Carrier: x.out, Caller: caller}))
+	x.Handle(CallArrived(&Call{ID: fmt.Sprint(x.ids), Class: 1, Effect: balancer.Keyed, IdempotencyWindow: window, Deadline: x.now + deadline, IdempotencyKey: key,
+		Transport: x.out, Responder: caller}))
 	if len(x.out.attempts) == before {
 		return nil, heard
 	}
@@ -73,7 +73,7 @@
 }
 
 func (x *tiedEngine) end(a *Attempt, result balancer.Result) {
-	x.Step(Outcome{Attempt: a, Result: result, Report: balancer.NoReport})
+	x.Handle(Outcome{Attempt: a, Result: result, Report: balancer.NoReport})
 }
 
 func cellOf(a *Attempt) int { return int(a.Server[1]-'0') / 2 }
@@ -84,7 +84,7 @@
 	zero := 0
 	limited := func(x *tiedEngine) {
 		m := generation.New(generation.Options{Names: generation.Names{Classes: make([]generation.Class, 3)}})
-		x.Govern(m, nil)
+		x.SetGenerations(m, nil)
 	}
 	limit := func(x *tiedEngine) {
 		c := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", InFlight: &zero}}}
@@ -108,28 +108,28 @@
 		"at once":                       {nothing, nothing, balancer.TimedOut, "same pod"},
 		"while the first is out":        {nothing, nothing, -1, "same pod"},
 		"of one that was served":        {nothing, nothing, balancer.OK, "same pod"},
-		"of one that never ran":         {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Draining)[:2]}) }, balancer.Rejected, "other pod"},
+		"of one that never ran":         {nothing, func(x *tiedEngine) { x.list(EndpointUpdate{Members: x.members(balancer.Draining)[:2]}) }, balancer.Rejected, "other pod"},
 		"after the window":              {nothing, func(x *tiedEngine) { x.now += window }, balancer.TimedOut, "failed"},
-		"whose pod drains":              {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Draining)[:2]}) }, balancer.TimedOut, "failed"},
-		"whose pod is gone":             {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Gone)[:2]}) }, balancer.TimedOut, "failed"},
-		"that the door would turn away": {func(x *tiedEngine) { x.Guard(x.door) }, func(x *tiedEngine) { x.door.shut = true }, balancer.TimedOut, "same pod"},
+		"whose pod drains":              {nothing, func(x *tiedEngine) { x.list(EndpointUpdate{Members: x.members(balancer.Draining)[:2]}) }, balancer.TimedOut, "failed"},
+		"whose pod is gone":             {nothing, func(x *tiedEngine) { x.list(EndpointUpdate{Members: x.members(balancer.Gone)[:2]}) }, balancer.TimedOut, "failed"},
+		"that the door would turn away": {func(x *tiedEngine) { x.SetAdmission(x.door) }, func(x *tiedEngine) { x.door.shut = true }, balancer.TimedOut, "same pod"},
 		"that a limit would turn away":  {limited, limit, balancer.TimedOut, "failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 8 { // draws are by chance
 				x := newTied(t, tt.setup)
-				x.list(Listed{Members: x.members(balancer.Ready)})
+				x.list(EndpointUpdate{Members: x.members(balancer.Ready)})
 				// The first goes to pod 0, whose servers are the only ones that are ready.
 				far := x.members(balancer.Ready)[2:]
 				for i := range far {
 					far[i].State = balancer.Draining
 				}
-				x.list(Listed{Members: far})
+				x.list(EndpointUpdate{Members: far})
 				first, _ := x.call("k", nil)
 				if first == nil || cellOf(first) != 0 {
 					t.Fatalf("the first went to %+v", first)
 				}
-				x.list(Listed{Members: x.members(balancer.Ready)[2:]})
+				x.list(EndpointUpdate{Members: x.members(balancer.Ready)[2:]})
 				if tt.first >= 0 {
 					first.Call.Close() // its client has left: no further attempt of its own
 					x.end(first, tt.first)
@@ -158,13 +158,13 @@
 
 // A full processor refuses what is new, and fails what may have run under another id.
 func TestFullProcessorAndTies(t *testing.T) {
-	x := newTied(t, func(x *tiedEngine) { x.RememberEnded(10, time.Minute) })
+	x := newTied(t, func(x *tiedEngine) { x.SetOutcomeCache(10, time.Minute) })
 	first, _ := x.call("k", nil)
 	first.Call.Close()
 	x.end(first, balancer.TimedOut)
-	for key, want := range map[string]AnswerKind{"k": Failed, "new": Refused} {
+	for key, want := range map[string]AnswerKind{"k": Failed, "new": Rejected} {
 		p := &proxied{id: key, m: &machine{ran: map[string][]*run{}}}
-		x.Step(Arrival(&Call{ID: "p" + key, Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key, Caller: p, Full: true}))
+		x.Handle(CallArrived(&Call{ID: "p" + key, Class: 1, Effect: balancer.Keyed, IdempotencyWindow: window, Deadline: x.now + deadline, IdempotencyKey: key, Responder: p, AtCapacity: true}))
 		if len(p.answers) != 1 || p.answers[0].Kind != want {
 			t.Errorf("%s: %+v, want %v", key, p.answers, want)
 		}
@@ -190,11 +190,11 @@
 		t.Errorf("kept are %v", kinds)
 	}
 	y := newTied(t, func(*tiedEngine) {})
-	y.Step(Restored{x.log.records})
+	y.Handle(BindingsRestored{x.log.records})
 	if again, _ := y.call("k", nil); again == nil || cellOf(again) != cellOf(b) {
 		t.Errorf("after a restart %+v, and it went to %s", again, b.Server)
 	}
-	if c := y.load().Ties; c.Restored != 2 || c.Tied != 1 || c.Entries != 1 { // two have begun, one of which never ran
+	if c := y.load().Affinity; c.Restored != 2 || c.Tied != 1 || c.Entries != 1 { // two have begun, one of which never ran
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/engine/worded.go
+++ b/internal/engine/worded.go
@@ -20,12 +20,12 @@
 	told   map[string]Member
 	names  map[uint64]string
 	held   map[uint64]bool
-	sharer Sharer // nil: overload is handled alone
+	sharer OverloadHandler // nil: overload is handled alone
 	looked time.Duration
 }
 
-// Heed makes the engine heed the word of others, and tell them what it knows. It is called before Run.
-func (e *Engine) Heed(heard func() bool, tell func(gossip.Fact)) {
+// SetGossip makes the engine heed the word of others, and tell them what it knows. It is called before Run.
+func (e *Engine) SetGossip(heard func() bool, tell func(gossip.Fact)) {
 	e.worded = &worded{holds: corroborate.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
 }
 
@@ -41,14 +41,14 @@
 func (spoken) event() {}
 func (living) event() {}
 
-// Hear takes word of another agent.
-func (e *Engine) Hear(from int, f gossip.Fact) { e.Tell(Spoken(from, f)) }
+// HandleGossip takes word of another agent.
+func (e *Engine) HandleGossip(from int, f gossip.Fact) { e.Post(GossipReceived(from, f)) }
 
-// Lives takes which agents live, by number.
-func (e *Engine) Lives(alive []bool) { e.Tell(living{alive}) }
+// HandleLiveness takes which agents live, by number.
+func (e *Engine) HandleLiveness(alive []bool) { e.Post(living{alive}) }
 
-// Spoken is word of another agent as an event, for Step.
-func Spoken(from int, f gossip.Fact) Event { return spoken{from, f} }
+// GossipReceived is word of another agent as an event, for Step.
+func GossipReceived(from int, f gossip.Fact) Event { return spoken{from, f} }
 
 // hear takes word of another agent.
 func (e *Engine) hear(s spoken) {
@@ -76,7 +76,7 @@
 	if w.held = held; !changed {
 		return
 	}
-	l := Listed{Drop: e.drop}
+	l := EndpointUpdate{Drop: e.drop}
 	for id, name := range w.names {
 		if m, there := w.told[name]; there && before[id] != held[id] {
 			l.Members = append(l.Members, w.overlay(m))
@@ -96,7 +96,7 @@
 }
 
 // listed takes a list over, tells the others of what has begun to drain or is gone, and returns the list with what is held out.
-func (w *worded) listed(now time.Duration, l Listed) Listed {
+func (w *worded) listed(now time.Duration, l EndpointUpdate) EndpointUpdate {
 	heard := w.heard()
 	if l.Full {
 		named := make(map[string]bool, len(l.Members))
@@ -132,7 +132,7 @@
 		w.holds.Known(len(w.told))
 	}
 	w.held, _ = w.heldWith(now)
-	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
+	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
 		out.Members = append(out.Members, w.overlay(m))
 	}
@@ -154,9 +154,9 @@
 	w.tell(gossip.Fact{Kind: corroborate.Drains, ID: id})
 }
 
-// Held returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
-func (e *Engine) Held(ctx context.Context) (ids []string, n corroborate.Counts, err error) {
-	err = e.command(ctx, func(time.Duration) {
+// HeldByGossip returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
+func (e *Engine) HeldByGossip(ctx context.Context) (ids []string, n corroborate.Counts, err error) {
+	err = e.execute(ctx, func(time.Duration) {
 		ids, n = []string{}, e.worded.holds.Counts()
 		for id := range e.worded.held {
 			if name, known := e.worded.names[id]; known {
--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -291,7 +291,7 @@
 	}
 }
 
-// Share tells so many others, drawn from those that live, what other parts of the agent have to tell.
+// HandleOverloadReport tells so many others, drawn from those that live, what other parts of the agent have to tell.
 func (c *Core) Share(now time.Duration, body []byte, to int) (out []Out) {
 	for _, i := range c.some(to, -1) {
 		out = append(out, Message{Kind: Share, From: c.set.Self, To: i, Incarnation: c.self.incarnation, Body: body})
--- a/internal/fleet/gossip/node.go
+++ b/internal/fleet/gossip/node.go
@@ -20,12 +20,12 @@
 
 // Host is who a Node tells what it hears.
 type Host interface {
-	// Hear takes a fact that another agent has told. It must not block for long.
-	Hear(from int, f Fact)
-	// Share takes what another agent's other parts tell. It must not block for long.
-	Share(from int, body []byte)
-	// Lives takes which agents live now, whenever that has changed.
-	Lives(alive []bool)
+	// HandleGossip takes a fact that another agent has told. It must not block for long.
+	HandleGossip(from int, f Fact)
+	// HandleOverloadReport takes what another agent's other parts tell. It must not block for long.
+	HandleOverloadReport(from int, body []byte)
+	// HandleLiveness takes which agents live now, whenever that has changed.
+	HandleLiveness(alive []bool)
 }
 
 // NodeOptions are what a Node goes by.
@@ -107,7 +107,7 @@
 	to   int
 }
 
-// Share lets a body be told to so many others, drawn from those that live; where one waits already it is lost, as word may be.
+// HandleOverloadReport lets a body be told to so many others, drawn from those that live; where one waits already it is lost, as word may be.
 func (n *Node) Share(body []byte, to int) {
 	select {
 	case n.share <- sharing{body, to}:
@@ -277,7 +277,7 @@
 					n.note(func(s *Status) { s.Taken++ })
 					send(core.Receive(now(), m))
 					if m.Kind == Share {
-						host.Share(from, m.Body)
+						host.HandleOverloadReport(from, m.Body)
 					}
 				}
 			}
@@ -287,7 +287,7 @@
 			send(core.Tick(at))
 		}
 		for _, h := range core.Heard() {
-			host.Hear(h.From, h.Fact)
+			host.HandleGossip(h.From, h.Fact)
 		}
 		changed := false
 		for i := range alive {
@@ -302,7 +302,7 @@
 			}
 		})
 		if changed {
-			host.Lives(append([]bool(nil), alive...))
+			host.HandleLiveness(append([]bool(nil), alive...))
 		}
 		timer.Reset(max(core.Due()-now(), time.Millisecond))
 	}
--- a/internal/fleet/gossip/node_test.go
+++ b/internal/fleet/gossip/node_test.go
@@ -23,7 +23,7 @@
 	alive int
 }
 
-func (l *listener) Hear(_ int, f Fact) {
+func (l *listener) HandleGossip(_ int, f Fact) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, heard := l.facts[f.ID]; !heard {
@@ -31,9 +31,9 @@
 	}
 }
 
-func (l *listener) Share(int, []byte) {}
+func (l *listener) HandleOverloadReport(int, []byte) {}
 
-func (l *listener) Lives(alive []bool) {
+func (l *listener) HandleLiveness(alive []bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.alive = 0
--- a/internal/fleet/overload/door.go
+++ b/internal/fleet/overload/door.go
@@ -151,7 +151,7 @@
 // kind is a class or a tenant as digests tell them apart.
 func kind(i, kinds int) int { return min(max(i, 0), kinds-1) }
 
-// Arrive is of engine.Door.
+// Arrive is of engine.AdmissionController.
 func (d *Door) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
 	pass, refusal := d.alone.Arrive(now, a)
 	// Of a class that may be repeated at will many ask for the same: there the key tells no repeat for certain.
@@ -227,7 +227,7 @@
 	return time.Duration(float64(d.set.MaxAfter) * (least + (1-least)*d.rng.Float64()))
 }
 
-// Done is of engine.Door.
+// Done is of engine.AdmissionController.
 func (d *Door) Done(now time.Duration, p *admission.Pass, end admission.End) {
 	class, took, by := p.Ended(now)
 	d.open = max(0, d.open-1)
@@ -248,7 +248,7 @@
 	}
 }
 
-// Counts is of engine.Door.
+// Counts is of engine.AdmissionController.
 func (d *Door) Counts() admission.Counts { return d.alone.Counts() }
 
 // MayRetry reports whether an attempt beyond a call's first may go out: all agents' together keep to a share of the fleet's first tries. As long as little of it is spent
--- a/internal/harness/fleetgen/fleetgen_test.go
+++ b/internal/harness/fleetgen/fleetgen_test.go
@@ -88,7 +88,7 @@
 		hub := membership.NewHub(membership.Options{}, []string{name}, clock, func(ev engine.Event) {
 			mu.Lock()
 			defer mu.Unlock()
-			for _, m := range ev.(engine.Listed).Members {
+			for _, m := range ev.(engine.EndpointUpdate).Members {
 				if have[name][m.ID] = m; m.State == balancer.Gone {
 					delete(have[name], m.ID)
 				}
--- a/internal/membership/listing/golden_test.go
+++ b/internal/membership/listing/golden_test.go
@@ -42,7 +42,7 @@
 // goldenReader has a clock that starts at 1970, and lists whose clock is 100 ms ahead.
 func goldenReader() Reader {
 	var now time.Duration
-	return Reader{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.DrivenClock(&now), Off: 100 * time.Millisecond}
+	return Reader{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.ManualClock(&now), Off: 100 * time.Millisecond}
 }
 
 func TestGoldenMembers(t *testing.T) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -142,10 +142,10 @@
 	}
 	h.mu.Unlock()
 	if heard || len(members) > 0 { // also without a change: the module counts lists
-		h.deliver(engine.Listed{Members: members, Drop: drop})
+		h.deliver(engine.EndpointUpdate{Members: members, Drop: drop})
 	}
 	if lost {
-		h.deliver(engine.ListUnavailable{})
+		h.deliver(engine.EndpointsUnavailable{})
 	}
 	return len(members) > 0
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -49,7 +49,7 @@
 		all, waited := events(), time.Duration(-1)
 		members := 0
 		for _, ev := range all {
-			for _, m := range ev.Event.(engine.Listed).Members {
+			for _, m := range ev.Event.(engine.EndpointUpdate).Members {
 				if members++; m.State == balancer.Draining {
 					waited = ev.at - drained
 				}
@@ -87,7 +87,7 @@
 			t.Fatalf("%d and %d parts", first, len(second))
 		}
 		for i, ev := range second {
-			part := ev.Event.(engine.Listed).Members
+			part := ev.Event.(engine.EndpointUpdate).Members
 			if len(part) > partMost {
 				t.Errorf("%d members at a time", len(part))
 			}
@@ -112,10 +112,10 @@
 		if len(all) != 2 {
 			t.Fatalf("%d events", len(all))
 		}
-		if _, ok := all[0].Event.(engine.Listed); !ok {
+		if _, ok := all[0].Event.(engine.EndpointUpdate); !ok {
 			t.Errorf("%T", all[0].Event)
 		}
-		if _, ok := all[1].Event.(engine.ListUnavailable); !ok {
+		if _, ok := all[1].Event.(engine.EndpointsUnavailable); !ok {
 			t.Errorf("%T", all[1].Event)
 		}
 	})
--- a/internal/membership/platform/dated_test.go
+++ b/internal/membership/platform/dated_test.go
@@ -29,7 +29,7 @@
 		{"an hour ahead, and no date", time.Hour, false, true, false},
 		{"an hour ahead, on the platform's days", time.Hour, true, false, false},
 	} {
-		clk := engine.NewClock().Shifted(c.off)
+		clk := engine.NewClock().WithOffset(c.off)
 		d := New(Options{Addr: "127.0.0.1:1", Dated: c.dated}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		now := time.Now()
 		if c.date {
--- a/internal/membership/platform/golden_test.go
+++ b/internal/membership/platform/golden_test.go
@@ -90,7 +90,7 @@
 	var log agenttest.LockedBuffer
 	var now time.Duration
 	to := agenttest.NewSink()
-	d := New(Options{Addr: addr, Zones: []string{"edinburgh-dc", "lerwick-dc"}}, engine.DrivenClock(&now),
+	d := New(Options{Addr: addr, Zones: []string{"edinburgh-dc", "lerwick-dc"}}, engine.ManualClock(&now),
 		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
 	follow(t, d, to)
 	first := engine.Member{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: balancer.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000123 * time.Millisecond}}
@@ -119,7 +119,7 @@
 func TestGoldenAskedList(t *testing.T) {
 	addr, asked := goldenAnswers(t, map[string]string{"": "full", "41": "nothing"})
 	var now time.Duration
-	d := New(Options{Addr: addr, Asked: true}, engine.DrivenClock(&now), slog.New(slog.DiscardHandler))
+	d := New(Options{Addr: addr, Asked: true}, engine.ManualClock(&now), slog.New(slog.DiscardHandler))
 	follow(t, d, agenttest.NewSink())
 	d.Ask()
 	agenttest.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=44") })
@@ -130,7 +130,7 @@
 func TestGoldenLog(t *testing.T) {
 	var log agenttest.LockedBuffer
 	var now time.Duration
-	d := New(Options{Addr: "127.0.0.1:1", Dated: true, Known: listing.List{Version: 40}}, engine.DrivenClock(&now),
+	d := New(Options{Addr: "127.0.0.1:1", Dated: true, Known: listing.List{Version: 40}}, engine.ManualClock(&now),
 		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
 	d.to = agenttest.NewSink()
 	d.outOfReach(context.DeadlineExceeded)
--- a/internal/membership/xds/machine_test.go
+++ b/internal/membership/xds/machine_test.go
@@ -26,7 +26,7 @@
 
 func testReader() reader {
 	now := time.Second
-	return reader{Zones: []string{"edinburgh-dc"}, Clock: engine.DrivenClock(&now)}
+	return reader{Zones: []string{"edinburgh-dc"}, Clock: engine.ManualClock(&now)}
 }
 
 func packed(name, version string, m proto.Message) resource {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -45,8 +45,8 @@
 
 // Figures are what operators read.
 type Figures struct {
-	Tally                 engine.Tally
-	Fleet                 engine.FleetCounts
+	Tally                 engine.Counters
+	Fleet                 engine.EndpointCounts
 	Reloads, ReloadErrors uint64 // configurations taken and turned down
 }
 
@@ -151,7 +151,7 @@
 	kinds []engine.AnswerKind
 }{
 	{"completed", []engine.AnswerKind{engine.Served}},
-	{"rejected", []engine.AnswerKind{engine.Refused}},
+	{"rejected", []engine.AnswerKind{engine.Rejected}},
 	{"failed", []engine.AnswerKind{engine.Failed, engine.Conflict}},
 }
 
--- a/internal/platformconfig/terms_test.go
+++ b/internal/platformconfig/terms_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return "turned down"
 	}
-	return fmt.Sprintf("%d%c settings %d attempts %d", c.Class, "rku"[c.Effect], c.Settings, c.Attempts)
+	return fmt.Sprintf("%d%c settings %d attempts %d", c.Class, "rku"[c.Effect], c.SettingsVersion, c.MaxAttempts)
 }
 
 func TestRequestsComeUnderTheSettingsThatTheyFit(t *testing.T) {
--- a/internal/scenario/carry.go
+++ b/internal/scenario/carry.go
@@ -57,16 +57,16 @@
 		return
 	}
 	call := &engine.Call{ID: fmt.Sprintf("%s.%d", r.id, r.tries), Class: r.class, Tenant: r.tenant, Key: r.route,
-		Deadline: began + deadline - marginOfAgent, Again: r.tries > 1 && w.script.Clients.Mark, RepeatKey: r.key, Carrier: r.agent, Payload: r}
+		Deadline: began + deadline - marginOfAgent, ClientRetry: r.tries > 1 && w.script.Clients.Mark, IdempotencyKey: r.key, Transport: r.agent, Payload: r}
 	if r.class == 0 {
-		call.Like = &coalesce.Digest{}
-		copy(call.Like[:], r.route)
+		call.CoalesceDigest = &coalesce.Digest{}
+		copy(call.CoalesceDigest[:], r.route)
 	}
 	if r.key != "" {
-		call.Effect, call.Window = balancer.Keyed, dropWindow
+		call.Effect, call.IdempotencyWindow = balancer.Keyed, dropWindow
 	}
 	answered := &answered{r: r, try: r.tries, life: r.agent.life}
-	call.Caller = answered
+	call.Responder = answered
 	life := r.agent.life
 	w.plan(began+deadline, func() {
 		if r.tries == answered.try && r.end == open && !r.waits {
@@ -76,7 +76,7 @@
 			}
 		}
 	})
-	r.agent.step(engine.Arrival(call))
+	r.agent.step(engine.CallArrived(call))
 }
 
 // answered takes the final answer of one try.
@@ -86,7 +86,7 @@
 	life int
 }
 
-// Answer is of engine.Caller.
+// Answer is of engine.Responder.
 func (a *answered) Answer(ans engine.Answer) {
 	r, w := a.r, a.r.w
 	if w.swallow != nil && w.swallow(r) {
@@ -102,7 +102,7 @@
 	switch ans.Kind {
 	case engine.Served:
 		r.end, r.took = served, w.now-r.arrived
-	case engine.Refused:
+	case engine.Rejected:
 		w.refuse(r, ans)
 	default:
 		r.end, r.took = failed, w.now-r.arrived
@@ -123,10 +123,10 @@
 	w.after(wait, func() { r.waits = false; w.send(r) })
 }
 
-// Start is of engine.Starter: an attempt on its way over the simulated network.
+// Start is of engine.AsyncTransport: an attempt on its way over the simulated network.
 func (a *simAgent) Start(at *engine.Attempt) {
 	w := a.w
-	s, _ := at.Life.(*simServer)
+	s, _ := at.Incarnation.(*simServer)
 	if w.tamper != nil {
 		s = w.tamper(a, at, s)
 	}
@@ -144,9 +144,9 @@
 		w.broken("3", "agent %d sent to %s, %v after it was told that it drains", a.number, s.id, w.now-told)
 	}
 	timedOut := false
-	w.plan(at.Until, func() { timedOut = true; ended(balancer.TimedOut, balancer.NoReport) })
+	w.plan(at.Deadline, func() { timedOut = true; ended(balancer.TimedOut, balancer.NoReport) })
 	if s.effects.cut > 0 {
-		w.after(min(connectTimeout, at.Until-w.now), func() {
+		w.after(min(connectTimeout, at.Deadline-w.now), func() {
 			if !timedOut {
 				ended(balancer.ConnectFailed, balancer.NoReport)
 			}
--- a/internal/scenario/comeback.go
+++ b/internal/scenario/comeback.go
@@ -25,7 +25,7 @@
 	w, life := a.w, a.life
 	core := gossip.New(gossip.Options{Self: a.number, Agents: w.script.Fleet.Agents, Seed: uint64(a.number*1000 + life)})
 	a.others = core
-	a.engine.Heed(func() bool { return a.heard }, func(f gossip.Fact) { core.Tell(w.now, f) })
+	a.engine.SetGossip(func() bool { return a.heard }, func(f gossip.Fact) { core.Tell(w.now, f) })
 	core.Begin(w.now)
 	a.look(core, time.Duration(1<<62))
 }
@@ -48,7 +48,7 @@
 func (a *simAgent) pass(core *gossip.Core, out []gossip.Out) {
 	w := a.w
 	for _, h := range core.Heard() {
-		a.step(engine.Spoken(h.From, h.Fact))
+		a.step(engine.GossipReceived(h.From, h.Fact))
 	}
 	if a.shares != nil {
 		a.lives(core)
@@ -63,7 +63,7 @@
 		w.after(w.way(), func() {
 			if to.life == life && to.up && to.others != nil {
 				if m.Kind == gossip.Share {
-					to.step(engine.Shared(m.From, m.Body))
+					to.step(engine.OverloadReported(m.From, m.Body))
 				}
 				to.pass(to.others, to.others.Receive(w.now, m))
 				to.look(to.others, w.now+time.Second)
@@ -91,7 +91,7 @@
 		behind = a.door
 	}
 	a.back = recovery.New(o, behind)
-	a.engine.Return(a.back, func() bool { return a.heard }, func() {})
+	a.engine.SetRecovery(a.back, func() bool { return a.heard }, func() {})
 	if a.disk.lost {
 		a.back.Begin(w.now, a.disk.before, "the machine has started anew")
 	} else {
@@ -113,7 +113,7 @@
 	if a.back == nil || len(a.disk.members) == 0 {
 		return
 	}
-	l := engine.Listed{Full: true}
+	l := engine.EndpointUpdate{Full: true}
 	for _, m := range a.disk.members {
 		if a.disk.lost {
 			m.Started = 0
@@ -153,9 +153,9 @@
 // barred reports whether an attempt must not go out to a server, as httpcarrier has it: a repeat goes only over a connection from
 // before. The agent keeps one to each life of a server that it has met.
 func (a *simAgent) barred(at *engine.Attempt) bool {
-	since, met := a.met[at.Life]
+	since, met := a.met[at.Incarnation]
 	if !met {
-		a.met[at.Life] = a.w.now
+		a.met[at.Incarnation] = a.w.now
 	}
-	return at.Barred || at.OnlySince != 0 && (!met || since > at.OnlySince)
+	return at.Forbidden || at.ConnectedSince != 0 && (!met || since > at.ConnectedSince)
 }
--- a/internal/scenario/simulate.go
+++ b/internal/scenario/simulate.go
@@ -199,19 +199,19 @@
 	w      *world
 	number int
 	engine *engine.Engine
-	door   engine.Door // nil without one
-	life   int         // counts its restarts
+	door   engine.AdmissionController // nil without one
+	life   int                        // counts its restarts
 	up     bool
-	knows  map[string]known              // of the list, as it was told
-	told   map[string]time.Duration      // when it was told that a server drains or is gone
-	due    time.Duration                 // when the engine is stepped next; 0: not planned
-	back   *recovery.Recovery            // nil where none is switched on
-	others *gossip.Core                  // nil where agents know nobody
-	shares *overload.Door                // nil where overload is handled alone
-	alive  []bool                        // who lives, as it was told last
-	disk   disk                          // what outlasts its lives
-	heard  bool                          // the list has told it something in this life
-	met    map[engine.Life]time.Duration // when it had its first connection to a server's life
+	knows  map[string]known                     // of the list, as it was told
+	told   map[string]time.Duration             // when it was told that a server drains or is gone
+	due    time.Duration                        // when the engine is stepped next; 0: not planned
+	back   *recovery.Recovery                   // nil where none is switched on
+	others *gossip.Core                         // nil where agents know nobody
+	shares *overload.Door                       // nil where overload is handled alone
+	alive  []bool                               // who lives, as it was told last
+	disk   disk                                 // what outlasts its lives
+	heard  bool                                 // the list has told it something in this life
+	met    map[engine.Incarnation]time.Duration // when it had its first connection to a server's life
 }
 
 // known is what an agent was told of a server.
@@ -225,16 +225,16 @@
 	w := a.w
 	a.life++
 	a.up, a.due, a.knows, a.told = true, 0, map[string]known{}, map[string]time.Duration{}
-	a.heard, a.met = false, map[engine.Life]time.Duration{}
+	a.heard, a.met = false, map[engine.Incarnation]time.Duration{}
 	set := w.settings()
 	set.Me = a.number
 	b, err := balancer.New(set, w.random.Uint64())
 	if err != nil { // the settings are our own
 		panic(err)
 	}
-	a.engine = engine.New(b, engine.DrivenClock(&w.now), a, slog.New(slog.DiscardHandler))
+	a.engine = engine.New(b, engine.ManualClock(&w.now), a, slog.New(slog.DiscardHandler))
 	if len(w.script.Agents.Join) > 0 {
-		a.engine.Join(joinOptions(set.Classes), min(set.MaxRetryAfter, aim/2))
+		a.engine.SetCoalescing(joinOptions(set.Classes), min(set.MaxRetryAfter, aim/2))
 	}
 	together := w.script.Agents.Door == fleetDoor || w.script.Agents.Door == knowingDoor
 	if w.script.Agents.Peers || together {
@@ -248,12 +248,12 @@
 	default:
 		a.noticed()
 		a.door = admissionvariants.New(door, stormOptions(set, uint64(a.number*1000+a.life)))
-		a.engine.Guard(a.door)
+		a.engine.SetAdmission(a.door)
 	}
 	if w.script.Agents.Recovery {
 		a.comeBack(set)
 	}
-	a.engine.Begin()
+	a.engine.Start()
 	a.step(nil)
 	a.restore()
 	a.list(true)
@@ -287,8 +287,8 @@
 
 // step brings an event to the engine and plans the next step.
 func (a *simAgent) step(ev engine.Event) {
-	a.engine.Step(ev)
-	if at, ok := a.engine.Due(); ok && at != a.due {
+	a.engine.Handle(ev)
+	if at, ok := a.engine.NextTimer(); ok && at != a.due {
 		a.due = at
 		e := a.engine
 		a.w.plan(at, func() {
@@ -305,7 +305,7 @@
 	if a.w.outage > 0 || !a.up {
 		return
 	}
-	l := engine.Listed{Full: full || !a.heard} // what is from before is not in force any more
+	l := engine.EndpointUpdate{Full: full || !a.heard} // what is from before is not in force any more
 	full, a.heard = l.Full, true
 	for _, s := range a.w.servers {
 		if a.w.byID[s.id] != s { // it has started anew since
@@ -330,21 +330,24 @@
 	}
 }
 
-// Update is of engine.Fleet; there are no connections.
+// Update is of engine.ServerPool; there are no connections.
 func (a *simAgent) Update(_ bool, members []engine.Member) int { return len(members) }
 
-// Life is of engine.Fleet: which start of a server an attempt was meant for.
-func (a *simAgent) Life(id string) engine.Life {
+// IsIncarnation makes a simServer an engine.Incarnation.
+func (*simServer) IsIncarnation() {}
+
+// Incarnation is of engine.ServerPool: which start of a server an attempt was meant for.
+func (a *simAgent) Incarnation(id string) engine.Incarnation {
 	if s := a.w.byID[id]; s != nil {
 		return s
 	}
 	return nil
 }
 
-// Close is of engine.Fleet.
+// Close is of engine.ServerPool.
 func (a *simAgent) Close() {}
 
-// Carry is of engine.Carrier; the engine calls Start in its place.
-func (a *simAgent) Carry(_ context.Context, at *engine.Attempt) engine.Outcome {
+// RoundTrip is of engine.Transport; the engine calls Start in its place.
+func (a *simAgent) RoundTrip(_ context.Context, at *engine.Attempt) engine.Outcome {
 	return engine.Outcome{Attempt: at, Result: balancer.NotSent, Report: balancer.NoReport}
 }
--- a/internal/scenario/simulate_test.go
+++ b/internal/scenario/simulate_test.go
@@ -92,7 +92,7 @@
 		}},
 		"a refund goes to another pod again": {"rule 2", func(w *world) {
 			w.tamper = func(_ *simAgent, at *engine.Attempt, s *simServer) *simServer {
-				if at.Number == 0 || at.Call.RepeatKey == "" {
+				if at.Number == 0 || at.Call.IdempotencyKey == "" {
 					return s
 				}
 				for _, other := range w.servers {
--- a/internal/scenario/together.go
+++ b/internal/scenario/together.go
@@ -31,14 +31,14 @@
 			w.knowing = overload.New(overload.Options{Agents: 1, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Seed: seed}, admission.New(alone))
 		}
 		a.door = w.knowing
-		a.engine.Guard(w.knowing)
-		a.engine.ShareBy(w.knowing)
+		a.engine.SetAdmission(w.knowing)
+		a.engine.SetOverload(w.knowing)
 		return
 	}
 	a.shares, a.door = d, d
 	a.alive = nil
-	a.engine.Guard(d)
-	a.engine.ShareBy(d)
+	a.engine.SetAdmission(d)
+	a.engine.SetOverload(d)
 	var tell func()
 	tell = func() {
 		if a.life != life || !a.up {
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -58,17 +58,17 @@
 	part(func(p page) {
 		s.pool(p, connpool.Counts{Open: 30, Idle: 12, Dials: 103, Failed: 104, Reused: 105, Dead: 106, NoRoom: 107})
 	})
-	times := func(from time.Duration) engine.Times {
-		return engine.Times{Count: uint64(from), Sum: from * time.Second, Quantiles: map[float64]time.Duration{
+	times := func(from time.Duration) engine.LatencyStats {
+		return engine.LatencyStats{Count: uint64(from), Sum: from * time.Second, Quantiles: map[float64]time.Duration{
 			0.5: from * time.Millisecond, 0.9: 2 * from * time.Millisecond, 0.99: 3 * from * time.Millisecond}}
 	}
 	part(func(p page) {
-		s.tally(p, engine.Tally{Classes: goldenClasses, Answers: [][4]uint64{{111, 112, 113, 114}, {115, 116, 117, 118}}, Left: []uint64{119, 120},
-			Open: 121, Written: 122, Attempts: [8]uint64{131, 132, 133, 134, 135, 136, 137, 138}, Sends: [3]uint64{141, 142, 143}, Cold: 144,
-			GivenUp: [5]uint64{151, 152, 153, 154, 155}, Times: []engine.Times{times(161), times(171)}})
+		s.tally(p, engine.Counters{Classes: goldenClasses, Answers: [][4]uint64{{111, 112, 113, 114}, {115, 116, 117, 118}}, Left: []uint64{119, 120},
+			Open: 121, Written: 122, Attempts: [8]uint64{131, 132, 133, 134, 135, 136, 137, 138}, Sends: [3]uint64{141, 142, 143}, SlowStart: 144,
+			GivenUp: [5]uint64{151, 152, 153, 154, 155}, Latencies: []engine.LatencyStats{times(161), times(171)}})
 	})
 	part(func(p page) {
-		s.joins(p, engine.Load{Joins: coalesce.Counts{Flights: 181, Joined: 182, Alone: 183, Parted: 184, Again: 185, Private: 186, Shared: 187,
+		s.joins(p, engine.Stats{Coalescing: coalesce.Counts{Flights: 181, Joined: 182, Alone: 183, Parted: 184, Again: 185, Private: 186, Shared: 187,
 			Waiting: 188, Groups: 189}})
 	})
 	for state := admission.Calm; state <= admission.Recovering; state++ {
@@ -107,10 +107,10 @@
 	}
 	core, conns, _ := newEngine(t, site)
 	member := engine.Member{Server: balancer.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}
-	core.Tell(engine.Listed{Members: []engine.Member{member}})
+	core.Post(engine.EndpointUpdate{Members: []engine.Member{member}})
 	agenttest.Eventually(t, "the engine is ready", core.Ready)
-	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Caller: make(ear, 1), Carrier: waits{}})
-	agenttest.Eventually(t, "the attempt is out", func() bool { return core.Load().InFlight["s-1"] == 1 })
+	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Responder: make(ear, 1), Transport: waits{}})
+	agenttest.Eventually(t, "the attempt is out", func() bool { return core.Stats().InFlight["s-1"] == 1 })
 	s := &Server{Engine: core, Pool: conns, Peers: goldenPeers, Shares: goldenShares, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error, 1)
@@ -142,7 +142,7 @@
 // waits is a carrier whose attempts end with the engine.
 type waits struct{}
 
-func (waits) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (waits) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	<-ctx.Done()
 	return engine.Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -67,7 +67,7 @@
 
 // Write writes all figures in Prometheus' text format.
 func (s *Server) Write(w io.Writer) {
-	l := s.Engine.Load()
+	l := s.Engine.Stats()
 	page := page{w}
 	page.gauge("appleledge_ready", "", bit(s.Engine.Ready()))
 	page.gauge("appleledge_calls", "", float64(l.Calls))
@@ -78,14 +78,14 @@
 		}
 		page.gauge("appleledge_attempts_in_flight", fmt.Sprintf("server=%q", id), float64(l.InFlight[id]))
 	}
-	s.tally(page, l.Tally)
+	s.tally(page, l.Counters)
 	s.joins(page, l)
-	s.door(page, l.Door, l.Tally.Classes)
+	s.door(page, l.Admission, l.Counters.Classes)
 	s.generation(page, l.Generation)
-	s.ties(page, l.Ties)
-	s.recovery(page, l.Recovery, l.Tally.Classes)
+	s.ties(page, l.Affinity)
+	s.recovery(page, l.Recovery, l.Counters.Classes)
 	s.peers(page)
-	s.overload(page, l.Tally.Classes)
+	s.overload(page, l.Counters.Classes)
 	metrics.WriteProcessMetrics(w)
 }
 
@@ -97,17 +97,17 @@
 	}
 }
 
-func (s *Server) tally(p page, t engine.Tally) {
+func (s *Server) tally(p page, t engine.Counters) {
 	for class, counts := range t.Answers {
 		name := t.Classes[class]
 		for kind, n := range counts {
 			p.count("appleledge_answers_total", fmt.Sprintf("class=%q,kind=%q", name, engine.AnswerKinds[kind]), n)
 		}
 		p.count("appleledge_clients_left_total", fmt.Sprintf("class=%q", name), t.Left[class])
-		if class >= len(t.Times) {
+		if class >= len(t.Latencies) {
 			continue // nobody has asked for times
 		}
-		times := t.Times[class]
+		times := t.Latencies[class]
 		for _, q := range slices.Sorted(maps.Keys(times.Quantiles)) {
 			p.gauge("appleledge_served_seconds", fmt.Sprintf(`class=%q,quantile="%v"`, name, q), times.Quantiles[q].Seconds())
 		}
@@ -117,7 +117,7 @@
 	for kind, n := range t.Sends {
 		p.count("appleledge_sends_total", fmt.Sprintf("kind=%q", engine.SendKinds[kind]), n)
 	}
-	p.count("appleledge_sends_cold_total", "", t.Cold)
+	p.count("appleledge_sends_cold_total", "", t.SlowStart)
 	for why, n := range t.GivenUp {
 		p.count("appleledge_given_up_total", fmt.Sprintf("reason=%q", balancer.Reasons[why]), n)
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-func (s *Server) joins(p page, l engine.Load) {
-	c := l.Joins
+func (s *Server) joins(p page, l engine.Stats) {
+	c := l.Coalescing
 	for name, n := range map[string]uint64{"flights": c.Flights, "joined": c.Joined, "alone": c.Alone, "parted": c.Parted,
 		"again": c.Again, "private": c.Private, "shared": c.Shared} {
 		p.count("appleledge_join_"+name+"_total", "", n)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -42,8 +42,8 @@
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(ctx, l) }()
 	heard := make(ear, 1)
-	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Caller: heard})
-	if a := <-heard; a.Kind != engine.Refused { // there is no server
+	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Responder: heard})
+	if a := <-heard; a.Kind != engine.Rejected { // there is no server
 		t.Fatalf("%+v", a)
 	}
 	text := get(t, "http://"+l.Addr().String()+"/metrics", http.StatusOK)
@@ -83,9 +83,9 @@
 	}
 	conns = connpool.New(time.Second, time.Minute, 10)
 	core = engine.New(policy, engine.NewClock(), conns, slog.New(slog.DiscardHandler))
-	core.Count(site.Logic.Classes)
+	core.TrackLatency(site.Logic.Classes)
 	behind := admission.New(admission.Options{Classes: make([]admission.Class, len(site.Logic.Classes)), Remember: 1})
-	core.Return(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Logic.Classes))}, behind), func() bool { return true }, func() {})
+	core.SetRecovery(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Logic.Classes))}, behind), func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -203,8 +203,11 @@
 	return p.backends[id]
 }
 
-// Life is Backend in the engine's terms.
-func (p *Pool) Life(id string) engine.Life { return p.Backend(id) }
+// IsIncarnation makes a Backend an engine.Incarnation.
+func (*Backend) IsIncarnation() {}
+
+// Incarnation is Backend in the engine's terms.
+func (p *Pool) Incarnation(id string) engine.Incarnation { return p.Backend(id) }
 
 // Counts are what a pool holds, and what it has done since it was made.
 type Counts struct {
--- a/internal/upstream/http1/carrier.go
+++ b/internal/upstream/http1/carrier.go
@@ -61,13 +61,13 @@
 	Large  bool            // bodies of up to MostLarge pass, peers may be slow, and an answer may end with its connection
 }
 
-// Carry makes the attempt and returns its outcome, which is exact: what may have run is never said not to have.
-func (s *Carrier) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
+// RoundTrip makes the attempt and returns its outcome, which is exact: what may have run is never said not to have.
+func (s *Carrier) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	out := engine.Outcome{Attempt: a, Result: balancer.NotSent, Report: balancer.NoReport}
-	if a.Barred {
+	if a.Forbidden {
 		return out
 	}
-	ctx, cancel := context.WithDeadline(ctx, s.Clock.At(a.Until))
+	ctx, cancel := context.WithDeadline(ctx, s.Clock.At(a.Deadline))
 	defer cancel()
 	c, err := s.Pool.Get(ctx, life(a))
 	switch {
@@ -88,15 +88,15 @@
 
 // life is the backend as it was at the time of the Send.
 func life(a *engine.Attempt) *connpool.Backend {
-	b, _ := a.Life.(*connpool.Backend)
+	b, _ := a.Incarnation.(*connpool.Backend)
 	return b
 }
 
 // stillWanted is asked just before the first byte goes out. A dial may have taken long: meanwhile the backend
 // may have begun to drain or started anew, the request may have ended, or the backends may have forgotten its key.
 func (s *Carrier) stillWanted(c *connpool.Conn, a *engine.Attempt) bool {
-	return s.Clock.Now() < a.WriteBy && !a.Call.Closed() && s.Pool.TakesNew(life(a)) &&
-		(a.OnlySince == 0 || c.Opened.Before(s.Clock.At(a.OnlySince)))
+	return s.Clock.Now() < a.WriteDeadline && !a.Call.Closed() && s.Pool.TakesNew(life(a)) &&
+		(a.ConnectedSince == 0 || c.Opened.Before(s.Clock.At(a.ConnectedSince)))
 }
 
 // exchange writes the request and reads the answer; keep says whether the connection is in order then, and passed that the
@@ -127,19 +127,19 @@
 			return nil, 0, false
 		}
 		until = s.Clock.Now() + u.Patience - min(uploadMargin, u.Patience/4)
-		a.Uploaded(until)
+		a.UploadFinished(until)
 		return req, until, c.SetDeadline(s.Clock.At(until)) == nil
 	}
 	req, text, err := s.request(a)
-	if err != nil || c.SetDeadline(s.Clock.At(a.Until)) != nil {
+	if err != nil || c.SetDeadline(s.Clock.At(a.Deadline)) != nil {
 		return nil, 0, false
 	}
 	if n, err := c.Write(text); err != nil && n < len(text) {
 		out.Result = balancer.ConnectFailed // the backend begins a request when its last byte has come
 		return nil, 0, false
 	}
-	a.Wrote()
-	return req, a.Until, true
+	a.MarkWritten()
+	return req, a.Deadline, true
 }
 
 // private reports whether an answer is for one caller alone, by the rules for shared caches (RFC 9111, sections 3 and 4.1).
@@ -236,7 +236,7 @@
 	if len(in.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(in.Body))
 	}
-	left := max(0, a.Until-s.Clock.Now())
+	left := max(0, a.Deadline-s.Clock.Now())
 	req.Header.Set(requesthead.TimeoutHeader, strconv.FormatInt(left.Microseconds(), 10)+"u")
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
--- a/internal/upstream/http1/carrier_test.go
+++ b/internal/upstream/http1/carrier_test.go
@@ -47,7 +47,7 @@
 		URL: &url.URL{Path: "/refund-record"}, Body: []byte("body"),
 		Header: http.Header{"Idempotency-Key": {"k"}, "X-Request-Id": {"9b1f03aa5c7e2d41"}}}}
 	until := f.Clock.Now() + within
-	return &engine.Attempt{Call: c, Server: "b", Life: f.Pool.Life("b"), Until: until, WriteBy: until}
+	return &engine.Attempt{Call: c, Server: "b", Incarnation: f.Pool.Incarnation("b"), Deadline: until, WriteDeadline: until}
 }
 
 func (f *fixture) open() int { return f.Pool.Count().Open }
@@ -122,7 +122,7 @@
 			f := newFixture(t, b.Addr().String(), 100)
 			a := f.attempt(agenttest.Patience)
 			a.Sent = f.Clock.Now()
-			out := f.Carry(context.Background(), a)
+			out := f.RoundTrip(context.Background(), a)
 			if out.Result != c.want {
 				t.Errorf("result %v, want %v", out.Result, c.want)
 			}
@@ -144,7 +144,7 @@
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	f := newFixture(t, agenttest.Refusing(t), 100)
-	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.ConnectFailed {
+	if out := f.RoundTrip(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.ConnectFailed {
 		t.Errorf("result %v", out.Result)
 	}
 }
@@ -152,7 +152,7 @@
 func TestSilenceTimesOut(t *testing.T) {
 	b := agenttest.NewBackend(t, agenttest.Silent)
 	f := newFixture(t, b.Addr().String(), 100)
-	if out := f.Carry(context.Background(), f.attempt(time.Second)); out.Result != balancer.TimedOut {
+	if out := f.RoundTrip(context.Background(), f.attempt(time.Second)); out.Result != balancer.TimedOut {
 		t.Errorf("result %v", out.Result)
 	}
 	if n := f.open(); n != 0 {
@@ -168,10 +168,10 @@
 	})
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = 0
-	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK {
+	if out := f.RoundTrip(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK {
 		t.Fatalf("first: %v", out.Result)
 	}
-	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.Reset {
+	if out := f.RoundTrip(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.Reset {
 		t.Errorf("second: %v", out.Result)
 	}
 	if b.Requests() != 2 || b.Connections() != 1 {
@@ -191,18 +191,18 @@
 		"moved":     func(f *fixture, a *engine.Attempt) { f.list(agenttest.Refusing(t), balancer.Ready, 0) },
 		"ended":     func(f *fixture, a *engine.Attempt) { a.Call.Close() },
 		"left":      func(f *fixture, a *engine.Attempt) { engine.New(nil, f.Clock, nil, nil).ClientLeft(a.Call) }, // which has not heard of it
-		"late":      func(f *fixture, a *engine.Attempt) { a.Until, a.WriteBy = 0, 0 },
-		"forgotten": func(f *fixture, a *engine.Attempt) { a.WriteBy = 0 },
-		"barred":    func(f *fixture, a *engine.Attempt) { a.Barred = true },
-		"new":       func(f *fixture, a *engine.Attempt) { a.OnlySince = f.Clock.Now() }, // the connection
-		"unknown":   func(f *fixture, a *engine.Attempt) { a.Life = nil },
+		"late":      func(f *fixture, a *engine.Attempt) { a.Deadline, a.WriteDeadline = 0, 0 },
+		"forgotten": func(f *fixture, a *engine.Attempt) { a.WriteDeadline = 0 },
+		"barred":    func(f *fixture, a *engine.Attempt) { a.Forbidden = true },
+		"new":       func(f *fixture, a *engine.Attempt) { a.ConnectedSince = f.Clock.Now() }, // the connection
+		"unknown":   func(f *fixture, a *engine.Attempt) { a.Incarnation = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := b.Requests()
 			f := newFixture(t, addr, 100)
 			a := f.attempt(agenttest.Patience)
 			change(f, a)
-			if out := f.Carry(context.Background(), a); out.Result != balancer.NotSent {
+			if out := f.RoundTrip(context.Background(), a); out.Result != balancer.NotSent {
 				t.Errorf("result %v", out.Result)
 			}
 			if b.Requests() != before {
@@ -217,12 +217,12 @@
 	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = 0
-	if out := f.Carry(t.Context(), f.attempt(agenttest.Patience)); out.Result != balancer.OK {
+	if out := f.RoundTrip(t.Context(), f.attempt(agenttest.Patience)); out.Result != balancer.OK {
 		t.Fatal(out.Result)
 	}
 	a := f.attempt(agenttest.Patience)
-	a.OnlySince = f.Clock.Now()
-	if out := f.Carry(t.Context(), a); out.Result != balancer.OK || b.Connections() != 1 {
+	a.ConnectedSince = f.Clock.Now()
+	if out := f.RoundTrip(t.Context(), a); out.Result != balancer.OK || b.Connections() != 1 {
 		t.Errorf("result %v, %d connections", out.Result, b.Connections())
 	}
 }
@@ -239,7 +239,7 @@
 		},
 	} {
 		f.list(addr, balancer.Ready, 0)
-		f.Carry(context.Background(), f.attempt(agenttest.Patience))
+		f.RoundTrip(context.Background(), f.attempt(agenttest.Patience))
 		if f.idle() != 1 {
 			t.Fatalf("%d: no connection was kept", i)
 		}
@@ -253,7 +253,7 @@
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	f := newFixture(t, b.Addr().String(), 100)
-	f.Carry(context.Background(), f.attempt(1500*time.Millisecond))
+	f.RoundTrip(context.Background(), f.attempt(1500*time.Millisecond))
 	if b.Requests() != 1 {
 		t.Fatal("nothing came")
 	}
@@ -285,7 +285,7 @@
 func TestMalformedReportIsPassedOver(t *testing.T) {
 	b := agenttest.NewBackend(t, agenttest.Says("HTTP/1.1 200 OK\r\nX-Server-Load: util=NaN,qps=3\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, b.Addr().String(), 100)
-	out := f.Carry(context.Background(), f.attempt(agenttest.Patience))
+	out := f.RoundTrip(context.Background(), f.attempt(agenttest.Patience))
 	if out.Result != balancer.OK || out.Report != balancer.NoReport || len(f.reports) != 1 {
 		t.Errorf("%v %+v %v", out.Result, out.Report, f.reports)
 	}
@@ -295,7 +295,7 @@
 func TestReportBehindAMalformedOne(t *testing.T) {
 	b := agenttest.NewBackend(t, agenttest.Says("HTTP/1.1 200 OK\r\nX-Server-Load: %%%\r\nX-Server-Load: util=0.5\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, b.Addr().String(), 100)
-	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || out.Report.Util != 0.5 {
+	if out := f.RoundTrip(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || out.Report.Util != 0.5 {
 		t.Errorf("%v %+v", out.Result, out.Report)
 	}
 }
@@ -327,11 +327,11 @@
 	first := f.attempt(agenttest.Patience)
 	f.Pool.Update(false, []engine.Member{{Server: balancer.Server{ID: "other"}, Addr: fine.Addr().String()}})
 	done := make(chan engine.Outcome)
-	go func() { done <- f.Carry(context.Background(), first) }()
+	go func() { done <- f.RoundTrip(context.Background(), first) }()
 	<-began
 	second := f.attempt(agenttest.Patience)
-	second.Life = f.Pool.Life("other")
-	if out := f.Carry(context.Background(), second); out.Result != balancer.OK {
+	second.Incarnation = f.Pool.Incarnation("other")
+	if out := f.RoundTrip(context.Background(), second); out.Result != balancer.OK {
 		t.Errorf("to another backend meanwhile: %v", out.Result)
 	}
 	if out := <-done; out.Result != balancer.ConnectFailed || dead.Requests() != 0 {
@@ -349,7 +349,7 @@
 	began := f.holdDials(addr, up)
 	a := f.attempt(agenttest.Patience)
 	done := make(chan engine.Outcome)
-	go func() { done <- f.Carry(context.Background(), a) }()
+	go func() { done <- f.RoundTrip(context.Background(), a) }()
 	<-began
 	f.list(addr, balancer.Draining, 0)
 	close(up)
@@ -365,7 +365,7 @@
 	if _, err := f.Pool.Get(context.Background(), f.Pool.Backend("b")); err != nil {
 		t.Fatal(err)
 	}
-	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.NotSent {
+	if out := f.RoundTrip(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.NotSent {
 		t.Errorf("an attempt with no place: %v", out.Result)
 	}
 }
@@ -389,7 +389,7 @@
 	f := newFixture(t, b.Addr().String(), 100)
 	f.Pool.Settle = time.Hour
 	for n := range 3 {
-		if out := f.Carry(t.Context(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || body(out) != fmt.Sprint("answer ", n+1) {
+		if out := f.RoundTrip(t.Context(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || body(out) != fmt.Sprint("answer ", n+1) {
 			t.Errorf("request %d: %v, %q", n+1, out.Result, body(out))
 		}
 	}
--- a/internal/upstream/http1/golden_test.go
+++ b/internal/upstream/http1/golden_test.go
@@ -32,12 +32,12 @@
 // An attempt as its bytes go to a backend: with a body, without one, and with one that still comes.
 func TestGoldenAttempt(t *testing.T) {
 	now := 5 * time.Second
-	s := &Carrier{Clock: engine.DrivenClock(&now)}
+	s := &Carrier{Clock: engine.ManualClock(&now)}
 	target := &url.URL{Path: "/refund-record/8", RawQuery: "q=9"}
 	in := Request{Method: http.MethodPost, Host: "origin.svc", URL: target, Header: requesthead.Forwarded(goldenHeader()), Body: []byte("body")}
 	var out []byte
 	attempt := func(in Request) *engine.Attempt {
-		return &engine.Attempt{Call: &engine.Call{ID: "9b1f03aa5c7e2d41", Payload: &in}, Server: "b", Until: now + 123456*time.Microsecond}
+		return &engine.Attempt{Call: &engine.Call{ID: "9b1f03aa5c7e2d41", Payload: &in}, Server: "b", Deadline: now + 123456*time.Microsecond}
 	}
 	for range 2 {
 		_, text, err := s.request(attempt(in))
--- a/internal/upstream/http1/stream.go
+++ b/internal/upstream/http1/stream.go
@@ -43,8 +43,8 @@
 	broken  atomic.Pointer[error]
 }
 
-// Spent is for engine.Upload.
-func (u *Upload) Spent() bool { return u.spent.Load() }
+// Consumed is for engine.Upload.
+func (u *Upload) Consumed() bool { return u.spent.Load() }
 
 // Broken is why the client's side could not be read to its end; nil where it could, or was not tried.
 func (u *Upload) Broken() error {
@@ -109,7 +109,7 @@
 	req.Header.Set(requesthead.TimeoutHeader, strconv.FormatInt(u.Patience.Microseconds(), 10)+"u")
 	err := req.Write(paced{c})
 	if err == nil {
-		a.Wrote()
+		a.MarkWritten()
 		return req, true, balancer.NotSent
 	}
 	if u.Broken() != nil || errors.Is(err, errEnded) {
