--- a/cmd/appleledge/fleet_test.go
+++ b/cmd/appleledge/fleet_test.go
@@ -16,7 +16,7 @@
 )
 
 // instants is how many losses of power are drawn from seeds: a few in CI, and as many as FLEET_INSTANTS says outside.
-func instants(t *testing.T) int {
+func instants() int {
 	if n, err := strconv.Atoi(os.Getenv("FLEET_INSTANTS")); err == nil {
 		return n
 	}
@@ -55,7 +55,7 @@
 func TestAllLosePower(t *testing.T) {
 	f := cluster.Start(t, cluster.Options{Agents: 3, Servers: 6, Seed: 1, Peers: true})
 	load := f.Load(4, 20*time.Millisecond)
-	for seed := range uint64(instants(t)) {
+	for seed := range uint64(instants()) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		part := func(most int) time.Duration { return time.Duration(random.IntN(most)) * time.Millisecond }
 		if random.IntN(4) > 0 { // else in the middle of coming back
--- a/cmd/appleledge/restart_test.go
+++ b/cmd/appleledge/restart_test.go
@@ -23,10 +23,9 @@
 
 // pods are servers in pods that drop repeats of a key, with a ledger of what has run.
 type pods struct {
-	mu      sync.Mutex
-	seen    map[string]time.Time // by pod and key: when it ran there
-	ran     map[string][]string  // by key: where it ran
-	answers int
+	mu   sync.Mutex
+	seen map[string]time.Time // by pod and key: when it ran there
+	ran  map[string][]string  // by key: where it ran
 }
 
 // take runs a key at a pod, unless it is a repeat.
--- a/cmd/appleledge/upgrade_test.go
+++ b/cmd/appleledge/upgrade_test.go
@@ -202,7 +202,7 @@
 				in.firstLost.CompareAndSwap(nil, &what)
 				in.lost.Add(1)
 			}
-			if c != nil && !(keep && keeps) {
+			if c != nil && (!keep || !keeps) {
 				besteffort.Close(c)
 				c = nil
 			}
@@ -324,7 +324,7 @@
 func TestBansOverAnUpgrade(t *testing.T) {
 	in := install(t)
 	old := in.ready(in.start(in.disco.Addr().String()))
-	use := func(v *version, what string, n int) {
+	use := func(what string, n int) {
 		t.Helper()
 		before := in.one.Requests()
 		for range n {
@@ -350,13 +350,13 @@
 	}
 	put(old, "backends/down/s-1", 200)
 	next := in.ready(in.start(in.disco.Addr().String()))
-	use(next, "with two processes", 20)
+	use("with two processes", 20)
 	put(next, "backends/up/s-1", 200)   // told to the new one
 	put(old, "backends/down/s-1", 200)  // and to the old one: each holds in both
 	put(next, "backends/down/s-9", 404) // never listed
-	use(next, "after orders to both", 20)
+	use("after orders to both", 20)
 	in.retire(old)
-	use(next, "after the upgrade", 20)
+	use("after the upgrade", 20)
 	put(next, "backends/up/s-1", 200)
 	agenttest.Eventually(t, "a server that was taken back is used", func() bool {
 		n := in.one.Requests()
--- a/cmd/appleledgectl/main.go
+++ b/cmd/appleledgectl/main.go
@@ -22,10 +22,13 @@
 // errChanges ends a command that went well and found changes.
 var errChanges = errors.New("there are changes")
 
-func main() {
+func main() { os.Exit(runUntilSignal()) }
+
+// runUntilSignal runs the command line of the process until it ends or a signal comes, and returns its exit code.
+func runUntilSignal() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	os.Exit(run(ctx, os.Args[1:], &console{in: os.Stdin, out: os.Stdout, err: os.Stderr}))
+	return run(ctx, os.Args[1:], &console{in: os.Stdin, out: os.Stdout, err: os.Stderr})
 }
 
 // run runs a command line and returns its exit code.
--- a/cmd/fleetgen/main.go
+++ b/cmd/fleetgen/main.go
@@ -24,13 +24,18 @@
 )
 
 func main() {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := runUntilSignal(); err != nil {
 		os.Exit(1)
 	}
 }
 
+// runUntilSignal runs the command line of the process until it ends or a signal comes.
+func runUntilSignal() error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return root().ExecuteContext(ctx)
+}
+
 func root() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fleetgen",
@@ -136,7 +141,7 @@
   fleetgen serve --servers 10000 --xds 127.0.0.1:18000 --shards 64 --stay
   fleetgen serve --servers 200 --backends --file servers.json --stay`,
 		Args: cobra.MaximumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return s.run(c, args) },
+		RunE: s.run,
 	}
 	f := c.Flags()
 	f.IntVar(&s.servers, "servers", 0, "how many at first, in place of what the script says")
--- a/cmd/scenario/main.go
+++ b/cmd/scenario/main.go
@@ -1,4 +1,4 @@
-// Command rehearse runs an emulated fleet with a real agent on loopback, to practise on.
+// Command scenario runs an emulated fleet with a real agent on loopback, to practise on.
 package main
 
 import (
@@ -14,26 +14,31 @@
 	"appleledge/internal/scenario"
 )
 
-const usage = `rehearse runs an installation on loopback, or in simulated time, to look at and to practise on.
+const usage = `scenario runs an installation on loopback, or in simulated time, to look at and to practise on.
 
-    rehearse quickstart               a small fleet, its server list, an agent and clients, for some seconds
-    rehearse run FILE ...             plays scripts on loopback sockets against the agent's own program
-    rehearse run -simulated FILE ...  plays them in simulated time against its engine and module, far faster
-    rehearse check FILE ...           reads scripts and says what is wrong with them
-    rehearse compare A B              sets two reports side by side that run has written with -json
+    scenario quickstart               a small fleet, its server list, an agent and clients, for some seconds
+    scenario run FILE ...             plays scripts on loopback sockets against the agent's own program
+    scenario run -simulated FILE ...  plays them in simulated time against its engine and module, far faster
+    scenario check FILE ...           reads scripts and says what is wrong with them
+    scenario compare A B              sets two reports side by side that run has written with -json
 
 A script is a TOML file; scenarios/ has some to start from. Each command's -h lists its flags.
 `
 
 func main() {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	if err := run(ctx, os.Args[1:]); err != nil && !errors.Is(err, flag.ErrHelp) {
-		fmt.Fprintln(os.Stderr, "rehearse:", err)
+	if err := runUntilSignal(); err != nil && !errors.Is(err, flag.ErrHelp) {
+		fmt.Fprintln(os.Stderr, "scenario:", err)
 		os.Exit(1)
 	}
 }
 
+// runUntilSignal runs the command line of the process until it ends or a signal comes.
+func runUntilSignal() error {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return run(ctx, os.Args[1:])
+}
+
 func run(ctx context.Context, args []string) error {
 	if len(args) == 0 || args[0] == "-h" || args[0] == "--help" || args[0] == "help" {
 		fmt.Print(usage)
@@ -49,7 +54,7 @@
 	case "compare":
 		return compare(args[1:])
 	}
-	return fmt.Errorf("%q is no command; see rehearse -h", args[0])
+	return fmt.Errorf("%q is no command; see scenario -h", args[0])
 }
 
 // check reads scripts.
@@ -70,13 +75,13 @@
 
 // compare sets two reports side by side.
 func compare(args []string) error {
-	flags := flag.NewFlagSet("rehearse compare", flag.ContinueOnError)
+	flags := flag.NewFlagSet("scenario compare", flag.ContinueOnError)
 	tolerance := flags.Float64("tolerance", 0.02, "`share` by which five seconds have to differ to be shown")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
 	if flags.NArg() != 2 {
-		return errors.New("compare needs two reports, which rehearse run -json FILE writes")
+		return errors.New("compare needs two reports, which scenario run -json FILE writes")
 	}
 	a, err := scenario.LoadDay(flags.Arg(0))
 	if err != nil {
@@ -92,7 +97,7 @@
 
 // play plays scripts.
 func play(ctx context.Context, args []string) error {
-	flags := flag.NewFlagSet("rehearse run", flag.ContinueOnError)
+	flags := flag.NewFlagSet("scenario run", flag.ContinueOnError)
 	simulated := flags.Bool("simulated", false, "in simulated time, and not on sockets")
 	program := flags.String("agent", "bin/appleledge", "the agent's `program`")
 	seed := flags.Uint64("seed", 1, "`number` from which all that a script leaves open is drawn")
@@ -103,7 +108,7 @@
 		return err
 	}
 	if flags.NArg() == 0 {
-		return errors.New("run needs the scripts to play; see rehearse run -h")
+		return errors.New("run needs the scripts to play; see scenario run -h")
 	}
 	if flags.NArg() > 1 && *page+*data != "" {
 		return errors.New("-html and -json are for one script at a time")
@@ -164,7 +169,7 @@
 
 // quickstart runs a small installation.
 func quickstart(ctx context.Context, args []string) error {
-	flags := flag.NewFlagSet("rehearse quickstart", flag.ContinueOnError)
+	flags := flag.NewFlagSet("scenario quickstart", flag.ContinueOnError)
 	q := scenario.Quickstart{Out: os.Stdout, Live: terminal(os.Stdout)}
 	flags.IntVar(&q.Servers, "servers", 12, "`number` of form servers")
 	flags.Float64Var(&q.Rate, "rate", 150, "requests a `second`")
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -203,7 +203,7 @@
 	go func() { got <- send(t, a.newRequest(t, http.MethodGet, "/form-check", "")) }()
 	eventually(t, "the first is at the backend", func() bool { return b.Requests() == 1 })
 	a.stop()
-	eventually(t, "it stops being ready", func() bool { return a.status(t, "/ready") == http.StatusServiceUnavailable })
+	eventually(t, "it stops being ready", func() bool { return a.readyStatus(t) == http.StatusServiceUnavailable })
 	if r := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); r.status != http.StatusOK || r.close {
 		t.Errorf("on a new connection: %+v", r)
 	}
@@ -250,14 +250,14 @@
 			c.Site.Logic.Classes[i].Deadline = deadline
 		}
 	})
-	kept := func() (net.Conn, func(path string) (*http.Response, error)) {
+	kept := func() func(path string) (*http.Response, error) {
 		c, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { besteffort.Close(c) })
 		in := bufio.NewReader(c)
-		return c, func(path string) (*http.Response, error) {
+		return func(path string) (*http.Response, error) {
 			r := a.newRequest(t, http.MethodPost, path, "x")
 			r.Header.Set("X-Timeout", fmt.Sprintf("%dm", deadline.Milliseconds())) // as long as any
 			if err := r.Write(c); err != nil {
@@ -270,14 +270,14 @@
 			return resp, err
 		}
 	}
-	_, ask := kept()
-	_, wait := kept()
+	ask := kept()
+	wait := kept()
 	for _, f := range []func(string) (*http.Response, error){ask, wait} {
 		if resp, err := f("/pay"); err != nil || resp.Close { // kept
 			t.Fatal(resp, err)
 		}
 	}
-	_, early := kept()
+	early := kept()
 	taken := make(chan *http.Response, 1)
 	go func() {
 		resp, err := early("/pay/silent") // its deadline may be behind the end
@@ -289,7 +289,7 @@
 	eventually(t, "a request waits", func() bool { return b.Requests() == 3 })
 	began := time.Now()
 	a.stop()
-	eventually(t, "it is leaving", func() bool { return a.status(t, "/ready") == http.StatusServiceUnavailable })
+	eventually(t, "it is leaving", func() bool { return a.readyStatus(t) == http.StatusServiceUnavailable })
 	time.Sleep(200 * time.Millisecond) // longer than it takes new ones for certain
 	if resp, err := ask("/pay"); err != nil || resp.StatusCode != http.StatusOK || resp.Close {
 		t.Errorf("on a kept connection: %+v, %v", resp, err)
@@ -364,7 +364,7 @@
 		done := make(chan error, 1)
 		go func() { done <- serve(ctx, cfg, Reloads{}, l, slog.New(slog.DiscardHandler), Extras{}) }()
 		a := &running{url: "http://" + l.Addr().String()}
-		eventually(t, "the answer to /ready", func() bool { return a.status(t, "/ready") == want })
+		eventually(t, "the answer to /ready", func() bool { return a.readyStatus(t) == want })
 		stop()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -410,7 +410,7 @@
 	began := time.Now()
 	a := startWith(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), 200*time.Millisecond, change)
 	a.stop()
-	eventually(t, "it is leaving", func() bool { return a.status(t, "/ready") == http.StatusServiceUnavailable })
+	eventually(t, "it is leaving", func() bool { return a.readyStatus(t) == http.StatusServiceUnavailable })
 	c, err := net.Dial("tcp", a.addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -116,7 +116,7 @@
 		client := a.raw(t)
 		client.send(c.text)
 		resp, body, err := client.answer("POST")
-		if err != nil || resp.StatusCode != 200 || body != "fine" {
+		if err != nil || resp.StatusCode != http.StatusOK || body != "fine" {
 			t.Errorf("%s: %v %q %v", c.name, resp, body, err)
 			continue
 		}
@@ -151,7 +151,7 @@
 		if strings.Contains(name, "stops") {
 			besteffort.Ignore(client.Conn.(*net.TCPConn).CloseWrite())
 		}
-		if resp, _, err := client.answer("POST"); err != nil || resp.StatusCode < 400 || resp.StatusCode == 503 {
+		if resp, _, err := client.answer("POST"); err != nil || resp.StatusCode < 400 || resp.StatusCode == http.StatusServiceUnavailable {
 			t.Errorf("%s: %v %v", name, resp, err)
 		}
 		if _, err := client.in.ReadByte(); err != io.EOF && !errors.Is(err, net.ErrClosed) && err == nil {
@@ -175,7 +175,7 @@
 	a, _ := withOperators(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)))
 	one := a.raw(t)
 	one.send(head("HEAD", "/form-check", "HTTP/1.1"))
-	if resp, body, err := one.answer("HEAD"); err != nil || resp.StatusCode != 200 || resp.ContentLength != 400 || body != "" {
+	if resp, body, err := one.answer("HEAD"); err != nil || resp.StatusCode != http.StatusOK || resp.ContentLength != 400 || body != "" {
 		t.Errorf("HEAD: %v %q %v", resp, body, err)
 	}
 	// Behind one another, without waiting: each gets its own answer, in order.
@@ -188,16 +188,16 @@
 	}
 	two := a.raw(t)
 	two.send(head("POST", "/pay", "HTTP/1.1", "Expect: 100-continue", "Content-Length: 2"))
-	if resp, _, err := two.answer("POST"); err != nil || resp.StatusCode != 100 {
+	if resp, _, err := two.answer("POST"); err != nil || resp.StatusCode != http.StatusContinue {
 		t.Fatalf("before the body: %v %v", resp, err)
 	}
 	two.send("hi")
-	if resp, _, err := two.answer("POST"); err != nil || resp.StatusCode != 200 {
+	if resp, _, err := two.answer("POST"); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("after it: %v %v", resp, err)
 	}
 	three := a.raw(t)
 	three.send(head("GET", "/form-check", "HTTP/1.1", "Connection: close"))
-	if resp, _, err := three.answer("GET"); err != nil || resp.StatusCode != 200 || !resp.Close {
+	if resp, _, err := three.answer("GET"); err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("close: %v %v", resp, err)
 	}
 	if _, err := three.in.ReadByte(); err != io.EOF {
@@ -274,7 +274,7 @@
 	for range 6 {
 		client := a.raw(t)
 		client.send(head("POST", "/pay", "HTTP/1.1", fmt.Sprint("Content-Length: ", len(large))) + large)
-		if resp, _, err := client.answer("POST"); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := client.answer("POST"); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("%v %v", resp, err)
 		}
 	}
@@ -489,12 +489,12 @@
 	}
 	holding[0].send(large[100_000:])
 	for _, c := range []*raw{holding[0], waiting} {
-		if resp, _, err := c.answer("POST"); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := c.answer("POST"); err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("%v %v", resp, err)
 		}
 	}
 	stalled := time.Now()
-	if resp, _, err := holding[1].answer("POST"); err != nil || resp.StatusCode != 400 || time.Since(stalled) > 10*time.Second {
+	if resp, _, err := holding[1].answer("POST"); err != nil || resp.StatusCode != http.StatusBadRequest || time.Since(stalled) > 10*time.Second {
 		t.Errorf("one that says nothing more: %v %v", resp, err)
 	}
 }
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -35,7 +36,8 @@
 	t.Helper()
 	besteffort.Ignore(c.SetReadDeadline(time.Now().Add(patience)))
 	text, err := io.ReadAll(c)
-	if err, ok := err.(net.Error); ok && err.Timeout() {
+	var timeout net.Error
+	if errors.As(err, &timeout) && timeout.Timeout() {
 		t.Fatalf("still open, after %q", text)
 	}
 	return string(text)
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -270,7 +271,8 @@
 		t.Errorf("%+v", last)
 	}
 	err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, to("s-3")), By: "test"}, &admin.Applied{})
-	if e, ok := err.(*admin.CallError); !ok || e.Kind != admin.KindRefused || !strings.Contains(e.Error(), "done harm before") {
+	var e *admin.CallError
+	if !errors.As(err, &e) || e.Kind != admin.KindRefused || !strings.Contains(e.Error(), "done harm before") {
 		t.Errorf("applied again: %v", err)
 	}
 }
@@ -284,14 +286,13 @@
 	if a := o.apply(t, to("s-2")); !a.Durable {
 		t.Fatalf("%+v", a)
 	}
-	again := func() *operated {
+	again := func() {
 		o.stop()
 		if err := <-o.done; err != nil {
 			t.Fatal(err)
 		}
 		o.done <- nil // its cleanup asks again
 		o.start(t, state)
-		return o
 	}
 	cfg, err := parseConfig(configText(o.disco.Addr().String(), "null"), noEnv)
 	if err != nil {
@@ -373,7 +374,8 @@
 		p := o.plan(t, c)
 		time.Sleep(time.Duration(rand.IntN(10)) * time.Millisecond)
 		err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, By: "test", Force: true}, &admin.Applied{})
-		switch e, refused := err.(*admin.CallError); {
+		var e *admin.CallError
+		switch refused := errors.As(err, &e); {
 		case err == nil:
 			ended["applied"]++
 			last = []string{id}
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -75,7 +75,7 @@
 		a.done <- serve(ctx, cfg, Reloads{}, l, log, with)
 	}()
 	t.Cleanup(func() { stop(); <-finished })
-	a.wait(t, "the agent is ready", func() bool { return a.status(t, "/ready") == http.StatusOK })
+	a.wait(t, "the agent is ready", func() bool { return a.readyStatus(t) == http.StatusOK })
 	return a
 }
 
@@ -92,9 +92,10 @@
 	})
 }
 
-func (a *running) status(t testing.TB, path string) int {
+// readyStatus returns the status of the answer to GET /ready, or 0 where none comes.
+func (a *running) readyStatus(t testing.TB) int {
 	t.Helper()
-	resp, err := http.Get(a.url + path)
+	resp, err := http.Get(a.url + "/ready")
 	if err != nil {
 		return 0
 	}
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -53,7 +53,7 @@
 	if err != nil || o.keep == nil {
 		return err
 	}
-	if err := o.keep.keep(ctx); err != nil && !(errors.Is(err, errElsewhere) && o.link != nil && !o.link.Alone()) {
+	if err := o.keep.keep(ctx); err != nil && (!errors.Is(err, errElsewhere) || o.link == nil || o.link.Alone()) {
 		return fmt.Errorf("the order is in force, and a loss of power would end it: %w", err)
 	}
 	return nil
--- a/internal/agent/operator_test.go
+++ b/internal/agent/operator_test.go
@@ -98,7 +98,7 @@
 	before := one.Requests()
 	ask(20)
 	d.Set(2, true, entry(time.Now().UnixMilli())...) // it has started anew
-	eventually(t, "the new start is told", func() bool { return a.status(t, "/ready") == 200 && o.figure("svc.members") == 2 })
+	eventually(t, "the new start is told", func() bool { return a.readyStatus(t) == 200 && o.figure("svc.members") == 2 })
 	time.Sleep(50 * time.Millisecond)
 	d.Set(3, true, entryText("s-2", two.Addr().String(), "Ready", 0))
 	eventually(t, "it has left the list", func() bool { return o.figure("svc.members") == 1 })
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -90,7 +90,7 @@
 			return
 		}
 		is, now := st.Refused > 0, clk.Now()
-		if is == refused && !(is && now-logged >= s.set.LogEvery) {
+		if is == refused && (!is || now-logged < s.set.LogEvery) {
 			return
 		}
 		if is != refused && now-logged < time.Second { // what goes to and fro is one line
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -28,7 +28,8 @@
 	if x.Peers == nil {
 		return nil, nil
 	}
-	listen, members, self := x.Peers.Listen, x.Peers.Members, 0
+	listen, members := x.Peers.Listen, x.Peers.Members
+	var self int
 	if listen == "" {
 		if !cfg.MayTell || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
 			return nil, errors.New("peers: the platform's configuration does not let agents send each other datagrams, or names none; see listen and members")
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -103,7 +103,7 @@
 		log.Error("what is kept is not whole: the agent begins with nothing", "file", k.file.Path, "error", err, "kept_as", aside, "not_set_aside", failed)
 		return k, nil
 	}
-	why := ""
+	var why string
 	if k.trust, why = k.before.Judge(now); k.trust == ondisk.None {
 		k.off, k.before = why, ondisk.Document{}
 		log.Error("the folder for what is kept is another agent's: nothing of it is used, and nothing is kept", "dir", k.set.Dir, "why", why)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -55,7 +55,7 @@
 		a.done <- serve(ctx, cfg, reloads, l, slog.New(slog.NewTextHandler(&a.log, nil)), with)
 	}()
 	t.Cleanup(func() { stop(); <-finished })
-	a.wait(t, "the agent is ready", func() bool { return a.status(t, "/ready") == http.StatusOK })
+	a.wait(t, "the agent is ready", func() bool { return a.readyStatus(t) == http.StatusOK })
 	return a
 }
 
@@ -120,7 +120,7 @@
 	broken := []string{"", "{", moved[:len(moved)/2], "null", "[]", swap("by_key", "by_luck"), swap(`"DeadlineNs":2000000000`, `"DeadlineNs":-5`),
 		swap(`"DeadlineNs":2000000000,`, ""), swap(`"DeadlineNs":2000000000`, `"DeadlineNs":"long"`), swap(`"MostTries":5`, `"MostTries":0`),
 		swap(`"MostTries":5`, `"MostTries":2.5`), swap(`"MostTries":5,`, ""), swap(`"seed":"8c1f30d27a5be964",`, ""), swap(`"Worth":2`, `"Worth":null`),
-		swap(`"Ceilings"`, `"Cielings"`), swap(`"name":"n0",`, ""), swap(`"Name":"pay"`, `"Name":"form-check"`)}
+		swap(`"Ceilings"`, `"CeilingsOfBefore"`), swap(`"name":"n0",`, ""), swap(`"Name":"pay"`, `"Name":"form-check"`)}
 	for i, text := range broken {
 		a.reload([]byte(text))
 		eventually(t, "the log tells of "+text, func() bool { return a.log.Count("not reloaded") == i+1 })
--- a/internal/agent/scale_test.go
+++ b/internal/agent/scale_test.go
@@ -25,7 +25,10 @@
 	parts   []time.Duration // of the time that changes took the engine
 }
 
-func newLarge(tb testing.TB, n int) *large {
+// largeFleet is the number of servers in a large fleet.
+const largeFleet = 10_000
+
+func newLarge(tb testing.TB) *large {
 	set := balancer.Settings{Balancers: 2, Tick: time.Millisecond, MaxAttempts: 2, WarmKeys: true, ListWeights: true,
 		ColdFrom: 0.3, ColdFor: 10 * time.Second, Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Safe, Aim: 600e6, Deadline: 2e9, Worth: 1}}}
 	m, err := balancer.New(set, 1)
@@ -34,7 +37,7 @@
 	}
 	l := &large{now: time.Hour, table: membership.NewTable(membership.Options{}, 1), pool: connpool.New(time.Second, time.Second, 100), module: m}
 	m.Start(l.now)
-	for range n {
+	for range largeFleet {
 		l.members = append(l.members, l.fresh())
 	}
 	l.table.Update(l.now, 0, membership.Update{Full: true, Members: l.members})
@@ -109,7 +112,7 @@
 // are replaced each minute.
 func TestMemoryOverADayOfChurn(t *testing.T) {
 	before := heapMB()
-	l := newLarge(t, 10_000)
+	l := newLarge(t)
 	hour := func(n int) float64 {
 		for range n * 60 {
 			l.now += time.Minute
@@ -135,14 +138,14 @@
 // BenchmarkChange is a change of lists at 10,000 members: of one entry, and of all at once, which comes in parts.
 func BenchmarkChange(b *testing.B) {
 	b.Run("one of 10000", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		b.ReportAllocs()
 		for b.Loop() {
 			l.replace(1)
 		}
 	})
 	b.Run("all of 10000", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		l.parts = nil
 		for b.Loop() {
 			for i := range l.members {
@@ -158,7 +161,7 @@
 		}
 	})
 	b.Run("whole list, one differs", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		for b.Loop() {
 			l.members[l.next%10_000] = l.fresh()
 			l.table.Update(l.now, 0, membership.Update{Full: true, Members: l.members})
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -102,7 +102,7 @@
 // becomeReady waits until the process could serve all that comes, and takes new connections from then on.
 func (u *upgrade) becomeReady(ctx context.Context, d *platform.Discovery, log *slog.Logger) {
 	began := time.Now()
-	for ctx.Err() == nil && !(u.core.Ready() && (d.Heard() || u.link.Alone() || time.Since(began) > unheardMost)) {
+	for ctx.Err() == nil && (!u.core.Ready() || !d.Heard() && !u.link.Alone() && time.Since(began) <= unheardMost) {
 		time.Sleep(readyLook)
 	}
 	if ctx.Err() != nil {
--- a/internal/downstream/extproc/bench_test.go
+++ b/internal/downstream/extproc/bench_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -62,7 +63,7 @@
 func (bare) Process(g extprocv3.ExternalProcessor_ProcessServer) error {
 	for {
 		req, err := g.Recv()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -273,7 +274,7 @@
 		cancel()
 		return nil, err
 	}
-	if err := stream.Send(request{id: newID(), class: "form-check", change: benchHeaders}.message()); err != nil && err != io.EOF {
+	if err := stream.Send(request{id: newID(), class: "form-check", change: benchHeaders}.message()); err != nil && !errors.Is(err, io.EOF) {
 		cancel()
 		return nil, err
 	}
@@ -287,7 +288,7 @@
 	}
 	return func() error {
 		defer cancel()
-		if err := stream.Send(whole("200", "x-server-load", "util=0.3,qps=20,eps=0")); err != nil && err != io.EOF {
+		if err := stream.Send(whole("200", "x-server-load", "util=0.3,qps=20,eps=0")); err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		if _, err := stream.Recv(); err != nil {
@@ -296,7 +297,7 @@
 		if err := stream.CloseSend(); err != nil {
 			return err
 		}
-		if _, err := stream.Recv(); err != io.EOF {
+		if _, err := stream.Recv(); !errors.Is(err, io.EOF) {
 			return err
 		}
 		return nil
--- a/internal/downstream/extproc/fuzz_test.go
+++ b/internal/downstream/extproc/fuzz_test.go
@@ -46,7 +46,7 @@
 			began := clock.Now()
 			call, err := s.accept(&req, h)
 			if err != nil {
-				bad, ok := errors.AsType[requesthead.BadRequest](err)
+				bad, ok := errors.AsType[requesthead.BadRequestError](err)
 				if !ok || bad.Status < 400 || bad.Status >= 500 || bad.Status == http.StatusTooManyRequests {
 					t.Errorf("refused with %#v", err)
 				}
--- a/internal/downstream/extproc/message.go
+++ b/internal/downstream/extproc/message.go
@@ -51,8 +51,8 @@
 	longestLogged = 100  // bytes of a peer's text in a log line
 )
 
-func bad(status int, format string, args ...any) error {
-	return requesthead.BadRequest{Status: status, Text: fmt.Sprintf(format, args...)}
+func badRequest(format string, args ...any) error {
+	return requesthead.BadRequestError{Status: http.StatusBadRequest, Text: fmt.Sprintf(format, args...)}
 }
 
 // accept reads and checks the head of a request, as strictly as direct mode does.
@@ -162,7 +162,7 @@
 	case 1:
 		return values[0], true, nil
 	}
-	return "", true, bad(http.StatusBadRequest, "%s is there more than once", name)
+	return "", true, badRequest("%s is there more than once", name)
 }
 
 // requestHead reads the head of a request.
@@ -187,7 +187,7 @@
 			return requesthead.Head{}, err
 		}
 		if there {
-			h.Header.Set(requesthead.TimeoutHeader, ms+"m")
+			h.Set(requesthead.TimeoutHeader, ms+"m")
 		}
 	}
 	return requesthead.Head{Method: method, Path: path, Header: h.Header, ContentLength: length, Chunked: chunked}, nil
@@ -207,7 +207,7 @@
 	}
 	n, err := strconv.ParseUint(text, 10, 63)
 	if err != nil || noBody && n > 0 {
-		return 0, false, bad(http.StatusBadRequest, "Content-Length is malformed or does not fit")
+		return 0, false, badRequest("Content-Length is malformed or does not fit")
 	}
 	return int64(n), false, nil
 }
@@ -220,7 +220,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 || n > mostTries {
-		return 0, bad(http.StatusBadRequest, "%s is no count of tries", envoyAttempt)
+		return 0, badRequest("%s is no count of tries", envoyAttempt)
 	}
 	return n, nil
 }
@@ -238,7 +238,7 @@
 		for _, v := range kind.ListValue.GetValues() {
 			text, ok := v.GetKind().(*structpb.Value_StringValue)
 			if !ok {
-				return nil, true, bad(http.StatusBadRequest, "the subset hint holds what is no endpoint")
+				return nil, true, badRequest("the subset hint holds what is no endpoint")
 			}
 			addrs = append(addrs, split(text.StringValue, most)...)
 			if len(addrs) > most {
@@ -246,10 +246,10 @@
 			}
 		}
 	default:
-		return nil, true, bad(http.StatusBadRequest, "the subset hint is no list of endpoints")
+		return nil, true, badRequest("the subset hint is no list of endpoints")
 	}
 	if len(addrs) > most {
-		return nil, true, bad(http.StatusBadRequest, "the subset hint holds over %d endpoints", most)
+		return nil, true, badRequest("the subset hint holds over %d endpoints", most)
 	}
 	return addrs, true, nil
 }
@@ -316,9 +316,9 @@
 	return 0, false
 }
 
-// codeDetails finds the attribute, which a proxy sends where it is set to.
+// codeDetails returns the attribute response.code_details, or "" where the proxy was not configured to send it.
 func codeDetails(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) string {
-	for _, attrs := range []map[string]*structpb.Struct{req.GetAttributes(), h.GetAttributes()} {
+	for _, attrs := range []map[string]*structpb.Struct{req.GetAttributes(), h.GetAttributes()} { //nolint:staticcheck // deprecated in the protocol, and still read from a peer that sends it there
 		for _, group := range attrs {
 			if v, ok := group.GetFields()[detailsAttr]; ok {
 				return v.GetStringValue()
@@ -435,7 +435,7 @@
 // immediateError answers bad input.
 func immediateError(err error) *extprocv3.ProcessingResponse {
 	code := http.StatusBadRequest
-	if b, ok := errors.AsType[requesthead.BadRequest](err); ok {
+	if b, ok := errors.AsType[requesthead.BadRequestError](err); ok {
 		code = b.Status
 	}
 	return immediateResponse(code, err.Error(), nil)
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -145,7 +145,6 @@
 		grpc.StaticStreamWindowSize(window), // a window that grows with the line would be memory without a bound
 		grpc.StaticConnWindowSize(connWindow),
 		grpc.MaxHeaderListSize(maxHeaderList),
-		grpc.SharedWriteBuffer(true),
 		grpc.WaitForHandlers(true),
 		grpc.InTapHandle(s.admit),
 		grpc.KeepaliveParams(keepalive.ServerParameters{
--- a/internal/downstream/framing/framing_test.go
+++ b/internal/downstream/framing/framing_test.go
@@ -39,7 +39,7 @@
 				s.Write([]byte(c.text[at:min(len(c.text), at+size)]))
 			}
 			for i, want := range c.want {
-				if got := s.Next(); got != want && !(want != "" && want != Lost && got == Folded) {
+				if got := s.Next(); got != want && (want == "" || want == Lost || got != Folded) {
 					t.Errorf("%s, in pieces of %d: request %d is %q, want %q", c.name, size, i, got, want)
 				}
 			}
--- a/internal/downstream/http1/body.go
+++ b/internal/downstream/http1/body.go
@@ -111,7 +111,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if v := f.scan.Next(); v != "" {
-		return requesthead.BadRequest{Status: http.StatusBadRequest, Text: string(v)}
+		return requesthead.BadRequestError{Status: http.StatusBadRequest, Text: string(v)}
 	}
 	return nil
 }
@@ -156,9 +156,9 @@
 // badBody is the answer to a body that could not be read.
 func badBody(err error) error {
 	if errors.Is(err, errLong) {
-		return requesthead.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is over %d KiB", http1.MostLarge>>10)}
+		return requesthead.BadRequestError{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is over %d KiB", http1.MostLarge>>10)}
 	}
-	return requesthead.BadRequest{Status: http.StatusBadRequest, Text: "the body is not whole"}
+	return requesthead.BadRequestError{Status: http.StatusBadRequest, Text: "the body is not whole"}
 }
 
 // errFull says that there is no room in memory for another large body. Nothing of its request was sent on.
@@ -196,7 +196,7 @@
 		}
 		n, err := b.Read(kept[len(kept):cap(kept)])
 		kept = kept[:len(kept)+n]
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return kept, nil, nil
 		}
 		if err != nil {
@@ -204,7 +204,7 @@
 		}
 	}
 	if int64(len(kept)) == r.ContentLength {
-		if _, err := b.Read(make([]byte, 1)); err != io.EOF { // net/http has to see its end
+		if _, err := b.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // net/http has to see its end
 			return nil, nil, badBody(err)
 		}
 		return kept, nil, nil
@@ -246,7 +246,7 @@
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil || ctx.Err() != nil {
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -57,7 +57,7 @@
 		out.WriteString(exchange(t, srv.Listener.Addr().String(), "GET /form-check HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 		srv.Close()
 	}
-	for _, err := range []error{errors.New("any"), requesthead.BadRequest{Status: http.StatusNotFound, Text: "unknown class"}} {
+	for _, err := range []error{errors.New("any"), requesthead.BadRequestError{Status: http.StatusNotFound, Text: "unknown class"}} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { turnAway(w, err) }))
 		out.WriteString(exchange(t, srv.Listener.Addr().String(), "GET /form-check HTTP/1.1\r\nHost: h\r\n\r\n"))
 		srv.Close()
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -22,13 +22,20 @@
 )
 
 const (
-	writeTimeout  = 2 * time.Second         // for an answer that the client does not read
-	HeaderTimeout = 1500 * time.Millisecond // for the head of a request, from when the client connected
-	BodyTimeout   = 1200 * time.Millisecond // for the body, from when the head was read
-	clientIdle    = 2100 * time.Millisecond // an idle client connection is closed
-	maxHeader     = 16 << 10
-	HeldPart      = 0.8         // of the clients' connections may hold a request; the rest can be told so at once
-	heldRetry     = time.Second // the come-back time when too much is open
+	writeTimeout = 2 * time.Second // for an answer that the client does not read
+
+	// HeaderTimeout limits the time for the head of a request, from when the client connected.
+	HeaderTimeout = 1500 * time.Millisecond
+	// BodyTimeout limits the time for the body of a request, from when its head was read.
+	BodyTimeout = 1200 * time.Millisecond
+
+	clientIdle = 2100 * time.Millisecond // an idle client connection is closed
+	maxHeader  = 16 << 10
+
+	// HeldPart is the share of the clients' connections that may have a request in flight; the rest are answered at once.
+	HeldPart = 0.8
+
+	heldRetry = time.Second // the come-back time when too much is open
 )
 
 // Options are what a Server is made of. All but MostHeld, AcceptFor, Leave, Joins and Large must be set.
@@ -239,7 +246,7 @@
 // turnAway answers bad input. It closes the connection, as what comes behind may be a part of it.
 func turnAway(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	if bad, ok := errors.AsType[requesthead.BadRequest](err); ok {
+	if bad, ok := errors.AsType[requesthead.BadRequestError](err); ok {
 		status = bad.Status
 	}
 	w.Header().Set("Connection", "close")
@@ -350,10 +357,10 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, requesthead.MaxBody))
 	if _, long := errors.AsType[*http.MaxBytesError](err); long {
-		return nil, requesthead.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: "the body is over 64 KiB"}
+		return nil, requesthead.BadRequestError{Status: http.StatusRequestEntityTooLarge, Text: "the body is over 64 KiB"}
 	}
 	if err != nil {
-		return nil, requesthead.BadRequest{Status: http.StatusBadRequest, Text: "the body is not whole"}
+		return nil, requesthead.BadRequestError{Status: http.StatusBadRequest, Text: "the body is not whole"}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		return nil, fmt.Errorf("clearing the read deadline: %w", err)
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -58,8 +58,8 @@
 	l.Shut()
 	s := New(Options{Clock: engine.NewClock()}, l) // with no engine: one that is asked is a panic of another kind
 	defer func() {
-		if err := recover(); err != http.ErrAbortHandler {
-			t.Errorf("%v", err)
+		if reason := recover(); reason != any(http.ErrAbortHandler) {
+			t.Errorf("%v", reason)
 		}
 	}()
 	r := httptest.NewRequest(http.MethodGet, "/form-check", nil)
@@ -89,8 +89,8 @@
 	besteffort.Close(far)
 	agenttest.Eventually(t, "the close has come", func() bool { return connlimit.Left(ctx) })
 	defer func() {
-		if err := recover(); err != http.ErrAbortHandler {
-			t.Errorf("%v", err)
+		if reason := recover(); reason != any(http.ErrAbortHandler) {
+			t.Errorf("%v", reason)
 		}
 		if s.held.Load() != 0 {
 			t.Errorf("%d are held", s.held.Load())
--- a/internal/downstream/requesthead/intake.go
+++ b/internal/downstream/requesthead/intake.go
@@ -49,13 +49,13 @@
 // ofTheAsking are those of them that say who asks, and how often, and not what is asked.
 var ofTheAsking = []string{RequestIDHeader, tenantHeader, retriedHeader, "X-Cost"}
 
-// BadRequest is a request that is answered with a plain 4xx and never forwarded.
-type BadRequest struct {
+// BadRequestError is a request that is answered with a plain 4xx and never forwarded.
+type BadRequestError struct {
 	Status int
 	Text   string
 }
 
-func (e BadRequest) Error() string { return e.Text }
+func (e BadRequestError) Error() string { return e.Text }
 
 // Rules are what requests are checked against. They are not changed: settings that change make others.
 type Rules struct {
@@ -121,7 +121,7 @@
 }
 
 // Check checks a request that began at that time on the engine's clock. It returns the call, without payload, carrier
-// and caller, and how long the client waits. An error is a BadRequest.
+// and caller, and how long the client waits. An error is a BadRequestError.
 func (rules Rules) Check(h Head, began time.Duration) (*engine.Call, time.Duration, error) {
 	if rules.Before == nil || began >= rules.BeforeUntil {
 		return rules.check(h, began)
@@ -170,7 +170,7 @@
 func (rules *Rules) check(h Head, began time.Duration) (*engine.Call, time.Duration, error) {
 	index := rules.class(h.Path)
 	if index < 0 {
-		return nil, 0, BadRequest{http.StatusNotFound, "unknown class"}
+		return nil, 0, BadRequestError{http.StatusNotFound, "unknown class"}
 	}
 	class := rules.Classes[index]
 	if err := checkForm(h, class); err != nil {
@@ -182,7 +182,7 @@
 	}
 	tenant := slices.Index(rules.Tenants, h.Header.Get(tenantHeader))
 	if tenant < 0 && len(rules.Tenants) > 0 {
-		return nil, 0, BadRequest{http.StatusBadRequest, "unknown tenant"}
+		return nil, 0, BadRequestError{http.StatusBadRequest, "unknown tenant"}
 	}
 	c := &engine.Call{ID: h.Header.Get(RequestIDHeader), Class: index, Tenant: tenant, Key: h.Header.Get(routeKeyHeader),
 		Deadline: began + timeout - min(deadlineMargin, timeout/4), Again: h.Header.Get(retriedHeader) == "1",
@@ -199,10 +199,10 @@
 	// Beside a length, chunks may hide a second request in what the length makes the body. net/http drops such a length
 	// unseen, so that chunks can't be had at all; clients always send a length.
 	if h.Chunked && !h.Forms {
-		return BadRequest{http.StatusLengthRequired, "only a body with a Content-Length is taken"}
+		return BadRequestError{http.StatusLengthRequired, "only a body with a Content-Length is taken"}
 	}
 	if h.ContentLength > max(h.MostBody, MaxBody) {
-		return BadRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d KiB", max(h.MostBody, MaxBody)>>10)}
+		return BadRequestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d KiB", max(h.MostBody, MaxBody)>>10)}
 	}
 	want := http.MethodPost
 	switch {
@@ -212,22 +212,22 @@
 		want = http.MethodGet
 	}
 	if h.Method != want {
-		return BadRequest{http.StatusMethodNotAllowed, "the method does not fit the class"}
+		return BadRequestError{http.StatusMethodNotAllowed, "the method does not fit the class"}
 	}
 	if want != http.MethodPost && (h.ContentLength != 0 || h.Chunked) {
-		return BadRequest{http.StatusBadRequest, "a GET has no body"}
+		return BadRequestError{http.StatusBadRequest, "a GET has no body"}
 	}
 	for _, name := range []string{RequestIDHeader, KeyHeader, TimeoutHeader} {
 		if len(h.Header.Values(name)) > 1 {
-			return BadRequest{http.StatusBadRequest, name + " is there more than once"}
+			return BadRequestError{http.StatusBadRequest, name + " is there more than once"}
 		}
 	}
 	if id := h.Header.Get(RequestIDHeader); id == "" || len(id) > longestID {
-		return BadRequest{http.StatusBadRequest, RequestIDHeader + " is missing or too long"}
+		return BadRequestError{http.StatusBadRequest, RequestIDHeader + " is missing or too long"}
 	}
 	if class.Effect == balancer.Keyed && h.Header.Get(KeyHeader) == "" {
 		// The backends could not tell a repeat, so it must not be sent as one of this class.
-		return BadRequest{http.StatusBadRequest, KeyHeader + " is missing"}
+		return BadRequestError{http.StatusBadRequest, KeyHeader + " is missing"}
 	}
 	return nil
 }
@@ -237,7 +237,7 @@
 // ParseTimeout reads a number and a unit, m for milliseconds or u for microseconds. A client's whole patience is its
 // class's deadline: what it states beyond that is cut, as it would hold memory and timers for as long.
 func ParseTimeout(text string, most time.Duration) (time.Duration, error) {
-	bad := BadRequest{http.StatusBadRequest, TimeoutHeader + " is missing or malformed"}
+	bad := BadRequestError{http.StatusBadRequest, TimeoutHeader + " is missing or malformed"}
 	form := timeoutForm.FindStringSubmatch(text)
 	if form == nil {
 		return 0, bad
--- a/internal/harness/cluster/fleet.go
+++ b/internal/harness/cluster/fleet.go
@@ -366,8 +366,10 @@
 // Wipe leaves the agent's machine with an empty disk. It must be down.
 func (a *Agent) Wipe() { a.fleet.must(os.RemoveAll(a.disk())) }
 
-// Backup keeps a copy of the disk, and Restore brings it back. The agent must be down.
-func (a *Agent) Backup()  { a.fleet.must(Copy(a.disk(), a.disk()+".backup")) }
+// Backup keeps a copy of the disk. The agent must be down.
+func (a *Agent) Backup() { a.fleet.must(Copy(a.disk(), a.disk()+".backup")) }
+
+// Restore puts the copy that Backup kept in the place of the disk. The agent must be down.
 func (a *Agent) Restore() { a.fleet.must(Copy(a.disk()+".backup", a.disk())) }
 
 // configure writes the agent's configuration and its own settings.
--- a/internal/harness/controlplane/controlplane.go
+++ b/internal/harness/controlplane/controlplane.go
@@ -311,6 +311,24 @@
 	}
 }
 
+// changes returns the resources that the client does not have in their present version, and the names of those that are
+// gone. The latter no longer count as sent.
+func (s *subscription) changes(have map[string]versioned) (changed map[string]versioned, removed []string) {
+	changed = map[string]versioned{}
+	for name, v := range have {
+		if (s.all || s.names[name]) && s.sent[name] != v.version {
+			changed[name] = v
+		}
+	}
+	for name := range s.sent {
+		if _, there := have[name]; !there {
+			removed = append(removed, name)
+			delete(s.sent, name)
+		}
+	}
+	return changed, removed
+}
+
 // push sends what the client does not have.
 func (s *stream) push() error {
 	p := s.plane
@@ -330,18 +348,7 @@
 		if slices.Contains(s.again, typeURL) {
 			clear(sub.sent)
 		}
-		changed, removed := map[string]versioned{}, []string{}
-		for name, v := range p.have[typeURL] {
-			if (sub.all || sub.names[name]) && sub.sent[name] != v.version {
-				changed[name] = v
-			}
-		}
-		for name := range sub.sent {
-			if _, there := p.have[typeURL][name]; !there {
-				removed = append(removed, name)
-				delete(sub.sent, name)
-			}
-		}
+		changed, removed := sub.changes(p.have[typeURL])
 		if len(changed) == 0 && len(removed) == 0 && (sub.opened || typeURL == Endpoints) {
 			continue
 		}
--- a/internal/membership/xds/machine_test.go
+++ b/internal/membership/xds/machine_test.go
@@ -75,9 +75,7 @@
 				if !delta {
 					asked = r.names
 				}
-				for _, name := range r.subscribe {
-					asked = append(asked, name)
-				}
+				asked = append(asked, r.subscribe...)
 				asked = slices.DeleteFunc(slices.Clone(asked), func(name string) bool { return slices.Contains(r.unsubscribe, name) })
 				if r.initial != nil {
 					versions = r.initial
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -180,7 +180,7 @@
 		if w.status != 0 && (w.status < 200 || w.status > 599) {
 			t.Errorf("answered %d", w.status)
 		}
-		if out := fmt.Sprint(a.set.Held()); out != "[]" && (out != "[s-1]" && out != "[s/2]" || r.Method != "PUT") {
+		if out := fmt.Sprint(a.set.Held()); out != "[]" && (out != "[s-1]" && out != "[s/2]" || r.Method != http.MethodPut) {
 			t.Errorf("%q holds out %s", text, out)
 		}
 	})
--- a/internal/scenario/live.go
+++ b/internal/scenario/live.go
@@ -103,7 +103,7 @@
 
 // Run plays the script. A context that ends early ends the day in order, with the report of what ran.
 func (lv Live) Run(ctx context.Context) (Day, error) {
-	dir, err := os.MkdirTemp("", "rehearse")
+	dir, err := os.MkdirTemp("", "scenario")
 	if err != nil {
 		return Day{}, fmt.Errorf("a folder for the agents' configurations: %w", err)
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -119,7 +119,7 @@
 		}
 	}
 	if err != nil || s.From < 0 || s.To < s.From {
-		return settings.BadValue{Text: string(text), Problem: "is no time; write \"4s\", or \"4s..6s\" for one that is drawn"}
+		return settings.BadValueError{Text: string(text), Problem: "is no time; write \"4s\", or \"4s..6s\" for one that is drawn"}
 	}
 	return nil
 }
--- a/internal/scenario/simulate_test.go
+++ b/internal/scenario/simulate_test.go
@@ -258,7 +258,7 @@
 func TestWrongScripts(t *testing.T) {
 	for body, want := range map[string]string{
 		"length = \"soon\"\n":                                          "s.toml:1: ",
-		"lenght = \"5s\"\n":                                            "s.toml:1: unknown key \"lenght\"",
+		"lenght = \"5s\"\n":                                            "s.toml:1: unknown key \"lenght\"", //nolint:misspell // an unknown key
 		"\n[fleet]\nservers = 0\n":                                     "s.toml:2: servers",
 		"[clients]\nrate = -1.0\n":                                     "s.toml:1: rate",
 		"[[event]]\ndo = \"hang\"\nat = \"1s\"\n":                      "s.toml:1: hang: say which",
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -136,7 +136,7 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return BadValue{string(text), "is no duration; write a number and a unit, such as \"400ms\" or \"3s\""}
+		return BadValueError{string(text), "is no duration; write a number and a unit, such as \"400ms\" or \"3s\""}
 	}
 	*d = Duration(v)
 	return nil
@@ -145,10 +145,10 @@
 // String is the duration in the form that UnmarshalText reads.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// BadValue is a value that can't be read. The decoder tells the place of some of them only.
-type BadValue struct{ Text, Problem string }
+// BadValueError is a value that can't be read. The decoder tells the place of some of them only.
+type BadValueError struct{ Text, Problem string }
 
-func (e BadValue) Error() string { return fmt.Sprintf("%q %s", e.Text, e.Problem) }
+func (e BadValueError) Error() string { return fmt.Sprintf("%q %s", e.Text, e.Problem) }
 
 // Load reads and checks a file. Errors name the file and the line and say what was meant.
 func Load(path string) (File, error) {
@@ -234,7 +234,7 @@
 		line, _ := decode.Position()
 		return fmt.Errorf("%s:%d: %s", name, line, strings.TrimPrefix(decode.Error(), "toml: "))
 	}
-	if bad, ok := errors.AsType[BadValue](err); ok {
+	if bad, ok := errors.AsType[BadValueError](err); ok {
 		if line := lineOf(text, bad.Text); line > 0 {
 			return fmt.Errorf("%s:%d: %w", name, line, err)
 		}
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -65,7 +65,7 @@
 func (d *Decoder) Next() (Message, error) {
 	for {
 		text, err := d.read()
-		if err == io.EOF && d.inTurn {
+		if errors.Is(err, io.EOF) && d.inTurn {
 			return Message{}, fmt.Errorf("line %d: the input ends without YourTurn", d.line)
 		}
 		if err != nil {
@@ -89,7 +89,7 @@
 	d.long = d.long[:0]
 	for {
 		part, err := d.in.ReadSlice('\n')
-		if err == bufio.ErrBufferFull {
+		if errors.Is(err, bufio.ErrBufferFull) {
 			d.long = append(d.long, part...)
 			continue
 		}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"reflect"
 	"testing"
@@ -85,7 +86,7 @@
 			t.Errorf("message %d:\n got  %+v\n want %+v", i, got, w)
 		}
 	}
-	if m, err := d.Next(); err != io.EOF {
+	if m, err := d.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the last message: %+v, %v", m, err)
 	}
 }
--- a/internal/upstream/http1/stream.go
+++ b/internal/upstream/http1/stream.go
@@ -210,11 +210,11 @@
 		}
 		n, err := resp.Body.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
-		if err == io.EOF && out.Length < 0 {
+		if errors.Is(err, io.EOF) && out.Length < 0 {
 			out.Body, out.Length = body, int64(len(body))
 			return out, nil
 		}
-		if err != nil && !(err == io.EOF && int64(len(body)) == out.Length) {
+		if err != nil && (!errors.Is(err, io.EOF) || int64(len(body)) != out.Length) {
 			return nil, err
 		}
 	}
