--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -49,7 +49,7 @@
 			Delta:        set.Delta,
 			Clusters:     set.Clusters,
 			Subset:       set.Subset,
-			Me:           site.Logic.Me,
+			Me:           site.Logic.Index,
 			Zones:        site.Zones,
 			FirstFetch:   time.Duration(set.FirstFetch),
 			BackoffLeast: time.Duration(set.BackoffLeast),
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -40,8 +40,8 @@
 func (f counters) held() []any {
 	c, p := f.conns.Count(), f.core.Load().Picture
 	share := func(x float64) int { return int(math.Round(1000 * x)) }
-	return []any{"held_open", c.Open, "held_idle", c.Idle, "held_agents", 1, "held_use", share(p.Use), "held_late", share(p.Late),
-		"held_waiting", share(p.Waiting), "held_shed", share(p.Shed), "held_view", p.Drawn, "held_cold", p.Cold, "held_ejected", p.Ejected}
+	return []any{"held_open", c.Open, "held_idle", c.Idle, "held_agents", 1, "held_use", share(p.Utilization), "held_late", share(p.LatencyRatio),
+		"held_waiting", share(p.InFlightLatencyRatio), "held_shed", share(p.ShedRatio), "held_view", p.SubsetSize, "held_cold", p.WarmingUp, "held_ejected", p.Ejected}
 }
 
 // count is a figure that only grows.
@@ -64,10 +64,10 @@
 		add("send_"+name, t.Sends[kind])
 	}
 	add("send_cold", t.Cold)
-	for result, name := range balancer.Results {
+	for result, name := range balancer.ResultNames {
 		add("end_"+name, t.Attempts[result])
 	}
-	for why, name := range balancer.Reasons {
+	for why, name := range balancer.ReasonNames {
 		add("given_up_"+name, t.GivenUp[why])
 	}
 	add("dials", p.Dials)
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -59,8 +59,8 @@
 func namesOf(site simwire.Site, classes []balancer.Class) generation.Names {
 	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, Headers: requesthead.Routable}
 	for _, c := range classes {
-		names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
-		if c.Effect == balancer.Keyed {
+		names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.LatencyObjective, Deadline: c.Deadline})
+		if c.Effect == balancer.IdempotentByKey {
 			names.Keyed = append(names.Keyed, c.Name)
 		}
 	}
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -82,7 +82,7 @@
 	core.Count(site.Logic.Classes)
 	var classes []recovery.Class
 	for _, c := range site.Logic.Classes {
-		classes = append(classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		classes = append(classes, recovery.Class{Name: c.Name, Worth: c.Priority, Aim: c.LatencyObjective, Safe: c.Effect == balancer.Idempotent})
 	}
 	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdFrom: 0.32, ColdFor: 8 * time.Second, Overload: 3, MaxAfter: time.Second}, nil)
 	before := recovery.Before{Usual: []float64{40, 20, 10}, Use: 0.5}
--- a/internal/agent/join.go
+++ b/internal/agent/join.go
@@ -35,7 +35,7 @@
 	j.atFront.Classes.Store(joined(set.Options.Classes))
 	after := site.MaxRetryAfter
 	for _, c := range site.Classes { // as the module words its refusals
-		after = min(after, c.Aim/2)
+		after = min(after, c.LatencyObjective/2)
 	}
 	core.Join(set.Options, after)
 	return j, nil
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -24,7 +24,7 @@
 	return Extras{Join: func(classes []balancer.Class) (Joins, error) {
 		j := Joins{Apart: apart, LogEvery: time.Hour, Options: coalesce.Options{MostGroups: 64, MostWaiting: 64, Pause: time.Hour}}
 		for _, c := range classes {
-			j.Options.Classes = append(j.Options.Classes, coalesce.Class{Joined: true, Aim: c.Aim, Deadline: c.Deadline})
+			j.Options.Classes = append(j.Options.Classes, coalesce.Class{Joined: true, Aim: c.LatencyObjective, Deadline: c.Deadline})
 		}
 		return j, nil
 	}}
@@ -66,7 +66,7 @@
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
 	a := startOn(t, d, time.Millisecond, func(cfg *Config) {
 		for i := range cfg.Site.Logic.Classes {
-			cfg.Site.Logic.Classes[i].Aim = time.Minute
+			cfg.Site.Logic.Classes[i].LatencyObjective = time.Minute
 		}
 	}, with, slog.New(slog.DiscardHandler))
 	return a, core
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -36,8 +36,8 @@
 	}
 	site := cfg.Site.Logic
 	alone := newStorm(cfg, Storm{Remember: x.Overload.Remember})
-	s := &sharing{set: *x.Overload, core: core, log: log, door: overload.New(overload.Options{Self: site.Me, Agents: site.Balancers,
-		Classes: stormClasses(site.Classes), Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
+	s := &sharing{set: *x.Overload, core: core, log: log, door: overload.New(overload.Options{Self: site.Index, Agents: site.Balancers,
+		Classes: stormClasses(site.Classes), Shares: site.Quotas, MaxAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
 	core.Guard(s.door)
 	return s
 }
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -78,7 +78,7 @@
 	k.file = atomicfile.File{Path: filepath.Join(k.set.Dir, knowledge), FS: x.disk()}
 	k.repeats = clientsReturn
 	for _, c := range cfg.Site.Logic.Classes {
-		k.repeats = max(k.repeats, c.Deadline+c.Window+clientsReturn)
+		k.repeats = max(k.repeats, c.Deadline+c.DedupWindow+clientsReturn)
 	}
 	if x.Ties == nil || x.Ties.Dir == "" || !x.Ties.Sync {
 		log.Warn("a loss of power loses where refunds went, as [affinity] does not keep it with sync: repeats that clients do not mark may run twice then")
@@ -164,10 +164,10 @@
 func (k *keeping) attach(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Door, heard func() bool, askFor time.Duration) {
 	k.core = core
 	site := cfg.Site.Logic
-	o := recovery.Options{Agents: site.Balancers, Self: site.Me, ColdFrom: site.ColdFrom, ColdFor: site.ColdFor, Overload: site.Overload,
+	o := recovery.Options{Agents: site.Balancers, Self: site.Index, ColdFrom: site.SlowStartInitialRatio, ColdFor: site.SlowStartDuration, Overload: site.WarmingOverloadRatio,
 		MaxAfter: site.MaxRetryAfter, AskFor: askFor, Seed: cfg.Seed}
 	for _, c := range site.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Priority, Aim: c.LatencyObjective, Safe: c.Effect == balancer.Idempotent})
 	}
 	r := recovery.New(o, behind)
 	before := k.before.Before(k.classes(site.Classes))
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -71,13 +71,13 @@
 	r.keys = c.keys
 	rules := r.terms.Rules()
 	r.core.Name(tell.Classes)
-	changed, misfit := r.own.tell(engine.Retuned{Retune: tell, Number: rules.Number})
+	changed, misfit := r.own.tell(engine.Retuned{ClassUpdate: tell, Number: rules.Number})
 	r.core.Tell(changed)
 	r.rules.Put(rules)
 	r.disco.Move(c.Discovery)
 	var names []string
 	for _, class := range tell.Classes {
-		if !class.Dropped {
+		if !class.Retired {
 			names = append(names, class.Name)
 		}
 	}
--- a/internal/agent/scale_test.go
+++ b/internal/agent/scale_test.go
@@ -26,8 +26,8 @@
 }
 
 func newLarge(tb testing.TB, n int) *large {
-	set := balancer.Settings{Balancers: 2, Tick: time.Millisecond, MaxAttempts: 2, WarmKeys: true, ListWeights: true,
-		ColdFrom: 0.3, ColdFor: 10 * time.Second, Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Safe, Aim: 600e6, Deadline: 2e9, Worth: 1}}}
+	set := balancer.Settings{Balancers: 2, Tick: time.Millisecond, MaxAttempts: 2, KeyAffinity: true, UseListWeights: true,
+		SlowStartInitialRatio: 0.3, SlowStartDuration: 10 * time.Second, Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Idempotent, LatencyObjective: 600e6, Deadline: 2e9, Priority: 1}}}
 	m, err := balancer.New(set, 1)
 	if err != nil {
 		tb.Fatal(err)
@@ -73,7 +73,7 @@
 	for range n {
 		i := l.next % len(l.members)
 		gone := l.members[i]
-		gone.State = balancer.Gone
+		gone.State = balancer.Removed
 		l.members[i] = l.fresh()
 		u.Members = append(u.Members, gone, l.members[i])
 	}
@@ -87,8 +87,8 @@
 	id := fmt.Sprint("r", l.asked)
 	for _, a := range l.module.Handle(l.now, balancer.Request{ID: id, Key: fmt.Sprint("k", l.asked%5000), Deadline: l.now + 1e9}) {
 		if a.Kind == balancer.Send {
-			l.module.Handle(l.now, balancer.Outcome{Request: id, Server: a.Server, Result: balancer.OK, Took: 20 * time.Millisecond, Closed: true,
-				Report: balancer.Report{Util: 0.5, Rate: 50, Errors: -1, InFlight: -1, Queue: -1}})
+			l.module.Handle(l.now, balancer.Outcome{Request: id, Server: a.Server, Result: balancer.OK, Latency: 20 * time.Millisecond, RequestClosed: true,
+				Report: balancer.Report{Utilization: 0.5, ServedRate: 50, ErrorRate: -1, InFlight: -1, QueueLength: -1}})
 		}
 	}
 	l.module.Handle(l.now, balancer.TimerFired{})
--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -14,17 +14,17 @@
 // newStorm is a watch for storms by the platform's settings.
 func newStorm(cfg Config, set Storm) *admission.Watch {
 	site := cfg.Site.Logic
-	o := admission.Options{Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Remember: set.Remember, Seed: cfg.Seed}
+	o := admission.Options{Shares: site.Quotas, MaxAfter: site.MaxRetryAfter, Remember: set.Remember, Seed: cfg.Seed}
 	o.Classes = stormClasses(site.Classes)
 	return admission.New(o)
 }
 
 func stormClasses(classes []balancer.Class) (out []admission.Class) {
 	for _, c := range classes {
-		if c.Dropped {
-			c.Worth = 0
+		if c.Retired {
+			c.Priority = 0
 		}
-		out = append(out, admission.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		out = append(out, admission.Class{Worth: c.Priority, Aim: c.LatencyObjective, Safe: c.Effect == balancer.Idempotent})
 	}
 	return out
 }
--- a/internal/agent/ties.go
+++ b/internal/agent/ties.go
@@ -46,8 +46,8 @@
 	set := *x.Ties
 	window := time.Duration(0)
 	for _, c := range cfg.Site.Logic.Classes {
-		if c.Effect == balancer.Keyed {
-			window = max(window, c.Window)
+		if c.Effect == balancer.IdempotentByKey {
+			window = max(window, c.DedupWindow)
 		}
 	}
 	if window == 0 {
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -14,77 +14,77 @@
 
 // The effects of a repeat.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // carries a key: repeats are dropped within a group, for a while
-	Unsafe               // must never run twice
+	Idempotent      Effect = iota // may be repeated at will
+	IdempotentByKey               // carries a key: repeats are dropped within a group, for a while
+	NonIdempotent                 // must never run twice
 )
 
-// Group names the servers that drop repeats of a keyed request among themselves.
-type Group int
+// DedupScope names the servers that drop repeats of a keyed request among themselves.
+type DedupScope int
 
 // The groups of servers.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupFleet DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // Class describes one class of request.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Group    Group         // of a keyed class
-	Window   time.Duration // of a keyed class: repeats are dropped so long after the first send
-	Aim      time.Duration // an answer within this time earns the full worth
-	Deadline time.Duration // the client's patience over all its tries
-	Worth    float64
-	Dropped  bool // takes no new requests, as later settings have it no more
+	Name             string
+	Effect           Effect
+	DedupScope       DedupScope    // of a keyed class
+	DedupWindow      time.Duration // of a keyed class: repeats are dropped so long after the first send
+	LatencyObjective time.Duration // an answer within this time earns the full worth
+	Deadline         time.Duration // the client's patience over all its tries
+	Priority         float64
+	Retired          bool // takes no new requests, as later settings have it no more
 }
 
 // Settings are all that a Balancer is told at start. Retune alone changes them while it lives.
 type Settings struct {
-	Balancers      int           // how many balancers front the same servers
-	Me             int           // the number of this one among them, the same after a restart
-	Tick           time.Duration // the least time between two events; timers are that exact
-	Classes        []Class
-	Zone           int           // where this balancer runs
-	CrossZonePrice float64       // what an attempt in another zone costs, as a share of a request; 0 for nothing
-	ListWeights    bool          // the list's weights say something of the servers' capacities
-	Subscribe      bool          // the list of servers must be subscribed to
-	MustAskIn      time.Duration // unsubscribed, the list must be asked for in this time; 0: no limit
-	WarmKeys       bool          // a server that met a request's key lately does less work for it
-	MaxAttempts    int           // for one request
-	ParallelCopies bool          // a request may have two attempts out at a time
-	MaxRetryAfter  time.Duration // the longest come-back time that clients heed; 0 where they are given none
-	ColdFrom       float64       // a server starts with this share of its capacity at least
-	ColdFor        time.Duration // and has all of it after this time at the latest
-	Shares         []float64     // of the service, one for each tenant; may be empty
-	OverShareWorth float64       // what a request over its tenant's share is worth, as a part of its worth
-	Overload       float64       // a cold server topples at this multiple of its capacity; 0 if not known
+	Balancers              int           // how many balancers front the same servers
+	Index                  int           // the number of this one among them, the same after a restart
+	Tick                   time.Duration // the least time between two events; timers are that exact
+	Classes                []Class
+	Zone                   int           // where this balancer runs
+	CrossZoneCost          float64       // what an attempt in another zone costs, as a share of a request; 0 for nothing
+	UseListWeights         bool          // the list's weights say something of the servers' capacities
+	Subscribe              bool          // the list of servers must be subscribed to
+	MaxPollInterval        time.Duration // unsubscribed, the list must be asked for in this time; 0: no limit
+	KeyAffinity            bool          // a server that met a request's key lately does less work for it
+	MaxAttempts            int           // for one request
+	AllowHedging           bool          // a request may have two attempts out at a time
+	MaxRetryAfter          time.Duration // the longest come-back time that clients heed; 0 where they are given none
+	SlowStartInitialRatio  float64       // a server starts with this share of its capacity at least
+	SlowStartDuration      time.Duration // and has all of it after this time at the latest
+	Quotas                 []float64     // of the service, one for each tenant; may be empty
+	OverQuotaPriorityRatio float64       // what a request over its tenant's share is worth, as a part of its worth
+	WarmingOverloadRatio   float64       // a cold server topples at this multiple of its capacity; 0 if not known
 }
 
-// Check says in plain words what is wrong with the settings.
-func (set *Settings) Check() error {
+// Validate says in plain words what is wrong with the settings.
+func (set *Settings) Validate() error {
 	if len(set.Classes) == 0 {
 		return errors.New("logic: settings name no class of requests")
 	}
 	for _, c := range set.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
 			return fmt.Errorf("logic: class %q needs an aim and a deadline above 0", c.Name)
 		}
-		if c.Effect == Keyed && c.Window <= 0 {
+		if c.Effect == IdempotentByKey && c.DedupWindow <= 0 {
 			return fmt.Errorf("logic: keyed class %q needs a window above 0", c.Name)
 		}
 	}
-	for i, share := range set.Shares {
+	for i, share := range set.Quotas {
 		if share <= 0 || share > 1 {
 			return fmt.Errorf("logic: the share of tenant %d must be above 0 and at most 1", i)
 		}
 	}
-	if set.OverShareWorth < 0 || set.OverShareWorth > 1 {
+	if set.OverQuotaPriorityRatio < 0 || set.OverQuotaPriorityRatio > 1 {
 		return errors.New("logic: the worth over a share must be from 0 to 1")
 	}
-	if set.MustAskIn < 0 {
+	if set.MaxPollInterval < 0 {
 		return errors.New("logic: the time in which to ask for the list must not be below 0")
 	}
 	if set.Balancers < 1 {
@@ -93,10 +93,10 @@
 	if set.MaxAttempts < 1 {
 		return errors.New("logic: settings allow no attempt")
 	}
-	if set.ColdFor > 0 && (set.ColdFrom <= 0 || set.ColdFrom > 1) {
+	if set.SlowStartDuration > 0 && (set.SlowStartInitialRatio <= 0 || set.SlowStartInitialRatio > 1) {
 		return errors.New("logic: the cold share must be above 0 and at most 1")
 	}
-	if set.Overload < 0 {
+	if set.WarmingOverloadRatio < 0 {
 		return errors.New("logic: the multiple that topples a cold server must not be below 0")
 	}
 	return nil
@@ -109,7 +109,7 @@
 const (
 	Ready    State = iota
 	Draining       // finishes its work; gets nothing new
-	Gone           // removed; in changes only
+	Removed        // removed; in changes only
 )
 
 // Server is an entry of the list.
@@ -124,15 +124,15 @@
 
 // Report is what a server says of its own load. A negative figure is one that it does not state.
 type Report struct {
-	Util     float64 // share of its cores' time in use
-	Rate     float64 // requests done a second
-	Errors   float64 // errors a second
-	InFlight float64
-	Queue    float64
+	Utilization float64 // share of its cores' time in use
+	ServedRate  float64 // requests done a second
+	ErrorRate   float64 // errors a second
+	InFlight    float64
+	QueueLength float64
 }
 
 // NoReport is the Report of an answer that brought none.
-var NoReport = Report{Util: -1, Rate: -1, Errors: -1, InFlight: -1, Queue: -1}
+var NoReport = Report{Utilization: -1, ServedRate: -1, ErrorRate: -1, InFlight: -1, QueueLength: -1}
 
 // Result is how an attempt or a probe ended.
 type Result int
@@ -149,8 +149,8 @@
 	NotSent                     // not sent at all: too late, or one attempt too many
 )
 
-// Results are their names, for logs and figures.
-var Results = [...]string{OK: "ok", Failed: "failed", Rejected: "rejected", TimedOut: "timed_out", ConnectFailed: "connect_failed",
+// ResultNames are their names, for logs and figures.
+var ResultNames = [...]string{OK: "ok", Failed: "failed", Rejected: "rejected", TimedOut: "timed_out", ConnectFailed: "connect_failed",
 	Reset: "reset", Cancelled: "cancelled", NotSent: "not_sent"}
 
 // neverRan reports whether the result proves that the request had no effect.
@@ -162,75 +162,75 @@
 type (
 	// ServerList brings the list of servers or a change of it. The slice is only read.
 	ServerList struct {
-		Full    bool // the whole list, not only the entries that changed
-		Servers []Server
-		Drop    float64 // the share of requests that the list's owner wants turned away, from 0 to 1
+		Full      bool // the whole list, not only the entries that changed
+		Servers   []Server
+		DropRatio float64 // the share of requests that the list's owner wants turned away, from 0 to 1
 	}
 	// ListUnavailable says that a call to the list failed or the subscription broke.
 	ListUnavailable struct{}
 	// Request is a client's request. It is owed one final answer: a served attempt, a Refuse or a Fail.
 	Request struct {
-		ID            string
-		Class, Tenant int
-		Key           string        // what it is about; may be empty
-		Deadline      time.Duration // when the client gives this try up, on the clock of the events
-		Again         bool          // the client's own repeat, where clients say so
-		Among         []string      // ids of the servers to choose among, sorted; nil: any
-		OnDemand      bool          // one attempt at a time, and a further one only when a Retry asks for it
-		Attempts      int           // that it may have in all, where that is fewer than MaxAttempts; 0: those
-		Before        Before        // what may have run of it under another id
-		Was           bool          // its class is as it was before the latest Retune
-		Uploads       bool          // its attempts are written while it still comes, which Written ends
+		ID                  string
+		Class, Tenant       int
+		Key                 string         // what it is about; may be empty
+		Deadline            time.Duration  // when the client gives this try up, on the clock of the events
+		IsClientRetry       bool           // the client's own repeat, where clients say so
+		AllowedServers      []string       // ids of the servers to choose among, sorted; nil: any
+		ManualRetry         bool           // one attempt at a time, and a further one only when a Retry asks for it
+		MaxAttempts         int            // that it may have in all, where that is fewer than MaxAttempts; 0: those
+		Earlier             EarlierAttempt // what may have run of it under another id
+		UsesPreviousClasses bool           // its class is as it was before the latest Retune
+		StreamsBody         bool           // its attempts are written while it still comes, which Written ends
 	}
-	// Written says that an attempt of a request that Uploads is written whole, so that its server owes the answer from now
+	// BodySent says that an attempt of a request that Uploads is written whole, so that its server owes the answer from now
 	// on, and until when.
-	Written struct {
+	BodySent struct {
 		Request  string
 		Attempt  int
 		Deadline time.Duration
 	}
-	// Retune changes the classes and how many attempts a request may have. Classes keep their numbers: new ones come
+	// ClassUpdate changes the classes and how many attempts a request may have. Classes keep their numbers: new ones come
 	// behind, and those that are no more are Dropped. Requests keep the class that they came under.
-	Retune struct {
-		Classes        []Class
-		MaxAttempts    int
-		ParallelCopies bool
+	ClassUpdate struct {
+		Classes      []Class
+		MaxAttempts  int
+		AllowHedging bool
 	}
-	// Before is an attempt that was made for the same key by an earlier request. The zero value is none.
-	Before struct {
-		May        bool // it may have run
-		Since      time.Duration
+	// Earlier is an attempt that was made for the same key by an earlier request. The zero value is none.
+	EarlierAttempt struct {
+		MayHaveRun bool // it may have run
+		SentAt     time.Duration
 		Zone, Cell int
 	}
-	// Retry asks for a further attempt of an OnDemand request of which none is out. It is answered with a Send, or
+	// Retry asks for a further attempt of an ManualRetry request of which none is out. It is answered with a Send, or
 	// with the final answer where another attempt is not allowed.
 	Retry struct {
-		Request string
-		Among   []string // as of a Request; that of before holds no longer
+		Request        string
+		AllowedServers []string // as of a Request; that of before holds no longer
 	}
 	// Outcome ends one attempt. Every Send gets one. The first OK answers the client by itself.
 	Outcome struct {
-		Request string
-		Attempt int // numbered from 0 in the order of the sends
-		Server  string
-		Result  Result
-		Took    time.Duration
-		Closed  bool // the request needs no final answer any more
-		Report  Report
+		Request       string
+		Attempt       int // numbered from 0 in the order of the sends
+		Server        string
+		Result        Result
+		Latency       time.Duration
+		RequestClosed bool // the request needs no final answer any more
+		Report        Report
 	}
-	// Streaming says that a streamed answer has begun: the attempt belongs to the client now.
-	Streaming struct {
+	// ResponseStarted says that a streamed answer has begun: the attempt belongs to the client now.
+	ResponseStarted struct {
 		Request string
 		Attempt int
 	}
-	// ClientGone says that the client left; nothing more is owed.
-	ClientGone struct{ Request string }
-	// Probed is the result of a probe.
-	Probed struct {
-		Server string
-		Result Result
-		Took   time.Duration
-		Report Report
+	// ClientDisconnected says that the client left; nothing more is owed.
+	ClientDisconnected struct{ Request string }
+	// HealthCheckResult is the result of a probe.
+	HealthCheckResult struct {
+		Server  string
+		Result  Result
+		Latency time.Duration
+		Report  Report
 	}
 	// PeerMessage comes from another balancer.
 	PeerMessage struct {
@@ -241,32 +241,32 @@
 	TimerFired struct{ Token uint64 }
 )
 
-func (ServerList) event()      {}
-func (ListUnavailable) event() {}
-func (Request) event()         {}
-func (Retry) event()           {}
-func (Retune) event()          {}
-func (Written) event()         {}
-func (Outcome) event()         {}
-func (Streaming) event()       {}
-func (ClientGone) event()      {}
-func (Probed) event()          {}
-func (PeerMessage) event()     {}
-func (TimerFired) event()      {}
+func (ServerList) event()         {}
+func (ListUnavailable) event()    {}
+func (Request) event()            {}
+func (Retry) event()              {}
+func (ClassUpdate) event()        {}
+func (BodySent) event()           {}
+func (Outcome) event()            {}
+func (ResponseStarted) event()    {}
+func (ClientDisconnected) event() {}
+func (HealthCheckResult) event()  {}
+func (PeerMessage) event()        {}
+func (TimerFired) event()         {}
 
 // ActionKind names what an Action does and which of its fields count.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Send      ActionKind = iota // Request to Server, given up after After (0: when the client does)
-	Cancel                      // attempt number Attempt of Request; not used at present
-	Refuse                      // Request: trying again does no harm; the client stays away for After
-	Fail                        // Request: no promise about its effect
-	SetTimer                    // TimerFired with Token comes after After
-	Probe                       // Server
-	Subscribe                   // to the list of servers
-	Tell                        // every other balancer of Data
+	Send        ActionKind = iota // Request to Server, given up after After (0: when the client does)
+	Cancel                        // attempt number Attempt of Request; not used at present
+	Reject                        // Request: trying again does no harm; the client stays away for After
+	Fail                          // Request: no promise about its effect
+	SetTimer                      // TimerFired with Token comes after After
+	HealthCheck                   // Server
+	Subscribe                     // to the list of servers
+	Broadcast                     // every other balancer of Data
 )
 
 // Reason says why a request was given up. Refusals and failures have one.
@@ -274,27 +274,27 @@
 
 // The reasons why requests are given up.
 const (
-	Overload Reason = iota // it gave way, as servers have too much to do
-	Withheld               // the list's owner wants so many turned away
-	NoServer               // there is none that it may go to, or only cold ones that have had their part
-	NoBudget               // further attempts are used up
-	Spent                  // its time, its attempts, or what its class allows are
+	ReasonLoadShed    Reason = iota // it gave way, as servers have too much to do
+	ReasonListDrop                  // the list's owner wants so many turned away
+	ReasonNoServer                  // there is none that it may go to, or only cold ones that have had their part
+	ReasonRetryBudget               // further attempts are used up
+	ReasonExhausted                 // its time, its attempts, or what its class allows are
 )
 
-// Reasons are their names, for logs and figures.
-var Reasons = [...]string{Overload: "overload", Withheld: "withheld", NoServer: "no_server", NoBudget: "no_budget", Spent: "spent"}
+// ReasonNames are their names, for logs and figures.
+var ReasonNames = [...]string{ReasonLoadShed: "overload", ReasonListDrop: "withheld", ReasonNoServer: "no_server", ReasonRetryBudget: "no_budget", ReasonExhausted: "spent"}
 
 // Action is something that the Balancer wants done. Actions take effect in order.
 type Action struct {
-	Kind    ActionKind
-	Request string
-	Server  string
-	Attempt int
-	Cold    bool   // of a Send: the server has started lately
-	Why     Reason // of a Refuse or a Fail
-	After   time.Duration
-	Token   uint64
-	Data    []byte
+	Kind      ActionKind
+	Request   string
+	Server    string
+	Attempt   int
+	WarmingUp bool   // of a Send: the server has started lately
+	Reason    Reason // of a Refuse or a Fail
+	After     time.Duration
+	Token     uint64
+	Data      []byte
 }
 
 // Handle takes one event and returns what is to be done, in order. The actions hold until the next call. What
@@ -311,17 +311,17 @@
 		b.request(e)
 	case Retry:
 		b.retry(e)
-	case Retune:
+	case ClassUpdate:
 		b.retune(e)
-	case Written:
+	case BodySent:
 		b.written(e)
 	case Outcome:
 		b.outcome(e)
-	case Streaming:
+	case ResponseStarted:
 		if r := b.requests[e.Request]; r != nil {
 			b.close(r)
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		if r := b.requests[e.Request]; r != nil {
 			b.close(r)
 		}
@@ -345,22 +345,22 @@
 	return out
 }
 
-// Picture is what a Balancer believes of the fleet and of its requests.
-type Picture struct {
-	Use      float64 // of the servers, as they report it
-	Late     float64 // mean time taken over aim
-	Waiting  float64 // the same by what is in flight
-	Shed     float64 // share of requests of mean worth that is refused
-	Drawn    int     // servers of the view
-	Cold     int     // of the list
-	Ejected  int
-	Requests float64 // a second that it was served at best of late
+// Stats is what a Balancer believes of the fleet and of its requests.
+type Stats struct {
+	Utilization          float64 // of the servers, as they report it
+	LatencyRatio         float64 // mean time taken over aim
+	InFlightLatencyRatio float64 // the same by what is in flight
+	ShedRatio            float64 // share of requests of mean worth that is refused
+	SubsetSize           int     // servers of the view
+	WarmingUp            int     // of the list
+	Ejected              int
+	PeakServedRate       float64 // a second that it was served at best of late
 }
 
-// Picture returns what the Balancer believes just now.
-func (b *Balancer) Picture() Picture {
-	return Picture{Use: b.busy, Late: b.late, Waiting: b.waiting, Shed: b.shed, Drawn: b.edge, Cold: len(b.young), Ejected: len(b.ill),
-		Requests: b.usually}
+// Stats returns what the Balancer believes just now.
+func (b *Balancer) Stats() Stats {
+	return Stats{Utilization: b.busy, LatencyRatio: b.late, InFlightLatencyRatio: b.waiting, ShedRatio: b.shed, SubsetSize: b.edge, WarmingUp: len(b.young), Ejected: len(b.ill),
+		PeakServedRate: b.usually}
 }
 
 // Ejected are the ids of servers that the balancer keeps out as ill.
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -30,7 +30,7 @@
 						to = a.Server
 					}
 				}
-				h.Handle(at, Outcome{Request: "r", Server: to, Result: OK, Took: 20 * time.Millisecond, Closed: true,
+				h.Handle(at, Outcome{Request: "r", Server: to, Result: OK, Latency: 20 * time.Millisecond, RequestClosed: true,
 					Report: report(0.5, 50)})
 			}
 		})
@@ -40,7 +40,7 @@
 // fleetOf is a balancer of two, so that its subset is the whole fleet, and a list for it.
 func fleetOf(tb testing.TB, n int) (*Balancer, []Server) {
 	set := testSettings()
-	set.WarmKeys, set.ListWeights = true, true
+	set.KeyAffinity, set.UseListWeights = true, true
 	h, err := New(set, 1)
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/balancer/check_test.go
+++ b/internal/balancer/check_test.go
@@ -68,7 +68,7 @@
 func (w *world) act(actions []Action) {
 	for _, a := range slices.Clone(actions) {
 		r := w.requests[a.Request]
-		if r == nil && (a.Kind == Send || a.Kind == Cancel || a.Kind == Refuse || a.Kind == Fail) {
+		if r == nil && (a.Kind == Send || a.Kind == Cancel || a.Kind == Reject || a.Kind == Fail) {
 			w.fault("action for the unknown request %q", a.Request)
 			continue
 		}
@@ -79,7 +79,7 @@
 			w.send(r, a)
 		case Cancel:
 			w.cancel(r, a)
-		case Refuse:
+		case Reject:
 			w.refusals++
 			w.refuse(r)
 			w.end(r)
@@ -120,24 +120,24 @@
 			first = p
 		}
 		switch {
-		case c.Effect == Unsafe:
+		case c.Effect == NonIdempotent:
 			w.fault("an unsafe request is repeated")
-		case c.Effect == Keyed && c.Group == GroupZone && p.zone != s.Zone,
-			c.Effect == Keyed && c.Group == GroupCell && p.cell != s.Cell:
+		case c.Effect == IdempotentByKey && c.DedupScope == DedupZone && p.zone != s.Zone,
+			c.Effect == IdempotentByKey && c.DedupScope == DedupCell && p.cell != s.Cell:
 			w.fault("a keyed request leaves its group")
 		}
 	}
-	if c.Effect == Keyed && first != nil && w.now-first.at >= c.Window {
+	if c.Effect == IdempotentByKey && first != nil && w.now-first.at >= c.DedupWindow {
 		w.fault("a keyed request is repeated after its window")
 	}
-	if out > 1 || out == 1 && !w.set.ParallelCopies {
+	if out > 1 || out == 1 && !w.set.AllowHedging {
 		w.fault("%d attempts in flight already", out)
 	}
 	// Outcomes come soon, late or never until the deadline, and are of every kind.
 	results := []Result{OK, OK, OK, OK, OK, Failed, Rejected, TimedOut, ConnectFailed, Reset}
 	p := worldAttempt{server: s, zone: s.Zone, cell: s.Cell, at: w.now, out: true,
 		result: results[w.rng.IntN(len(results))]}
-	p.ends = w.now + time.Duration(w.rng.ExpFloat64()*float64(c.Aim)/3) + time.Millisecond
+	p.ends = w.now + time.Duration(w.rng.ExpFloat64()*float64(c.LatencyObjective)/3) + time.Millisecond
 	if p.ends > r.Deadline {
 		p.ends, p.result = r.Deadline, TimedOut
 	}
@@ -157,7 +157,7 @@
 func (w *world) refuse(r *worldRequest) {
 	c := w.set.Classes[r.Class]
 	for _, p := range r.sent {
-		if !p.unrun && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+		if !p.unrun && (c.Effect == NonIdempotent || c.Effect == IdempotentByKey && c.DedupScope != DedupFleet) {
 			w.fault("a request that may have run is refused")
 			return
 		}
@@ -202,7 +202,7 @@
 					p.out, p.unrun = false, p.result.unrunInTests()
 					r.closed = r.closed || p.result == OK
 					return Outcome{Request: id, Attempt: i, Server: p.server.ID, Result: p.result,
-						Took: w.now - p.at, Closed: r.closed, Report: w.report()}
+						Latency: w.now - p.at, RequestClosed: r.closed, Report: w.report()}
 				})
 			}
 			waiting = waiting || p.out
@@ -210,7 +210,7 @@
 		if !r.closed && w.rng.Float64() < 0.001 {
 			events = append(events, func() Event {
 				r.closed = true
-				return ClientGone{id}
+				return ClientDisconnected{id}
 			})
 		}
 		if !r.closed && w.now > r.Deadline+2*w.set.Tick {
@@ -244,7 +244,7 @@
 		return NoReport
 	}
 	r := NoReport
-	r.Util, r.Rate = w.rng.Float64(), 100*w.rng.Float64()
+	r.Utilization, r.ServedRate = w.rng.Float64(), 100*w.rng.Float64()
 	return r
 }
 
@@ -269,8 +269,8 @@
 		}
 		for _, id := range w.ids {
 			s := w.servers[id]
-			if s.State == Gone || all.Full && w.rng.Float64() < 0.05 { // left out of a full list is gone
-				s.State, s.downAt = Gone, w.now
+			if s.State == Removed || all.Full && w.rng.Float64() < 0.05 { // left out of a full list is gone
+				s.State, s.downAt = Removed, w.now
 				continue
 			}
 			all.Servers = append(all.Servers, s.Server)
@@ -278,7 +278,7 @@
 		return all
 	}
 	s := w.servers[w.ids[w.rng.IntN(len(w.ids))]]
-	s.State = []State{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]
+	s.State = []State{Ready, Ready, Draining, Removed}[w.rng.IntN(4)]
 	switch {
 	case s.State == Ready:
 		s.Started, s.downAt = w.now, 0
@@ -330,14 +330,14 @@
 
 // settings draws settings of every sort.
 func randomSettings(rng *rand.Rand) Settings {
-	set := Settings{Balancers: []int{1, 2, 5, 200}[rng.IntN(4)], Me: rng.IntN(200), Tick: 5 * time.Millisecond, Zone: rng.IntN(2),
-		CrossZonePrice: 0.1 * float64(rng.IntN(2)), ListWeights: rng.IntN(2) == 0, Subscribe: rng.IntN(2) == 0,
-		WarmKeys: rng.IntN(2) == 0, MaxAttempts: 1 + rng.IntN(5), ParallelCopies: rng.IntN(2) == 0,
-		ColdFrom: 0.3, ColdFor: 5 * time.Second, MaxRetryAfter: time.Second}
+	set := Settings{Balancers: []int{1, 2, 5, 200}[rng.IntN(4)], Index: rng.IntN(200), Tick: 5 * time.Millisecond, Zone: rng.IntN(2),
+		CrossZoneCost: 0.1 * float64(rng.IntN(2)), UseListWeights: rng.IntN(2) == 0, Subscribe: rng.IntN(2) == 0,
+		KeyAffinity: rng.IntN(2) == 0, MaxAttempts: 1 + rng.IntN(5), AllowHedging: rng.IntN(2) == 0,
+		SlowStartInitialRatio: 0.3, SlowStartDuration: 5 * time.Second, MaxRetryAfter: time.Second}
 	for i := range 1 + rng.IntN(3) {
 		aim := time.Duration(100+rng.IntN(900)) * time.Millisecond
 		set.Classes = append(set.Classes, Class{Name: fmt.Sprint("c", i), Effect: Effect(rng.IntN(3)),
-			Group: Group(rng.IntN(3)), Window: aim, Aim: aim, Deadline: 3 * aim, Worth: 1 + 9*rng.Float64()})
+			DedupScope: DedupScope(rng.IntN(3)), DedupWindow: aim, LatencyObjective: aim, Deadline: 3 * aim, Priority: 1 + 9*rng.Float64()})
 	}
 	return set
 }
@@ -383,14 +383,14 @@
 		"no final answer": func(*world) tamper {
 			return func(_ *Balancer, a []Action) []Action {
 				return slices.DeleteFunc(slices.Clone(a), func(a Action) bool {
-					return a.Kind == Fail || a.Kind == Refuse
+					return a.Kind == Fail || a.Kind == Reject
 				})
 			}
 		},
 		"a second final answer": func(*world) tamper {
 			return func(_ *Balancer, a []Action) []Action {
 				for _, x := range a {
-					if x.Kind == Fail || x.Kind == Refuse {
+					if x.Kind == Fail || x.Kind == Reject {
 						return append(slices.Clone(a), x)
 					}
 				}
@@ -414,7 +414,7 @@
 			return func(_ *Balancer, a []Action) []Action {
 				a = slices.Clone(a)
 				for i := range a { // sends again instead of ending
-					if (a[i].Kind == Fail || a[i].Kind == Refuse) && len(w.requests[a[i].Request].sent) > 0 {
+					if (a[i].Kind == Fail || a[i].Kind == Reject) && len(w.requests[a[i].Request].sent) > 0 {
 						a[i] = Action{Kind: Send, Request: a[i].Request, Server: w.ids[0]}
 					}
 				}
@@ -426,7 +426,7 @@
 				a = slices.Clone(a)
 				for i := range a {
 					if a[i].Kind == Fail {
-						a[i].Kind = Refuse
+						a[i].Kind = Reject
 					}
 				}
 				return a
@@ -446,9 +446,9 @@
 	for name, plant := range plants {
 		w := newWorld(Settings{}, 5)
 		w.set = randomSettings(rand.New(rand.NewPCG(2, 1)))
-		w.set.ParallelCopies, w.set.MaxAttempts = false, 3
-		w.set.Classes = []Class{{Effect: Unsafe, Aim: 200e6, Deadline: 600e6, Worth: 1},
-			{Effect: Keyed, Group: GroupCell, Window: 200e6, Aim: 200e6, Deadline: 600e6, Worth: 1}}
+		w.set.AllowHedging, w.set.MaxAttempts = false, 3
+		w.set.Classes = []Class{{Effect: NonIdempotent, LatencyObjective: 200e6, Deadline: 600e6, Priority: 1},
+			{Effect: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 200e6, LatencyObjective: 200e6, Deadline: 600e6, Priority: 1}}
 		w.run(t, 3000, 0.5, plant(w))
 		if !slices.ContainsFunc(w.faults, func(f string) bool { return strings.Contains(f, name) }) {
 			t.Errorf("a planted violation goes unseen: %s; seen: %d faults", name, len(w.faults))
--- a/internal/balancer/cold_fleet_test.go
+++ b/internal/balancer/cold_fleet_test.go
@@ -47,7 +47,7 @@
 // begin starts the balancer of that number, which knows of nothing before.
 func (f *coldFleet) begin(t *testing.T, me int) {
 	set := f.set
-	set.Me = me
+	set.Index = me
 	b, err := New(set, f.rng.Uint64())
 	if err != nil {
 		t.Fatal(err)
@@ -83,19 +83,19 @@
 	}
 	took := time.Duration((0.5 + f.rng.Float64()) * cores / able * float64(time.Second))
 	r := NoReport
-	r.Util = 0.3 + 0.4*f.rng.Float64()
-	r.Rate = r.Util * able
-	o := Outcome{Request: a.Request, Server: a.Server, Result: OK, Took: took, Closed: true, Report: r,
+	r.Utilization = 0.3 + 0.4*f.rng.Float64()
+	r.ServedRate = r.Utilization * able
+	o := Outcome{Request: a.Request, Server: a.Server, Result: OK, Latency: took, RequestClosed: true, Report: r,
 		Attempt: len(b.requests[a.Request].attempts) - 1}
 	if f.rng.Float64() < f.fails {
-		o.Result, o.Closed = Failed, false
+		o.Result, o.RequestClosed = Failed, false
 	}
 	heap.Push(&f.due, happening{f.now + took, b, o})
 }
 
 // share is what a server can do so long after its start, of what it can when it is warm.
 func (f *coldFleet) share(age time.Duration) float64 {
-	return min(1, f.set.ColdFrom+(1-f.set.ColdFrom)*float64(age)/float64(f.set.ColdFor))
+	return min(1, f.set.SlowStartInitialRatio+(1-f.set.SlowStartInitialRatio)*float64(age)/float64(f.set.SlowStartDuration))
 }
 
 // run passes time, in which the fleet is asked so many times what it can do when warm. Clients are of unlike size.
@@ -128,7 +128,7 @@
 	for len(f.due) > 0 && f.due[0].at <= at {
 		h := heap.Pop(&f.due).(happening)
 		f.now = h.at
-		if f.all[h.of.set.Me] != h.of {
+		if f.all[h.of.set.Index] != h.of {
 			continue
 		}
 		f.act(h.of, h.of.Handle(f.now, h.ev))
@@ -146,7 +146,7 @@
 			from++
 		}
 		age := max(0, at-window-started) // the window's beginning, when they could do least
-		n := f.set.Overload * f.share(age) * f.capacity * window.Seconds() * servers
+		n := f.set.WarmingOverloadRatio * f.share(age) * f.capacity * window.Seconds() * servers
 		if over := float64(i-from+1) - (n + 2*math.Sqrt(n) + 2); over > worst {
 			worst, of, budget = over, i-from+1, n
 		}
@@ -165,8 +165,8 @@
 	between := func(from, to float64) float64 { return from + (to-from)*rng.Float64() }
 	f := &coldFleet{now: time.Minute, sent: map[string][]time.Duration{}, rng: rng, capacity: between(6, 30), fails: between(0, 0.2),
 		set: Settings{Balancers: 1 + rng.IntN(balancers), Tick: 5 * time.Millisecond, MaxAttempts: 4,
-			ParallelCopies: rng.IntN(2) == 0, ColdFrom: between(0.3, 0.6), ColdFor: time.Duration(between(3, 9) * float64(time.Second)), Overload: 3,
-			Classes: []Class{{Name: "check", Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}}}}
+			AllowHedging: rng.IntN(2) == 0, SlowStartInitialRatio: between(0.3, 0.6), SlowStartDuration: time.Duration(between(3, 9) * float64(time.Second)), WarmingOverloadRatio: 3,
+			Classes: []Class{{Name: "check", LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1}}}}
 	f.all = make([]*Balancer, f.set.Balancers)
 	servers := 6 + rng.IntN(35)
 	cold = servers/2 + rng.IntN(servers*4/10)
@@ -183,7 +183,7 @@
 	started := f.now
 	var change []Server
 	for i := range cold {
-		change = append(change, Server{ID: f.list[i].ID, State: Gone})
+		change = append(change, Server{ID: f.list[i].ID, State: Removed})
 		f.list[i].ID, f.list[i].Started = fmt.Sprint("new", i), started
 		change = append(change, f.list[i])
 		f.sent[f.list[i].ID] = nil
@@ -209,7 +209,7 @@
 	return over, cold, float64(of) / n
 }
 
-// Cold servers stand under the sum of what all balancers send them, whoever these are: one or many, just started or long in service,
+// WarmingUp servers stand under the sum of what all balancers send them, whoever these are: one or many, just started or long in service,
 // quiet and busy ones mixed, also where attempts fail and go out again and second copies are made, as long as clients ask for no more than
 // what the fleet can do when it is warm. Together they get no more than nine tenths of what they may; a single one gets more than its own
 // part and what is put down to chance in one of five hundred cases at the most.
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -21,8 +21,8 @@
 		var sum float64
 		n := min(tt.balancers, balancers)
 		for i := range n {
-			set := Settings{Balancers: tt.balancers, Me: i * tt.balancers / n, Tick: 5 * time.Millisecond, MaxAttempts: 3, ColdFrom: 0.32, ColdFor: 10 * time.Second,
-				Overload: 3, WarmKeys: true, Classes: []Class{{Name: "check", Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}}}
+			set := Settings{Balancers: tt.balancers, Index: i * tt.balancers / n, Tick: 5 * time.Millisecond, MaxAttempts: 3, SlowStartInitialRatio: 0.32, SlowStartDuration: 10 * time.Second,
+				WarmingOverloadRatio: 3, KeyAffinity: true, Classes: []Class{{Name: "check", LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1}}}
 			b, err := New(set, 7+uint64(i))
 			if err != nil {
 				t.Fatal(err)
@@ -35,14 +35,14 @@
 				for _, a := range b.Handle(now, Request{ID: id, Key: id, Deadline: now + time.Second}) {
 					if a.Kind == Send {
 						sent++
-						b.Handle(now, Outcome{Request: id, Server: a.Server, Result: OK, Took: 50 * time.Millisecond, Report: NoReport})
+						b.Handle(now, Outcome{Request: id, Server: a.Server, Result: OK, Latency: 50 * time.Millisecond, Report: NoReport})
 					}
 				}
 			}
 			share := float64(sent) / requests
 			sum += share / float64(n)
 			if share < 0.7*want || share > 2*want {
-				t.Errorf("%d servers, %d balancers: number %d sends %.3f of the requests, want about %.2f", tt.servers, tt.balancers, set.Me, share, want)
+				t.Errorf("%d servers, %d balancers: number %d sends %.3f of the requests, want about %.2f", tt.servers, tt.balancers, set.Index, share, want)
 			}
 		}
 		if sum < 0.43 || sum > 0.53 {
@@ -66,8 +66,8 @@
 	}
 	got := map[string]int{}
 	for me := range balancers {
-		b, err := New(Settings{Balancers: balancers, Me: me, Tick: 5 * time.Millisecond, MaxAttempts: 3, ColdFrom: coldFrom, ColdFor: 10 * time.Second,
-			Overload: 3, Classes: []Class{{Name: "check", Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}}}, uint64(me))
+		b, err := New(Settings{Balancers: balancers, Index: me, Tick: 5 * time.Millisecond, MaxAttempts: 3, SlowStartInitialRatio: coldFrom, SlowStartDuration: 10 * time.Second,
+			WarmingOverloadRatio: 3, Classes: []Class{{Name: "check", LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second, Priority: 1}}}, uint64(me))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,10 +78,10 @@
 			for _, a := range b.Handle(now, Request{ID: id, Deadline: now + time.Second}) {
 				if a.Kind == Send {
 					got[a.Server]++
-					if a.Cold != (b.byID[a.Server].Started > 0) {
-						t.Fatalf("a send to %+v is said to be cold: %v", b.byID[a.Server].Server, a.Cold)
+					if a.WarmingUp != (b.byID[a.Server].Started > 0) {
+						t.Fatalf("a send to %+v is said to be cold: %v", b.byID[a.Server].Server, a.WarmingUp)
 					}
-					b.Handle(now, Outcome{Request: id, Server: a.Server, Result: OK, Took: 50 * time.Millisecond, Report: NoReport})
+					b.Handle(now, Outcome{Request: id, Server: a.Server, Result: OK, Latency: 50 * time.Millisecond, Report: NoReport})
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 	for _, step := range []struct {
 		at    time.Duration
 		share float64
-	}{{h.at, h.set.ColdFrom}, {started, h.set.ColdFrom}, {started + h.set.ColdFor/2, (1 + h.set.ColdFrom) / 2}, {started + h.set.ColdFor, 1}} {
+	}{{h.at, h.set.SlowStartInitialRatio}, {started, h.set.SlowStartInitialRatio}, {started + h.set.SlowStartDuration/2, (1 + h.set.SlowStartInitialRatio) / 2}, {started + h.set.SlowStartDuration, 1}} {
 		if h.now = step.at; math.Abs(s.coldShare(h.Balancer)-step.share) > 1e-9 {
 			t.Errorf("%v after its start its share is %v, want %v", step.at-started, s.coldShare(h.Balancer), step.share)
 		}
@@ -131,7 +131,7 @@
 	views, reckoned, held := map[string]float64{}, map[string]float64{}, 0.0
 	for me := range balancers {
 		set := testSettings()
-		set.Balancers, set.Me, set.Overload = balancers, me, 3
+		set.Balancers, set.Index, set.WarmingOverloadRatio = balancers, me, 3
 		b, err := New(set, uint64(me))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -148,10 +148,10 @@
 	// The actions hold until the next call: what follows from them is put into the queue, none is handled in here.
 	for _, a := range actions {
 		l := x.line[:0]
-		for _, n := range []int64{int64(x.at), int64(a.Kind), int64(a.Attempt), int64(a.Why), int64(a.After), int64(a.Token)} {
+		for _, n := range []int64{int64(x.at), int64(a.Kind), int64(a.Attempt), int64(a.Reason), int64(a.After), int64(a.Token)} {
 			l = append(strconv.AppendInt(l, n, 10), ' ')
 		}
-		l = strconv.AppendBool(l, a.Cold)
+		l = strconv.AppendBool(l, a.WarmingUp)
 		l = strconv.AppendQuote(l, a.Request)
 		l = strconv.AppendQuote(l, a.Server)
 		l = strconv.AppendQuote(l, string(a.Data))
@@ -161,9 +161,9 @@
 		x.counts["action "+traceKinds[a.Kind]]++
 		switch a.Kind {
 		case balancer.Send:
-			x.sent(a.Request, a.Server, a.After, a.Cold)
-		case balancer.Refuse, balancer.Fail:
-			x.counts[traceKinds[a.Kind]+" for "+traceReasons[a.Why]]++
+			x.sent(a.Request, a.Server, a.After, a.WarmingUp)
+		case balancer.Reject, balancer.Fail:
+			x.counts[traceKinds[a.Kind]+" for "+traceReasons[a.Reason]]++
 			x.final(a.Request, a.Kind == balancer.Fail, a.After)
 		case balancer.SetTimer:
 			token := a.Token
@@ -185,7 +185,7 @@
 			}
 		}
 		x.ejected = now
-		if p := x.b.Picture(); p.Shed > 0 {
+		if p := x.b.Stats(); p.ShedRatio > 0 {
 			x.counts["looks that saw shedding"]++
 		}
 	}
@@ -196,11 +196,11 @@
 
 // mark adds what the balancer believes to the hash and keeps the hash so far.
 func (x *trace) mark() {
-	p := x.b.Picture()
-	for _, f := range []float64{p.Use, p.Late, p.Waiting, p.Shed, p.Requests} {
+	p := x.b.Stats()
+	for _, f := range []float64{p.Utilization, p.LatencyRatio, p.InFlightLatencyRatio, p.ShedRatio, p.PeakServedRate} {
 		fmt.Fprintf(x.digest, "%016x ", math.Float64bits(f))
 	}
-	fmt.Fprintf(x.digest, "%d %d %d\n", p.Drawn, p.Cold, p.Ejected)
+	fmt.Fprintf(x.digest, "%d %d %d\n", p.SubsetSize, p.WarmingUp, p.Ejected)
 	out := x.b.InFlight()
 	for _, id := range sortedKeys(out) {
 		fmt.Fprintf(x.digest, "%q %d\n", id, out[id])
@@ -227,9 +227,9 @@
 	if x.at >= s.tellAt {
 		copy(s.told[1:], s.told[:3])
 		r := balancer.NoReport
-		r.Util = min(1, x.load(s))
-		r.Rate = r.Util * s.slots / s.base.Seconds()
-		r.Errors, r.InFlight, r.Queue = 0, s.own, max(0, s.own-s.slots)
+		r.Utilization = min(1, x.load(s))
+		r.ServedRate = r.Utilization * s.slots / s.base.Seconds()
+		r.ErrorRate, r.InFlight, r.QueueLength = 0, s.own, max(0, s.own-s.slots)
 		s.told[0], s.tellAt = r, x.at+50*time.Millisecond
 	}
 	switch n := x.rnd.below(20); {
@@ -237,7 +237,7 @@
 		return balancer.NoReport
 	case n == 1:
 		r := s.told[0]
-		r.Util = math.NaN()
+		r.Utilization = math.NaN()
 		return r
 	case n < 6: // an old one
 		return s.told[n-2]
@@ -293,14 +293,14 @@
 	if limit == 0 {
 		limit = r.ev.Deadline - x.at
 	}
-	if r.ev.Uploads {
+	if r.ev.StreamsBody {
 		written := x.rnd.millis(10, 150)
 		if x.rnd.chance(0.8) {
 			x.after(written, func() {
 				if a.out && !r.closed {
 					r.ev.Deadline = x.at + time.Second
 					x.counts["uploads written"]++
-					x.handle(balancer.Written{Request: id, Attempt: n, Deadline: r.ev.Deadline})
+					x.handle(balancer.BodySent{Request: id, Attempt: n, Deadline: r.ev.Deadline})
 				}
 			})
 		}
@@ -314,12 +314,12 @@
 			if a.out && !r.closed {
 				r.closed = true
 				x.counts["streamed answers"]++
-				x.handle(balancer.Streaming{Request: id, Attempt: n})
+				x.handle(balancer.ResponseStarted{Request: id, Attempt: n})
 			}
 		})
 	}
 	x.after(took, func() { x.end(r, n, result) })
-	if s.entry.State == balancer.Gone && x.rnd.chance(0.5) {
+	if s.entry.State == balancer.Removed && x.rnd.chance(0.5) {
 		x.after(took/3, func() { x.end(r, n, balancer.Reset) })
 	}
 }
@@ -344,16 +344,16 @@
 	}
 	served := result == balancer.OK && !r.closed
 	r.closed = r.closed || served
-	x.handle(balancer.Outcome{Request: r.ev.ID, Attempt: n, Server: a.srv.entry.ID, Result: result, Took: x.at - a.sent,
-		Closed: r.closed, Report: rep})
+	x.handle(balancer.Outcome{Request: r.ev.ID, Attempt: n, Server: a.srv.entry.ID, Result: result, Latency: x.at - a.sent,
+		RequestClosed: r.closed, Report: rep})
 	if served {
 		x.withdraw(r)
 	}
-	if r.ev.OnDemand && !r.closed {
+	if r.ev.ManualRetry && !r.closed {
 		switch y := x.rnd.below(10); {
 		case y < 7:
 			x.counts["attempts asked for"]++
-			x.handle(balancer.Retry{Request: r.ev.ID, Among: x.among(0.5)})
+			x.handle(balancer.Retry{Request: r.ev.ID, AllowedServers: x.among(0.5)})
 		case y < 9:
 			x.gone(r)
 		}
@@ -375,7 +375,7 @@
 	}
 	r.closed = true
 	x.counts["clients gone"]++
-	x.handle(balancer.ClientGone{Request: r.ev.ID})
+	x.handle(balancer.ClientDisconnected{Request: r.ev.ID})
 	x.withdraw(r)
 }
 
@@ -389,9 +389,9 @@
 	}
 	again := r.ev
 	x.after(after+x.rnd.millis(1, 60), func() {
-		again.Again = true
+		again.IsClientRetry = true
 		if r.mayRun != nil {
-			again.Before = balancer.Before{May: true, Since: r.mayRun.sent, Zone: r.mayRun.srv.entry.Zone, Cell: r.mayRun.srv.entry.Cell}
+			again.Earlier = balancer.EarlierAttempt{MayHaveRun: true, SentAt: r.mayRun.sent, Zone: r.mayRun.srv.entry.Zone, Cell: r.mayRun.srv.entry.Cell}
 		}
 		x.counts["clients come again"]++
 		x.ask(again, r.tries+1)
@@ -415,7 +415,7 @@
 	x.ids++
 	e.ID = "r" + strconv.Itoa(x.ids)
 	e.Deadline = x.at + x.rnd.millis(300, 1500)
-	e.Was = x.at-x.retuned < 200*time.Millisecond && e.Class < 4 && x.rnd.chance(0.5)
+	e.UsesPreviousClasses = x.at-x.retuned < 200*time.Millisecond && e.Class < 4 && x.rnd.chance(0.5)
 	r := &traceRequest{ev: e, tries: tries}
 	x.requests[e.ID] = r
 	x.handle(e)
@@ -432,17 +432,17 @@
 	if x.rnd.chance(0.6) {
 		e.Key = "k" + strconv.Itoa(x.rnd.below(200))
 	}
-	e.OnDemand = x.rnd.chance(0.2)
-	e.Among = x.among(0.04)
-	e.Uploads = x.rnd.chance(0.05)
+	e.ManualRetry = x.rnd.chance(0.2)
+	e.AllowedServers = x.among(0.04)
+	e.StreamsBody = x.rnd.chance(0.05)
 	if x.rnd.chance(0.1) {
-		e.Attempts = x.rnd.between(1, 2)
+		e.MaxAttempts = x.rnd.between(1, 2)
 	}
 	x.ask(e, 0)
 	if x.rnd.chance(0.01) { // the same once more, and a class that is not known, which are passed over
 		x.handle(x.requests["r"+strconv.Itoa(x.ids)].ev)
 		x.handle(balancer.Request{ID: "no class", Class: 99})
-		x.handle(balancer.Probed{Server: x.servers[0].entry.ID, Report: balancer.NoReport})
+		x.handle(balancer.HealthCheckResult{Server: x.servers[0].entry.ID, Report: balancer.NoReport})
 		x.handle(balancer.PeerMessage{From: 1})
 	}
 	pause := float64(time.Second) / float64(x.perSecond) * 2 * x.rnd.share()
@@ -468,7 +468,7 @@
 }
 
 func (x *trace) whole(drop float64) balancer.ServerList {
-	l := balancer.ServerList{Full: true, Drop: drop}
+	l := balancer.ServerList{Full: true, DropRatio: drop}
 	for _, s := range x.servers {
 		l.Servers = append(l.Servers, s.entry)
 	}
@@ -493,7 +493,7 @@
 	}
 	l := balancer.ServerList{}
 	if x.rnd.chance(0.1) {
-		l.Drop = 0.2
+		l.DropRatio = 0.2
 	}
 	for range n {
 		s := x.servers[x.rnd.below(len(x.servers))]
@@ -506,7 +506,7 @@
 				break
 			}
 			x.counts["removals"]++
-			s.entry.State = balancer.Gone
+			s.entry.State = balancer.Removed
 			x.servers = slices.DeleteFunc(x.servers, func(o *traceServer) bool { return o == s })
 		case 2, 3:
 			s.entry.Started, s.mode, s.entry.State = x.at, traceWell, balancer.Ready
@@ -527,18 +527,18 @@
 			}
 			if x.rnd.chance(0.1) {
 				l.Servers = append(l.Servers, s.entry) // named and taken back in one change
-				s.entry.State = balancer.Gone
+				s.entry.State = balancer.Removed
 				x.servers = x.servers[:len(x.servers)-1]
 			}
 			x.counts["new servers"]++
 		}
 		l.Servers = append(l.Servers, s.entry)
 		if x.rnd.chance(0.05) {
-			l.Servers = append(l.Servers, s.entry, balancer.Server{ID: "never seen", State: balancer.Gone})
+			l.Servers = append(l.Servers, s.entry, balancer.Server{ID: "never seen", State: balancer.Removed})
 		}
 	}
 	if x.rnd.chance(0.1) {
-		l = x.whole(l.Drop)
+		l = x.whole(l.DropRatio)
 	}
 	x.handle(l)
 	if x.lasting {
@@ -598,29 +598,29 @@
 	next := slices.Clone(x.classes)
 	switch round {
 	case 0:
-		next[1].Effect, next[2].Dropped = balancer.Unsafe, true
-		next = append(next, balancer.Class{Name: "new", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 300e6, Aim: 250e6, Deadline: 1e9, Worth: 4})
+		next[1].Effect, next[2].Retired = balancer.NonIdempotent, true
+		next = append(next, balancer.Class{Name: "new", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupZone, DedupWindow: 300e6, LatencyObjective: 250e6, Deadline: 1e9, Priority: 4})
 	default:
-		next[1].Effect, next[2].Dropped, next[0].Worth = balancer.Safe, false, 3
+		next[1].Effect, next[2].Retired, next[0].Priority = balancer.Idempotent, false, 3
 	}
 	x.retuned, x.classes = x.at, next
 	x.counts["changes of classes"]++
-	x.handle(balancer.Retune{Classes: next, MaxAttempts: 4 - round, ParallelCopies: x.copies})
+	x.handle(balancer.ClassUpdate{Classes: next, MaxAttempts: 4 - round, AllowHedging: x.copies})
 }
 
 func (x *trace) run(t *testing.T) string {
 	x.classes = []balancer.Class{
-		{Name: "a", Effect: balancer.Safe, Aim: 300e6, Deadline: 1500e6, Worth: 1},
-		{Name: "b", Effect: balancer.Safe, Aim: 400e6, Deadline: 2e9, Worth: 5},
-		{Name: "c", Effect: balancer.Unsafe, Aim: 300e6, Deadline: 2e9, Worth: 10},
-		{Name: "d", Effect: balancer.Keyed, Group: balancer.GroupAll, Window: 500e6, Aim: 300e6, Deadline: 2e9, Worth: 3},
-		{Name: "e", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 900e6, Aim: 300e6, Deadline: 2e9, Worth: 3},
-		{Name: "f", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 900e6, Aim: 300e6, Deadline: 2e9, Worth: 2}}
-	set := balancer.Settings{Balancers: x.balancers, Me: x.seed, Tick: 5 * time.Millisecond, Classes: x.classes, Zone: 1, CrossZonePrice: 0.02,
-		ListWeights: x.weights, Subscribe: true, WarmKeys: x.warmKeys, MaxAttempts: 3, ParallelCopies: x.copies, MaxRetryAfter: 100 * time.Millisecond,
-		ColdFrom: 0.2, ColdFor: 3 * time.Second, Shares: []float64{0.2, 0.3, 0.5}, OverShareWorth: 0.3}
+		{Name: "a", Effect: balancer.Idempotent, LatencyObjective: 300e6, Deadline: 1500e6, Priority: 1},
+		{Name: "b", Effect: balancer.Idempotent, LatencyObjective: 400e6, Deadline: 2e9, Priority: 5},
+		{Name: "c", Effect: balancer.NonIdempotent, LatencyObjective: 300e6, Deadline: 2e9, Priority: 10},
+		{Name: "d", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupFleet, DedupWindow: 500e6, LatencyObjective: 300e6, Deadline: 2e9, Priority: 3},
+		{Name: "e", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupZone, DedupWindow: 900e6, LatencyObjective: 300e6, Deadline: 2e9, Priority: 3},
+		{Name: "f", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: 900e6, LatencyObjective: 300e6, Deadline: 2e9, Priority: 2}}
+	set := balancer.Settings{Balancers: x.balancers, Index: x.seed, Tick: 5 * time.Millisecond, Classes: x.classes, Zone: 1, CrossZoneCost: 0.02,
+		UseListWeights: x.weights, Subscribe: true, KeyAffinity: x.warmKeys, MaxAttempts: 3, AllowHedging: x.copies, MaxRetryAfter: 100 * time.Millisecond,
+		SlowStartInitialRatio: 0.2, SlowStartDuration: 3 * time.Second, Quotas: []float64{0.2, 0.3, 0.5}, OverQuotaPriorityRatio: 0.3}
 	if x.overload {
-		set.Overload, set.MustAskIn = 3, 2*time.Second
+		set.WarmingOverloadRatio, set.MaxPollInterval = 3, 2*time.Second
 	}
 	b, err := balancer.New(set, uint64(x.seed))
 	if err != nil {
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -11,7 +11,7 @@
 	b, err := balancer.New(balancer.Settings{
 		Balancers:   1,
 		MaxAttempts: 3,
-		Classes:     []balancer.Class{{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
+		Classes:     []balancer.Class{{Name: "read", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, Priority: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- a/internal/balancer/golden_texts_test.go
+++ b/internal/balancer/golden_texts_test.go
@@ -11,11 +11,11 @@
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
 	for i, r := range []Result{OK, Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent} {
-		out = fmt.Appendf(out, "result %d %d %s\n", i, r, Results[r])
+		out = fmt.Appendf(out, "result %d %d %s\n", i, r, ResultNames[r])
 	}
-	for i, r := range []Reason{Overload, Withheld, NoServer, NoBudget, Spent} {
-		out = fmt.Appendf(out, "reason %d %d %s\n", i, r, Reasons[r])
+	for i, r := range []Reason{ReasonLoadShed, ReasonListDrop, ReasonNoServer, ReasonRetryBudget, ReasonExhausted} {
+		out = fmt.Appendf(out, "reason %d %d %s\n", i, r, ReasonNames[r])
 	}
-	out = fmt.Appendf(out, "%d results, %d reasons\n", len(Results), len(Reasons))
+	out = fmt.Appendf(out, "%d results, %d reasons\n", len(ResultNames), len(ReasonNames))
 	golden.Equal(t, "texts/logic.txt", out)
 }
--- a/internal/balancer/herd_test.go
+++ b/internal/balancer/herd_test.go
@@ -46,7 +46,7 @@
 		}
 		for i := range of {
 			set := testSettings()
-			set.Subscribe, set.Balancers, set.Me, set.MustAskIn = true, balancers, i, 10*time.Second
+			set.Subscribe, set.Balancers, set.Index, set.MaxPollInterval = true, balancers, i, 10*time.Second
 			b, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/balancer/logic.go
+++ b/internal/balancer/logic.go
@@ -67,30 +67,30 @@
 
 // New returns a Balancer. Its random numbers follow from the seed alone.
 func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, 0)), byID: map[string]*server{},
 		requests: map[string]*request{}, timers: map[uint64]*request{}, token: firstToken,
-		asked: make([]float64, len(set.Shares)), budget: retrySaved,
-		mean: 1, warm: weighted.NewPool[*server](set.WarmKeys),
-		cold: weighted.NewPool[*server](false), race: weighted.NewRace()}
+		asked: make([]float64, len(set.Quotas)), budget: retrySaved,
+		mean: 1, warm: weighted.NewPool[*server](set.KeyAffinity),
+		cold: weighted.NewPool[*server](false), race: weighted.NewRendezvous()}
 	b.classes()
 	return b, nil
 }
 
 // classes follows from the classes in force.
 func (b *Balancer) classes() {
-	b.horizon, b.trialBy = 0, Unsafe
+	b.horizon, b.trialBy = 0, NonIdempotent
 	for i, c := range b.set.Classes {
 		if i == len(b.usual) {
-			b.usual = append(b.usual, float64(c.Aim)/4)
+			b.usual = append(b.usual, float64(c.LatencyObjective)/4)
 		}
-		if c.Dropped {
+		if c.Retired {
 			continue
 		}
-		b.horizon, b.trialBy = max(b.horizon, c.Aim), min(b.trialBy, c.Effect)
-		if c.Effect == Keyed && c.Group == GroupCell && b.cells == nil {
+		b.horizon, b.trialBy = max(b.horizon, c.LatencyObjective), min(b.trialBy, c.Effect)
+		if c.Effect == IdempotentByKey && c.DedupScope == DedupCell && b.cells == nil {
 			b.cells = map[int][]*server{}
 			for _, s := range b.servers {
 				b.moveCell(s, s.Cell, true)
@@ -99,9 +99,9 @@
 	}
 }
 
-func (b *Balancer) retune(e Retune) {
+func (b *Balancer) retune(e ClassUpdate) {
 	b.was, b.set.Classes = b.set.Classes, e.Classes
-	b.set.MaxAttempts, b.set.ParallelCopies = e.MaxAttempts, e.ParallelCopies
+	b.set.MaxAttempts, b.set.AllowHedging = e.MaxAttempts, e.AllowHedging
 	b.classes()
 }
 
@@ -129,7 +129,7 @@
 	default:
 		if r := b.timers[token]; r != nil {
 			delete(b.timers, token)
-			b.finish(r, Spent)
+			b.finish(r, ReasonExhausted)
 		}
 	}
 }
@@ -143,8 +143,8 @@
 	spread := max(1, float64(b.set.Balancers)/askedAtOnce)
 	wait := min(spread*math.Exp2(float64(b.tries)), max(math.Exp2(mostWaits), 2*spread))
 	wait *= float64(b.horizon)
-	if b.tries++; b.set.MustAskIn > 0 { // after four times that one is held to know what was listed
-		wait = min(wait, 2.5*float64(b.set.MustAskIn))
+	if b.tries++; b.set.MaxPollInterval > 0 { // after four times that one is held to know what was listed
+		wait = min(wait, 2.5*float64(b.set.MaxPollInterval))
 	}
 	b.timer(subscribeToken, time.Duration(wait*(0.5+b.rng.Float64())/2))
 }
@@ -153,7 +153,7 @@
 
 // report takes a server's word on its load: its rate over its utilisation is what it could do at most.
 func (b *Balancer) report(s *server, r Report) {
-	if !(r.Util >= 0) || !(r.Rate >= 0) || s.coldShare(b) < 1 { // no number is neither
+	if !(r.Utilization >= 0) || !(r.ServedRate >= 0) || s.coldShare(b) < 1 { // no number is neither
 		return
 	}
 	b.reports = true
@@ -161,9 +161,9 @@
 	if s.reported == 0 {
 		keep = 0
 	}
-	s.reported, s.busy = b.now, r.Util
-	s.done = keep*s.done + (1-keep)*r.Rate
-	s.util = keep*s.util + (1-keep)*r.Util
+	s.reported, s.busy = b.now, r.Utilization
+	s.done = keep*s.done + (1-keep)*r.ServedRate
+	s.util = keep*s.util + (1-keep)*r.Utilization
 	if s.util > utilFloor {
 		s.rate, s.trust, s.faded = s.done/s.util, min(1, s.util/utilSure), b.now
 	}
@@ -215,7 +215,7 @@
 // drawAll draws from the pools. It reports false where that finds no server that the request may go to: the
 // candidates are then to be listed one by one, as they are for requests that are bound to few servers.
 func (b *Balancer) drawAll(r *request, turn float64) bool {
-	if r.Among != nil || r.inCell() != nil {
+	if r.AllowedServers != nil || r.inCell() != nil {
 		return false
 	}
 	cold := b.coldTurn(b.view, turn)
@@ -236,7 +236,7 @@
 		}
 	}
 	if !cold && b.keyed(r) {
-		if s, ok := d.Home(b.race); ok && b.maySendAgain(r, s) {
+		if s, ok := d.Owner(b.race); ok && b.maySendAgain(r, s) {
 			b.warmest(s)
 		}
 	}
@@ -257,22 +257,22 @@
 		b.drawn[i] = b.drawFrom(from)
 	}
 	if !cold && b.keyed(r) {
-		b.warmest(weighted.Among(b.race, from, b.mean).Of)
+		b.warmest(weighted.OwnerAmong(b.race, from, b.mean).Value)
 	}
 	return true
 }
 
 // maySendAgain reports whether a server that may be drawn may be drawn for this request.
 func (b *Balancer) maySendAgain(r *request, s *server) bool {
-	return len(r.attempts) == 0 && !r.Before.May || !r.tried(s) && b.maySend(r, s)
+	return len(r.attempts) == 0 && !r.Earlier.MayHaveRun || !r.tried(s) && b.maySend(r, s)
 }
 
 // keyed starts the race for the request's key, if it has one that counts.
 func (b *Balancer) keyed(r *request) bool {
-	if !b.set.WarmKeys || r.Key == "" {
+	if !b.set.KeyAffinity || r.Key == "" {
 		return false
 	}
-	b.race.Start(r.Key)
+	b.race.SetKey(r.Key)
 	return true
 }
 
@@ -284,7 +284,7 @@
 // draw everything; in calm they would lose to any warm one with nothing in flight, and the few that a
 // release has left warm would get the work of all.
 //
-// Why the sum over all balancers topples none: views hold about the same capacity at present each (see
+// Reason the sum over all balancers topples none: views hold about the same capacity at present each (see
 // adjust), and a server that is in more of them counts for less (see crowded): it gets of all requests its
 // own capacity at present over that of the fleet, as from one balancer that sees all. Where the fleet is
 // asked for more than it can do just now, the most is coldMost of the multiple that topples it, times its
@@ -295,10 +295,10 @@
 // of what topples.
 func (b *Balancer) coldTurn(of view, turn float64) bool {
 	now, warm := of.cold.At(b.mean), of.warm.At(b.mean)
-	if !(b.set.Overload > 0) {
+	if !(b.set.WarmingOverloadRatio > 0) {
 		return turn < now/(now+warm)
 	}
-	most := b.set.Overload * coldMost * now / (warm + of.whole.At(b.mean))
+	most := b.set.WarmingOverloadRatio * coldMost * now / (warm + of.whole.At(b.mean))
 	return turn < min(most, now/(now+warm)) && b.mayWarm(most)
 }
 
@@ -319,9 +319,9 @@
 // weight is what a server counts for at present.
 func (b *Balancer) weight(s *server) float64 {
 	if s.pool == b.warm {
-		return s.Share.At(b.mean)
+		return s.DrawWeight.At(b.mean)
 	}
-	return s.Share.At(b.mean) * s.coldShare(b)
+	return s.DrawWeight.At(b.mean) * s.coldShare(b)
 }
 
 // lowest picks among the servers drawn.
@@ -359,15 +359,15 @@
 func (b *Balancer) drawFrom(from []*weighted.Member[*server]) *server {
 	total := 0.0
 	for _, m := range from {
-		total += b.weight(m.Of)
+		total += b.weight(m.Value)
 	}
 	x := b.rng.Float64() * total
 	for _, m := range from {
-		if x -= b.weight(m.Of); x < 0 {
-			return m.Of
+		if x -= b.weight(m.Value); x < 0 {
+			return m.Value
 		}
 	}
-	return from[len(from)-1].Of
+	return from[len(from)-1].Value
 }
 
 // candidates lists the servers that may get the request, warm and cold ones apart, and sums up what they can
@@ -404,11 +404,11 @@
 	if a := r.inCell(); a != nil {
 		return b.cells[a.cell]
 	}
-	if r.Among == nil {
+	if r.AllowedServers == nil {
 		return b.servers
 	}
 	b.few = b.few[:0]
-	for _, id := range r.Among {
+	for _, id := range r.AllowedServers {
 		if s := b.byID[id]; s != nil {
 			b.few = append(b.few, s)
 		}
@@ -419,7 +419,7 @@
 
 // inCell is the attempt in whose cell a repeat of the request has to stay, if there is one.
 func (r *request) inCell() *attempt {
-	if r.class.Effect != Keyed || r.class.Group != GroupCell {
+	if r.class.Effect != IdempotentByKey || r.class.DedupScope != DedupCell {
 		return nil
 	}
 	return r.mayHaveRun()
@@ -437,12 +437,12 @@
 	s, bad := a.srv, 0.0
 	switch o.Result {
 	case OK:
-		b.usual[a.req.Class] += learn * (float64(o.Took) - b.usual[a.req.Class])
+		b.usual[a.req.Class] += learn * (float64(o.Latency) - b.usual[a.req.Class])
 		s.heard = b.now
 		b.served++
-		b.ownRate(s, o.Took)
-		b.lateness(float64(o.Took) / float64(a.req.class.Aim))
-		if float64(o.Took) > max(float64(a.req.class.Aim), slowTimes*b.usual[a.req.Class]) {
+		b.ownRate(s, o.Latency)
+		b.lateness(float64(o.Latency) / float64(a.req.class.LatencyObjective))
+		if float64(o.Latency) > max(float64(a.req.class.LatencyObjective), slowTimes*b.usual[a.req.Class]) {
 			bad = 1 // too late to be of worth, while others answer in time
 		}
 	case TimedOut:
@@ -476,7 +476,7 @@
 }
 
 // missed is how many answers the server would have given, at the usual pace, since it gave the last one.
-// Waiting is counted over all that is in flight: one late answer is a costly request, many are a silent
+// InFlightLatencyRatio is counted over all that is in flight: one late answer is a costly request, many are a silent
 // server.
 func (b *Balancer) missed(s *server) (n float64) {
 	for _, a := range s.inFlight {
@@ -517,10 +517,10 @@
 // coldShare is the part of its capacity that a server has at least, so long after its start.
 func (s *server) coldShare(b *Balancer) float64 {
 	age := b.now - s.Started
-	if s.Started == 0 || age >= b.set.ColdFor {
+	if s.Started == 0 || age >= b.set.SlowStartDuration {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*max(0, float64(age)/float64(b.set.ColdFor))
+	return b.set.SlowStartInitialRatio + (1-b.set.SlowStartInitialRatio)*max(0, float64(age)/float64(b.set.SlowStartDuration))
 }
 
 // Attempts.
@@ -534,30 +534,30 @@
 	if first == nil {
 		return true
 	}
-	group := r.class.Group
-	return r.class.Effect == Safe || r.class.Effect == Keyed && b.now+b.set.Tick-first.sent < r.class.Window &&
-		(group != GroupZone || s.Zone == first.zone) && (group != GroupCell || s.Cell == first.cell)
+	group := r.class.DedupScope
+	return r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && b.now+b.set.Tick-first.sent < r.class.DedupWindow &&
+		(group != DedupZone || s.Zone == first.zone) && (group != DedupCell || s.Cell == first.cell)
 }
 
 // mayGoOn reports whether the request may be sent anywhere.
 func (b *Balancer) mayGoOn(r *request) bool {
 	return !r.closed && b.now < r.Deadline && len(r.attempts) < b.set.MaxAttempts &&
-		(r.Attempts == 0 || len(r.attempts) < r.Attempts) &&
-		r.out <= 1 && (r.out == 0 || !r.OnDemand && b.set.ParallelCopies)
+		(r.MaxAttempts == 0 || len(r.attempts) < r.MaxAttempts) &&
+		r.out <= 1 && (r.out == 0 || !r.ManualRetry && b.set.AllowHedging)
 }
 
 // among reports whether the server is one of those that the request is to be sent to.
 func (r *request) among(s *server) bool {
-	if r.Among == nil {
+	if r.AllowedServers == nil {
 		return true
 	}
-	_, found := slices.BinarySearch(r.Among, s.ID)
+	_, found := slices.BinarySearch(r.AllowedServers, s.ID)
 	return found
 }
 
 // mayHaveRun is the first attempt that is not known to have had no effect.
 func (r *request) mayHaveRun() *attempt {
-	if r.Before.May {
+	if r.Earlier.MayHaveRun {
 		return &r.before
 	}
 	for _, a := range r.attempts {
@@ -570,8 +570,8 @@
 
 // mayRefuse reports whether the client may be told that trying again does no harm.
 func (r *request) mayRefuse() bool {
-	return r.mayHaveRun() == nil || r.class.Effect == Safe ||
-		r.class.Effect == Keyed && r.class.Group == GroupAll
+	return r.mayHaveRun() == nil || r.class.Effect == Idempotent ||
+		r.class.Effect == IdempotentByKey && r.class.DedupScope == DedupFleet
 }
 
 // try sends the request to the best server, or ends it when there is none.
@@ -580,9 +580,9 @@
 	case s != nil:
 		b.send(r, s)
 	case b.mayGoOn(r):
-		b.finish(r, NoServer)
+		b.finish(r, ReasonNoServer)
 	default:
-		b.finish(r, Spent)
+		b.finish(r, ReasonExhausted)
 	}
 }
 
@@ -595,12 +595,12 @@
 	if len(r.attempts) > 0 {
 		a = &attempt{}
 	}
-	*a = attempt{req: r, srv: s, zone: s.Zone, cell: s.Cell, sent: b.now, out: true, writing: r.Uploads}
+	*a = attempt{req: r, srv: s, zone: s.Zone, cell: s.Cell, sent: b.now, out: true, writing: r.StreamsBody}
 	r.attempts = append(r.attempts, a)
 	r.out++
 	s.inFlight = append(s.inFlight, a)
 	b.sent++
-	b.act(Action{Kind: Send, Request: r.ID, Server: s.ID, Cold: s.coldShare(b) < 1})
+	b.act(Action{Kind: Send, Request: r.ID, Server: s.ID, WarmingUp: s.coldShare(b) < 1})
 }
 
 // copyLate sends a second copy of requests whose answer is late: it may never come, where a connection fell
@@ -630,7 +630,7 @@
 	}
 }
 
-func (b *Balancer) written(e Written) {
+func (b *Balancer) written(e BodySent) {
 	if r := b.requests[e.Request]; r != nil && !r.closed && r.out > 0 && e.Attempt == len(r.attempts)-1 {
 		r.attempts[e.Attempt].writing, r.attempts[e.Attempt].sent, r.Deadline = false, b.now, e.Deadline
 		b.timer(r.token, r.Deadline-b.now)
@@ -649,10 +649,10 @@
 	b.report(a.srv, o.Report)
 	b.judge(a, o)
 	switch {
-	case r.closed || o.Closed:
+	case r.closed || o.RequestClosed:
 		b.close(r)
 	case r.out > 0: // the other copy goes on
-	case r.OnDemand: // whoever carries it asks, if it wants another attempt
+	case r.ManualRetry: // whoever carries it asks, if it wants another attempt
 	default:
 		b.again(r)
 	}
@@ -661,7 +661,7 @@
 // again makes a further attempt, as far as the budget for them goes.
 func (b *Balancer) again(r *request) {
 	if b.budget < 1 {
-		b.finish(r, NoBudget)
+		b.finish(r, ReasonRetryBudget)
 		return
 	}
 	b.budget--
@@ -669,8 +669,8 @@
 }
 
 func (b *Balancer) retry(e Retry) {
-	if r := b.requests[e.Request]; r != nil && r.OnDemand && r.out == 0 && !r.closed {
-		r.Among = e.Among
+	if r := b.requests[e.Request]; r != nil && r.ManualRetry && r.out == 0 && !r.closed {
+		r.AllowedServers = e.AllowedServers
 		b.again(r)
 	}
 }
@@ -679,7 +679,7 @@
 
 func (b *Balancer) request(e Request) {
 	classes := b.set.Classes
-	if e.Was {
+	if e.UsesPreviousClasses {
 		classes = b.was
 	}
 	if e.Class < 0 || e.Class >= len(classes) || b.requests[e.ID] != nil {
@@ -687,7 +687,7 @@
 	}
 	r := b.newRequest()
 	r.Request, r.class = e, &classes[e.Class]
-	r.before = attempt{zone: e.Before.Zone, cell: e.Before.Cell, sent: e.Before.Since}
+	r.before = attempt{zone: e.Earlier.Zone, cell: e.Earlier.Cell, sent: e.Earlier.SentAt}
 	b.requests[e.ID] = r
 	b.budget = min(b.budget+retryShare, retrySaved)
 	b.token++
@@ -696,9 +696,9 @@
 	// In a jam all cheap work may be refused, but an idle server must not wait for its trial till the end.
 	switch {
 	case b.drop > 0 && b.rng.Float64() < b.drop:
-		b.finish(r, Withheld)
+		b.finish(r, ReasonListDrop)
 	case b.refused(b.worthOf(r)) && b.trial(r) == nil:
-		b.finish(r, Overload)
+		b.finish(r, ReasonLoadShed)
 	default:
 		b.try(r)
 	}
@@ -732,8 +732,8 @@
 			busy += (1 - faith) * (1 - s.busy) * b.capacity(s)
 		}
 		for _, a := range s.inFlight {
-			if !a.writing && b.now-a.sent <= a.req.class.Aim { // one out for longer hangs, or late answers tell of it
-				wait, out = wait+1/a.req.class.Aim.Seconds(), out+1
+			if !a.writing && b.now-a.sent <= a.req.class.LatencyObjective { // one out for longer hangs, or late answers tell of it
+				wait, out = wait+1/a.req.class.LatencyObjective.Seconds(), out+1
 			}
 		}
 	}
@@ -796,15 +796,15 @@
 // more than its share of late: long work must not crowd out short, nor a tenant that sends several times its
 // share those within theirs. Each balancer goes by its own requests; until it has seen some, all are within.
 func (b *Balancer) worthOf(r *request) float64 {
-	worth := r.class.Worth / b.usual[r.Class]
+	worth := r.class.Priority / b.usual[r.Class]
 	if r.Tenant < 0 || r.Tenant >= len(b.asked) {
 		return worth
 	}
 	b.asked[r.Tenant]++
 	b.askedAll++
-	share := b.set.Shares[r.Tenant]
+	share := b.set.Quotas[r.Tenant]
 	inside := min(1, share*(b.askedAll+fewAsked)/(b.asked[r.Tenant]+fewAsked*share))
-	return worth * (inside + (1-inside)*b.set.OverShareWorth)
+	return worth * (inside + (1-inside)*b.set.OverQuotaPriorityRatio)
 }
 
 // Deadlines.
@@ -817,9 +817,9 @@
 	}
 	kind := Fail
 	if r.mayRefuse() {
-		kind = Refuse
+		kind = Reject
 	}
-	b.act(Action{Kind: kind, Request: r.ID, Why: why, After: min(b.set.MaxRetryAfter, r.class.Aim/2)})
+	b.act(Action{Kind: kind, Request: r.ID, Reason: why, After: min(b.set.MaxRetryAfter, r.class.LatencyObjective/2)})
 	b.close(r)
 }
 
--- a/internal/balancer/logic_test.go
+++ b/internal/balancer/logic_test.go
@@ -9,11 +9,11 @@
 )
 
 func testSettings() Settings {
-	return Settings{Balancers: 2, Tick: 5 * time.Millisecond, MaxAttempts: 3, ColdFrom: 0.3,
-		ColdFor: 10 * time.Second, Classes: []Class{
-			{Name: "cheap", Effect: Safe, Aim: 600e6, Deadline: 2e9, Worth: 1},
-			{Name: "dear", Effect: Unsafe, Aim: 600e6, Deadline: 2e9, Worth: 10},
-			{Name: "keyed", Effect: Keyed, Group: GroupCell, Window: 1e9, Aim: 600e6, Deadline: 2e9, Worth: 3}}}
+	return Settings{Balancers: 2, Tick: 5 * time.Millisecond, MaxAttempts: 3, SlowStartInitialRatio: 0.3,
+		SlowStartDuration: 10 * time.Second, Classes: []Class{
+			{Name: "cheap", Effect: Idempotent, LatencyObjective: 600e6, Deadline: 2e9, Priority: 1},
+			{Name: "dear", Effect: NonIdempotent, LatencyObjective: 600e6, Deadline: 2e9, Priority: 10},
+			{Name: "keyed", Effect: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 1e9, LatencyObjective: 600e6, Deadline: 2e9, Priority: 3}}}
 }
 
 // bench drives one Balancer by hand.
@@ -55,7 +55,7 @@
 // end ends attempt n of a request and returns the actions that follow, without timers.
 func (h *bench) end(id, server string, n int, result Result, report Report) []Action {
 	return h.Handle(h.at, Outcome{Request: id, Attempt: n, Server: server, Result: result,
-		Took: 50 * time.Millisecond, Closed: result == OK, Report: report})
+		Latency: 50 * time.Millisecond, RequestClosed: result == OK, Report: report})
 }
 
 // tick passes time, with the timer that checks health.
@@ -69,13 +69,13 @@
 
 func report(util, rate float64) Report {
 	r := NoReport
-	r.Util, r.Rate = util, rate
+	r.Utilization, r.ServedRate = util, rate
 	return r
 }
 
 func TestDrawsFollowCapacity(t *testing.T) {
 	set := testSettings()
-	set.ListWeights = true
+	set.UseListWeights = true
 	h := newBench(t, set, 1, 2, 3, 4)
 	d := h.warm.At(h.mean)
 	const n = 40000
@@ -118,7 +118,7 @@
 
 func TestTies(t *testing.T) {
 	set := testSettings()
-	set.ListWeights = true
+	set.UseListWeights = true
 	h := newBench(t, set, 1, 1.99)
 	if _, to := h.ask(0); to != "s1" { // stays in flight
 		t.Fatalf("the lowest load is at s1, the request went to %s", to)
@@ -263,7 +263,7 @@
 // Guards against long work crowding out short work of the same worth in a jam.
 func TestLongWorkGivesWayFirst(t *testing.T) {
 	set := testSettings()
-	set.Classes[1].Worth = set.Classes[0].Worth
+	set.Classes[1].Priority = set.Classes[0].Priority
 	h := newBench(t, set, 1, 1)
 	refused := [2]int{}
 	for i := range 4000 {
@@ -273,8 +273,8 @@
 			refused[i%2]++
 			continue
 		}
-		h.Handle(h.at, Outcome{Request: id, Server: to, Took: time.Duration(20+60*(i%2)) * time.Millisecond,
-			Closed: true, Report: NoReport})
+		h.Handle(h.at, Outcome{Request: id, Server: to, Latency: time.Duration(20+60*(i%2)) * time.Millisecond,
+			RequestClosed: true, Report: NoReport})
 	}
 	if refused[1] < 2*refused[0] {
 		t.Errorf("refused %d short and %d long of 2000 each", refused[0], refused[1])
@@ -356,7 +356,7 @@
 		}
 		h.tick(h.horizon / 2)
 		for k := range ids {
-			h.Handle(h.at, Outcome{Request: ids[k], Server: tos[k], Took: h.horizon / 2, Closed: true,
+			h.Handle(h.at, Outcome{Request: ids[k], Server: tos[k], Latency: h.horizon / 2, RequestClosed: true,
 				Report: report(0.35, 35)})
 		}
 		h.tick(h.horizon)
@@ -406,7 +406,7 @@
 	for range 12 {
 		h.ask(1)
 	}
-	h.tick(h.set.Classes[1].Aim + h.horizon/ticks)
+	h.tick(h.set.Classes[1].LatencyObjective + h.horizon/ticks)
 	for range 100 {
 		id, to := h.ask(1)
 		h.end(id, to, 0, OK, report(1, 50))
@@ -438,10 +438,10 @@
 		util          float64
 	}{"safe": {0, 1, 0.3}, "keyed": {1, 1, 0.3}, "unsafe": {2, 0, 0.3}, "busy": {0, 0, 0.9}} {
 		set := testSettings()
-		set.ParallelCopies = true
-		set.Classes = []Class{{Name: "s", Effect: Safe, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1},
-			{Name: "k", Effect: Keyed, Window: 3 * time.Second, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1},
-			{Name: "u", Effect: Unsafe, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}
+		set.AllowHedging = true
+		set.Classes = []Class{{Name: "s", Effect: Idempotent, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1},
+			{Name: "k", Effect: IdempotentByKey, DedupWindow: 3 * time.Second, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1},
+			{Name: "u", Effect: NonIdempotent, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1}}
 		h := newBench(t, set, 1, 1, 1, 1)
 		for range 100 {
 			id, to := h.ask(0)
@@ -469,7 +469,7 @@
 func TestSubset(t *testing.T) {
 	used := func(me, balancers, servers int) map[string]int {
 		set := testSettings()
-		set.Me, set.Balancers = me, balancers
+		set.Index, set.Balancers = me, balancers
 		h := newBench(t, set, make([]float64, servers)...)
 		got := map[string]int{}
 		for range 60 {
@@ -524,7 +524,7 @@
 		if len(next) != 1 || next[0].Kind == Send && h.byID[next[0].Server].Cell != h.byID[to].Cell {
 			t.Fatalf("after a reset at %s: %+v", to, next)
 		}
-		if next[0].Kind == Refuse {
+		if next[0].Kind == Reject {
 			t.Fatal("a keyed request that may have run was refused")
 		}
 	}
@@ -554,7 +554,7 @@
 // An own-zone server is preferred while it has room, and no longer.
 func TestOwnZone(t *testing.T) {
 	set := testSettings()
-	set.CrossZonePrice = 0.1
+	set.CrossZoneCost = 0.1
 	h := newBench(t, set, 1, 1)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s1", Zone: 1}}})
 	if h.weight(h.byID["s0"]) < 2*h.weight(h.byID["s1"]) {
@@ -597,11 +597,11 @@
 			}
 		}
 		set := set // guards against asking so late that the balancer is held to know what it has not heard
-		set.MustAskIn = time.Second
+		set.MaxPollInterval = time.Second
 		bound, _ := New(set, seed)
 		for range 2 * mostWaits {
 			if a := fail(bound); a.After > 2*time.Second {
-				t.Errorf("asks again after %v, must within %v", a.After, set.MustAskIn)
+				t.Errorf("asks again after %v, must within %v", a.After, set.MaxPollInterval)
 			}
 		}
 		if last := fail(b); last.After <= first.After {
@@ -612,8 +612,8 @@
 
 func TestUnknownIsPassedOver(t *testing.T) {
 	h := newBench(t, testSettings(), 1)
-	for _, e := range []Event{Outcome{Request: "no"}, Outcome{Request: "no", Attempt: -1}, ClientGone{"no"},
-		Streaming{Request: "no"}, Probed{Server: "no"}, TimerFired{99}, Request{ID: "x", Class: 9}, PeerMessage{}} {
+	for _, e := range []Event{Outcome{Request: "no"}, Outcome{Request: "no", Attempt: -1}, ClientDisconnected{"no"},
+		ResponseStarted{Request: "no"}, HealthCheckResult{Server: "no"}, TimerFired{99}, Request{ID: "x", Class: 9}, PeerMessage{}} {
 		if a := h.Handle(h.at, e); len(a) != 0 {
 			t.Errorf("%#v: %+v", e, a)
 		}
@@ -623,7 +623,7 @@
 func TestNoServerRefuses(t *testing.T) {
 	h := newBench(t, testSettings())
 	a := h.Handle(h.at, Request{ID: "x", Deadline: h.at + 1e9})
-	if last := a[len(a)-1]; last.Kind != Refuse {
+	if last := a[len(a)-1]; last.Kind != Reject {
 		t.Errorf("with no server: %+v", a)
 	}
 }
@@ -631,15 +631,15 @@
 func TestInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"classes":  func(s *Settings) { s.Classes = nil },
-		"aim":      func(s *Settings) { s.Classes[0].Aim = 0 },
-		"window":   func(s *Settings) { s.Classes[2].Window = 0 },
+		"aim":      func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"window":   func(s *Settings) { s.Classes[2].DedupWindow = 0 },
 		"attempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"cold":     func(s *Settings) { s.ColdFrom = 0 },
-		"shares":   func(s *Settings) { s.Shares = []float64{2} },
-		"over":     func(s *Settings) { s.OverShareWorth = 2 },
+		"cold":     func(s *Settings) { s.SlowStartInitialRatio = 0 },
+		"shares":   func(s *Settings) { s.Quotas = []float64{2} },
+		"over":     func(s *Settings) { s.OverQuotaPriorityRatio = 2 },
 		"balancer": func(s *Settings) { s.Balancers = 0 },
-		"ask":      func(s *Settings) { s.MustAskIn = -1 },
-		"overload": func(s *Settings) { s.Overload = -1 },
+		"ask":      func(s *Settings) { s.MaxPollInterval = -1 },
+		"overload": func(s *Settings) { s.WarmingOverloadRatio = -1 },
 	} {
 		set := testSettings()
 		spoil(&set)
@@ -654,7 +654,7 @@
 func TestColdFleetGetsItsPart(t *testing.T) {
 	for _, warm := range []int{0, 1} {
 		set := testSettings()
-		set.Overload = 3
+		set.WarmingOverloadRatio = 3
 		h := newBench(t, set)
 		l := ServerList{Full: true}
 		for i := range 10 {
@@ -683,7 +683,7 @@
 // refusing more of any while all keep to their shares.
 func TestTenantOverItsShareGivesWayFirst(t *testing.T) {
 	set := testSettings()
-	set.Shares, set.OverShareWorth = []float64{0.5, 0.25, 0.25}, 0.2
+	set.Quotas, set.OverQuotaPriorityRatio = []float64{0.5, 0.25, 0.25}, 0.2
 	for _, burst := range []bool{false, true} {
 		h := newBench(t, set, 1, 1)
 		asked, refused := [3]float64{}, [3]float64{}
@@ -717,15 +717,15 @@
 // The server of a key is drawn in proportion to capacity, alike at every balancer, and gives way under load.
 // homeOf is the id of the server that is home to a key.
 func homeOf(h *bench, key string) string {
-	h.race.Start(key)
+	h.race.SetKey(key)
 	d := h.warm.At(h.mean)
-	s, _ := d.Home(h.race)
+	s, _ := d.Owner(h.race)
 	return s.ID
 }
 
 func TestHomeOfAKey(t *testing.T) {
 	set := testSettings()
-	set.ListWeights, set.WarmKeys = true, true
+	set.UseListWeights, set.KeyAffinity = true, true
 	h, other := newBench(t, set, 1, 2, 3, 4), newBench(t, set, 1, 2, 3, 4)
 	other.rng.Uint64() // another state of chance
 	const n = 20000
@@ -795,11 +795,11 @@
 			took *= 2
 		}
 		if to == "s2" { // never served: no estimate
-			h.Handle(h.at, Outcome{Request: id, Server: to, Result: Cancelled, Closed: true, Report: NoReport})
+			h.Handle(h.at, Outcome{Request: id, Server: to, Result: Cancelled, RequestClosed: true, Report: NoReport})
 			continue
 		}
 		took += time.Duration(i%5-2) * time.Millisecond
-		h.Handle(h.at, Outcome{Request: id, Server: to, Took: took, Closed: true, Report: NoReport})
+		h.Handle(h.at, Outcome{Request: id, Server: to, Latency: took, RequestClosed: true, Report: NoReport})
 	}
 	for i, want := range []float64{25, 12.5, 18.75} {
 		if got := h.byID[fmt.Sprint("s", i)].rate; i < 2 && math.Abs(got-want) > 0.1*want {
@@ -835,13 +835,13 @@
 			h.at += 2 * time.Second // the deadline
 			answers := 0
 			for _, k := range order {
-				e := []Event{Outcome{Request: id, Server: to, Result: result, Closed: result == OK, Report: NoReport},
-					ClientGone{id}, TimerFired{h.token}}[k]
+				e := []Event{Outcome{Request: id, Server: to, Result: result, RequestClosed: result == OK, Report: NoReport},
+					ClientDisconnected{id}, TimerFired{h.token}}[k]
 				for _, a := range h.Handle(h.at, e) {
 					switch a.Kind {
 					case Send:
 						t.Errorf("result %d, order %v: sent at the deadline", result, order)
-					case Refuse, Fail:
+					case Reject, Fail:
 						answers++
 					}
 				}
@@ -858,7 +858,7 @@
 	h := newBench(t, testSettings(), 1, 1)
 	refused := false
 	for _, a := range h.Handle(h.at, Request{ID: "x", Deadline: h.at}) {
-		refused = refused || a.Kind == Refuse
+		refused = refused || a.Kind == Reject
 		if a.Kind == Send {
 			t.Error("sent after its deadline")
 		}
@@ -901,7 +901,7 @@
 // A server that is named again after it was gone starts afresh and gets requests.
 func TestNamedAgain(t *testing.T) {
 	h := newBench(t, testSettings(), 1)
-	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s0", State: Gone}}})
+	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s0", State: Removed}}})
 	if _, to := h.ask(0); to != "" {
 		t.Fatalf("sent to %s, which is gone", to)
 	}
@@ -987,7 +987,7 @@
 			out = append(out, sent{id, to})
 		}
 		for ; len(out) > 20; out = out[1:] {
-			h.Handle(h.at, Outcome{Request: out[0].id, Server: out[0].to, Result: OK, Took: took(out[0].to), Closed: true,
+			h.Handle(h.at, Outcome{Request: out[0].id, Server: out[0].to, Result: OK, Latency: took(out[0].to), RequestClosed: true,
 				Report: report(0.5, 50)})
 		}
 		h.at += apart
@@ -1113,18 +1113,18 @@
 // A repeat of what may have run goes only where its class allows, and only inside its window: rule 2, for each effect, group, place and time.
 func TestWhereARepeatMayGo(t *testing.T) {
 	const window, tick, sent = time.Second, 5 * time.Millisecond, time.Minute
-	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
-		for _, group := range []Group{GroupAll, GroupZone, GroupCell} {
+	for _, effect := range []Effect{Idempotent, IdempotentByKey, NonIdempotent} {
+		for _, group := range []DedupScope{DedupFleet, DedupZone, DedupCell} {
 			for _, to := range []struct {
 				name       string
 				zone, cell int
 			}{{"the same cell", 1, 11}, {"another cell of the zone", 1, 12}, {"another zone", 2, 21}} {
 				for _, age := range []time.Duration{0, window - tick - 1, window - tick, 2 * window} {
 					b := &Balancer{now: sent + age, set: Settings{Tick: tick, MaxAttempts: 3}}
-					r := &request{Request: Request{Deadline: sent + time.Hour}, class: &Class{Effect: effect, Group: group, Window: window}}
+					r := &request{Request: Request{Deadline: sent + time.Hour}, class: &Class{Effect: effect, DedupScope: group, DedupWindow: window}}
 					r.attempts = []*attempt{{zone: 1, cell: 11, sent: sent}}
-					reached := group == GroupAll || group == GroupZone && to.zone == 1 || group == GroupCell && to.cell == 11
-					want := effect == Safe || effect == Keyed && reached && age < window-tick
+					reached := group == DedupFleet || group == DedupZone && to.zone == 1 || group == DedupCell && to.cell == 11
+					want := effect == Idempotent || effect == IdempotentByKey && reached && age < window-tick
 					s := &server{Server: Server{State: Ready, Zone: to.zone, Cell: to.cell}}
 					if got := b.maySend(r, s); got != want {
 						t.Errorf("effect %v, group %v, to %s after %v: %v", effect, group, to.name, age, got)
--- a/internal/balancer/members.go
+++ b/internal/balancer/members.go
@@ -18,19 +18,19 @@
 
 // view is what the servers of a view can do that may be drawn.
 type view struct {
-	warm  weighted.Part // of those that are warm
-	cold  weighted.Part // of the others at present
-	whole weighted.Part // and when they will be warm
-	size  int           // warm ones by coldUnits, cold ones by what of their capacity they have
+	warm  weighted.Linear // of those that are warm
+	cold  weighted.Linear // of the others at present
+	whole weighted.Linear // and when they will be warm
+	size  int             // warm ones by coldUnits, cold ones by what of their capacity they have
 }
 
 // coldUnits are those in which views measure what servers have of their capacity.
 const coldUnits = 64
 
 func (v *view) add(u view, sign int) {
-	v.warm.Add(u.warm, float64(sign))
-	v.cold.Add(u.cold, float64(sign))
-	v.whole.Add(u.whole, float64(sign))
+	v.warm.AddScaled(u.warm, float64(sign))
+	v.cold.AddScaled(u.cold, float64(sign))
+	v.whole.AddScaled(u.whole, float64(sign))
 	if v.size += sign * u.size; v.size == 0 { // what is left of the sums are errors of rounding
 		*v = view{}
 	}
@@ -40,9 +40,9 @@
 func (b *Balancer) partOf(s *server) view {
 	warm := s.coldShare(b)
 	if warm == 1 {
-		return view{warm: s.Share, size: coldUnits}
+		return view{warm: s.DrawWeight, size: coldUnits}
 	}
-	return view{cold: s.Share.Times(warm / b.crowded(s)), whole: s.Share, size: max(1, int(coldUnits*warm))}
+	return view{cold: s.DrawWeight.Scaled(warm / b.crowded(s)), whole: s.DrawWeight, size: max(1, int(coldUnits*warm))}
 }
 
 // crowded is in how many views a server is, over the mean: those that begin on the arc before it on which as
@@ -73,8 +73,8 @@
 
 func (b *Balancer) newServer(e Server) *server {
 	s := &server{heard: b.now}
-	s.Of, s.Hash = s, xxhash.Sum64String(e.ID)
-	s.rank = s.Hash - uint64(b.set.Me)*0x9E3779B97F4A7C15
+	s.Value, s.Hash = s, xxhash.Sum64String(e.ID)
+	s.rank = s.Hash - uint64(b.set.Index)*0x9E3779B97F4A7C15
 	return s
 }
 
@@ -91,17 +91,17 @@
 
 // list takes the list or a change of it. Every change counts from the same event on.
 func (b *Balancer) list(l ServerList) {
-	b.tries, b.drop = 0, l.Drop
+	b.tries, b.drop = 0, l.DropRatio
 	b.round++
 	added, gone := b.added[:0], b.gone[:0]
 	for _, e := range l.Servers {
-		if !b.set.ListWeights || !(e.Weight > 0) { // no number is not above 0 either
+		if !b.set.UseListWeights || !(e.Weight > 0) { // no number is not above 0 either
 			e.Weight = 1
 		}
 		e.Weight = min(max(e.Weight, 1.0/weightMost), weightMost)
 		s := b.byID[e.ID]
 		switch {
-		case s == nil && e.State == Gone:
+		case s == nil && e.State == Removed:
 			continue
 		case s == nil:
 			s = b.newServer(e)
@@ -118,7 +118,7 @@
 		if s.Server = e; !s.listed {
 			continue
 		}
-		if e.State == Gone {
+		if e.State == Removed {
 			gone = append(gone, s)
 		}
 		b.refresh(s)
@@ -126,7 +126,7 @@
 	if l.Full {
 		for _, s := range b.servers {
 			if s.round != b.round {
-				s.State = Gone // attempts in flight still hold it
+				s.State = Removed // attempts in flight still hold it
 				gone = append(gone, s)
 			}
 		}
@@ -168,7 +168,7 @@
 func (b *Balancer) remove(gone []*server) {
 	edge := 0 // how many of the view go
 	for _, s := range gone {
-		if !s.listed || s.State != Gone { // named twice, or taken away and named again
+		if !s.listed || s.State != Removed { // named twice, or taken away and named again
 			continue
 		}
 		s.listed = false
@@ -191,10 +191,10 @@
 
 func (b *Balancer) insert(added []*server) {
 	added = slices.DeleteFunc(added, func(s *server) bool {
-		if s.State == Gone { // named and taken back in one change
+		if s.State == Removed { // named and taken back in one change
 			delete(b.byID, s.ID)
 		}
-		return s.State == Gone
+		return s.State == Removed
 	})
 	slices.SortFunc(added, inOrder)
 	for _, s := range added {
@@ -261,28 +261,28 @@
 	}
 	b.sums.add(&s.sums, -1)
 	warm := s.coldShare(b)
-	capacity := weighted.Part{BySize: s.Weight * (1 - s.trust), ByRate: s.rate * s.trust}
-	s.sums = sums{known: weighted.Part{BySize: s.Weight * s.trust, ByRate: s.rate * s.trust}}
+	capacity := weighted.Linear{Slope: s.Weight * (1 - s.trust), Intercept: s.rate * s.trust}
+	s.sums = sums{known: weighted.Linear{Slope: s.Weight * s.trust, Intercept: s.rate * s.trust}}
 	if s.State == Ready {
 		s.sums.whole = capacity
-		s.sums.total = capacity.Times(warm * (1 - s.failing))
+		s.sums.total = capacity.Scaled(warm * (1 - s.failing))
 		if s.until == 0 {
 			s.sums.well = s.sums.total
 		}
 	}
 	if s.reported > 0 && s.until == 0 {
-		s.sums.told, s.sums.use, s.sums.tellers = capacity, capacity.Times(s.busy), 1
+		s.sums.told, s.sums.use, s.sums.tellers = capacity, capacity.Scaled(s.busy), 1
 	}
 	b.sums.add(&s.sums, 1)
-	if k := b.sums.known; k.BySize > trustLeast/weightMost && k.ByRate > 0 {
-		b.mean = k.ByRate / k.BySize
+	if k := b.sums.known; k.Slope > trustLeast/weightMost && k.Intercept > 0 {
+		b.mean = k.Intercept / k.Slope
 	}
 	if b.changes++; b.changes > recountAfter*(len(b.servers)+few) {
 		b.recount()
 	}
-	s.Share = capacity.Times(1 - s.failing)
+	s.DrawWeight = capacity.Scaled(1 - s.failing)
 	if warm == 1 && s.Zone == b.set.Zone {
-		s.Share = s.Share.Times(1 + nearTimes*b.set.CrossZonePrice*max(0, 1-s.util))
+		s.DrawWeight = s.DrawWeight.Scaled(1 + nearTimes*b.set.CrossZoneCost*max(0, 1-s.util))
 	}
 	if warm < 1 {
 		b.young = marked(b.young, s, &s.isYoung)
--- a/internal/balancer/members_test.go
+++ b/internal/balancer/members_test.go
@@ -19,7 +19,7 @@
 		switch {
 		case i > 0 && inOrder(b.servers[i-1], s) >= 0:
 			return fmt.Sprintf("%s stands out of order", s.ID)
-		case b.byID[s.ID] != s || !s.listed || s.State == Gone:
+		case b.byID[s.ID] != s || !s.listed || s.State == Removed:
 			return fmt.Sprintf("%s is no server of the list", s.ID)
 		case s.seen != (i < b.edge):
 			return fmt.Sprintf("%s at %d of a view of %d is seen: %v", s.ID, i, b.edge, s.seen)
@@ -83,11 +83,11 @@
 	if w := [2]float64{h.byID["new"].Weight, h.byID["odd"].Weight}; w != [2]float64{1, weightMost} {
 		t.Errorf("weights that are none or absurd count as %v", w)
 	}
-	tell(false, Server{ID: "there and gone"}, Server{ID: "there and gone", State: Gone}, Server{ID: "unheard of", State: Gone},
-		Server{ID: "new", State: Gone}, Server{ID: "new", State: Gone})
+	tell(false, Server{ID: "there and gone"}, Server{ID: "there and gone", State: Removed}, Server{ID: "unheard of", State: Removed},
+		Server{ID: "new", State: Removed}, Server{ID: "new", State: Removed})
 	check("named and taken back", 10_001)
 	back := all[5]
-	back.State = Gone
+	back.State = Removed
 	tell(false, back, all[5])
 	check("taken away and named again", 10_001)
 	for i := range all {
@@ -124,7 +124,7 @@
 		cover = map[string]int{}
 		for me := range balancers {
 			set := testSettings()
-			set.Me, set.Balancers = me, balancers
+			set.Index, set.Balancers = me, balancers
 			h := newBench(t, set)
 			h.Handle(h.at, ServerList{Full: true, Servers: list})
 			mine := map[string]bool{}
--- a/internal/balancer/ondemand_test.go
+++ b/internal/balancer/ondemand_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// demand brings an OnDemand request among these servers and returns its id and where it goes, or the final answer.
+// demand brings an ManualRetry request among these servers and returns its id and where it goes, or the final answer.
 func (h *bench) demand(class int, among ...string) (id, to string, final []ActionKind) {
 	h.ids++
 	id = fmt.Sprint("d", h.ids)
-	to, final = sentTo(h.Handle(h.at, Request{ID: id, Class: class, Deadline: h.at + 2*time.Second, Among: among, OnDemand: true}))
+	to, final = sentTo(h.Handle(h.at, Request{ID: id, Class: class, Deadline: h.at + 2*time.Second, AllowedServers: among, ManualRetry: true}))
 	return id, to, final
 }
 
 func (h *bench) retry(id string, among ...string) (to string, final []ActionKind) {
-	return sentTo(h.Handle(h.at, Retry{Request: id, Among: among}))
+	return sentTo(h.Handle(h.at, Retry{Request: id, AllowedServers: among}))
 }
 
 func sentTo(actions []Action) (to string, final []ActionKind) {
@@ -24,17 +24,17 @@
 		switch a.Kind {
 		case Send:
 			to = a.Server
-		case Refuse, Fail:
+		case Reject, Fail:
 			final = append(final, a.Kind)
 		}
 	}
 	return to, final
 }
 
-// Among narrows the candidates and leaves the draw among them as it is: by capacity.
+// AllowedServers narrows the candidates and leaves the draw among them as it is: by capacity.
 func TestAmongNarrowsTheDraw(t *testing.T) {
 	set := testSettings()
-	set.ListWeights = true
+	set.UseListWeights = true
 	h := newBench(t, set, 1, 2, 3, 4)
 	got := map[string]int{}
 	for range 300 {
@@ -64,17 +64,17 @@
 	for _, among := range [][]string{{}, {"unknown"}} {
 		h.ids++
 		to, final := sentTo(h.Handle(h.at, Request{ID: fmt.Sprint("d", h.ids), Class: 1, Deadline: h.at + 2*time.Second,
-			Among: among, OnDemand: true}))
-		if to != "" || !slices.Equal(final, []ActionKind{Refuse}) {
+			AllowedServers: among, ManualRetry: true}))
+		if to != "" || !slices.Equal(final, []ActionKind{Reject}) {
 			t.Errorf("%v: %q, %v", among, to, final)
 		}
 	}
 }
 
-// An OnDemand request gets another attempt only when it is asked for, within its class, and no second copy.
+// An ManualRetry request gets another attempt only when it is asked for, within its class, and no second copy.
 func TestOnDemand(t *testing.T) {
 	set := testSettings()
-	set.ParallelCopies = true
+	set.AllowHedging = true
 	h := newBench(t, set, 1, 1, 1, 1)
 	warm, to, _ := h.demand(0)
 	h.end(warm, to, 0, OK, report(0.3, 10)) // servers that are not busy, for which late requests are copied
@@ -135,12 +135,12 @@
 func TestFewerAttempts(t *testing.T) {
 	for _, attempts := range []int{0, 1, 2} {
 		h := newBench(t, testSettings(), 1, 1, 1, 1, 1, 1)
-		to, final := sentTo(h.Handle(h.at, Request{ID: "r", Deadline: h.at + 2*time.Second, Attempts: attempts}))
+		to, final := sentTo(h.Handle(h.at, Request{ID: "r", Deadline: h.at + 2*time.Second, MaxAttempts: attempts}))
 		n := 0
 		for ; final == nil; n++ {
 			to, final = sentTo(h.Handle(h.at, Outcome{Request: "r", Attempt: n, Server: to, Result: Rejected, Report: NoReport}))
 		}
-		if want := attempts; want > 0 && n != want || want == 0 && n <= 2 || !slices.Equal(final, []ActionKind{Refuse}) {
+		if want := attempts; want > 0 && n != want || want == 0 && n <= 2 || !slices.Equal(final, []ActionKind{Reject}) {
 			t.Errorf("with %d at the most it had %d attempts, and then %v", attempts, n, final)
 		}
 	}
@@ -150,12 +150,12 @@
 // module makes of it what it makes of an attempt of its own.
 func TestWhatMayHaveRunBefore(t *testing.T) {
 	set := testSettings()
-	keyed := slices.IndexFunc(set.Classes, func(c Class) bool { return c.Effect == Keyed && c.Group == GroupCell })
-	unsafe := slices.IndexFunc(set.Classes, func(c Class) bool { return c.Effect == Unsafe })
+	keyed := slices.IndexFunc(set.Classes, func(c Class) bool { return c.Effect == IdempotentByKey && c.DedupScope == DedupCell })
+	unsafe := slices.IndexFunc(set.Classes, func(c Class) bool { return c.Effect == NonIdempotent })
 	if keyed < 0 || unsafe < 0 {
 		t.Fatal("the settings have no such class")
 	}
-	window := set.Classes[keyed].Window
+	window := set.Classes[keyed].DedupWindow
 	for name, tt := range map[string]struct {
 		class int
 		ago   time.Duration
@@ -177,7 +177,7 @@
 			}
 			h.at += window
 			to, final := sentTo(h.Handle(h.at, Request{ID: "r", Class: tt.class, Deadline: h.at + window,
-				Before: Before{May: true, Since: h.at - tt.ago, Cell: tt.cell}}))
+				Earlier: EarlierAttempt{MayHaveRun: true, SentAt: h.at - tt.ago, Cell: tt.cell}}))
 			if tt.want && (to == "" || h.byID[to].Cell != tt.cell) || !tt.want && (to != "" || !slices.Equal(final, []ActionKind{Fail})) {
 				t.Fatalf("%s: sent to %q, %v", name, to, final)
 			}
--- a/internal/balancer/quiet_test.go
+++ b/internal/balancer/quiet_test.go
@@ -70,7 +70,7 @@
 	h := newBench(t, testSettings(), 1, 1, 1, 1, 1, 1)
 	type sent struct{ id, to string }
 	var out []sent
-	aim := h.set.Classes[0].Aim
+	aim := h.set.Classes[0].LatencyObjective
 	refused := 0
 	for range 400 {
 		id, to := h.ask(0)
@@ -83,7 +83,7 @@
 		if len(out) > 4 {
 			o := out[0]
 			out = out[1:]
-			h.Handle(h.at, Outcome{Request: o.id, Server: o.to, Result: OK, Took: aim / 2, Closed: true, Report: report(0.8, 40)})
+			h.Handle(h.at, Outcome{Request: o.id, Server: o.to, Result: OK, Latency: aim / 2, RequestClosed: true, Report: report(0.8, 40)})
 		}
 	}
 	if refused > 0 {
--- a/internal/balancer/retune_test.go
+++ b/internal/balancer/retune_test.go
@@ -8,7 +8,7 @@
 // retuned is a balancer with servers in two cells whose classes have changed: form-check from safe to unsafe, pay is new.
 func retuned(t *testing.T) *Balancer {
 	t.Helper()
-	set := Settings{Balancers: 1, MaxAttempts: 5, Classes: []Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}
+	set := Settings{Balancers: 1, MaxAttempts: 5, Classes: []Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1}}}
 	b, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 			switch actions[i].Kind {
 			case Send:
 				sent = &actions[i]
-			case Refuse, Fail:
+			case Reject, Fail:
 				return n, servers, actions[i].Kind
 			}
 		}
@@ -43,9 +43,9 @@
 func TestRetuneBindsNewRequestsAlone(t *testing.T) {
 	b := retuned(t)
 	open := b.Handle(time.Second, Request{ID: "open", Deadline: 3 * time.Second})
-	b.Handle(time.Second, Retune{MaxAttempts: 2, Classes: []Class{
-		{Name: "form-check", Effect: Unsafe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-		{Name: "record", Effect: Keyed, Group: GroupCell, Window: 2 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}})
+	b.Handle(time.Second, ClassUpdate{MaxAttempts: 2, Classes: []Class{
+		{Name: "form-check", Effect: NonIdempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1},
+		{Name: "record", Effect: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 2 * time.Second, LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1}}})
 	again := b.Handle(2*time.Second, Outcome{Request: "open", Server: open[0].Server, Result: Failed, Report: NoReport})
 	if len(again) == 0 || again[0].Kind != Send {
 		t.Errorf("an open request that was safe is not sent again: %+v", again)
@@ -53,7 +53,7 @@
 	if n, _, last := sends(b, Request{ID: "new", Deadline: 4 * time.Second}); n != 1 || last != Fail {
 		t.Errorf("what is unsafe now was sent %d times, then %v", n, last)
 	}
-	if n, _, _ := sends(b, Request{ID: "was", Deadline: 4 * time.Second, Was: true}); n != 2 {
+	if n, _, _ := sends(b, Request{ID: "was", Deadline: 4 * time.Second, UsesPreviousClasses: true}); n != 2 {
 		t.Errorf("what came in its old form was sent %d times, though there are 2 attempts", n)
 	}
 	cells := map[string]int{"a": 1, "b": 1, "c": 2}
@@ -67,10 +67,10 @@
 // An ejected server is tried by requests of the least harmful class that there still is.
 func TestADroppedClassTriesNobody(t *testing.T) {
 	b := retuned(t)
-	b.Handle(time.Second, Retune{MaxAttempts: 2, Classes: []Class{
-		{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Dropped: true},
-		{Name: "pay", Effect: Unsafe, Aim: 3 * time.Second, Deadline: 4 * time.Second, Worth: 1}}})
-	if b.trialBy != Unsafe || b.horizon != 3*time.Second {
+	b.Handle(time.Second, ClassUpdate{MaxAttempts: 2, Classes: []Class{
+		{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, Retired: true},
+		{Name: "pay", Effect: NonIdempotent, LatencyObjective: 3 * time.Second, Deadline: 4 * time.Second, Priority: 1}}})
+	if b.trialBy != NonIdempotent || b.horizon != 3*time.Second {
 		t.Errorf("trials by %v, horizon %v", b.trialBy, b.horizon)
 	}
 }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -10,7 +10,7 @@
 // pool is what servers are drawn from, and race what finds the home of a key.
 type (
 	pool = weighted.Pool[*server]
-	race = weighted.Race
+	race = weighted.Rendezvous
 )
 
 // Balancer decides for one client process. It is a deterministic state machine: equal settings, seed and
@@ -133,21 +133,21 @@
 
 // sums are kept over all servers of the list.
 type sums struct {
-	known   weighted.Part // of estimates by the trust in them; by size that trust alone
-	whole   weighted.Part // capacity of those that are ready when warm
-	total   weighted.Part // and at present
-	well    weighted.Part // and of those that are not ejected
-	told    weighted.Part // capacity of those that have reported and are not ejected
-	use     weighted.Part // times the use that they report
-	tellers float64       // how many those are
+	known   weighted.Linear // of estimates by the trust in them; by size that trust alone
+	whole   weighted.Linear // capacity of those that are ready when warm
+	total   weighted.Linear // and at present
+	well    weighted.Linear // and of those that are not ejected
+	told    weighted.Linear // capacity of those that have reported and are not ejected
+	use     weighted.Linear // times the use that they report
+	tellers float64         // how many those are
 }
 
 func (t *sums) add(u *sums, sign float64) {
-	t.known.Add(u.known, sign)
-	t.whole.Add(u.whole, sign)
-	t.total.Add(u.total, sign)
-	t.well.Add(u.well, sign)
-	t.told.Add(u.told, sign)
-	t.use.Add(u.use, sign)
+	t.known.AddScaled(u.known, sign)
+	t.whole.AddScaled(u.whole, sign)
+	t.total.AddScaled(u.total, sign)
+	t.well.AddScaled(u.well, sign)
+	t.told.AddScaled(u.told, sign)
+	t.use.AddScaled(u.use, sign)
 	t.tellers += sign * u.tellers
 }
--- a/internal/balancer/weighted/home.go
+++ b/internal/balancer/weighted/home.go
@@ -17,19 +17,19 @@
 	leaf  []rival[T] // homeLeaf at most but below homeDeep
 	inner *inner[T]  // nil of a leaf
 	count int
-	sum   Part // of the members' homed shares
+	sum   Linear // of the members' homed shares
 }
 
 // inner has the sums beside the nodes, since each look at a node itself waits for memory.
 type inner[T any] struct {
 	kids [8]*node[T] // empty ones are nil
-	sums [8]Part
+	sums [8]Linear
 }
 
 // rival is what a race looks at of a member.
 type rival[T any] struct {
 	hash   uint64
-	homed  Part
+	homed  Linear
 	of     T
 	member *Member[T]
 }
@@ -43,7 +43,7 @@
 func kidOf(hash uint64, depth int) int { return int(hash >> (61 - 3*depth) & 7) }
 
 func (h *node[T]) add(s *Member[T], depth int) {
-	h.put(rival[T]{s.Hash, s.homed, s.Of, s}, depth)
+	h.put(rival[T]{s.Hash, s.homed, s.Value, s}, depth)
 }
 
 func (h *node[T]) put(r rival[T], depth int) {
@@ -107,50 +107,50 @@
 // changed takes note of a member's new share. What errors of rounding this leaves, the next resum clears.
 func (h *node[T]) changed(s *Member[T]) {
 	was := s.homed
-	s.homed = s.Share
+	s.homed = s.DrawWeight
 	for depth := 0; ; depth++ {
-		h.sum.Add(s.Share, 1)
-		h.sum.Add(was, -1)
+		h.sum.AddScaled(s.DrawWeight, 1)
+		h.sum.AddScaled(was, -1)
 		if h.inner == nil {
-			h.leaf[h.at(s)].homed = s.Share
+			h.leaf[h.at(s)].homed = s.DrawWeight
 			return
 		}
 		k := kidOf(s.Hash, depth)
-		h.inner.sums[k].Add(s.Share, 1)
-		h.inner.sums[k].Add(was, -1)
+		h.inner.sums[k].AddScaled(s.DrawWeight, 1)
+		h.inner.sums[k].AddScaled(was, -1)
 		h = h.inner.kids[k]
 	}
 }
 
 // resum adds up anew, so that no error of rounding stays.
 func (h *node[T]) resum() {
-	h.sum = Part{}
+	h.sum = Linear{}
 	for i := range h.leaf {
-		h.sum.Add(h.leaf[i].homed, 1)
+		h.sum.AddScaled(h.leaf[i].homed, 1)
 	}
 	if h.inner != nil {
 		for _, sum := range h.inner.sums {
-			h.sum.Add(sum, 1)
+			h.sum.AddScaled(sum, 1)
 		}
 	}
 }
 
-// Race is a weighted rendezvous for a key (exponential times, as in "Weighted distributed hash tables" by
+// Rendezvous is a weighted rendezvous for a key (exponential times, as in "Weighted distributed hash tables" by
 // Schindelhauer and Schomaker): who has the least time over weight wins.
-type Race struct {
+type Rendezvous struct {
 	source rand.PCG
 	rng    *rand.Rand
 	key    uint64
 	lowest float64
 }
 
-func NewRace() *Race {
-	r := &Race{}
+func NewRendezvous() *Rendezvous {
+	r := &Rendezvous{}
 	r.rng = rand.New(&r.source)
 	return r
 }
 
-func (r *Race) Start(key string) { r.key = xxhash.Sum64String(key) }
+func (r *Rendezvous) SetKey(key string) { r.key = xxhash.Sum64String(key) }
 
 // leastWeight stands for a weight of 0 in a race, and for one that is no number: less than any that a draw knows, so that
 // it loses to all of them, while two such ones still race. Their times would be infinite else, and the first one to be
@@ -158,7 +158,7 @@
 const leastWeight = 1e-300
 
 // wins reports whether the one with that hash and weight is ahead of all before it.
-func (r *Race) wins(first bool, hash uint64, weight float64) bool {
+func (r *Rendezvous) wins(first bool, hash uint64, weight float64) bool {
 	if !(weight > leastWeight) {
 		weight = leastWeight
 	}
@@ -170,8 +170,8 @@
 	return false
 }
 
-// Home returns the home of the key that the race was started for; ok is false in a pool without members or homes.
-func (d *Drawing[T]) Home(r *Race) (of T, ok bool) {
+// Owner returns the home of the key that the race was started for; ok is false in a pool without members or homes.
+func (d *Distribution[T]) Owner(r *Rendezvous) (of T, ok bool) {
 	h, path := d.pool.homes, uint64(1)
 	for h != nil && h.inner != nil {
 		best := -1
@@ -193,10 +193,10 @@
 	return of, ok
 }
 
-// Among returns the home among a few members, or nil without any.
-func Among[T any](r *Race, members []*Member[T], mean float64) (best *Member[T]) {
+// OwnerAmong returns the home among a few members, or nil without any.
+func OwnerAmong[T any](r *Rendezvous, members []*Member[T], mean float64) (best *Member[T]) {
 	for _, s := range members {
-		if r.wins(best == nil, s.Hash, s.Share.At(mean)) {
+		if r.wins(best == nil, s.Hash, s.DrawWeight.At(mean)) {
 			best = s
 		}
 	}
--- a/internal/balancer/weighted/weighted.go
+++ b/internal/balancer/weighted/weighted.go
@@ -11,30 +11,30 @@
 	"math/rand/v2"
 )
 
-// Part is a figure that hangs on a mean m: BySize*m + ByRate.
-type Part struct{ BySize, ByRate float64 }
+// Linear is a figure that hangs on a mean m: Slope*m + Intercept.
+type Linear struct{ Slope, Intercept float64 }
 
 // At is the figure at a mean.
-func (p Part) At(mean float64) float64 { return p.BySize*mean + p.ByRate }
+func (p Linear) At(mean float64) float64 { return p.Slope*mean + p.Intercept }
 
-// Times is the figure times x.
-func (p Part) Times(x float64) Part { return Part{p.BySize * x, p.ByRate * x} }
+// Scaled is the figure times x.
+func (p Linear) Scaled(x float64) Linear { return Linear{p.Slope * x, p.Intercept * x} }
 
-// Add adds q, as often as times says; -1 takes it away.
-func (p *Part) Add(q Part, times float64) {
-	p.BySize, p.ByRate = p.BySize+times*q.BySize, p.ByRate+times*q.ByRate
+// AddScaled adds q, as often as times says; -1 takes it away.
+func (p *Linear) AddScaled(q Linear, times float64) {
+	p.Slope, p.Intercept = p.Slope+times*q.Slope, p.Intercept+times*q.Intercept
 }
 
 // Member is the part of a T that pools look at. A member is in one pool at most, which its owner keeps in mind.
 type Member[T any] struct {
-	Of   T
-	Hash uint64 // the same wherever members are to agree on the homes of keys
+	Value T
+	Hash  uint64 // the same wherever members are to agree on the homes of keys
 
-	homed Part    // the share that inner nodes go by
+	homed Linear  // the share that inner nodes go by
 	slots [2]slot // in the samplers of its pool
 	in    bool
 
-	Share Part // the weight; after a change of it the pool wants a Put
+	DrawWeight Linear // the weight; after a change of it the pool wants a Put
 }
 
 // Classes of weight, by powers of two. What weighs less than the least is never drawn, and what weighs more than the
@@ -71,9 +71,9 @@
 // weight is what the sampler draws the member by.
 func (m *sampler[T]) weight(s *Member[T]) float64 {
 	if m.half == 0 {
-		return s.Share.BySize
+		return s.DrawWeight.Slope
 	}
-	return s.Share.ByRate
+	return s.DrawWeight.Intercept
 }
 
 // most is above the weight of any member of the class: two to the class's exponent and one.
@@ -106,7 +106,7 @@
 	if class > 0 {
 		list := &m.classes[class-1]
 		*at = slot{uint8(class), int32(len(*list))}
-		*list = append(*list, entry[T]{m.weight(s), s.Of, s})
+		*list = append(*list, entry[T]{m.weight(s), s.Value, s})
 		m.filled[(class-1)/64] |= 1 << ((class - 1) % 64)
 	}
 }
@@ -171,9 +171,9 @@
 	p.halves[0].put(s, false)
 	p.halves[1].put(s, false)
 	if p.homes != nil {
-		is, was := s.Share.At(mean), s.homed.At(mean)
+		is, was := s.DrawWeight.At(mean), s.homed.At(mean)
 		if !s.in {
-			s.homed = s.Share
+			s.homed = s.DrawWeight
 			p.homes.add(s, 0)
 		} else if is != was && (p.homes.inner == nil || math.Abs(is-was) > homeStale*was) {
 			p.homes.changed(s)
@@ -192,8 +192,8 @@
 	s.in = false
 }
 
-// Drawing is a pool at one mean. It holds until the pool changes.
-type Drawing[T any] struct {
+// Distribution is a pool at one mean. It holds until the pool changes.
+type Distribution[T any] struct {
 	pool  *Pool[T]
 	mean  float64
 	sizes float64 // mass by size, times the mean
@@ -201,16 +201,16 @@
 }
 
 // At returns the pool at a mean above 0.
-func (p *Pool[T]) At(mean float64) Drawing[T] {
-	d := Drawing[T]{pool: p, mean: mean, sizes: mean * p.halves[0].mass()}
+func (p *Pool[T]) At(mean float64) Distribution[T] {
+	d := Distribution[T]{pool: p, mean: mean, sizes: mean * p.halves[0].mass()}
 	d.total = d.sizes + p.halves[1].mass()
 	return d
 }
 
-// Bound is at least the sum of all shares, and no more than twice that.
-func (d *Drawing[T]) Bound() float64 { return d.total }
+// WeightBound is at least the sum of all shares, and no more than twice that.
+func (d *Distribution[T]) WeightBound() float64 { return d.total }
 
-func (d *Drawing[T]) trial(rng *rand.Rand) trial[T] {
+func (d *Distribution[T]) trial(rng *rand.Rand) trial[T] {
 	x := rng.Float64() * d.total
 	if x < d.sizes {
 		return d.pool.halves[0].at(x / d.mean)
@@ -218,8 +218,8 @@
 	return d.pool.halves[1].at(x - d.sizes)
 }
 
-// Once returns each member with probability share over Bound, or else none.
-func (d *Drawing[T]) Once(rng *rand.Rand) (of T, ok bool) {
+// TryDraw returns each member with probability share over Bound, or else none.
+func (d *Distribution[T]) TryDraw(rng *rand.Rand) (of T, ok bool) {
 	if !(d.total > 0) {
 		return of, false
 	}
@@ -233,9 +233,9 @@
 const rounds = 200
 
 // Draw returns a member with probability share over the sum of all, or none where the pool is empty.
-func (d *Drawing[T]) Draw(rng *rand.Rand) (of T, ok bool) {
+func (d *Distribution[T]) Draw(rng *rand.Rand) (of T, ok bool) {
 	for left := rounds; !ok && left > 0 && d.total > 0; left-- {
-		of, ok = d.Once(rng)
+		of, ok = d.TryDraw(rng)
 	}
 	return of, ok
 }
@@ -244,7 +244,7 @@
 const batch = 16
 
 // Fill fills out with draws as of Draw. It reports false where the pool is empty.
-func (d *Drawing[T]) Fill(rng *rand.Rand, out []T) bool {
+func (d *Distribution[T]) Fill(rng *rand.Rand, out []T) bool {
 	var trials [batch]trial[T]
 	var met [batch]bool
 	for left := rounds; len(out) > 0 && left > 0 && d.total > 0; left-- {
--- a/internal/balancer/weighted/weighted_test.go
+++ b/internal/balancer/weighted/weighted_test.go
@@ -22,13 +22,13 @@
 	return &crowd{pool: NewPool[int](true), mean: 1, all: map[int]*Member[int]{}}
 }
 
-func (c *crowd) set(i int, share Part) {
+func (c *crowd) set(i int, share Linear) {
 	m := c.all[i]
 	if m == nil {
-		m = &Member[int]{Of: i, Hash: xxhash.Sum64String(fmt.Sprint("m", i))}
+		m = &Member[int]{Value: i, Hash: xxhash.Sum64String(fmt.Sprint("m", i))}
 		c.all[i] = m
 	}
-	m.Share = share
+	m.DrawWeight = share
 	c.pool.Put(m, c.mean)
 }
 
@@ -37,12 +37,12 @@
 	delete(c.all, i)
 }
 
-func (c *crowd) homes(r *Race, keys int) []int {
+func (c *crowd) homes(r *Rendezvous, keys int) []int {
 	d := c.pool.At(c.mean)
 	out := make([]int, keys)
 	for k := range out {
-		r.Start(fmt.Sprint("key", k))
-		out[k], _ = d.Home(r)
+		r.SetKey(fmt.Sprint("key", k))
+		out[k], _ = d.Owner(r)
 	}
 	return out
 }
@@ -70,10 +70,10 @@
 	for _, size := range []int{14, 100, 1000, 10_000} {
 		rng := rand.New(rand.NewPCG(1, uint64(size)))
 		c := newCrowd()
-		share := func() Part { // sizes of one to ten, some of them by their own reports in part
-			p := Part{BySize: 1 + 9*rng.Float64()}
+		share := func() Linear { // sizes of one to ten, some of them by their own reports in part
+			p := Linear{Slope: 1 + 9*rng.Float64()}
 			if rng.IntN(2) == 0 {
-				p = Part{p.BySize / 4, 20 * p.BySize}
+				p = Linear{p.Slope / 4, 20 * p.Slope}
 			}
 			return p
 		}
@@ -84,7 +84,7 @@
 			t.Helper()
 			want, skewed := map[int]float64{}, map[int]float64{}
 			for i, m := range c.all {
-				want[i] = m.Share.At(c.mean)
+				want[i] = m.DrawWeight.At(c.mean)
 				if skewed[i] = want[i]; i%5 == 0 {
 					skewed[i] *= 1.25
 				}
@@ -136,11 +136,11 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := newCrowd()
 	for i := range 1000 {
-		c.set(i, Part{BySize: 1})
+		c.set(i, Linear{Slope: 1})
 	}
-	c.set(1000, Part{BySize: 1e5})
-	c.set(1001, Part{BySize: math.SmallestNonzeroFloat64})
-	c.set(1002, Part{BySize: math.NaN(), ByRate: -3})
+	c.set(1000, Linear{Slope: 1e5})
+	c.set(1001, Linear{Slope: math.SmallestNonzeroFloat64})
+	c.set(1002, Linear{Slope: math.NaN(), Intercept: -3})
 	d := c.pool.At(c.mean)
 	huge := 0
 	for range 10_000 {
@@ -158,10 +158,10 @@
 		c.remove(i)
 	}
 	d = c.pool.At(c.mean)
-	if _, ok := d.Draw(rng); ok || d.Bound() != 0 {
+	if _, ok := d.Draw(rng); ok || d.WeightBound() != 0 {
 		t.Error("an empty pool has something to draw")
 	}
-	c.set(1, Part{BySize: math.Inf(1)})
+	c.set(1, Linear{Slope: math.Inf(1)})
 	d = c.pool.At(c.mean)
 	if _, ok := d.Draw(rng); !ok {
 		t.Error("an infinite weight counts as the most that there is, and was not drawn")
@@ -171,7 +171,7 @@
 // Whatever comes and goes, in whatever order: the pool holds exactly the members, and keys have the homes that they
 // would have in a pool that is filled anew.
 func TestPoolModel(t *testing.T) {
-	race := NewRace()
+	race := NewRendezvous()
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCrowd()
 		for round := range rapid.IntRange(1, 4).Draw(t, "rounds") {
@@ -181,12 +181,12 @@
 					c.remove(i)
 					continue
 				}
-				c.set(i, Part{float64(rapid.IntRange(0, 5).Draw(t, "size")), float64(rapid.IntRange(0, 90).Draw(t, "rate")) / 8})
+				c.set(i, Linear{float64(rapid.IntRange(0, 5).Draw(t, "size")), float64(rapid.IntRange(0, 90).Draw(t, "rate")) / 8})
 			}
 			fresh := newCrowd()
 			for i, m := range c.all {
-				m.homed = m.Share // else the two may lawfully differ by homeStale
-				fresh.set(i, m.Share)
+				m.homed = m.DrawWeight // else the two may lawfully differ by homeStale
+				fresh.set(i, m.DrawWeight)
 			}
 			rebuild(c.pool.homes)
 			var held []int
@@ -207,8 +207,8 @@
 			}
 			slices.Sort(held)
 			for i, m := range c.all {
-				if _, is := slices.BinarySearch(held, i); is != (m.Share.BySize > 0 || m.Share.ByRate > 0) {
-					t.Fatalf("member %d with %v is held: %v", i, m.Share, is)
+				if _, is := slices.BinarySearch(held, i); is != (m.DrawWeight.Slope > 0 || m.DrawWeight.Intercept > 0) {
+					t.Fatalf("member %d with %v is held: %v", i, m.DrawWeight, is)
 				}
 			}
 			if n := c.pool.homes.count; n != len(c.all) {
@@ -224,17 +224,17 @@
 // Members without weight have no say in the homes of keys beside one that has some; where none has any, keys still have
 // the same homes whatever the order in which the members came.
 func TestHomesWithoutWeight(t *testing.T) {
-	race := NewRace()
+	race := NewRendezvous()
 	here, there := newCrowd(), newCrowd()
 	for i := range 4 {
-		here.set(i, Part{})
-		there.set(3-i, Part{ByRate: math.NaN()})
+		here.set(i, Linear{})
+		there.set(3-i, Linear{Intercept: math.NaN()})
 	}
 	got, want := here.homes(race, 50), there.homes(race, 50)
 	if !slices.Equal(got, want) || slices.Min(got) == slices.Max(got) {
 		t.Errorf("homes are %v, and %v where the members came in another order", got, want)
 	}
-	here.set(2, Part{ByRate: 1e-9})
+	here.set(2, Linear{Intercept: 1e-9})
 	if got := here.homes(race, 50); slices.Min(got) != 2 || slices.Max(got) != 2 {
 		t.Errorf("homes are %v, where only member 2 has a weight", got)
 	}
@@ -259,22 +259,22 @@
 // Few keys move when few members change: at each level of the tree no more than must, so within the number of levels
 // times the least possible in all. Homes follow the weights all the time.
 func TestFewKeysMove(t *testing.T) {
-	race := NewRace()
+	race := NewRendezvous()
 	for _, tt := range []struct {
 		size   int
 		levels float64
 	}{{30, 1}, {1000, 3}, {10_000, 4}} {
 		for name, change := range map[string]func(c *crowd, i int){
 			"gone":       func(c *crowd, i int) { c.remove(i) },
-			"twice":      func(c *crowd, i int) { c.set(i, c.all[i].Share.Times(2)) },
-			"new beside": func(c *crowd, i int) { c.set(c.all[i].Of+1_000_000, c.all[i].Share) },
+			"twice":      func(c *crowd, i int) { c.set(i, c.all[i].DrawWeight.Scaled(2)) },
+			"new beside": func(c *crowd, i int) { c.set(c.all[i].Value+1_000_000, c.all[i].DrawWeight) },
 		} {
 			c := newCrowd()
 			rng := rand.New(rand.NewPCG(3, 4))
 			weights, total := map[int]float64{}, 0.0
 			for i := range tt.size {
-				c.set(i, Part{BySize: 1 + 4*rng.Float64()})
-				weights[i] = c.all[i].Share.BySize
+				c.set(i, Linear{Slope: 1 + 4*rng.Float64()})
+				weights[i] = c.all[i].DrawWeight.Slope
 				total += weights[i]
 			}
 			const keys = 40_000
--- a/internal/cli/join.go
+++ b/internal/cli/join.go
@@ -24,9 +24,9 @@
 			Options: coalesce.Options{MostGroups: set.MaxGroups, MostWaiting: set.MaxWaiting, Pause: time.Duration(set.Pause)}}
 		var safe []string
 		for _, c := range classes {
-			joined := !c.Dropped && c.Effect == balancer.Safe && slices.Contains(set.Classes, c.Name)
-			with.Options.Classes = append(with.Options.Classes, coalesce.Class{Joined: joined, Aim: c.Aim, Deadline: c.Deadline})
-			if c.Effect == balancer.Safe {
+			joined := !c.Retired && c.Effect == balancer.Idempotent && slices.Contains(set.Classes, c.Name)
+			with.Options.Classes = append(with.Options.Classes, coalesce.Class{Joined: joined, Aim: c.LatencyObjective, Deadline: c.Deadline})
+			if c.Effect == balancer.Idempotent {
 				safe = append(safe, c.Name)
 			}
 		}
--- a/internal/cli/join_test.go
+++ b/internal/cli/join_test.go
@@ -11,7 +11,7 @@
 // Only the platform's configuration names the classes: one that is not there, or that must not run twice, is refused with
 // the line of the settings.
 func TestJoinedClasses(t *testing.T) {
-	classes := []balancer.Class{{Name: "form-check"}, {Name: "refund-record", Effect: balancer.Keyed}, {Name: "pay", Effect: balancer.Unsafe}}
+	classes := []balancer.Class{{Name: "form-check"}, {Name: "refund-record", Effect: balancer.IdempotentByKey}, {Name: "pay", Effect: balancer.NonIdempotent}}
 	for name, want := range map[string]string{"form-check": "", "refund-record": "refund-record", "pay": "pay", "formcheck": "formcheck"} {
 		f, err := settings.Parse("own.toml", []byte("[join]\n\nclasses = [\"form-check\", \""+name+"\"]\n"))
 		if name == "form-check" {
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -110,7 +110,7 @@
 		e.Tell(ev)
 	}
 	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Draining)}})
-	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Gone)}})
+	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Removed)}})
 	tell(200*time.Millisecond, engine.ListUnavailable{})
 	restarted := member(2, balancer.Ready)
 	restarted.Started = clock.Now()
@@ -147,7 +147,7 @@
 
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{clock: engine.NewClock(), site: testSite(t)}
-	w.site.Logic.ParallelCopies = false // a proxy carries one copy of a request
+	w.site.Logic.AllowHedging = false // a proxy carries one copy of a request
 	policy, err := balancer.New(w.site.Logic, seed)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/downstream/extproc/fuzz_test.go
+++ b/internal/downstream/extproc/fuzz_test.go
@@ -57,7 +57,7 @@
 			}
 			class := site.Logic.Classes[call.Class]
 			if call.ID == "" || len(call.ID) > 128 || call.Deadline <= began || call.Deadline > clock.Now()+class.Deadline ||
-				class.Effect == balancer.Keyed && (call.RepeatKey == "" || call.Window != class.Window) || len(call.Among) > 2 {
+				class.Effect == balancer.IdempotentByKey && (call.RepeatKey == "" || call.Window != class.DedupWindow) || len(call.Among) > 2 {
 				t.Errorf("accepted %+v", call)
 			}
 		}
--- a/internal/downstream/extproc/server_test.go
+++ b/internal/downstream/extproc/server_test.go
@@ -351,7 +351,7 @@
 		t.Errorf("the module never chose it, so that nothing was tested: %+v", c)
 	}
 	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Draining)}})
-	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Gone)}})
+	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Removed)}})
 	for _, b := range append(open, a) {
 		b.answer(whole("200"))
 	}
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -67,8 +67,8 @@
 
 // Answers to requests that are not begun: bad ones, too many, and the question whether the agent is ready.
 func TestGoldenTurnedAway(t *testing.T) {
-	classes := []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second},
-		{Name: "refund-record", Effect: balancer.Keyed, Window: time.Second, Aim: time.Second, Deadline: 2 * time.Second}}
+	classes := []balancer.Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second},
+		{Name: "refund-record", Effect: balancer.IdempotentByKey, DedupWindow: time.Second, LatencyObjective: time.Second, Deadline: 2 * time.Second}}
 	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: classes}, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -19,7 +19,7 @@
 // When too much is open, what comes is refused at once: past the limit on descriptors nothing would be answered at
 // all.
 func TestTooMuchOpen(t *testing.T) {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 
 // A request that lay unread until its client had gone is not begun.
 func TestWhoHasGoneGetsNothingBegun(t *testing.T) {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/downstream/requesthead/intake.go
+++ b/internal/downstream/requesthead/intake.go
@@ -90,7 +90,7 @@
 func (f *InForce) Longest() (longest time.Duration) {
 	for r := f.rules.Load(); r != nil; r = r.Before {
 		for _, c := range r.Classes {
-			if !c.Dropped {
+			if !c.Retired {
 				longest = max(longest, c.Deadline)
 			}
 		}
@@ -101,8 +101,8 @@
 // Aim is within what time any client wants its answer.
 func (f *InForce) Aim() (aim time.Duration) {
 	for _, c := range f.rules.Load().Classes {
-		if !c.Dropped {
-			aim = max(aim, c.Aim)
+		if !c.Retired {
+			aim = max(aim, c.LatencyObjective)
 		}
 	}
 	return aim
@@ -148,7 +148,7 @@
 // class is the number of the class that a path names; -1 of none that takes requests.
 func (rules *Rules) class(path string) int {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	return slices.IndexFunc(rules.Classes, func(c balancer.Class) bool { return c.Name == name && !c.Dropped })
+	return slices.IndexFunc(rules.Classes, func(c balancer.Class) bool { return c.Name == name && !c.Retired })
 }
 
 // fits reports whether a request has the form of its class: method and key tell the effect.
@@ -157,12 +157,12 @@
 	if i < 0 {
 		return false
 	}
-	form := balancer.Unsafe
+	form := balancer.NonIdempotent
 	switch {
 	case h.Method == http.MethodGet, h.Method == http.MethodHead:
-		form = balancer.Safe
+		form = balancer.Idempotent
 	case h.Header.Get(KeyHeader) != "":
-		form = balancer.Keyed
+		form = balancer.IdempotentByKey
 	}
 	return rules.Classes[i].Effect == form
 }
@@ -188,8 +188,8 @@
 		Deadline: began + timeout - min(deadlineMargin, timeout/4), Again: h.Header.Get(retriedHeader) == "1",
 		Effect: class.Effect, RepeatKey: h.Header.Get(KeyHeader), Path: h.Path, Header: h.Header,
 		Settings: rules.Number, Attempts: rules.Attempts}
-	if class.Effect == balancer.Keyed {
-		c.Window = class.Window
+	if class.Effect == balancer.IdempotentByKey {
+		c.Window = class.DedupWindow
 	}
 	return c, timeout, nil
 }
@@ -206,9 +206,9 @@
 	}
 	want := http.MethodPost
 	switch {
-	case class.Effect == balancer.Safe && h.Forms && h.Method == http.MethodHead:
+	case class.Effect == balancer.Idempotent && h.Forms && h.Method == http.MethodHead:
 		want = http.MethodHead
-	case class.Effect == balancer.Safe:
+	case class.Effect == balancer.Idempotent:
 		want = http.MethodGet
 	}
 	if h.Method != want {
@@ -225,7 +225,7 @@
 	if id := h.Header.Get(RequestIDHeader); id == "" || len(id) > longestID {
 		return BadRequest{http.StatusBadRequest, RequestIDHeader + " is missing or too long"}
 	}
-	if class.Effect == balancer.Keyed && h.Header.Get(KeyHeader) == "" {
+	if class.Effect == balancer.IdempotentByKey && h.Header.Get(KeyHeader) == "" {
 		// The backends could not tell a repeat, so it must not be sent as one of this class.
 		return BadRequest{http.StatusBadRequest, KeyHeader + " is missing"}
 	}
--- a/internal/downstream/requesthead/intake_test.go
+++ b/internal/downstream/requesthead/intake_test.go
@@ -10,7 +10,7 @@
 
 // A request ends early enough that its answer is out before the client's deadline, which may be near.
 func TestDeadlineMargin(t *testing.T) {
-	rules := Rules{Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Safe, Deadline: 2 * time.Second}}}
+	rules := Rules{Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Idempotent, Deadline: 2 * time.Second}}}
 	for text, timeout := range map[string]time.Duration{"2000m": 2 * time.Second, "8m": 8 * time.Millisecond} {
 		c, waits, err := rules.Check(Head{Method: http.MethodGet, Path: "/form-check",
 			Header: http.Header{"X-Request-Id": {"1"}, "X-Timeout": {text}}}, 5*time.Second)
--- a/internal/engine/chooser.go
+++ b/internal/engine/chooser.go
@@ -68,7 +68,7 @@
 	}
 	old.release()
 	old.Caller, old.chooser, old.Try, old.Among = c.Caller, c.chooser, c.Try, c.Among
-	e.decide(balancer.Retry{Request: c.ID, Among: old.among()})
+	e.decide(balancer.Retry{Request: c.ID, AllowedServers: old.among()})
 	return true
 }
 
@@ -80,7 +80,7 @@
 // worded here, where the request is known. One that comes as a further try, while nothing is remembered of the ones before
 // (the memory was full, or the agent has started anew), may have run: if it must not run twice it has failed.
 func (e *Engine) takesNew(c *Call) bool {
-	if c.Effect != balancer.Safe && e.neverRan != nil {
+	if c.Effect != balancer.Idempotent && e.neverRan != nil {
 		now := e.clock.Now()
 		_, known := e.neverRan.Get(now, c.ID)
 		if c.Try > 1 && !known {
@@ -91,7 +91,7 @@
 			e.neverRan.Put(now, c.ID, struct{}{}, now)
 		}
 	}
-	if c.Full && c.before.May {
+	if c.Full && c.before.MayHaveRun {
 		e.reject(c, Answer{Kind: Failed})
 		return false
 	}
@@ -105,7 +105,7 @@
 
 // cameToNothing remembers that no try of a chooser's call can have run, so that a further one is as good as the first.
 func (e *Engine) cameToNothing(c *Call) {
-	if e.neverRan != nil && c.chooser != nil && c.Effect != balancer.Safe {
+	if e.neverRan != nil && c.chooser != nil && c.Effect != balancer.Idempotent {
 		now := e.clock.Now()
 		e.neverRan.Put(now, c.ID, struct{}{}, now+e.keep)
 	}
@@ -147,7 +147,7 @@
 	}
 	e.withdraw(a)
 	if c := a.Call; !c.closed.Load() {
-		e.decide(balancer.Retry{Request: c.ID, Among: c.among()})
+		e.decide(balancer.Retry{Request: c.ID, AllowedServers: c.among()})
 	}
 }
 
@@ -171,14 +171,14 @@
 		c.closed.Store(true)
 		e.cameToNothing(c)
 		e.passed(c, admission.Left)
-		e.decide(balancer.ClientGone{Request: c.ID})
+		e.decide(balancer.ClientDisconnected{Request: c.ID})
 		e.forget(c)
 	}
 }
 
 // remember keeps how a call ended whose effect must not be repeated by a later try.
 func (e *Engine) remember(c *Call, kind AnswerKind) {
-	if e.ended == nil || c.chooser == nil || c.Effect == balancer.Safe {
+	if e.ended == nil || c.chooser == nil || c.Effect == balancer.Idempotent {
 		return
 	}
 	if kind == Refused {
--- a/internal/engine/chooser_test.go
+++ b/internal/engine/chooser_test.go
@@ -75,9 +75,9 @@
 
 func classes() []balancer.Class {
 	return []balancer.Class{
-		{Name: "safe", Effect: balancer.Safe, Aim: 600e6, Deadline: deadline, Worth: 1},
-		{Name: "keyed", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: window, Aim: 600e6, Deadline: deadline, Worth: 3},
-		{Name: "unsafe", Effect: balancer.Unsafe, Aim: 600e6, Deadline: deadline, Worth: 10},
+		{Name: "safe", Effect: balancer.Idempotent, LatencyObjective: 600e6, Deadline: deadline, Priority: 1},
+		{Name: "keyed", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: window, LatencyObjective: 600e6, Deadline: deadline, Priority: 3},
+		{Name: "unsafe", Effect: balancer.NonIdempotent, LatencyObjective: 600e6, Deadline: deadline, Priority: 10},
 	}
 }
 
@@ -93,7 +93,7 @@
 	if rapid.Bool().Draw(t, "governed") {
 		names := generation.Names{}
 		for _, c := range classes() {
-			names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
+			names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.LatencyObjective, Deadline: c.Deadline})
 		}
 		e.Govern(generation.New(generation.Options{Names: names}), nil)
 	}
@@ -181,10 +181,10 @@
 	m.sentBound(a)
 	for _, before := range m.ran[p.id] {
 		switch class := classes()[m.class[p.id]]; class.Effect {
-		case balancer.Unsafe:
+		case balancer.NonIdempotent:
 			m.t.Fatalf("%s is sent to %s and may have run at %s", p.id, a.Server, before.attempt.Server)
-		case balancer.Keyed:
-			if first := before.attempt; before.stray || first.Server[0]/2 != a.Server[0]/2 || a.Sent-first.Sent >= class.Window {
+		case balancer.IdempotentByKey:
+			if first := before.attempt; before.stray || first.Server[0]/2 != a.Server[0]/2 || a.Sent-first.Sent >= class.DedupWindow {
 				m.t.Fatalf("%s is sent to %s at %v and may have run at %s at %v", p.id, a.Server, a.Sent, first.Server, first.Sent)
 			}
 		}
@@ -228,8 +228,8 @@
 	p := &proxied{m: m, id: id}
 	call := &Call{ID: id, Class: class, Deadline: m.e.clock.Now() + c.Deadline, Effect: c.Effect, Caller: p,
 		Try: rapid.IntRange(0, 3).Draw(m.t, "try")}
-	if c.Effect == balancer.Keyed {
-		call.Window = c.Window
+	if c.Effect == balancer.IdempotentByKey {
+		call.Window = c.DedupWindow
 	}
 	m.tries = append(m.tries, p)
 	m.e.handle(arrived{call})
@@ -336,7 +336,7 @@
 		m := newMachine(rt)
 		m.class["0"] = 1
 		call := func(p *proxied, try int) *Call {
-			return &Call{ID: "0", Class: 1, Effect: balancer.Keyed, Window: window, Deadline: m.e.clock.Now() + deadline, Caller: p, Try: try}
+			return &Call{ID: "0", Class: 1, Effect: balancer.IdempotentByKey, Window: window, Deadline: m.e.clock.Now() + deadline, Caller: p, Try: try}
 		}
 		first, second, third := &proxied{m: m, id: "0"}, &proxied{m: m, id: "0"}, &proxied{m: m, id: "0"}
 		m.e.handle(arrived{call(first, 1)})
--- a/internal/engine/door.go
+++ b/internal/engine/door.go
@@ -28,8 +28,8 @@
 	if e.door == nil {
 		return true
 	}
-	a := admission.Ask{Class: c.Class, Tenant: c.Tenant, Key: c.RepeatKey, Again: c.Again, Bound: c.Try > 1 || c.before.May, Deadline: c.Deadline}
-	if a.Key == "" && c.Effect == balancer.Safe && c.Key != "" {
+	a := admission.Ask{Class: c.Class, Tenant: c.Tenant, Key: c.RepeatKey, Again: c.Again, Bound: c.Try > 1 || c.before.MayHaveRun, Deadline: c.Deadline}
+	if a.Key == "" && c.Effect == balancer.Idempotent && c.Key != "" {
 		a.Key = strconv.Itoa(c.Class) + " " + strconv.Itoa(c.Tenant) + " " + c.Key
 	}
 	p, told := e.door.Arrive(e.clock.Now(), a)
--- a/internal/engine/door_test.go
+++ b/internal/engine/door_test.go
@@ -55,7 +55,7 @@
 	e.Step(Listed{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
 	call := func(id string, try int) (*Call, *ear) {
 		heard := &ear{}
-		c := &Call{ID: id, Class: 1, Effect: balancer.Keyed, Window: window, Deadline: now + deadline, RepeatKey: "key-" + id, Carrier: s, Caller: heard, Try: try}
+		c := &Call{ID: id, Class: 1, Effect: balancer.IdempotentByKey, Window: window, Deadline: now + deadline, RepeatKey: "key-" + id, Carrier: s, Caller: heard, Try: try}
 		e.Step(Arrival(c))
 		return c, heard
 	}
@@ -97,7 +97,7 @@
 	e.Step(Listed{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
 	try := func(id string, number int, full bool) *proxied {
 		p := &proxied{m: &machine{ran: map[string][]*run{}, class: map[string]int{}}, id: id}
-		e.Step(Arrival(&Call{ID: id, Class: 2, Effect: balancer.Unsafe, Deadline: now + deadline, Caller: p, Try: number, Full: full}))
+		e.Step(Arrival(&Call{ID: id, Class: 2, Effect: balancer.NonIdempotent, Deadline: now + deadline, Caller: p, Try: number, Full: full}))
 		return p
 	}
 	if p := try("x", 1, true); len(p.answers) != 1 || p.answers[0].Kind != Refused {
@@ -156,7 +156,7 @@
 	})
 	calls, heard := make([]*Call, 3), make([]ear, 3)
 	for i := range calls {
-		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Safe, Deadline: x.now + deadline, Carrier: x.out, Caller: &heard[i], Like: &coalesce.Digest{}}
+		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Idempotent, Deadline: x.now + deadline, Carrier: x.out, Caller: &heard[i], Like: &coalesce.Digest{}}
 		x.Step(Arrival(calls[i]))
 	}
 	if len(x.out.attempts) != 1 {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -64,8 +64,8 @@
 	counted    bool            // the tally has it as open
 	flies      bool            // it is a flight of joined calls, and nobody's own
 	bound      generation.Bound
-	key        affinity.Key    // of a keyed call, where ties are kept
-	before     balancer.Before // what may have run of it under another id
+	key        affinity.Key            // of a keyed call, where ties are kept
+	before     balancer.EarlierAttempt // what may have run of it under another id
 }
 
 // Closed reports whether the call needs no answer any more. It may be asked from any goroutine.
@@ -227,7 +227,7 @@
 	// Retuned brings settings that have changed, and their number; what is switched on beside the module hears of the classes
 	// as it needs them.
 	Retuned struct {
-		balancer.Retune
+		balancer.ClassUpdate
 		Number int
 		Joins  []coalesce.Class
 		Door   []admission.Class
@@ -327,7 +327,7 @@
 	Joins          coalesce.Counts
 	Door           admission.Counts
 	Tally          Tally
-	Picture        balancer.Picture
+	Picture        balancer.Stats
 	Generation     generation.Status
 	Ties           affinity.Counts
 	Recovery       *recovery.Status // nil where none is switched on
@@ -346,7 +346,7 @@
 }
 
 func (e *Engine) load() Load {
-	l := Load{Calls: len(e.calls), InFlight: e.balancer.InFlight(), Picture: e.balancer.Picture()}
+	l := Load{Calls: len(e.calls), InFlight: e.balancer.InFlight(), Picture: e.balancer.Stats()}
 	if e.ended != nil {
 		l.ForgottenEarly = e.ended.Evicted()
 	}
@@ -538,7 +538,7 @@
 	}
 	e.passed(c, admission.Left)
 	e.unbind(c, generation.Left)
-	e.decide(balancer.ClientGone{Request: c.ID})
+	e.decide(balancer.ClientDisconnected{Request: c.ID})
 	e.forget(c)
 }
 
@@ -548,7 +548,7 @@
 		return
 	}
 	end := Answer{Kind: Refused}
-	if c.ranSince != 0 || c.before.May {
+	if c.ranSince != 0 || c.before.MayHaveRun {
 		end.Kind = Failed
 	}
 	e.finish(c, end)
@@ -556,7 +556,7 @@
 		e.leave(c)
 		return
 	}
-	e.decide(balancer.ClientGone{Request: c.ID})
+	e.decide(balancer.ClientDisconnected{Request: c.ID})
 }
 
 // ask brings a call to the module, past the door.
@@ -569,9 +569,9 @@
 	if !e.admit(c) {
 		return
 	}
-	e.decide(balancer.Request{Was: c.Settings < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Again: c.Again,
-		Among: c.among(), OnDemand: c.chooser != nil || c.Upload != nil, Uploads: c.Upload != nil,
-		Attempts: fewest(c.Attempts, c.bound.Attempts), Before: c.before})
+	e.decide(balancer.Request{UsesPreviousClasses: c.Settings < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, IsClientRetry: c.Again,
+		AllowedServers: c.among(), ManualRetry: c.chooser != nil || c.Upload != nil, StreamsBody: c.Upload != nil,
+		MaxAttempts: fewest(c.Attempts, c.bound.Attempts), Earlier: c.before})
 }
 
 // fewest is the lower of two numbers of which 0 states none.
@@ -585,7 +585,7 @@
 // retuned puts settings in force for what comes from now on.
 func (e *Engine) retuned(r Retuned) {
 	e.settings = r.Number
-	e.decide(r.Retune)
+	e.decide(r.ClassUpdate)
 	if e.joins != nil {
 		e.joins.table.Retune(r.Joins)
 	}
@@ -634,17 +634,17 @@
 	switch {
 	case served:
 		e.finish(c, Answer{Kind: Served, Payload: o.Payload, Private: o.Private})
-	case spent && (c.ranSince == 0 || c.Effect == balancer.Safe): // what it would need is gone
+	case spent && (c.ranSince == 0 || c.Effect == balancer.Idempotent): // what it would need is gone
 		e.finish(c, Answer{Kind: Refused})
 	case spent:
 		e.finish(c, Answer{Kind: Failed})
-	case o.Elsewhere && c.Effect != balancer.Safe: // the group in which it may be repeated is not known
+	case o.Elsewhere && c.Effect != balancer.Idempotent: // the group in which it may be repeated is not known
 		e.finish(c, Answer{Kind: Failed})
 	}
 	e.decide(balancer.Outcome{Request: c.ID, Attempt: a.Number, Server: a.Server, Result: o.Result,
-		Took: e.clock.Now() - max(a.Sent, a.begun), Closed: c.closed.Load(), Report: o.Report})
+		Latency: e.clock.Now() - max(a.Sent, a.begun), RequestClosed: c.closed.Load(), Report: o.Report})
 	if c.Upload != nil && !c.closed.Load() {
-		e.decide(balancer.Retry{Request: c.ID, Among: c.among()})
+		e.decide(balancer.Retry{Request: c.ID, AllowedServers: c.among()})
 	}
 	e.forget(c)
 }
@@ -653,7 +653,7 @@
 func (e *Engine) uploaded(u uploaded) {
 	if a := u.attempt; !a.over {
 		a.begun = e.clock.Now()
-		e.decide(balancer.Written{Request: a.Call.ID, Attempt: a.Number, Deadline: u.deadline})
+		e.decide(balancer.BodySent{Request: a.Call.ID, Attempt: a.Number, Deadline: u.deadline})
 	}
 }
 
@@ -688,7 +688,7 @@
 	for i, m := range l.Members {
 		servers[i] = m.Server
 	}
-	e.decide(balancer.ServerList{Full: l.Full, Servers: servers, Drop: l.Drop})
+	e.decide(balancer.ServerList{Full: l.Full, Servers: servers, DropRatio: l.Drop})
 	if e.returning != nil {
 		e.remask()
 	}
@@ -703,11 +703,11 @@
 		switch a.Kind {
 		case balancer.Send:
 			e.send(a)
-		case balancer.Refuse:
-			e.tally.givenUp(a.Why)
+		case balancer.Reject:
+			e.tally.givenUp(a.Reason)
 			e.finish(e.calls[a.Request], Answer{Kind: Refused, RetryAfter: a.After})
 		case balancer.Fail:
-			e.tally.givenUp(a.Why)
+			e.tally.givenUp(a.Reason)
 			e.finish(e.calls[a.Request], Answer{Kind: Failed})
 		case balancer.SetTimer:
 			heap.Push(&e.timers, timer{due: e.clock.Now() + a.After, token: a.Token})
@@ -720,7 +720,7 @@
 // send starts an attempt in a goroutine of its own, so that a dead dial holds up nothing else.
 func (e *Engine) send(act balancer.Action) {
 	c := e.calls[act.Request]
-	e.tally.sent(c, act.Cold)
+	e.tally.sent(c, act.WarmingUp)
 	before := c.ranSince
 	a := c.attempt(act, e.clock.Now())
 	if e.returning != nil {
--- a/internal/engine/governed.go
+++ b/internal/engine/governed.go
@@ -62,7 +62,7 @@
 	a := generation.Ask{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Path: c.Path, Header: c.Header, Key: c.Key,
 		RepeatKey: c.RepeatKey, Deadline: c.Deadline}
 	told, ok := e.governed.manager.Bind(e.clock.Now(), &a, &c.bound)
-	if !ok && c.before.May { // a refusal would promise that trying again is harmless
+	if !ok && c.before.MayHaveRun { // a refusal would promise that trying again is harmless
 		e.reject(c, Answer{Kind: Failed})
 		return false
 	}
@@ -90,9 +90,9 @@
 func (c *Call) among() []string {
 	pool := c.bound.Servers()
 	switch {
-	case c.pass != nil && c.pass.Among != nil && pool == nil && c.Among == nil && !c.before.May:
+	case c.pass != nil && c.pass.Among != nil && pool == nil && c.Among == nil && !c.before.MayHaveRun:
 		return c.pass.Among
-	case pool == nil, c.before.May: // what may have run goes to its pod, whatever the configuration makes of others
+	case pool == nil, c.before.MayHaveRun: // what may have run goes to its pod, whatever the configuration makes of others
 		return c.Among
 	case c.Among == nil:
 		return pool
@@ -116,7 +116,7 @@
 		clear(g.told)
 	}
 	for _, m := range l.Members {
-		if m.State == balancer.Gone {
+		if m.State == balancer.Removed {
 			delete(g.told, m.ID)
 			changed[m.ID] = nil
 			continue
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -50,7 +50,7 @@
 	h.drop = l.Drop
 	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
-		if m.State == balancer.Gone {
+		if m.State == balancer.Removed {
 			delete(h.told, m.ID)
 			h.set.Unlisted(m.ID)
 		} else {
--- a/internal/engine/joins.go
+++ b/internal/engine/joins.go
@@ -30,7 +30,7 @@
 
 // join reports whether the call has become a member. Whatever its front says, one that must not run twice never does.
 func (e *Engine) join(c *Call) bool {
-	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Safe || c.bound.Servers() != nil {
+	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Idempotent || c.bound.Servers() != nil {
 		return false // what is bound to a pool asks of other servers than what is not
 	}
 	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Ask[*Call]{Of: c, What: *c.Like, Class: c.Class, Tenant: c.Tenant,
@@ -115,7 +115,7 @@
 	for _, f := range c.Drop { // nobody waits for it, as if its client had left
 		if !f.Work.closed.Swap(true) {
 			e.passed(f.Work, admission.Left)
-			e.decide(balancer.ClientGone{Request: f.Work.ID})
+			e.decide(balancer.ClientDisconnected{Request: f.Work.ID})
 			e.forget(f.Work)
 		}
 	}
--- a/internal/engine/returning.go
+++ b/internal/engine/returning.go
@@ -104,13 +104,13 @@
 	}
 	for _, m := range l.Members {
 		was, there := r.told[m.ID]
-		changed = changed || !there && m.State != balancer.Gone || there && was.State != m.State
-		if m.State == balancer.Gone {
+		changed = changed || !there && m.State != balancer.Removed || there && was.State != m.State
+		if m.State == balancer.Removed {
 			delete(r.told, m.ID)
 		} else {
 			r.told[m.ID] = m
 		}
-		r.Recovery.Listed(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready, Gone: m.State == balancer.Gone,
+		r.Recovery.Listed(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready, Gone: m.State == balancer.Removed,
 			Started: m.Started}, heard)
 	}
 	if r.Settled(now); changed {
@@ -134,7 +134,7 @@
 		}
 	}
 	if len(servers) > 0 {
-		e.decide(balancer.ServerList{Servers: servers, Drop: e.drop})
+		e.decide(balancer.ServerList{Servers: servers, DropRatio: e.drop})
 	}
 }
 
@@ -142,7 +142,7 @@
 func (e *Engine) returned(o Outcome) {
 	broke := o.Result == balancer.ConnectFailed || o.Result == balancer.Reset
 	answered := o.Result == balancer.OK || o.Result == balancer.Failed || o.Result == balancer.Rejected
-	e.returning.Outcome(e.clock.Now(), o.Attempt.Server, answered, broke, o.Report.Rate, o.Report.Util)
+	e.returning.Outcome(e.clock.Now(), o.Attempt.Server, answered, broke, o.Report.ServedRate, o.Report.Utilization)
 	e.found()
 	e.remask()
 }
@@ -150,7 +150,7 @@
 // repeats says of a repeat of what may have run whether it may go out at all, and if so, that only over a connection from before:
 // who holds the other end of it has run on, and knows what it was sent. Elsewhere nobody may be left who drops it.
 func (r *returning) repeats(c *Call, a *Attempt, since time.Duration) {
-	if c.Effect != balancer.Keyed || since == 0 {
+	if c.Effect != balancer.IdempotentByKey || since == 0 {
 		return
 	}
 	a.OnlySince = since
--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -49,7 +49,7 @@
 		heard = &ear{}
 		x.ids++
 		before := len(x.out.attempts)
-		x.Step(Arrival(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key,
+		x.Step(Arrival(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: balancer.IdempotentByKey, Window: window, Deadline: x.now + deadline, RepeatKey: key,
 			Again: marked, Carrier: x.out, Caller: heard}))
 		return len(x.out.attempts) > before, heard
 	}
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -23,15 +23,15 @@
 
 // Tally is what became of calls and attempts since the engine was made, at one moment.
 type Tally struct {
-	Classes  []string                      // names, by number
-	Answers  [][4]uint64                   // by class and AnswerKind; calls that are joined count one by one
-	Left     []uint64                      // by class: calls whose client left first
-	Open     int                           // calls that have not ended
-	Written  uint64                        // attempts that were written whole to a server
-	Attempts [len(balancer.Results)]uint64 // by logic.Result
-	Sends    [len(SendKinds)]uint64        // by kind
-	Cold     uint64                        // of all these, to servers that had started lately
-	GivenUp  [len(balancer.Reasons)]uint64
+	Classes  []string                          // names, by number
+	Answers  [][4]uint64                       // by class and AnswerKind; calls that are joined count one by one
+	Left     []uint64                          // by class: calls whose client left first
+	Open     int                               // calls that have not ended
+	Written  uint64                            // attempts that were written whole to a server
+	Attempts [len(balancer.ResultNames)]uint64 // by logic.Result
+	Sends    [len(SendKinds)]uint64            // by kind
+	Cold     uint64                            // of all these, to servers that had started lately
+	GivenUp  [len(balancer.ReasonNames)]uint64
 	Times    []Times // of served calls, by class, where they are kept
 }
 
--- a/internal/engine/ties.go
+++ b/internal/engine/ties.go
@@ -55,7 +55,7 @@
 		clear(t.pods)
 	}
 	for _, m := range l.Members {
-		if m.State == balancer.Gone {
+		if m.State == balancer.Removed {
 			delete(t.pods, m.ID)
 		} else {
 			t.pods[m.ID] = pod{m.Cell, m.Zone}
@@ -66,16 +66,16 @@
 // tied looks up what may have run of a new call under another id. It is asked before any door: what may have run is never
 // refused.
 func (e *Engine) tied(c *Call) {
-	if r := e.returning; r != nil && c.Effect == balancer.Keyed && r.unremembered(e.clock.Now(), c) {
-		c.before = balancer.Before{May: true, Since: e.clock.Now() - c.Window, Zone: -1, Cell: -1}
-		c.ranSince = max(c.before.Since, 1)
+	if r := e.returning; r != nil && c.Effect == balancer.IdempotentByKey && r.unremembered(e.clock.Now(), c) {
+		c.before = balancer.EarlierAttempt{MayHaveRun: true, SentAt: e.clock.Now() - c.Window, Zone: -1, Cell: -1}
+		c.ranSince = max(c.before.SentAt, 1)
 	}
-	if e.ties == nil || c.Effect != balancer.Keyed || c.RepeatKey == "" {
+	if e.ties == nil || c.Effect != balancer.IdempotentByKey || c.RepeatKey == "" {
 		return
 	}
 	c.key = e.ties.secret.Key(c.RepeatKey)
 	if tie, ok := e.ties.table.Lookup(e.clock.Now(), c.key); ok {
-		c.before = balancer.Before{May: true, Since: tie.Since, Zone: tie.Zone, Cell: tie.Pod}
+		c.before = balancer.EarlierAttempt{MayHaveRun: true, SentAt: tie.Since, Zone: tie.Zone, Cell: tie.Pod}
 		c.ranSince = max(tie.Since, 1) // 0 stands for never
 	}
 }
@@ -83,7 +83,7 @@
 // begin notes an attempt that is about to be sent. What it returns is to be waited for before the first byte goes out.
 func (t *ties) begin(now time.Duration, c *Call, a *Attempt) TieCommit {
 	p, there := t.pods[a.Server]
-	if !there || c.Effect != balancer.Keyed || c.RepeatKey == "" {
+	if !there || c.Effect != balancer.IdempotentByKey || c.RepeatKey == "" {
 		return nil
 	}
 	a.tied = true
--- a/internal/engine/ties_test.go
+++ b/internal/engine/ties_test.go
@@ -64,7 +64,7 @@
 	}
 	x.ids++
 	before := len(x.out.attempts)
-	x.Step(Arrival(&Call{ID: fmt.Sprint(x.ids), Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key,
+	x.Step(Arrival(&Call{ID: fmt.Sprint(x.ids), Class: 1, Effect: balancer.IdempotentByKey, Window: window, Deadline: x.now + deadline, RepeatKey: key,
 		Carrier: x.out, Caller: caller}))
 	if len(x.out.attempts) == before {
 		return nil, heard
@@ -111,7 +111,7 @@
 		"of one that never ran":         {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Draining)[:2]}) }, balancer.Rejected, "other pod"},
 		"after the window":              {nothing, func(x *tiedEngine) { x.now += window }, balancer.TimedOut, "failed"},
 		"whose pod drains":              {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Draining)[:2]}) }, balancer.TimedOut, "failed"},
-		"whose pod is gone":             {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Gone)[:2]}) }, balancer.TimedOut, "failed"},
+		"whose pod is gone":             {nothing, func(x *tiedEngine) { x.list(Listed{Members: x.members(balancer.Removed)[:2]}) }, balancer.TimedOut, "failed"},
 		"that the door would turn away": {func(x *tiedEngine) { x.Guard(x.door) }, func(x *tiedEngine) { x.door.shut = true }, balancer.TimedOut, "same pod"},
 		"that a limit would turn away":  {limited, limit, balancer.TimedOut, "failed"},
 	} {
@@ -164,7 +164,7 @@
 	x.end(first, balancer.TimedOut)
 	for key, want := range map[string]AnswerKind{"k": Failed, "new": Refused} {
 		p := &proxied{id: key, m: &machine{ran: map[string][]*run{}}}
-		x.Step(Arrival(&Call{ID: "p" + key, Class: 1, Effect: balancer.Keyed, Window: window, Deadline: x.now + deadline, RepeatKey: key, Caller: p, Full: true}))
+		x.Step(Arrival(&Call{ID: "p" + key, Class: 1, Effect: balancer.IdempotentByKey, Window: window, Deadline: x.now + deadline, RepeatKey: key, Caller: p, Full: true}))
 		if len(p.answers) != 1 || p.answers[0].Kind != want {
 			t.Errorf("%s: %+v, want %v", key, p.answers, want)
 		}
--- a/internal/engine/worded.go
+++ b/internal/engine/worded.go
@@ -113,7 +113,7 @@
 		id := corroborate.Server(m.ID)
 		was, there := w.told[m.ID]
 		switch {
-		case m.State == balancer.Gone:
+		case m.State == balancer.Removed:
 			w.gone(m.ID)
 			continue
 		case m.State == balancer.Draining && (!there || was.State != balancer.Draining):
--- a/internal/fleet/overload/decisions_test.go
+++ b/internal/fleet/overload/decisions_test.go
@@ -164,9 +164,9 @@
 			c.server.atWork--
 			rep := balancer.NoReport
 			if c.result == balancer.OK && rnd.Chance(0.9) {
-				rep.Util = min(1, 0.05+c.server.atWork/6)
-				if rep.Rate = rep.Util * c.server.capacity; mute {
-					rep.Rate = -1
+				rep.Utilization = min(1, 0.05+c.server.atWork/6)
+				if rep.ServedRate = rep.Utilization * c.server.capacity; mute {
+					rep.ServedRate = -1
 				}
 			}
 			d := doors[c.door]
--- a/internal/fleet/overload/door.go
+++ b/internal/fleet/overload/door.go
@@ -292,12 +292,12 @@
 		return
 	}
 	s.ended(now, result)
-	if result != balancer.OK || rep.Util < 0 {
+	if result != balancer.OK || rep.Utilization < 0 {
 		return
 	}
-	r := Report{Server: number, Use: rep.Util}
-	if rep.Rate > 0 && rep.Util >= sureUse {
-		r.Capacity = rep.Rate / rep.Util
+	r := Report{Server: number, Use: rep.Utilization}
+	if rep.ServedRate > 0 && rep.Utilization >= sureUse {
+		r.Capacity = rep.ServedRate / rep.Utilization
 		if s.own > 0 { // reports are noisy
 			r.Capacity = s.own + smooth*(r.Capacity-s.own)
 		}
@@ -309,7 +309,7 @@
 	}
 	keep = min(keep, 1-smooth)
 	d.usePeak *= math.Exp(-float64(now-d.useAt) / float64(proofHolds)) // while some are refused servers are less busy for that
-	d.use, d.useAt = keep*d.use+(1-keep)*rep.Util, now
+	d.use, d.useAt = keep*d.use+(1-keep)*rep.Utilization, now
 	d.usePeak = max(d.usePeak, d.use)
 }
 
--- a/internal/fleet/overload/share_test.go
+++ b/internal/fleet/overload/share_test.go
@@ -44,7 +44,7 @@
 		d.Listed(id, true, true)
 		if own {
 			d.Sent(now, id, false)
-			d.Ended(now, id, balancer.OK, balancer.Report{Util: use, Rate: use * capacity})
+			d.Ended(now, id, balancer.OK, balancer.Report{Utilization: use, ServedRate: use * capacity})
 		} else {
 			d.picture.report(now, Report{Server: Server(id), Use: use, Capacity: capacity}, false)
 		}
--- a/internal/harness/ballsbins/ballsbins.go
+++ b/internal/harness/ballsbins/ballsbins.go
@@ -31,8 +31,8 @@
 	pool, bins, total := weighted.NewPool[*bin](false), make([]bin, g.Bins), 0.0
 	for i := range bins {
 		b := &bins[i]
-		b.Of, b.capacity = b, float64(1+rng.IntN(g.Most))
-		b.Share.BySize = b.capacity
+		b.Value, b.capacity = b, float64(1+rng.IntN(g.Most))
+		b.DrawWeight.Slope = b.capacity
 		pool.Put(&b.Member, 1)
 		total += b.capacity
 	}
--- a/internal/harness/fleetgen/fleetgen_test.go
+++ b/internal/harness/fleetgen/fleetgen_test.go
@@ -89,7 +89,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, m := range ev.(engine.Listed).Members {
-				if have[name][m.ID] = m; m.State == balancer.Gone {
+				if have[name][m.ID] = m; m.State == balancer.Removed {
 					delete(have[name], m.ID)
 				}
 			}
--- a/internal/membership/listing/golden_test.go
+++ b/internal/membership/listing/golden_test.go
@@ -51,7 +51,7 @@
 			{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: balancer.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000023 * time.Millisecond}},
 			{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000356 * time.Millisecond}},
 			{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: balancer.Server{ID: "s-3", State: balancer.Draining, Zone: -1, Cell: 3, Weight: 3.5}}},
-		"removal": {{Server: balancer.Server{ID: "s-2", State: balancer.Gone, Zone: -1}}},
+		"removal": {{Server: balancer.Server{ID: "s-2", State: balancer.Removed, Zone: -1}}},
 	} {
 		l, err := Parse(golden.Read(t, "listing/"+name+".json"))
 		if err != nil {
@@ -92,7 +92,7 @@
 	member := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5,
 		Started: 1764580000456 * time.Millisecond}}
 	var out []byte
-	for _, state := range []balancer.State{balancer.Ready, balancer.Draining, balancer.Gone} {
+	for _, state := range []balancer.State{balancer.Ready, balancer.Draining, balancer.Removed} {
 		member.State = state
 		text, err := json.Marshal(r.Entry(member))
 		if err != nil {
--- a/internal/membership/listing/listing.go
+++ b/internal/membership/listing/listing.go
@@ -41,7 +41,7 @@
 // Ready is the state of a server that takes requests.
 const Ready = "Ready"
 
-var states = map[string]balancer.State{Ready: balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone}
+var states = map[string]balancer.State{Ready: balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed}
 
 // Parse reads a list. Its errors name the line. It goes through the text once and holds nothing of it but the entries: a
 // list of 10,000 servers has over a megabyte, and an agent may have 32.
@@ -157,7 +157,7 @@
 	case e.ID == "" || !ok:
 		return m, fmt.Errorf("id %q with state %q", e.ID, e.State)
 	}
-	if _, _, err := net.SplitHostPort(e.Addr); err != nil && state != balancer.Gone {
+	if _, _, err := net.SplitHostPort(e.Addr); err != nil && state != balancer.Removed {
 		return m, err
 	}
 	return engine.Member{Addr: e.Addr, Kind: kind(e.Kind), Server: balancer.Server{ID: e.ID, State: state, Zone: slices.Index(r.Zones, e.Zone), Cell: e.Cell,
--- a/internal/membership/listing/listing_test.go
+++ b/internal/membership/listing/listing_test.go
@@ -23,7 +23,7 @@
 			t.Fatalf("%d entries became %d members and %d faults", len(l.Servers), len(members), len(bad))
 		}
 		for _, m := range members {
-			if m.ID == "" || m.Addr == "" && m.State != balancer.Gone {
+			if m.ID == "" || m.Addr == "" && m.State != balancer.Removed {
 				t.Fatalf("%+v", m)
 			}
 		}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	members, bad := Reader{Clock: engine.NewClock()}.Members(l)
-	if len(members) != 2 || members[0].ID != "s-1" || members[1].State != balancer.Gone || len(bad) != 2 {
+	if len(members) != 2 || members[0].ID != "s-1" || members[1].State != balancer.Removed || len(bad) != 2 {
 		t.Errorf("%+v, %+v", members, bad)
 	}
 }
--- a/internal/membership/platform/golden_test.go
+++ b/internal/membership/platform/golden_test.go
@@ -103,7 +103,7 @@
 		{Full: true, Members: []engine.Member{first, second, third}},
 		{Members: []engine.Member{fourth}},
 		{Members: []engine.Member{drains}},
-		{Members: []engine.Member{{Server: balancer.Server{ID: "s-2", State: balancer.Gone, Zone: -1}}}},
+		{Members: []engine.Member{{Server: balancer.Server{ID: "s-2", State: balancer.Removed, Zone: -1}}}},
 		{Members: []engine.Member{second}, Stand: []string{"s-5", "s-6", "s-7"}},
 	} {
 		if got := next(t, to); !reflect.DeepEqual(got, want) {
--- a/internal/membership/platform/platform_test.go
+++ b/internal/membership/platform/platform_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("%+v", l)
 	}
 	f.Set(44, false, agenttest.EntryText("s-1", "", "Gone", 0))
-	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Gone {
+	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Removed {
 		t.Errorf("%+v", l)
 	}
 	if wholes, _ := f.Calls(); wholes != 1 {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -100,10 +100,10 @@
 	}
 	s.keep = 0
 	for _, id := range gone {
-		t.set(s, id, engine.Member{Server: balancer.Server{State: balancer.Gone}})
+		t.set(s, id, engine.Member{Server: balancer.Server{State: balancer.Removed}})
 	}
 	for _, m := range u.Members {
-		if m.State != balancer.Gone {
+		if m.State != balancer.Removed {
 			t.set(s, m.ID, m)
 		}
 	}
@@ -111,14 +111,14 @@
 
 // brings reports whether an update names any server that is there.
 func (s *source) brings(u Update) bool {
-	return slices.ContainsFunc(u.Members, func(m engine.Member) bool { return m.State != balancer.Gone })
+	return slices.ContainsFunc(u.Members, func(m engine.Member) bool { return m.State != balancer.Removed })
 }
 
 // gone lists the ids that an update takes away.
 func (t *Table) gone(s *source, u Update) (ids []string) {
 	if !u.Full {
 		for _, m := range u.Members {
-			if _, had := s.members[m.ID]; had && m.State == balancer.Gone {
+			if _, had := s.members[m.ID]; had && m.State == balancer.Removed {
 				ids = append(ids, m.ID)
 			}
 		}
@@ -126,7 +126,7 @@
 	}
 	named := make(map[string]bool, len(u.Members))
 	for _, m := range u.Members {
-		named[m.ID] = m.State != balancer.Gone
+		named[m.ID] = m.State != balancer.Removed
 	}
 	for _, id := range u.Stand {
 		named[id] = true
@@ -143,16 +143,16 @@
 // set changes one member of a source.
 func (t *Table) set(s *source, id string, m engine.Member) {
 	old, had := s.members[id]
-	if had && old == m || !had && m.State == balancer.Gone {
+	if had && old == m || !had && m.State == balancer.Removed {
 		return
 	}
-	if had && (old.Addr != m.Addr || m.State == balancer.Gone) {
+	if had && (old.Addr != m.Addr || m.State == balancer.Removed) {
 		at := slices.DeleteFunc(s.byAddr[old.Addr], func(other string) bool { return other == id })
 		if s.byAddr[old.Addr] = at; len(at) == 0 {
 			delete(s.byAddr, old.Addr)
 		}
 	}
-	if m.State == balancer.Gone {
+	if m.State == balancer.Removed {
 		delete(s.members, id)
 	} else {
 		s.members[id] = m
@@ -260,7 +260,7 @@
 		if s.keep > 0 && now >= s.keep {
 			s.keep = 0
 			for _, id := range slices.Sorted(maps.Keys(s.members)) {
-				t.set(s, id, engine.Member{Server: balancer.Server{State: balancer.Gone}})
+				t.set(s, id, engine.Member{Server: balancer.Server{State: balancer.Removed}})
 			}
 		}
 	}
@@ -284,11 +284,11 @@
 // now is a member as it is to be told; its State is Gone where there is none.
 func (t *Table) now(id string) engine.Member {
 	if t.active == none {
-		return engine.Member{Server: balancer.Server{ID: id, State: balancer.Gone}}
+		return engine.Member{Server: balancer.Server{ID: id, State: balancer.Removed}}
 	}
 	m, ok := t.sources[t.active].members[id]
 	if !ok {
-		return engine.Member{Server: balancer.Server{ID: id, State: balancer.Gone}}
+		return engine.Member{Server: balancer.Server{ID: id, State: balancer.Removed}}
 	}
 	if m.State == balancer.Ready && len(t.sources) > 1 && t.drains(m) {
 		m.State = balancer.Draining
@@ -338,9 +338,9 @@
 		}
 		delete(t.pending, id)
 		switch {
-		case m.State == balancer.Gone && was.ID == "" || m == was:
+		case m.State == balancer.Removed && was.ID == "" || m == was:
 			continue
-		case m.State == balancer.Gone:
+		case m.State == balancer.Removed:
 			delete(t.told, id)
 		default:
 			t.told[id] = m
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -33,10 +33,10 @@
 				t.Fatalf("the end of %s comes after what does not end", m.ID)
 			}
 			ended = ends
-			if had && was == m || !had && m.State == balancer.Gone {
+			if had && was == m || !had && m.State == balancer.Removed {
 				t.Fatalf("told of %s without a change", m.ID)
 			}
-			if l[m.ID] = m; m.State == balancer.Gone {
+			if l[m.ID] = m; m.State == balancer.Removed {
 				delete(l, m.ID)
 			}
 		}
@@ -171,8 +171,8 @@
 		}, ""},
 		{"a list that is not empty ends the doubt", time.Second, func() { full(0, x2, x3) }, "x2 x3 "},
 		{"taken away one by one, the last is kept", time.Second, func() {
-			table.Update(at, 0, Update{Members: []engine.Member{member("x2", "a2", balancer.Gone)}})
-			table.Update(at, 0, Update{Members: []engine.Member{member("x3", "a3", balancer.Gone)}})
+			table.Update(at, 0, Update{Members: []engine.Member{member("x2", "a2", balancer.Removed)}})
+			table.Update(at, 0, Update{Members: []engine.Member{member("x3", "a3", balancer.Removed)}})
 		}, "x3 "},
 		{"and for so long only", 61 * time.Second, func() {}, ""},
 		{"an entry that can't be read stands", 0, func() {
--- a/internal/membership/xds/machine.go
+++ b/internal/membership/xds/machine.go
@@ -337,7 +337,7 @@
 
 // member is a server as the clusters that hold it have it: the first of them by name, but draining where any says so.
 func (m *machine) member(id string) engine.Member {
-	out := engine.Member{Server: balancer.Server{ID: id, State: balancer.Gone}}
+	out := engine.Member{Server: balancer.Server{ID: id, State: balancer.Removed}}
 	for i, name := range slices.Sorted(slices.Values(m.in[id])) {
 		member := m.held[name][id]
 		if i == 0 {
--- a/internal/membership/xds/machine_test.go
+++ b/internal/membership/xds/machine_test.go
@@ -185,7 +185,7 @@
 			}
 			if u, ok := m.update(); ok {
 				for _, member := range u.Members {
-					if listed[member.ID] = true; member.State == balancer.Gone {
+					if listed[member.ID] = true; member.State == balancer.Removed {
 						delete(listed, member.ID)
 					}
 				}
@@ -433,7 +433,7 @@
 		}
 		if u, ok := m.update(); ok {
 			for _, member := range u.Members {
-				if member.ID == "" || member.State != balancer.Gone && (member.Addr == "" || !(member.Weight > 0)) {
+				if member.ID == "" || member.State != balancer.Removed && (member.Addr == "" || !(member.Weight > 0)) {
 					t.Fatalf("%+v", member)
 				}
 			}
--- a/internal/membership/xds/source_test.go
+++ b/internal/membership/xds/source_test.go
@@ -41,7 +41,7 @@
 	l.updates++
 	l.table.Update(0, 0, u)
 	for _, m := range l.table.Take(1 << 20) {
-		if l.members[m.ID] = m; m.State == balancer.Gone {
+		if l.members[m.ID] = m; m.State == balancer.Removed {
 			delete(l.members, m.ID)
 		}
 	}
--- a/internal/platformconfig/terms.go
+++ b/internal/platformconfig/terms.go
@@ -44,8 +44,8 @@
 
 // Change puts other settings in force from now on. It returns what the module is to be told, and the names of what has changed
 // that takes effect at the next start only. After an error all is as it was.
-func (t *Terms) Change(now time.Duration, site simwire.Site) (tell balancer.Retune, later []string, err error) {
-	if err := site.Logic.Check(); err != nil {
+func (t *Terms) Change(now time.Duration, site simwire.Site) (tell balancer.ClassUpdate, later []string, err error) {
+	if err := site.Logic.Validate(); err != nil {
 		return tell, nil, err
 	}
 	classes, err := t.numbered(site.Logic.Classes)
@@ -58,15 +58,15 @@
 		Before: &before, BeforeUntil: now + grace}
 	later = t.present.Differs(site)
 	t.present.Logic.Classes, t.present.Logic.MaxAttempts = site.Logic.Classes, site.Logic.MaxAttempts
-	t.present.Logic.ParallelCopies = site.Logic.ParallelCopies
-	return balancer.Retune{Classes: classes, MaxAttempts: site.Logic.MaxAttempts, ParallelCopies: site.Logic.ParallelCopies}, later, nil
+	t.present.Logic.AllowHedging = site.Logic.AllowHedging
+	return balancer.ClassUpdate{Classes: classes, MaxAttempts: site.Logic.MaxAttempts, AllowHedging: site.Logic.AllowHedging}, later, nil
 }
 
 // numbered are the classes by the numbers that their names have. Those that are no more are there as dropped.
 func (t *Terms) numbered(classes []balancer.Class) ([]balancer.Class, error) {
 	out := slices.Clone(t.rules.Classes)
 	for i := range out {
-		out[i].Dropped = true
+		out[i].Retired = true
 	}
 	for i, c := range classes {
 		same := func(other balancer.Class) bool { return other.Name == c.Name }
--- a/internal/platformconfig/terms_test.go
+++ b/internal/platformconfig/terms_test.go
@@ -14,12 +14,12 @@
 
 // class is a class by its effect: r(epeatable), k(eyed) or u(nsafe).
 func class(name string, effect byte) balancer.Class {
-	c := balancer.Class{Name: name, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}
+	c := balancer.Class{Name: name, LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1}
 	switch effect {
 	case 'k':
-		c.Effect, c.Window = balancer.Keyed, 2*time.Second
+		c.Effect, c.DedupWindow = balancer.IdempotentByKey, 2*time.Second
 	case 'u':
-		c.Effect = balancer.Unsafe
+		c.Effect = balancer.NonIdempotent
 	}
 	return c
 }
@@ -107,7 +107,7 @@
 func TestWhatWaitsForTheNextStartIsNamed(t *testing.T) {
 	terms := New(site(5, "a:r"))
 	other := site(2, "b:k")
-	other.Tenants, other.Logic.ColdFrom = []string{"x"}, 0.5
+	other.Tenants, other.Logic.SlowStartInitialRatio = []string{"x"}, 0.5
 	if _, later, err := terms.Change(time.Second, other); err != nil || fmt.Sprint(later) != "[the module's tenants]" {
 		t.Errorf("%v, %v", later, err)
 	}
--- a/internal/scenario/carry.go
+++ b/internal/scenario/carry.go
@@ -63,7 +63,7 @@
 		copy(call.Like[:], r.route)
 	}
 	if r.key != "" {
-		call.Effect, call.Window = balancer.Keyed, dropWindow
+		call.Effect, call.Window = balancer.IdempotentByKey, dropWindow
 	}
 	answered := &answered{r: r, try: r.tries, life: r.agent.life}
 	call.Caller = answered
@@ -136,7 +136,7 @@
 			a.step(engine.Outcome{Attempt: at, Result: result, Report: report})
 		}
 	}
-	if s == nil || a.knows[s.id].state == balancer.Gone || a.barred(at) {
+	if s == nil || a.knows[s.id].state == balancer.Removed || a.barred(at) {
 		w.after(0, func() { ended(balancer.NotSent, balancer.NoReport) })
 		return
 	}
@@ -209,6 +209,6 @@
 func (s *simServer) report() balancer.Report {
 	l := s.model.Report(s.w.now)
 	r := balancer.NoReport
-	r.Util, r.Rate, r.Errors = l.Util, l.Rate, l.Errors
+	r.Utilization, r.ServedRate, r.ErrorRate = l.Util, l.Rate, l.Errors
 	return r
 }
--- a/internal/scenario/comeback.go
+++ b/internal/scenario/comeback.go
@@ -78,10 +78,10 @@
 // comeBack puts a recovery before the agent's engine, by what its disk has.
 func (a *simAgent) comeBack(set balancer.Settings) {
 	w := a.w
-	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdFrom: set.ColdFrom, ColdFor: set.ColdFor, Overload: set.Overload,
+	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdFrom: set.SlowStartInitialRatio, ColdFor: set.SlowStartDuration, Overload: set.WarmingOverloadRatio,
 		MaxAfter: set.MaxRetryAfter, Seed: uint64(a.number*1000 + a.life)}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Priority, Aim: c.LatencyObjective, Safe: c.Effect == balancer.Idempotent})
 	}
 	if a.others != nil {
 		o.AskFor = askFor
@@ -136,7 +136,7 @@
 	}
 	a.disk.members = a.disk.members[:0]
 	for id, k := range a.knows {
-		if s := a.w.byID[id]; s != nil && k.state != balancer.Gone {
+		if s := a.w.byID[id]; s != nil && k.state != balancer.Removed {
 			m := s.listed()
 			m.State, m.Started = k.state, k.started
 			a.disk.members = append(a.disk.members, m)
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -88,16 +88,16 @@
 
 // settings are the module's, as the platform would state them.
 func (w *world) settings() balancer.Settings {
-	set := balancer.Settings{Balancers: w.script.Fleet.Agents, Tick: 5 * time.Millisecond, WarmKeys: true, MaxAttempts: 5,
-		ParallelCopies: true, MaxRetryAfter: time.Second, ColdFrom: 0.32, ColdFor: 8700 * time.Millisecond, Overload: 3,
-		OverShareWorth: overShareWorth,
+	set := balancer.Settings{Balancers: w.script.Fleet.Agents, Tick: 5 * time.Millisecond, KeyAffinity: true, MaxAttempts: 5,
+		AllowHedging: true, MaxRetryAfter: time.Second, SlowStartInitialRatio: 0.32, SlowStartDuration: 8700 * time.Millisecond, WarmingOverloadRatio: 3,
+		OverQuotaPriorityRatio: overShareWorth,
 		Classes: []balancer.Class{
-			{Name: "form-check", Effect: balancer.Safe, Aim: aim, Deadline: deadline, Worth: worths[0]},
-			{Name: "refund-record", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: dropWindow, Aim: aim, Deadline: deadline,
-				Worth: worths[1]},
+			{Name: "form-check", Effect: balancer.Idempotent, LatencyObjective: aim, Deadline: deadline, Priority: worths[0]},
+			{Name: "refund-record", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: dropWindow, LatencyObjective: aim, Deadline: deadline,
+				Priority: worths[1]},
 		}}
 	for _, p := range points {
-		set.Shares = append(set.Shares, p.share)
+		set.Quotas = append(set.Quotas, p.share)
 	}
 	return set
 }
--- a/internal/scenario/events.go
+++ b/internal/scenario/events.go
@@ -70,7 +70,7 @@
 		st.deploy(e)
 	case "kill":
 		for _, s := range st.choose(e) {
-			s.state = balancer.Gone
+			s.state = balancer.Removed
 			s.at.die()
 		}
 		st.in.changed()
@@ -124,7 +124,7 @@
 // forgotten lets a pod forget if all of its servers are among those that are lost.
 func (st *stage) forgotten(pod int, lost []*member) {
 	for _, s := range st.current {
-		if s.pod == pod && s.state != balancer.Gone && !slices.Contains(lost, s) {
+		if s.pod == pod && s.state != balancer.Removed && !slices.Contains(lost, s) {
 			return
 		}
 	}
@@ -249,7 +249,7 @@
 	st.successors++
 	st.start(fmt.Sprintf("n-%02d", st.successors), s.kind, s.pod, false)
 	st.after(drainTime, func() {
-		s.state = balancer.Gone
+		s.state = balancer.Removed
 		s.at.die()
 		st.in.changed()
 	})
--- a/internal/scenario/live.go
+++ b/internal/scenario/live.go
@@ -314,8 +314,8 @@
 func (l *live) changed() {
 	var entries []emulator.Entry
 	for _, s := range l.servers {
-		state := map[balancer.State]string{balancer.Ready: "Ready", balancer.Draining: "Terminating", balancer.Gone: "Gone"}[s.state]
-		if l.current[s.id] != s.member || s.entry.State == state || s.state == balancer.Gone && s.entry.State == "" {
+		state := map[balancer.State]string{balancer.Ready: "Ready", balancer.Draining: "Terminating", balancer.Removed: "Gone"}[s.state]
+		if l.current[s.id] != s.member || s.entry.State == state || s.state == balancer.Removed && s.entry.State == "" {
 			continue
 		}
 		s.entry.State = state
--- a/internal/scenario/simulate.go
+++ b/internal/scenario/simulate.go
@@ -227,7 +227,7 @@
 	a.up, a.due, a.knows, a.told = true, 0, map[string]known{}, map[string]time.Duration{}
 	a.heard, a.met = false, map[engine.Life]time.Duration{}
 	set := w.settings()
-	set.Me = a.number
+	set.Index = a.number
 	b, err := balancer.New(set, w.random.Uint64())
 	if err != nil { // the settings are our own
 		panic(err)
@@ -264,16 +264,16 @@
 	set := settings.DefaultJoin()
 	o := coalesce.Options{MostGroups: set.MaxGroups, MostWaiting: set.MaxWaiting, Pause: time.Duration(set.Pause)}
 	for _, c := range classes {
-		o.Classes = append(o.Classes, coalesce.Class{Joined: c.Name == safeClass, Aim: c.Aim, Deadline: c.Deadline})
+		o.Classes = append(o.Classes, coalesce.Class{Joined: c.Name == safeClass, Aim: c.LatencyObjective, Deadline: c.Deadline})
 	}
 	return o
 }
 
 // stormOptions are those that an agent's own settings have by default.
 func stormOptions(set balancer.Settings, seed uint64) admission.Options {
-	o := admission.Options{Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Remember: 4096, Seed: seed}
+	o := admission.Options{Shares: set.Quotas, MaxAfter: set.MaxRetryAfter, Remember: 4096, Seed: seed}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, admission.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, admission.Class{Worth: c.Priority, Aim: c.LatencyObjective, Safe: c.Effect == balancer.Idempotent})
 	}
 	return o
 }
@@ -313,7 +313,7 @@
 		}
 		was, is := a.knows[s.id], known{s.state, s.started}
 		_, before := a.knows[s.id]
-		if s.state == balancer.Gone && (full || !before) || before && was == is && !full {
+		if s.state == balancer.Removed && (full || !before) || before && was == is && !full {
 			continue
 		}
 		a.knows[s.id] = is
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -166,16 +166,16 @@
 		return d.members(v)
 	case "Inbound":
 		return balancer.Request{ID: d.str(v, "Tid"), Class: d.int(v, "Category"), Tenant: d.int(v, "Billing"),
-			Key: d.str(v, "Resource"), Deadline: d.time(v, "ExpiresNs"), Again: d.flag(v, "Repeat")}
+			Key: d.str(v, "Resource"), Deadline: d.time(v, "ExpiresNs"), IsClientRetry: d.flag(v, "Repeat")}
 	case "Answer":
 		return balancer.Outcome{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo"), Server: d.name(v, "Backend"),
-			Result: d.result(v), Took: d.time(v, "LagNs"), Closed: d.flag(v, "Last"), Report: d.report(v, fields)}
+			Result: d.result(v), Latency: d.time(v, "LagNs"), RequestClosed: d.flag(v, "Last"), Report: d.report(v, fields)}
 	case "Established":
-		return balancer.Streaming{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo")}
+		return balancer.ResponseStarted{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo")}
 	case "Dropped":
-		return balancer.ClientGone{Request: d.str(v, "Tid")}
+		return balancer.ClientDisconnected{Request: d.str(v, "Tid")}
 	case "Health":
-		return balancer.Probed{Server: d.name(v, "Backend"), Result: d.result(v), Took: d.time(v, "LagNs"),
+		return balancer.HealthCheckResult{Server: d.name(v, "Backend"), Result: d.result(v), Latency: d.time(v, "LagNs"),
 			Report: d.report(v, fields)}
 	case "Message":
 		data, err := base64.StdEncoding.DecodeString(d.str(v, "Blob"))
@@ -225,7 +225,7 @@
 		case "draining":
 			s.State = balancer.Draining
 		case "gone":
-			s.State = balancer.Gone
+			s.State = balancer.Removed
 		default:
 			d.fault("unknown Mode %q", mode)
 		}
@@ -265,15 +265,15 @@
 func SetFigure(r *balancer.Report, name string, x float64) {
 	switch name {
 	case "util":
-		r.Util = x
+		r.Utilization = x
 	case "qps":
-		r.Rate = x
+		r.ServedRate = x
 	case "eps":
-		r.Errors = x
+		r.ErrorRate = x
 	case "inflight":
 		r.InFlight = x
 	case "queue":
-		r.Queue = x
+		r.QueueLength = x
 	}
 }
 
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -20,7 +20,7 @@
 	case balancer.Cancel:
 		out = request(out, "Cancel", instance, a)
 		out = num(out, `,"RoundNo":`, uint64(a.Attempt))
-	case balancer.Refuse:
+	case balancer.Reject:
 		out = request(out, "Shed", instance, a)
 		if a.After > 0 {
 			out = num(out, `,"ComeBackNs":`, uint64(a.After))
@@ -30,11 +30,11 @@
 	case balancer.SetTimer:
 		out = num(begin(out, "Schedule", instance), `,"Handle":`, a.Token)
 		out = num(out, `,"FromNowNs":`, uint64(max(a.After, 0)))
-	case balancer.Probe:
+	case balancer.HealthCheck:
 		out = str(begin(out, "Poll", instance), `,"Backend":`, a.Server)
 	case balancer.Subscribe:
 		out = append(begin(out, "Listen", instance), `,"On":true`...)
-	case balancer.Tell:
+	case balancer.Broadcast:
 		out = append(begin(out, "Publish", instance), `,"Whom":"*","Blob":"`...)
 		out = append(base64.StdEncoding.AppendEncode(out, a.Data), '"')
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -41,7 +41,7 @@
 // Differs names what another instance's settings have otherwise, beside classes, the number of attempts and whether two may be
 // out at a time.
 func (s Site) Differs(other Site) (names []string) {
-	s.Logic.Classes, s.Logic.MaxAttempts, s.Logic.ParallelCopies = other.Logic.Classes, other.Logic.MaxAttempts, other.Logic.ParallelCopies
+	s.Logic.Classes, s.Logic.MaxAttempts, s.Logic.AllowHedging = other.Logic.Classes, other.Logic.MaxAttempts, other.Logic.AllowHedging
 	for _, part := range []struct {
 		name     string
 		old, now any
@@ -98,30 +98,30 @@
 }
 
 var (
-	effects = []string{balancer.Safe: "repeatable", balancer.Keyed: "by_key", balancer.Unsafe: "once"}
-	groups  = []string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}
+	effects = []string{balancer.Idempotent: "repeatable", balancer.IdempotentByKey: "by_key", balancer.NonIdempotent: "once"}
+	groups  = []string{balancer.DedupFleet: "all", balancer.DedupZone: "zone", balancer.DedupCell: "cell"}
 )
 
 func (b *bootInfo) settings() (balancer.Settings, error) {
 	s := balancer.Settings{
-		Balancers:      b.Balancers,
-		Me:             b.Me,
-		OverShareWorth: b.OverShareWorth,
-		MustAskIn:      time.Duration(b.Rules.MustAskInNs),
-		Tick:           time.Duration(b.TickNs),
-		Zone:           b.Zone,
-		CrossZonePrice: b.Prices.CrossZone,
-		ListWeights:    b.WeightKind == "nominal" || b.WeightKind == "rough",
-		Subscribe:      b.Discovery == "subscribe",
-		WarmKeys:       b.Domain.WarmKeys,
-		MaxAttempts:    b.Ceilings.MostTries,
-		ParallelCopies: b.Ceilings.ParallelTries,
-		ColdFrom:       b.Rules.ColdFrom,
-		ColdFor:        time.Duration(b.Rules.ColdNs),
-		Overload:       b.Rules.OverloadFactor,
+		Balancers:              b.Balancers,
+		Index:                  b.Me,
+		OverQuotaPriorityRatio: b.OverShareWorth,
+		MaxPollInterval:        time.Duration(b.Rules.MustAskInNs),
+		Tick:                   time.Duration(b.TickNs),
+		Zone:                   b.Zone,
+		CrossZoneCost:          b.Prices.CrossZone,
+		UseListWeights:         b.WeightKind == "nominal" || b.WeightKind == "rough",
+		Subscribe:              b.Discovery == "subscribe",
+		KeyAffinity:            b.Domain.WarmKeys,
+		MaxAttempts:            b.Ceilings.MostTries,
+		AllowHedging:           b.Ceilings.ParallelTries,
+		SlowStartInitialRatio:  b.Rules.ColdFrom,
+		SlowStartDuration:      time.Duration(b.Rules.ColdNs),
+		WarmingOverloadRatio:   b.Rules.OverloadFactor,
 	}
 	for _, t := range b.Tenants {
-		s.Shares = append(s.Shares, t.Portion)
+		s.Quotas = append(s.Quotas, t.Portion)
 	}
 	if b.Ceilings.RetryAfter {
 		s.MaxRetryAfter = time.Duration(b.Ceilings.MaxRetryAfterNs)
@@ -135,8 +135,8 @@
 			return s, fmt.Errorf("class %q has the unknown Group %q", c.Name, c.Group)
 		}
 		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Effect: balancer.Effect(effect),
-			Group: balancer.Group(max(group, 0)), Window: time.Duration(c.WindowNs), Aim: time.Duration(c.AimNs),
-			Deadline: time.Duration(c.DeadlineNs), Worth: c.Worth})
+			DedupScope: balancer.DedupScope(max(group, 0)), DedupWindow: time.Duration(c.WindowNs), LatencyObjective: time.Duration(c.AimNs),
+			Deadline: time.Duration(c.DeadlineNs), Priority: c.Worth})
 	}
 	return s, nil
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -54,20 +54,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := got[0]; m.Kind != Launch || m.Seed != 1<<63-1 || !m.Settings.WarmKeys || m.Settings.Zone != 2 ||
-		m.Settings.Classes[1].Group != balancer.GroupCell || m.Settings.MaxRetryAfter != 9 || !m.Settings.Subscribe ||
-		m.Settings.Tick != 4*time.Millisecond || !m.Settings.ListWeights {
+	if m := got[0]; m.Kind != Launch || m.Seed != 1<<63-1 || !m.Settings.KeyAffinity || m.Settings.Zone != 2 ||
+		m.Settings.Classes[1].DedupScope != balancer.DedupCell || m.Settings.MaxRetryAfter != 9 || !m.Settings.Subscribe ||
+		m.Settings.Tick != 4*time.Millisecond || !m.Settings.UseListWeights {
 		t.Errorf("launch: %+v", m)
 	}
 	half := balancer.NoReport
-	half.Util, half.Rate = 0.5, 70
+	half.Utilization, half.ServedRate = 0.5, 70
 	want := []balancer.Event{
-		balancer.Request{ID: "bb39", Class: 1, Key: "k:1", Deadline: 77, Again: true},
-		balancer.Outcome{Request: "bb39", Attempt: 2, Server: "10.0.0.1:1", Result: balancer.Rejected, Took: 8, Report: half},
-		balancer.Outcome{Request: "bb39", Server: "10.0.0.1:1", Closed: true, Report: balancer.NoReport},
-		balancer.ClientGone{Request: "bb39"},
-		balancer.Streaming{Request: "bb39", Attempt: 1},
-		balancer.Probed{Server: "10.0.0.1:1", Result: balancer.TimedOut, Took: 4, Report: balancer.NoReport},
+		balancer.Request{ID: "bb39", Class: 1, Key: "k:1", Deadline: 77, IsClientRetry: true},
+		balancer.Outcome{Request: "bb39", Attempt: 2, Server: "10.0.0.1:1", Result: balancer.Rejected, Latency: 8, Report: half},
+		balancer.Outcome{Request: "bb39", Server: "10.0.0.1:1", RequestClosed: true, Report: balancer.NoReport},
+		balancer.ClientDisconnected{Request: "bb39"},
+		balancer.ResponseStarted{Request: "bb39", Attempt: 1},
+		balancer.HealthCheckResult{Server: "10.0.0.1:1", Result: balancer.TimedOut, Latency: 4, Report: balancer.NoReport},
 		balancer.PeerMessage{From: 2, Data: []byte("hi")},
 		balancer.TimerFired{Token: 1 << 63},
 		balancer.ListUnavailable{},
@@ -104,7 +104,7 @@
 	if !first.Full || len(first.Servers) != 1 || first.Servers[0] != want {
 		t.Errorf("first list: %+v", first)
 	}
-	if second.Full || len(second.Servers) != 2 || second.Servers[0].State != balancer.Gone ||
+	if second.Full || len(second.Servers) != 2 || second.Servers[0].State != balancer.Removed ||
 		second.Servers[1].State != balancer.Draining {
 		t.Errorf("second list: %+v", second)
 	}
@@ -157,7 +157,7 @@
 func TestLongLine(t *testing.T) {
 	pad := strings.Repeat("x", 3<<20)
 	got, err := read(t, launch, `{"type":"Dropped","I":"agent_1","Tid":"`+pad+`"}`)
-	if err != nil || got[1].Event.(balancer.ClientGone).Request != pad {
+	if err != nil || got[1].Event.(balancer.ClientDisconnected).Request != pad {
 		t.Errorf("a line of megabytes: %v", err)
 	}
 }
@@ -167,13 +167,13 @@
 		`{"type":"Send","I":"i","Tid":"r","Backend":"s","TryForNs":5}`: {Kind: balancer.Send, Request: "r", Server: "s", After: 5},
 		`{"type":"Send","I":"i","Tid":"r","Backend":"s"}`:              {Kind: balancer.Send, Request: "r", Server: "s"},
 		`{"type":"Cancel","I":"i","Tid":"r","RoundNo":2}`:              {Kind: balancer.Cancel, Request: "r", Attempt: 2},
-		`{"type":"Shed","I":"i","Tid":"r","ComeBackNs":3}`:             {Kind: balancer.Refuse, Request: "r", After: 3},
-		`{"type":"Shed","I":"i","Tid":"r"}`:                            {Kind: balancer.Refuse, Request: "r"},
+		`{"type":"Shed","I":"i","Tid":"r","ComeBackNs":3}`:             {Kind: balancer.Reject, Request: "r", After: 3},
+		`{"type":"Shed","I":"i","Tid":"r"}`:                            {Kind: balancer.Reject, Request: "r"},
 		`{"type":"FinishError","I":"i","Tid":"\u00e9\"r"}`:             {Kind: balancer.Fail, Request: "é\"r"},
 		`{"type":"Schedule","I":"i","Handle":9,"FromNowNs":0}`:         {Kind: balancer.SetTimer, Token: 9, After: -1},
-		`{"type":"Poll","I":"i","Backend":"s"}`:                        {Kind: balancer.Probe, Server: "s"},
+		`{"type":"Poll","I":"i","Backend":"s"}`:                        {Kind: balancer.HealthCheck, Server: "s"},
 		`{"type":"Listen","I":"i","On":true}`:                          {Kind: balancer.Subscribe},
-		`{"type":"Publish","I":"i","Whom":"*","Blob":"aGk="}`:          {Kind: balancer.Tell, Data: []byte("hi")},
+		`{"type":"Publish","I":"i","Whom":"*","Blob":"aGk="}`:          {Kind: balancer.Broadcast, Data: []byte("hi")},
 	} {
 		got := string(AppendAction(nil, "i", a))
 		var x, y any
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -119,10 +119,10 @@
 	}
 	p.count("appleledge_sends_cold_total", "", t.Cold)
 	for why, n := range t.GivenUp {
-		p.count("appleledge_given_up_total", fmt.Sprintf("reason=%q", balancer.Reasons[why]), n)
+		p.count("appleledge_given_up_total", fmt.Sprintf("reason=%q", balancer.ReasonNames[why]), n)
 	}
 	for result, n := range t.Attempts {
-		p.count("appleledge_attempts_total", fmt.Sprintf("result=%q", balancer.Results[result]), n)
+		p.count("appleledge_attempts_total", fmt.Sprintf("result=%q", balancer.ResultNames[result]), n)
 	}
 }
 
--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -115,11 +115,11 @@
 
 func (p *Pool) update(m engine.Member) {
 	b := p.backends[m.ID]
-	if b != nil && (m.State == balancer.Gone || b.addr != m.Addr || b.started != m.Started) {
+	if b != nil && (m.State == balancer.Removed || b.addr != m.Addr || b.started != m.Started) {
 		p.retire(b)
 		b = nil
 	}
-	if m.State == balancer.Gone {
+	if m.State == balancer.Removed {
 		return
 	}
 	if b == nil {
--- a/internal/upstream/http1/carrier_test.go
+++ b/internal/upstream/http1/carrier_test.go
@@ -235,7 +235,7 @@
 		func() { f.list(addr, balancer.Draining, 0) },
 		func() { f.list(addr, balancer.Ready, 9) },
 		func() {
-			f.Pool.Update(false, []engine.Member{{Server: balancer.Server{ID: "b", State: balancer.Gone}}})
+			f.Pool.Update(false, []engine.Member{{Server: balancer.Server{ID: "b", State: balancer.Removed}}})
 		},
 	} {
 		f.list(addr, balancer.Ready, 0)
@@ -271,7 +271,7 @@
 func TestReports(t *testing.T) {
 	fields := []string{"util", "qps", "eps"}
 	r, err := ParseReport("util=0.5, qps=12,eps=0.25,unheard=3,queue=9", fields)
-	if want := (balancer.Report{Util: 0.5, Rate: 12, Errors: 0.25, InFlight: -1, Queue: -1}); err != nil || r != want {
+	if want := (balancer.Report{Utilization: 0.5, ServedRate: 12, ErrorRate: 0.25, InFlight: -1, QueueLength: -1}); err != nil || r != want {
 		t.Errorf("%+v, %v", r, err)
 	}
 	for _, text := range []string{"util", "util=", "util=x", "util=NaN,qps=1", "util=Inf", "util=-1", "qps=1e300", "=,"} {
@@ -295,7 +295,7 @@
 func TestReportBehindAMalformedOne(t *testing.T) {
 	b := agenttest.NewBackend(t, agenttest.Says("HTTP/1.1 200 OK\r\nX-Server-Load: %%%\r\nX-Server-Load: util=0.5\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, b.Addr().String(), 100)
-	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || out.Report.Util != 0.5 {
+	if out := f.Carry(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || out.Report.Utilization != 0.5 {
 		t.Errorf("%v %+v", out.Result, out.Report)
 	}
 }
--- a/internal/upstream/http1/golden_test.go
+++ b/internal/upstream/http1/golden_test.go
@@ -73,7 +73,7 @@
 	h.Add("X-Server-Load", strings.TrimSpace(string(golden.Read(t, "httpcarrier/load.txt"))))
 	var noted []error
 	got := ReadReport(h, []string{"util", "qps", "eps", "inflight", "queue"}, func(err error) { noted = append(noted, err) })
-	if want := (balancer.Report{Util: 0.62, Rate: 140.5, Errors: 3, InFlight: 4, Queue: 5.25}); got != want {
+	if want := (balancer.Report{Utilization: 0.62, ServedRate: 140.5, ErrorRate: 3, InFlight: 4, QueueLength: 5.25}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if len(noted) != 1 || noted[0].Error() != `load report "util=high"` {
@@ -86,7 +86,7 @@
 	var out []byte
 	for _, status := range []int{200, 201, 404, 500, 503, 504} {
 		for _, h := range []http.Header{{}, {"X-Not-Processed": {"1"}}, {"X-Not-Processed": {"0"}}} {
-			out = fmt.Appendf(out, "%d %v: %s\n", status, h, balancer.Results[Judge(status, h)])
+			out = fmt.Appendf(out, "%d %v: %s\n", status, h, balancer.ResultNames[Judge(status, h)])
 		}
 	}
 	for _, h := range []http.Header{{}, {"Cache-Control": {"private"}}, {"Cache-Control": {"no-store"}}, {"Set-Cookie": {"c=1"}}, {"Vary": {"*"}},
