--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -62,9 +62,9 @@
 func hold(ctx context.Context, core *engine.Engine, server string, out bool) error {
 	return core.Bans(ctx, func(now time.Duration, s *denylist.Set) error {
 		if out {
-			return s.Down(now, server)
+			return s.Deny(now, server)
 		}
-		return s.Up(now, server)
+		return s.Allow(now, server)
 	})
 }
 
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -109,7 +109,7 @@
 		log.Error("the folder for what is kept is another agent's: nothing of it is used, and nothing is kept", "dir", k.set.Dir, "why", why)
 		return k, nil
 	}
-	log.Info("knowledge from before", "trusted", k.trust.String(), "why", why, "servers", len(k.before.Servers), "held_out", len(k.before.Bans.Out))
+	log.Info("knowledge from before", "trusted", k.trust.String(), "why", why, "servers", len(k.before.Servers), "held_out", len(k.before.Bans.DeniedSince))
 	return k, nil
 }
 
@@ -153,7 +153,7 @@
 }
 
 // bans are those from before.
-func (k *keeping) bans() (st denylist.State) {
+func (k *keeping) bans() (st denylist.Snapshot) {
 	if k != nil {
 		st = k.before.Bans
 	}
@@ -279,7 +279,7 @@
 // document is what the agent knows now; ok is false before it has been told of any server.
 func (k *keeping) document(ctx context.Context) (d ondisk.Document, ok bool, err error) {
 	known, err := k.core.Known(ctx)
-	if err != nil || len(known.Members) == 0 && len(known.Bans.Out) == 0 {
+	if err != nil || len(known.Members) == 0 && len(known.Bans.DeniedSince) == 0 {
 		return d, false, err
 	}
 	now, err := k.now()
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -60,9 +60,9 @@
 }
 
 // Bans is for handover.Host.
-func (u *upgrade) Bans(ctx context.Context) (st denylist.State, err error) {
+func (u *upgrade) Bans(ctx context.Context) (st denylist.Snapshot, err error) {
 	err = u.core.Bans(ctx, func(_ time.Duration, s *denylist.Set) error {
-		st = s.State(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
+		st = s.Snapshot(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
 		return nil
 	})
 	return st, err
@@ -71,7 +71,7 @@
 // Obey is for handover.Host. The other process may know of a server that this one has not been told of yet.
 func (u *upgrade) Obey(ctx context.Context, o hotrestart.Order) error {
 	if err := u.core.Bans(ctx, func(_ time.Duration, s *denylist.Set) error {
-		s.Restore(denylist.State{Seen: []string{o.Server}}, u.clock.FromUnix)
+		s.Restore(denylist.Snapshot{KnownIDs: []string{o.Server}}, u.clock.FromUnix)
 		return nil
 	}); err != nil {
 		return err
--- a/internal/denylist/decisions_test.go
+++ b/internal/denylist/decisions_test.go
@@ -30,23 +30,23 @@
 			if rnd.Chance(0.3) {
 				started = now - rnd.Millis(0, 2000)
 			}
-			s.Listed(id, started)
+			s.MarkListed(id, started)
 		case 1:
-			s.Unlisted(id)
+			s.MarkUnlisted(id)
 		case 2:
-			said(s.Down(now, id))
+			said(s.Deny(now, id))
 		case 3:
-			said(s.Up(now, id))
+			said(s.Allow(now, id))
 		case 4:
-			start := s.Started(id, now-rnd.Millis(0, 4000))
-			tr.Add(s.Out(id), start)
+			start := s.EffectiveStart(id, now-rnd.Millis(0, 4000))
+			tr.Add(s.IsDenied(id), start)
 		case 5:
-			tr.Add(s.Held())
+			tr.Add(s.DeniedIDs())
 		}
 		if step%200 == 199 {
-			st := s.State(func(d time.Duration) int64 { return int64(d) })
-			tr.Add(st.Seen)
-			for _, times := range []map[string]int64{st.Out, st.Back} {
+			st := s.Snapshot(func(d time.Duration) int64 { return int64(d) })
+			tr.Add(st.KnownIDs)
+			for _, times := range []map[string]int64{st.DeniedSince, st.AllowedSince} {
 				ids := []string{}
 				for id := range times {
 					ids = append(ids, id)
@@ -56,11 +56,11 @@
 					tr.Add(id, time.Duration(times[id]))
 				}
 			}
-			tr.CountIf(len(st.Back) > 0, "looks at those taken back")
+			tr.CountIf(len(st.AllowedSince) > 0, "looks at those taken back")
 			if step%1000 == 999 { // the list names what it did before; all ids find room, as the order in which more are forgotten is a map's
 				next := New(100)
 				next.Restore(st, func(ms int64) time.Duration { return time.Duration(ms) })
-				tr.Add(next.Held())
+				tr.Add(next.DeniedIDs())
 				tr.Count("restored")
 			}
 		}
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -42,7 +42,7 @@
 		defer func() {
 			for id := range before {
 				if _, still := h.told[id]; !still {
-					h.set.Unlisted(id)
+					h.set.MarkUnlisted(id)
 				}
 			}
 		}()
@@ -52,10 +52,10 @@
 	for _, m := range l.Members {
 		if m.State == balancer.Gone {
 			delete(h.told, m.ID)
-			h.set.Unlisted(m.ID)
+			h.set.MarkUnlisted(m.ID)
 		} else {
 			h.told[m.ID] = m
-			h.set.Listed(m.ID, m.Started)
+			h.set.MarkListed(m.ID, m.Started)
 		}
 		out.Members = append(out.Members, h.overlay(m))
 	}
@@ -64,8 +64,8 @@
 
 // overlay is a member as the fleet and the module are to see it.
 func (h *held) overlay(m Member) Member {
-	m.Started = h.set.Started(m.ID, m.Started)
-	if m.State == balancer.Ready && h.set.Out(m.ID) {
+	m.Started = h.set.EffectiveStart(m.ID, m.Started)
+	if m.State == balancer.Ready && h.set.IsDenied(m.ID) {
 		m.State = balancer.Draining
 	}
 	return m
@@ -111,7 +111,7 @@
 		n.Listed = len(e.held.told)
 		ill := e.balancer.Ejected()
 		for id := range e.held.told {
-			if e.held.set.Out(id) || ill[id] {
+			if e.held.set.IsDenied(id) || ill[id] {
 				n.Avoided++
 			}
 		}
--- a/internal/engine/returning.go
+++ b/internal/engine/returning.go
@@ -62,7 +62,7 @@
 type Known struct {
 	Members []Member // as the list has them, by id
 	Before  recovery.Before
-	Bans    denylist.State
+	Bans    denylist.Snapshot
 }
 
 // Known returns what the engine knows. It waits for the engine, and is for one that has a recovery.
@@ -80,7 +80,7 @@
 		}
 		k.Before = e.returning.Before()
 		if e.held != nil {
-			k.Bans = e.held.set.State(func(t time.Duration) int64 { return e.clock.At(t).UnixMilli() })
+			k.Bans = e.held.set.Snapshot(func(t time.Duration) int64 { return e.clock.At(t).UnixMilli() })
 		}
 	})
 	return k, err
--- a/internal/fleet/snapshot/golden_test.go
+++ b/internal/fleet/snapshot/golden_test.go
@@ -24,7 +24,7 @@
 		},
 		Capacity: map[string]float64{"s-1": 45, "s-2": 46.5},
 		Usual:    map[string]float64{"form-check": 40, "refund-record": 0.75},
-		Bans:     denylist.State{Out: map[string]int64{"s-3": 1_790_000_000_003}, Back: map[string]int64{"s-1": 1_790_000_000_004}, Seen: []string{"s-1", "s-2", "s-3"}},
+		Bans:     denylist.Snapshot{DeniedSince: map[string]int64{"s-3": 1_790_000_000_003}, AllowedSince: map[string]int64{"s-1": 1_790_000_000_004}, KnownIDs: []string{"s-1", "s-2", "s-3"}},
 	}
 }
 
--- a/internal/fleet/snapshot/kept.go
+++ b/internal/fleet/snapshot/kept.go
@@ -37,7 +37,7 @@
 	Capacity  map[string]float64 `json:"capacity,omitempty"` // requests a second when warm, by server
 	Usual     map[string]float64 `json:"usual,omitempty"`    // requests a second that the agent is asked, by class
 	Use       float64            `json:"use,omitempty"`      // of the servers, from 0 to 1
-	Bans      denylist.State     `json:"bans"`
+	Bans      denylist.Snapshot  `json:"bans"`
 }
 
 // Parse reads a document. The error says what is wrong with it; nothing of it is to be used then.
@@ -91,7 +91,7 @@
 // Same reports whether two documents differ in when they were written alone.
 func (d Document) Same(o Document) bool {
 	return d.Version == o.Version && slices.Equal(d.Servers, o.Servers) && maps.Equal(d.Capacity, o.Capacity) && maps.Equal(d.Usual, o.Usual) &&
-		d.Use == o.Use && maps.Equal(d.Bans.Out, o.Bans.Out) && maps.Equal(d.Bans.Back, o.Bans.Back) && slices.Equal(d.Bans.Seen, o.Bans.Seen)
+		d.Use == o.Use && maps.Equal(d.Bans.DeniedSince, o.Bans.DeniedSince) && maps.Equal(d.Bans.AllowedSince, o.Bans.AllowedSince) && slices.Equal(d.Bans.KnownIDs, o.Bans.KnownIDs)
 }
 
 // Now is who reads a document, and when.
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -18,8 +18,8 @@
 )
 
 // goldenState is what operators hold out.
-func goldenState() denylist.State {
-	return denylist.State{Out: map[string]int64{"a": 1_790_000_000_001}, Back: map[string]int64{"b": 1_790_000_000_002}, Seen: []string{"a", "b", "c"}}
+func goldenState() denylist.Snapshot {
+	return denylist.Snapshot{DeniedSince: map[string]int64{"a": 1_790_000_000_001}, AllowedSince: map[string]int64{"b": 1_790_000_000_002}, KnownIDs: []string{"a", "b", "c"}}
 }
 
 // goldenMessages are those that processes send, of each kind and in each phase, and one with all fields.
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -48,7 +48,7 @@
 // Host is the process that a Link connects with others.
 type Host interface {
 	// Bans returns what operators hold out now.
-	Bans(context.Context) (denylist.State, error)
+	Bans(context.Context) (denylist.Snapshot, error)
 	// Obey carries out an order that was told to another process.
 	Obey(context.Context, Order) error
 	// Share says which part of the agent's limits the process may use from now on.
@@ -57,11 +57,11 @@
 
 // message is a line between two processes.
 type message struct {
-	Phase Phase           `json:"phase"` // of the sender
-	Bans  *denylist.State `json:"bans,omitempty"`
-	Order *Order          `json:"order,omitempty"`
-	Ask   int             `json:"ask,omitempty"`   // the number under which a reply is wanted
-	Reply int             `json:"reply,omitempty"` // the number that is replied to
+	Phase Phase              `json:"phase"` // of the sender
+	Bans  *denylist.Snapshot `json:"bans,omitempty"`
+	Order *Order             `json:"order,omitempty"`
+	Ask   int                `json:"ask,omitempty"`   // the number under which a reply is wanted
+	Reply int                `json:"reply,omitempty"` // the number that is replied to
 }
 
 // Link connects a process with the others of its agent.
@@ -80,7 +80,7 @@
 	peers   map[int]*peer
 	number  int
 	wait    map[int]chan<- struct{} // for replies, by number
-	bans    denylist.State          // what the processes that were there at the start held out
+	bans    denylist.Snapshot       // what the processes that were there at the start held out
 }
 
 // peer is another process.
@@ -253,7 +253,7 @@
 func (l *Link) Gate() *Gate { return l.gate }
 
 // Inherited is what the other processes held out at the start.
-func (l *Link) Inherited() denylist.State { return l.bans }
+func (l *Link) Inherited() denylist.Snapshot { return l.bans }
 
 // Alone reports whether there is no other process.
 func (l *Link) Alone() bool {
@@ -278,9 +278,9 @@
 	l.peers[p.number] = p
 	l.process.Met(p.number, first.Phase)
 	if first.Bans != nil {
-		l.bans.Seen = append(l.bans.Seen, first.Bans.Seen...)
-		l.bans.Out = merged(l.bans.Out, first.Bans.Out)
-		l.bans.Back = merged(l.bans.Back, first.Bans.Back)
+		l.bans.KnownIDs = append(l.bans.KnownIDs, first.Bans.KnownIDs...)
+		l.bans.DeniedSince = merged(l.bans.DeniedSince, first.Bans.DeniedSince)
+		l.bans.AllowedSince = merged(l.bans.AllowedSince, first.Bans.AllowedSince)
 	}
 }
 
--- a/internal/hotrestart/link_test.go
+++ b/internal/hotrestart/link_test.go
@@ -31,7 +31,7 @@
 	told  chan struct{}
 }
 
-func (h *host) Bans(context.Context) (denylist.State, error) {
+func (h *host) Bans(context.Context) (denylist.Snapshot, error) {
 	h.mu.Lock()
 	state, asked, told := h.state(), h.asked, h.told
 	h.mu.Unlock()
@@ -42,17 +42,17 @@
 	return state, nil
 }
 
-func (h *host) state() denylist.State {
-	return h.set.State(func(d time.Duration) int64 { return int64(d) })
+func (h *host) state() denylist.Snapshot {
+	return h.set.Snapshot(func(d time.Duration) int64 { return int64(d) })
 }
 
 func (h *host) Obey(_ context.Context, o Order) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if o.Out {
-		return h.set.Down(time.Second, o.Server)
+		return h.set.Deny(time.Second, o.Server)
 	}
-	return h.set.Up(time.Second, o.Server)
+	return h.set.Allow(time.Second, o.Server)
 }
 
 func (h *host) Share(part float64) {
@@ -72,7 +72,7 @@
 func (h *host) out() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.set.Held()
+	return h.set.DeniedIDs()
 }
 
 // give is an operator's order to this process.
@@ -99,7 +99,7 @@
 	}
 	h := &host{Link: link, set: denylist.New(10)}
 	for _, id := range []string{"a", "b"} {
-		h.set.Listed(id, 0)
+		h.set.MarkListed(id, 0)
 	}
 	h.set.Restore(link.Inherited(), func(ms int64) time.Duration { return time.Duration(ms) })
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,8 +28,8 @@
 
 func newFake() *fake {
 	f := &fake{set: denylist.New(1), ready: true}
-	f.set.Listed("s-1", 0)
-	f.set.Listed("s/2", 0)
+	f.set.MarkListed("s-1", 0)
+	f.set.MarkListed("s/2", 0)
 	return f
 }
 
@@ -43,9 +43,9 @@
 	case f.err != nil:
 		return f.err
 	case out:
-		return f.set.Down(time.Second, server)
+		return f.set.Deny(time.Second, server)
 	}
-	return f.set.Up(time.Second, server)
+	return f.set.Allow(time.Second, server)
 }
 
 func serve(t *testing.T, f *fake) string {
@@ -180,7 +180,7 @@
 		if w.status != 0 && (w.status < 200 || w.status > 599) {
 			t.Errorf("answered %d", w.status)
 		}
-		if out := fmt.Sprint(a.set.Held()); out != "[]" && (out != "[s-1]" && out != "[s/2]" || r.Method != "PUT") {
+		if out := fmt.Sprint(a.set.DeniedIDs()); out != "[]" && (out != "[s-1]" && out != "[s/2]" || r.Method != "PUT") {
 			t.Errorf("%q holds out %s", text, out)
 		}
 	})
