--- a/cmd/appleledgectl/commands.go
+++ b/cmd/appleledgectl/commands.go
@@ -246,17 +246,17 @@
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "agent\t%s\n", s.Agent)
 	fmt.Fprintf(w, "generation\t%d (%.12s)\n", s.Number, s.Hash)
-	if s.Watched {
-		fmt.Fprintf(w, "watched\tfor %.0f s more; %.0f%% of its drains are out\n", s.WatchFor, 100*s.Out)
+	if s.IsWatched {
+		fmt.Fprintf(w, "watched\tfor %.0f s more; %.0f%% of its drains are out\n", s.WatchSecondsLeft, 100*s.RolloutShare)
 	} else {
 		fmt.Fprintf(w, "watched\tno\n")
 	}
-	if s.Before != "" {
-		fmt.Fprintf(w, "before\t%.12s, to which rollback goes back\n", s.Before)
+	if s.PreviousHash != "" {
+		fmt.Fprintf(w, "before\t%.12s, to which rollback goes back\n", s.PreviousHash)
 	}
-	fmt.Fprintf(w, "servers\t%d, %d of them drained by the configuration\n", s.Servers, s.Drained)
-	fmt.Fprintf(w, "refused\t%d by limits\n", s.Refused)
-	fmt.Fprintf(w, "open\t%s\n", openByGeneration(s.Open))
+	fmt.Fprintf(w, "servers\t%d, %d of them drained by the configuration\n", s.ServerCount, s.DrainingServers)
+	fmt.Fprintf(w, "refused\t%d by limits\n", s.RejectedRequests)
+	fmt.Fprintf(w, "open\t%s\n", openByGeneration(s.OpenRequests))
 	if s.Durable {
 		fmt.Fprintf(w, "kept\tyes\n")
 	} else {
@@ -294,7 +294,7 @@
 			}
 			w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 			for _, r := range records {
-				fmt.Fprintf(w, "%s\t%d\t%.12s\t%s\t%s\t%s\n", time.UnixMilli(r.UnixMS).Format(time.RFC3339), r.Number, r.Hash, r.What, r.By, r.Why)
+				fmt.Fprintf(w, "%s\t%d\t%.12s\t%s\t%s\t%s\n", time.UnixMilli(r.UnixMS).Format(time.RFC3339), r.Number, r.Hash, r.Event, r.Actor, r.Reason)
 			}
 			return w.Flush()
 		},
--- a/cmd/appleledgectl/golden_test.go
+++ b/cmd/appleledgectl/golden_test.go
@@ -91,9 +91,9 @@
 		if err := json.Unmarshal(golden.Read(t, "admin/status.json"), &s); err != nil {
 			t.Fatal(err)
 		}
-		delete(s.Open, 9)
+		delete(s.OpenRequests, 9)
 		if bare {
-			s.Watched, s.Before, s.Open, s.Durable, s.Lock = false, "", nil, false, nil
+			s.IsWatched, s.PreviousHash, s.OpenRequests, s.Durable, s.Lock = false, "", nil, false, nil
 		}
 		if err := (&console{out: &b}).writeStatus(s); err != nil {
 			t.Fatal(err)
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -78,7 +78,7 @@
 	t.Cleanup(func() { besteffort.Ignore(started.Process.Kill()); besteffort.Ignore(started.Wait()) })
 	agenttest.Eventually(t, "the agent answers", func() bool {
 		var s admin.Status
-		return json.Unmarshal([]byte(x.try("status", "--json").out), &s) == nil && s.Servers == 2
+		return json.Unmarshal([]byte(x.try("status", "--json").out), &s) == nil && s.ServerCount == 2
 	})
 }
 
@@ -210,7 +210,7 @@
 		if err := json.Unmarshal([]byte(x.try("history", "--json").out), &records); err != nil {
 			t.Fatal(err)
 		}
-		if last := records[len(records)-1]; last.What != generation.Restarted || last.Hash != hash().Hash {
+		if last := records[len(records)-1]; last.Event != generation.EventRestored || last.Hash != hash().Hash {
 			t.Fatalf("round %d: the history ends with %+v", round, last)
 		}
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -26,8 +26,8 @@
 	"appleledge/internal/plan"
 )
 
-var names = generation.Names{Classes: []generation.Class{{Name: "form-check", Aim: time.Second}, {Name: "refund-record", Aim: time.Second}},
-	Tenants: []string{"wick", "lerwick"}, Zones: []string{"a"}, Keyed: []string{"refund-record"}}
+var names = generation.Names{Classes: []generation.Class{{Name: "form-check", LatencyObjective: time.Second}, {Name: "refund-record", LatencyObjective: time.Second}},
+	Tenants: []string{"wick", "lerwick"}, Zones: []string{"a"}, IdempotentClasses: []string{"refund-record"}}
 
 // core is an engine of which only the manager is there.
 type core struct {
@@ -59,12 +59,12 @@
 // start begins an agent on what the disk has.
 func start(t testing.TB, disk atomicfile.FS, servers int) *installation {
 	t.Helper()
-	c := &core{manager: generation.New(generation.Options{Names: names, MaxAfter: time.Second}), now: time.Second}
+	c := &core{manager: generation.New(generation.Options{Names: names, MaxRetryAfter: time.Second}), now: time.Second}
 	fleet := generation.Servers{}
 	for i := range servers {
 		fleet[server(i).ID] = server(i)
 	}
-	c.manager.Listed(fleet)
+	c.manager.UpdateServers(fleet)
 	x := &installation{core: c, disk: disk, Changes: &Changes{Agent: "n0", Engine: c, Names: func() generation.Names { return names }, Now: time.Now,
 		Log: slog.New(slog.DiscardHandler), Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}}
 	if disk != nil {
@@ -148,7 +148,7 @@
 				default:
 					t.Fatalf("operation %d: came back to %s", at, back.hash())
 				}
-				if r := last[len(last)-1]; r.What != generation.Restarted || r.Hash != back.hash() {
+				if r := last[len(last)-1]; r.Event != generation.EventRestored || r.Hash != back.hash() {
 					t.Fatalf("the history ends with %+v", r)
 				}
 			}
@@ -168,7 +168,7 @@
 		return func(x *installation) {
 			fleet := generation.Servers{}
 			change(fleet)
-			x.core.manager.Listed(fleet)
+			x.core.manager.UpdateServers(fleet)
 		}
 	}
 	changed := func(i int, f func(*fleetconfig.Server)) func(*installation) {
@@ -220,7 +220,7 @@
 		x := start(&testing.T{}, nil, rapid.IntRange(0, 12).Draw(t, "servers"))
 		drained := func() (ids []string) {
 			for i := range 12 {
-				if id := server(i).ID; x.core.manager.Drained(id) {
+				if id := server(i).ID; x.core.manager.IsDraining(id) {
 					ids = append(ids, id)
 				}
 			}
@@ -301,10 +301,10 @@
 	}
 	x := start(t, nil, 6)
 	for i := range 3000 { // 50 a second
-		var b generation.Bound
+		var b generation.Binding
 		now := time.Second + time.Duration(i)*20*time.Millisecond
-		x.core.manager.Bind(now, &generation.Ask{Tenant: 1}, &b)
-		x.core.manager.Done(now+time.Millisecond, &b, generation.Served)
+		x.core.manager.Bind(now, &generation.Request{Tenant: 1}, &b)
+		x.core.manager.Release(now+time.Millisecond, &b, generation.Served)
 		x.core.now = now
 	}
 	for rate, want := range map[float64]string{10: plan.NotWatched, 45: plan.TurnsAway, 60: ""} {
@@ -377,7 +377,7 @@
 	other := start(t, nil, 6)
 	other.Agent = "n1"
 	try("of another agent", func(q *ApplyRequest) { q.Plan = other.plan(t, drainPod(2)) }, plan.ErrOther.Error())
-	try("while the change before is watched", func(q *ApplyRequest) { q.Force = false }, generation.ErrWatched.Error())
+	try("while the change before is watched", func(q *ApplyRequest) { q.Force = false }, generation.ErrWatchActive.Error())
 	if err := c.Call(t.Context(), http.MethodPost, PathLock, LockRequest{By: "y", For: "1m"}, &Lock{}); err != nil {
 		t.Fatal(err)
 	}
@@ -396,7 +396,7 @@
 		t.Error(err)
 	}
 	var h []generation.Record
-	if err := c.Call(t.Context(), http.MethodGet, PathHistory, nil, &h); err != nil || len(h) != 2 || h[1].By != "x" {
+	if err := c.Call(t.Context(), http.MethodGet, PathHistory, nil, &h); err != nil || len(h) != 2 || h[1].Actor != "x" {
 		t.Errorf("%+v, %v", h, err)
 	}
 }
@@ -454,11 +454,11 @@
 	if err := x.keepChanged(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := x.Status(t.Context()); err != nil || !s.Durable || s.Watched {
+	if s, err := x.Status(t.Context()); err != nil || !s.Durable || s.IsWatched {
 		t.Errorf("%+v, %v", s, err)
 	}
 	h := start(t, disk, 6).core.manager.State().History
-	if len(h) != 3 || h[1].What != generation.Kept {
+	if len(h) != 3 || h[1].Event != generation.EventPromoted {
 		t.Errorf("%+v", h)
 	}
 }
@@ -518,7 +518,7 @@
 		s.ID, s.Addr, s.Pod = fmt.Sprintf("s-%05d", i), fmt.Sprintf("127.%d.%d.%d:80", i>>16, i>>8&255, i&255), i%40
 		fleet[s.ID] = s
 	}
-	x.core.manager.Listed(fleet)
+	x.core.manager.UpdateServers(fleet)
 	c := &fleetconfig.Config{Drains: drainPod(3).Drains}
 	for i := range 1000 {
 		pool := fleetconfig.All
--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -80,7 +80,7 @@
 
 // Check checks a configuration against the platform's names.
 func (c *Changes) Check(config *fleetconfig.Config) error {
-	if err := config.Check(c.Names().Known()); err != nil {
+	if err := config.Check(c.Names().ConfigNames()); err != nil {
 		return refuse(KindInvalid, err)
 	}
 	return nil
@@ -93,7 +93,7 @@
 }
 
 // plan makes a plan, and returns the configuration compiled, for that version of the servers.
-func (c *Changes) plan(ctx context.Context, config *fleetconfig.Config, mostTaken float64) (*plan.Plan, *generation.Compiled, uint64, error) {
+func (c *Changes) plan(ctx context.Context, config *fleetconfig.Config, mostTaken float64) (*plan.Plan, *generation.CompiledConfig, uint64, error) {
 	v, err := c.view(ctx)
 	if err != nil {
 		return nil, nil, 0, err
@@ -102,7 +102,7 @@
 	limits := map[string]turned{}
 	err = c.Engine.Command(ctx, func(now time.Duration, m *generation.Manager) {
 		for _, l := range config.Limits {
-			refused, came := m.TurnedAway(now, l)
+			refused, came := m.EstimateRejected(now, l)
 			limits[l.Name] = turned{refused, came}
 		}
 	})
@@ -111,7 +111,7 @@
 	}
 	names := c.Names()
 	p, compiled, err := plan.Make(plan.Input{Agent: c.Agent, Number: v.number, From: v.config, To: config, Names: names, Servers: v.servers,
-		Keyed: names.Keyed, MostTaken: mostTaken, UnixMS: c.Now().UnixMilli(),
+		Keyed: names.IdempotentClasses, MostTaken: mostTaken, UnixMS: c.Now().UnixMilli(),
 		TurnedAway: func(l fleetconfig.Limit) (float64, float64) { return limits[l.Name].refused, limits[l.Name].came }})
 	if err != nil {
 		return nil, nil, 0, refuse(KindInvalid, err)
@@ -152,7 +152,7 @@
 	return c.switchTo(ctx, p, why)
 }
 
-func (c *Changes) stage(ctx context.Context, p *plan.Plan, compiled *generation.Compiled, version uint64, by string, force bool) error {
+func (c *Changes) stage(ctx context.Context, p *plan.Plan, compiled *generation.CompiledConfig, version uint64, by string, force bool) error {
 	err := c.command(ctx, func(_ time.Duration, m *generation.Manager) error {
 		return m.Stage(compiled, version, by, p.Base, force)
 	})
@@ -213,7 +213,7 @@
 		_, out.Number, out.Hash = m.Config()
 		return err
 	})
-	if errors.Is(err, generation.ErrNoReturn) {
+	if errors.Is(err, generation.ErrNoRollbackTarget) {
 		return out, refuse(KindRefused, err)
 	}
 	if err != nil {
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := generation.Prepare(s, c.Names(), v.servers, v.version)
+	p, err := generation.CompileState(s, c.Names(), v.servers, v.version)
 	if err != nil {
 		return err
 	}
@@ -250,7 +250,7 @@
 	var s *generation.State
 	var changes uint64
 	err := c.command(ctx, func(_ time.Duration, m *generation.Manager) error {
-		s, changes = m.State(), m.Changes()
+		s, changes = m.State(), m.StateRevision()
 		return nil
 	})
 	if err != nil {
@@ -297,7 +297,7 @@
 	c.changing.Lock()
 	defer c.changing.Unlock()
 	var changes uint64
-	if err := c.Engine.Command(ctx, func(_ time.Duration, m *generation.Manager) { changes = m.Changes() }); err != nil {
+	if err := c.Engine.Command(ctx, func(_ time.Duration, m *generation.Manager) { changes = m.StateRevision() }); err != nil {
 		return err
 	}
 	c.mu.Lock()
@@ -313,7 +313,7 @@
 func (c *Changes) Status(ctx context.Context) (Status, error) {
 	s := Status{Agent: c.Agent}
 	var changes uint64
-	err := c.Engine.Command(ctx, func(now time.Duration, m *generation.Manager) { s.Status, changes = m.Status(now), m.Changes() })
+	err := c.Engine.Command(ctx, func(now time.Duration, m *generation.Manager) { s.Status, changes = m.Status(now), m.StateRevision() })
 	if err != nil {
 		return s, refuse(KindEnding, err)
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -31,11 +31,11 @@
 		t.Fatal(err)
 	}
 	for name, v := range map[string]any{
-		"status": &Status{Agent: "n0", Status: generation.Status{Number: 1, Hash: "h-2", Before: "h-3", Staged: "h-4", Watched: true, WatchFor: 5.5,
-			Out: 0.625, Drained: 7, Refused: 8, Open: map[uint64]int{9: 10, 11: 12}, Barred: 13, Servers: 14},
+		"status": &Status{Agent: "n0", Status: generation.Status{Number: 1, Hash: "h-2", PreviousHash: "h-3", StagedHash: "h-4", IsWatched: true, WatchSecondsLeft: 5.5,
+			RolloutShare: 0.625, DrainingServers: 7, RejectedRequests: 8, OpenRequests: map[uint64]int{9: 10, 11: 12}, BlockedConfigs: 13, ServerCount: 14},
 			Lock: &Lock{By: "ann", LeftS: 15.5}, Durable: true, Problem: "a problem"},
 		"config":           &Config{Number: 16, Hash: "h-17", Config: config},
-		"history":          &[]generation.Record{{Number: 18, Hash: "h-19", What: generation.Harmed, By: "bob", Why: "a reason", UnixMS: 1700000000020}},
+		"history":          &[]generation.Record{{Number: 18, Hash: "h-19", Event: generation.EventHarmFound, Actor: "bob", Reason: "a reason", UnixMS: 1700000000020}},
 		"plan-request":     &PlanRequest{Config: config, MostTaken: 0.21},
 		"apply-request":    &ApplyRequest{Plan: p, By: "cat", Why: "another reason", Force: true},
 		"applied":          &Applied{Number: 22, Hash: "h-23", Durable: true, Problem: "another problem"},
--- a/internal/agent/followed.go
+++ b/internal/agent/followed.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	servers, version := m.Servers()
-	p, err := generation.Prepare(s, names, servers, version)
+	p, err := generation.CompileState(s, names, servers, version)
 	if err == nil {
 		m.Follow(now, p)
 	}
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -42,8 +42,8 @@
 		return nil, nil
 	}
 	names := namesOf(cfg.Site, cfg.Site.Logic.Classes)
-	manager := generation.New(generation.Options{Names: names, MaxAfter: cfg.Site.Logic.MaxRetryAfter,
-		UnixMS: func(t time.Duration) int64 { return clk.At(t).UnixMilli() }, Observe: func(r generation.Record) { logRecord(log, r) }})
+	manager := generation.New(generation.Options{Names: names, MaxRetryAfter: cfg.Site.Logic.MaxRetryAfter,
+		UnixMS: func(t time.Duration) int64 { return clk.At(t).UnixMilli() }, OnRecord: func(r generation.Record) { logRecord(log, r) }})
 	changes := &admin.Changes{Agent: cfg.Name, Engine: core, Names: s.names, Log: log, Now: time.Now,
 		Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}
 	g := &governing{with: *x.Generations, changes: changes, server: &admin.Server{Changes: changes, Log: log}}
@@ -57,11 +57,11 @@
 
 // namesOf are the platform's names, with these classes by their numbers. Those that were dropped keep theirs.
 func namesOf(site simwire.Site, classes []balancer.Class) generation.Names {
-	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, Headers: requesthead.Routable}
+	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, RoutableHeaders: requesthead.Routable}
 	for _, c := range classes {
-		names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
+		names.Classes = append(names.Classes, generation.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline})
 		if c.Effect == balancer.Keyed {
-			names.Keyed = append(names.Keyed, c.Name)
+			names.IdempotentClasses = append(names.IdempotentClasses, c.Name)
 		}
 	}
 	return names
@@ -105,7 +105,7 @@
 		s, err = generation.DecodeState(doc)
 	}
 	switch {
-	case errors.Is(err, generation.ErrNewer):
+	case errors.Is(err, generation.ErrNewerFormat):
 		return fmt.Errorf("%s: %w", f.Path, err)
 	case err != nil:
 		name, aside := f.SetAside(time.Now())
@@ -179,9 +179,9 @@
 // logRecord logs an entry of the history.
 func logRecord(log *slog.Logger, r generation.Record) {
 	level := slog.LevelInfo
-	if r.What == generation.Harmed {
+	if r.Event == generation.EventHarmFound {
 		level = slog.LevelWarn
 	}
-	log.Log(context.Background(), level, "configuration", "what", r.What, "generation", r.Number, "hash", r.Hash[:min(12, len(r.Hash))],
-		"by", r.By, "why", r.Why)
+	log.Log(context.Background(), level, "configuration", "what", r.Event, "generation", r.Number, "hash", r.Hash[:min(12, len(r.Hash))],
+		"by", r.Actor, "why", r.Reason)
 }
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -263,10 +263,10 @@
 	eventually(t, "it is rolled back", func() bool {
 		h := o.history(t)
 		last = h[len(h)-1]
-		return last.What == generation.Harmed
+		return last.Event == generation.EventHarmFound
 	})
-	t.Logf("rolled back after %v: %s", time.Since(applied).Round(10*time.Millisecond), last.Why)
-	if last.Hash != a.Hash || !strings.Contains(last.Why, "refused, failed or late") || o.log.Count("what=harmed") != 1 {
+	t.Logf("rolled back after %v: %s", time.Since(applied).Round(10*time.Millisecond), last.Reason)
+	if last.Hash != a.Hash || !strings.Contains(last.Reason, "refused, failed or late") || o.log.Count("what=harmed") != 1 {
 		t.Errorf("%+v", last)
 	}
 	err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, to("s-3")), By: "test"}, &admin.Applied{})
@@ -342,7 +342,7 @@
 		t.Errorf("another tenant's: %+v", got)
 	}
 	data, err := json.Marshal(o.history(t))
-	if err != nil || !strings.Contains(string(data), generation.Applied) {
+	if err != nil || !strings.Contains(string(data), generation.EventApplied) {
 		t.Errorf("%s, %v", data, err)
 	}
 }
@@ -390,7 +390,7 @@
 	close(moving)
 	<-done
 	var s admin.Status
-	if err := o.client.Call(t.Context(), http.MethodGet, admin.PathStatus, nil, &s); err != nil || s.Drained != 1 {
+	if err := o.client.Call(t.Context(), http.MethodGet, admin.PathStatus, nil, &s); err != nil || s.DrainingServers != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	var in admin.Config
--- a/internal/agent/golden_kept_test.go
+++ b/internal/agent/golden_kept_test.go
@@ -67,12 +67,12 @@
 		t.Fatal(err)
 	}
 	m := generation.New(generation.Options{Names: generation.Names{Classes: []generation.Class{{Name: "form-check"}, {Name: "refund-record"}},
-		Tenants: []string{"glasgow", "lerwick", "wick"}, Zones: []string{"a", "b"}, Headers: []string{"X-Attrs"}}, MaxAfter: time.Second})
+		Tenants: []string{"glasgow", "lerwick", "wick"}, Zones: []string{"a", "b"}, RoutableHeaders: []string{"X-Attrs"}}, MaxRetryAfter: time.Second})
 	if err := restore(m, f, engine.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	st := m.Status(time.Minute)
-	if n := len(st.History); st.Number != 12 || n != 9 || st.History[7].What != generation.Dropped || st.History[8].What != generation.Restarted || !st.Watched {
+	if n := len(st.History); st.Number != 12 || n != 9 || st.History[7].Event != generation.EventDiscarded || st.History[8].Event != generation.EventRestored || !st.IsWatched {
 		t.Errorf("it stands at %+v", st)
 	}
 }
--- a/internal/engine/chooser_test.go
+++ b/internal/engine/chooser_test.go
@@ -93,7 +93,7 @@
 	if rapid.Bool().Draw(t, "governed") {
 		names := generation.Names{}
 		for _, c := range classes() {
-			names.Classes = append(names.Classes, generation.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline})
+			names.Classes = append(names.Classes, generation.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline})
 		}
 		e.Govern(generation.New(generation.Options{Names: names}), nil)
 	}
@@ -171,7 +171,7 @@
 	if cells := m.pools[number]; cells != nil && !slices.Contains(cells, int(a.Server[0]-'0')/2) {
 		m.t.Fatalf("%s is sent to %s, and generation %d keeps it to the pods %v", a.Call.ID, a.Server, number, cells)
 	}
-	if m.e.governed.manager.Drained(a.Server) {
+	if m.e.governed.manager.IsDraining(a.Server) {
 		m.t.Fatalf("%s is sent to %s, which the configuration drains", a.Call.ID, a.Server)
 	}
 }
@@ -317,7 +317,7 @@
 			if n := len(m.e.calls); n != 0 || len(m.e.balancer.InFlight()) != 0 {
 				rt.Fatalf("%d calls are held, %v in flight", n, m.e.balancer.InFlight())
 			}
-			if g := m.e.governed; g != nil && len(g.manager.Status(m.e.clock.Now()).Open) > 0 {
+			if g := m.e.governed; g != nil && len(g.manager.Status(m.e.clock.Now()).OpenRequests) > 0 {
 				rt.Fatalf("requests are bound that have ended: %+v", g.manager.Status(m.e.clock.Now()))
 			}
 			for _, p := range m.tries {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -63,7 +63,7 @@
 	began      time.Duration   // when the engine was told of it
 	counted    bool            // the tally has it as open
 	flies      bool            // it is a flight of joined calls, and nobody's own
-	bound      generation.Bound
+	bound      generation.Binding
 	key        affinity.Key    // of a keyed call, where ties are kept
 	before     balancer.Before // what may have run of it under another id
 }
@@ -401,7 +401,7 @@
 		}
 	}
 	if e.governed != nil {
-		if due, is := e.governed.manager.Due(); is && (!ok || due < at) {
+		if due, is := e.governed.manager.NextTick(); is && (!ok || due < at) {
 			at, ok = due, true
 		}
 	}
@@ -537,7 +537,7 @@
 		return
 	}
 	e.passed(c, admission.Left)
-	e.unbind(c, generation.Left)
+	e.unbind(c, generation.ClientCanceled)
 	e.decide(balancer.ClientGone{Request: c.ID})
 	e.forget(c)
 }
@@ -571,7 +571,7 @@
 	}
 	e.decide(balancer.Request{Was: c.Settings < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Again: c.Again,
 		Among: c.among(), OnDemand: c.chooser != nil || c.Upload != nil, Uploads: c.Upload != nil,
-		Attempts: fewest(c.Attempts, c.bound.Attempts), Before: c.before})
+		Attempts: fewest(c.Attempts, c.bound.MaxAttempts), Before: c.before})
 }
 
 // fewest is the lower of two numbers of which 0 states none.
@@ -593,7 +593,7 @@
 		d.Retune(r.Door)
 	}
 	if e.governed != nil {
-		e.governed.manager.Retune(r.Names)
+		e.governed.manager.SetNames(r.Names)
 	}
 }
 
@@ -798,7 +798,7 @@
 // forget drops a call that is over. While attempts are in flight it is kept: their outcomes still teach.
 func (e *Engine) forget(c *Call) {
 	if c.closed.Load() && c.out == 0 && e.calls[c.ID] == c {
-		e.unbind(c, generation.Left) // one that was closed from outside has told nobody
+		e.unbind(c, generation.ClientCanceled) // one that was closed from outside has told nobody
 		e.tally.forgotten(c)
 		delete(e.calls, c.ID)
 		c.release()
--- a/internal/engine/governed.go
+++ b/internal/engine/governed.go
@@ -59,8 +59,8 @@
 // bind ties a new call to the configuration in force, or answers it where a limit turns it away. Nothing of the call was
 // sent, and a chooser's call comes here only as a new request, so that trying again is harmless.
 func (e *Engine) bind(c *Call) bool {
-	a := generation.Ask{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Path: c.Path, Header: c.Header, Key: c.Key,
-		RepeatKey: c.RepeatKey, Deadline: c.Deadline}
+	a := generation.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Path: c.Path, Header: c.Header, AffinityKey: c.Key,
+		IdempotencyKey: c.RepeatKey, Deadline: c.Deadline}
 	told, ok := e.governed.manager.Bind(e.clock.Now(), &a, &c.bound)
 	if !ok && c.before.May { // a refusal would promise that trying again is harmless
 		e.reject(c, Answer{Kind: Failed})
@@ -68,7 +68,7 @@
 	}
 	if !ok {
 		e.cameToNothing(c)
-		e.reject(c, Answer{Kind: Refused, RetryAfter: told.After, Limit: told.Most})
+		e.reject(c, Answer{Kind: Refused, RetryAfter: told.RetryAfter, Limit: told.MaxInFlight})
 		return false
 	}
 	c.Deadline = c.bound.Deadline
@@ -76,19 +76,19 @@
 }
 
 // unbind ends a call's tie, if it has one.
-func (e *Engine) unbind(c *Call, end generation.End) {
+func (e *Engine) unbind(c *Call, end generation.Outcome) {
 	if e.governed != nil {
-		e.governed.manager.Done(e.clock.Now(), &c.bound, end)
+		e.governed.manager.Release(e.clock.Now(), &c.bound, end)
 	}
 }
 
 // boundEnds are the manager's, by the kinds of answers.
-var boundEnds = [...]generation.End{Served: generation.Served, Refused: generation.Refused, Failed: generation.Failed, Conflict: generation.Left}
+var boundEnds = [...]generation.Outcome{Served: generation.Served, Refused: generation.Rejected, Failed: generation.Failed, Conflict: generation.ClientCanceled}
 
 // among are the servers that a call may go to: those of its pool and of its caller's choice, where there are such. The pool
 // is that of the configuration that the call is bound to, for all of its attempts.
 func (c *Call) among() []string {
-	pool := c.bound.Servers()
+	pool := c.bound.ServerIDs()
 	switch {
 	case c.pass != nil && c.pass.Among != nil && pool == nil && c.Among == nil && !c.before.May:
 		return c.pass.Among
@@ -124,7 +124,7 @@
 		g.told[m.ID] = m
 		changed[m.ID] = g.server(m)
 	}
-	g.manager.Listed(changed)
+	g.manager.UpdateServers(changed)
 	g.drop = l.Drop
 	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
@@ -145,7 +145,7 @@
 }
 
 func (g *governed) drained(m Member) Member {
-	if m.State == balancer.Ready && g.manager.Drained(m.ID) {
+	if m.State == balancer.Ready && g.manager.IsDraining(m.ID) {
 		m.State = balancer.Draining
 	}
 	return m
@@ -153,7 +153,7 @@
 
 // tellMoved tells the fleet and the module of servers whose drain by the configuration has begun or ended.
 func (e *Engine) tellMoved() {
-	ids := e.governed.manager.Moved()
+	ids := e.governed.manager.TakeDrainChanges()
 	if len(ids) == 0 {
 		return
 	}
--- a/internal/engine/joins.go
+++ b/internal/engine/joins.go
@@ -30,7 +30,7 @@
 
 // join reports whether the call has become a member. Whatever its front says, one that must not run twice never does.
 func (e *Engine) join(c *Call) bool {
-	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Safe || c.bound.Servers() != nil {
+	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Safe || c.bound.ServerIDs() != nil {
 		return false // what is bound to a pool asks of other servers than what is not
 	}
 	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Ask[*Call]{Of: c, What: *c.Like, Class: c.Class, Tenant: c.Tenant,
--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -42,19 +42,19 @@
 	for _, routes := range []int{0, 10, 100, 1000} {
 		b.Run(fmt.Sprint("routes=", routes), func(b *testing.B) {
 			m := newManager()
-			m.Listed(fleetOf(1000))
+			m.UpdateServers(fleetOf(1000))
 			if routes > 0 {
 				apply(b, m, time.Second, manyRoutes(routes))
 				m.watch = nil
 			}
-			a := &Ask{ID: "x", Tenant: 2, Path: fmt.Sprintf("/form-check/%04d/a", routes/2), Key: "k", Header: map[string][]string{"X-Attrs": {"3"}}}
-			var bound Bound
+			a := &Request{ID: "x", Tenant: 2, Path: fmt.Sprintf("/form-check/%04d/a", routes/2), AffinityKey: "k", Header: map[string][]string{"X-Attrs": {"3"}}}
+			var bound Binding
 			b.ReportAllocs()
 			for now := 2 * time.Second; b.Loop(); now += time.Millisecond {
 				if _, ok := m.Bind(now, a, &bound); !ok {
 					b.Fatal("refused")
 				}
-				m.Done(now, &bound, Served)
+				m.Release(now, &bound, Served)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 // servers, which are compiled before, with a tenth of the servers that begin or end to drain.
 func BenchmarkSwitch(b *testing.B) {
 	m := newManager()
-	m.Listed(fleetOf(10_000))
+	m.UpdateServers(fleetOf(10_000))
 	two := [2]*fleetconfig.Config{manyRoutes(1000), manyRoutes(999)}
 	two[1].Drains = []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Pods: []int{1, 2}}}}
 	longest := time.Duration(0)
@@ -86,7 +86,7 @@
 			b.Fatal(err)
 		}
 		longest = max(longest, time.Since(began))
-		m.Moved()
+		m.TakeDrainChanges()
 	}
 	b.ReportMetric(float64(longest.Microseconds()), "longest-us")
 }
@@ -104,13 +104,13 @@
 // BenchmarkListed is what a change of one server costs the engine.
 func BenchmarkListed(b *testing.B) {
 	m := newManager()
-	m.Listed(fleetOf(10_000))
+	m.UpdateServers(fleetOf(10_000))
 	apply(b, m, time.Second, manyRoutes(1000))
 	s := server(1)
 	s.ID = "s-00001"
 	for i := 0; b.Loop(); i++ {
 		next := *s
 		next.Pod = i % 20
-		m.Listed(Servers{next.ID: &next})
+		m.UpdateServers(Servers{next.ID: &next})
 	}
 }
--- a/internal/generation/compile.go
+++ b/internal/generation/compile.go
@@ -14,31 +14,31 @@
 
 // Class is a class of requests, as the platform has it.
 type Class struct {
-	Name     string
-	Aim      time.Duration // an answer within this time is a good one
-	Deadline time.Duration
+	Name             string
+	LatencyObjective time.Duration // an answer within this time is a good one
+	Deadline         time.Duration
 }
 
 // Names are the platform's, in the order of the module's numbers.
 type Names struct {
-	Classes []Class
-	Tenants []string
-	Zones   []string
-	Headers []string // that routes may ask for, canonical
-	Keyed   []string // names of the classes whose repeats pods remember
+	Classes           []Class
+	Tenants           []string
+	Zones             []string
+	RoutableHeaders   []string // that routes may ask for, canonical
+	IdempotentClasses []string // names of the classes whose repeats pods remember
 }
 
-// Known are the names for a configuration's check.
-func (n Names) Known() fleetconfig.Names {
-	k := fleetconfig.Names{Tenants: n.Tenants, Zones: n.Zones, Readable: n.Headers}
+// ConfigNames are the names for a configuration's check.
+func (n Names) ConfigNames() fleetconfig.Names {
+	k := fleetconfig.Names{Tenants: n.Tenants, Zones: n.Zones, Readable: n.RoutableHeaders}
 	for _, c := range n.Classes {
 		k.Classes = append(k.Classes, c.Name)
 	}
 	return k
 }
 
-// Compiled is a configuration that is ready for use. Compile makes it, in any goroutine; after that it belongs to a Manager.
-type Compiled struct {
+// CompiledConfig is a configuration that is ready for use. Compile makes it, in any goroutine; after that it belongs to a Manager.
+type CompiledConfig struct {
 	Config *fleetconfig.Config
 	Hash   string
 
@@ -53,18 +53,18 @@
 // tenure is the time of a configuration in force, under one number. A rollback brings an earlier configuration back under a
 // number of its own.
 type tenure struct {
-	*Compiled
+	*CompiledConfig
 	number uint64
 	open   int // requests that are bound to it
 }
 
 // Compile checks a normalized configuration and makes it ready for these servers. It takes as long as it takes: with many
 // servers and pools some hundreds of milliseconds.
-func Compile(c *fleetconfig.Config, names Names, servers Servers) (*Compiled, error) {
-	if err := c.Check(names.Known()); err != nil {
+func Compile(c *fleetconfig.Config, names Names, servers Servers) (*CompiledConfig, error) {
+	if err := c.Check(names.ConfigNames()); err != nil {
 		return nil, err
 	}
-	out := &Compiled{Config: c, Hash: c.Hash(), json: c.JSON(), routes: routeIndex{}, limits: map[who]*limit{}, deadlines: map[who]time.Duration{},
+	out := &CompiledConfig{Config: c, Hash: c.Hash(), json: c.JSON(), routes: routeIndex{}, limits: map[who]*limit{}, deadlines: map[who]time.Duration{},
 		fleet: fleet{pools: map[string]*pool{}, told: Servers{}, out: map[string]bool{}}, drainSign: signOf(c.Drains)}
 	for _, p := range append([]fleetconfig.Pool{{Name: fleetconfig.All}}, c.Pools...) {
 		m, err := p.Matcher()
@@ -91,7 +91,7 @@
 	return out, nil
 }
 
-func (c *Compiled) compileRoutes(names Names) {
+func (c *CompiledConfig) compileRoutes(names Names) {
 	for rank, from := range orderOf(c.Config.Routes) {
 		r := &route{rank: rank, prefix: from.PathPrefix, headers: headersOf(&from)}
 		for _, t := range from.To {
@@ -129,7 +129,7 @@
 
 // inherit takes over what a predecessor counts: requests in flight under a limit of the same name, and the tokens of one
 // that is the same.
-func (c *Compiled) inherit(old *Compiled) {
+func (c *CompiledConfig) inherit(old *CompiledConfig) {
 	byName := map[string]*limit{}
 	for _, l := range old.limits {
 		byName[l.Name] = l
@@ -141,50 +141,50 @@
 	}
 }
 
-// Ask is a request, as routes and limits see it.
-type Ask struct {
-	ID             string
-	Class, Tenant  int
-	Path           string
-	Header         map[string][]string // canonical names
-	Key, RepeatKey string
-	Deadline       time.Duration // on the engine's clock
+// Request is a request, as routes and limits see it.
+type Request struct {
+	ID                          string
+	Class, Tenant               int
+	Path                        string
+	Header                      map[string][]string // canonical names
+	AffinityKey, IdempotencyKey string
+	Deadline                    time.Duration // on the engine's clock
 }
 
-// Bound is a request's tie to a generation, from its arrival to its answer.
-type Bound struct {
-	of       *tenure
-	limits   [4]*limit
-	class    int
-	pair     int // of the traffic
-	began    time.Duration
-	touched  bool // the change under watch concerns it
-	pool     *pool
-	ids      []string
-	Deadline time.Duration // when it is ended
-	Attempts int           // that it may have, in all; 0: as the platform says
+// Binding is a request's tie to a generation, from its arrival to its answer.
+type Binding struct {
+	of          *tenure
+	limits      [4]*limit
+	class       int
+	pair        int // of the traffic
+	began       time.Duration
+	touched     bool // the change under watch concerns it
+	pool        *pool
+	ids         []string
+	Deadline    time.Duration // when it is ended
+	MaxAttempts int           // that it may have, in all; 0: as the platform says
 }
 
-// Servers are the ids of those that it may go to, sorted; nil: any.
-func (b *Bound) Servers() []string { return b.ids }
+// ServerCount are the ids of those that it may go to, sorted; nil: any.
+func (b *Binding) ServerIDs() []string { return b.ids }
 
 // Generation is the number of the one that it belongs to; 0 where it belongs to none any more.
-func (b *Bound) Generation() uint64 {
+func (b *Binding) Generation() uint64 {
 	if b.of == nil {
 		return 0
 	}
 	return b.of.number
 }
 
-// Refusal says which limit turned a request away, and when its client may come back.
-type Refusal struct {
-	Limit string
-	After time.Duration
-	Most  int // that the limit lets in at a time; 0 where it limits the rate
+// Rejection says which limit turned a request away, and when its client may come back.
+type Rejection struct {
+	Limit       string
+	RetryAfter  time.Duration
+	MaxInFlight int // that the limit lets in at a time; 0 where it limits the rate
 }
 
 // bind ties a request to the generation.
-func (c *tenure) bind(now time.Duration, a *Ask, b *Bound) (Refusal, bool) {
+func (c *tenure) bind(now time.Duration, a *Request, b *Binding) (Rejection, bool) {
 	var meets [4]*limit
 	n := 0
 	if len(c.limits) > 0 {
@@ -195,9 +195,9 @@
 			}
 			if wait, ok := l.full(now); !ok {
 				l.refused++
-				told := Refusal{Limit: l.Name, After: wait}
+				told := Rejection{Limit: l.Name, RetryAfter: wait}
 				if l.InFlight != nil && l.gauge.inFlight >= *l.InFlight {
-					told.Most = *l.InFlight
+					told.MaxInFlight = *l.InFlight
 				}
 				return told, false
 			}
@@ -205,11 +205,11 @@
 			n++
 		}
 	}
-	*b = Bound{of: c, limits: meets, began: now, Deadline: a.Deadline}
+	*b = Binding{of: c, limits: meets, began: now, Deadline: a.Deadline}
 	for _, l := range meets[:n] {
 		l.take(now)
-		if l.Attempts > 0 && (b.Attempts == 0 || l.Attempts < b.Attempts) {
-			b.Attempts = l.Attempts
+		if l.Attempts > 0 && (b.MaxAttempts == 0 || l.Attempts < b.MaxAttempts) {
+			b.MaxAttempts = l.Attempts
 		}
 	}
 	if r := c.routes.find(a); r != nil {
@@ -224,11 +224,11 @@
 		}
 	}
 	c.open++
-	return Refusal{}, true
+	return Rejection{}, true
 }
 
 // sign tells what the generation does with a request; where two generations have the same one it is the same.
-func (c *Compiled) sign(a *Ask) uint64 {
+func (c *CompiledConfig) sign(a *Request) uint64 {
 	var parts [10]uint64
 	parts[0] = c.drainSign
 	if r := c.routes.find(a); r != nil {
@@ -247,11 +247,11 @@
 	return sum
 }
 
-// Out are the ids of the servers that the drains take out, all of them whatever a rollout's step.
-func (c *Compiled) Out() map[string]bool { return c.out }
+// RolloutShare are the ids of the servers that the drains take out, all of them whatever a rollout's step.
+func (c *CompiledConfig) DrainedIDs() map[string]bool { return c.out }
 
-// Pool are the ids of a pool's servers, sorted. There is no list for a pool of all servers, which is told by all.
-func (c *Compiled) Pool(name string) (ids []string, all bool) {
+// PoolServerIDs are the ids of a pool's servers, sorted. There is no list for a pool of all servers, which is told by all.
+func (c *CompiledConfig) PoolServerIDs(name string) (ids []string, all bool) {
 	p := c.pools[name]
 	if p == nil {
 		return nil, false
@@ -259,5 +259,5 @@
 	return p.ids, p.match.Everything()
 }
 
-// Ordered are the configuration's routes in the order in which they are asked.
-func (c *Compiled) Ordered() []fleetconfig.Route { return orderOf(c.Config.Routes) }
+// OrderedRoutes are the configuration's routes in the order in which they are asked.
+func (c *CompiledConfig) OrderedRoutes() []fleetconfig.Route { return orderOf(c.Config.Routes) }
--- a/internal/generation/fleet.go
+++ b/internal/generation/fleet.go
@@ -7,7 +7,7 @@
 	"appleledge/internal/fleetconfig"
 )
 
-// Servers are the servers of the list, by id. The entries are only read: a server that changes is another entry.
+// ServerCount are the servers of the list, by id. The entries are only read: a server that changes is another entry.
 type Servers map[string]*fleetconfig.Server
 
 // pool is a pool that is ready for use.
--- a/internal/generation/golden_test.go
+++ b/internal/generation/golden_test.go
@@ -37,18 +37,18 @@
 func fullState() *State {
 	c, before := full(), toPool("wick", 40)
 	return &State{
-		Format: 1, Number: 12, Config: c.JSON(), Hash: c.Hash(), Previous: before.JSON(), Staged: "hash of what is staged",
-		Watching: &Watching{Step: 1, Before: []Share{{101, 1}, {102, 2}, {103, 3}, {104, 4}, {105, 5}, {106, 6}},
-			Limited: []float64{0.125, 0.25, 0.375, 0.5, 0.625, 0.75}},
-		Barred: map[string]string{"a hash": "and its harm", "another hash": "and its harm too"},
+		Format: 1, Number: 12, Config: c.JSON(), Hash: c.Hash(), PreviousConfig: before.JSON(), StagedHash: "hash of what is staged",
+		Watch: &WatchState{RolloutStep: 1, Baseline: []OutcomeCounts{{101, 1}, {102, 2}, {103, 3}, {104, 4}, {105, 5}, {106, 6}},
+			ExpectedRejectRatio: []float64{0.125, 0.25, 0.375, 0.5, 0.625, 0.75}},
+		Blocked: map[string]string{"a hash": "and its harm", "another hash": "and its harm too"},
 		History: []Record{
-			{Number: 1, Hash: "h1", What: Applied, By: "ann", Why: "w1", UnixMS: 1_790_000_000_001},
-			{Number: 2, Hash: "h2", What: Kept, By: "ben", Why: "w2", UnixMS: 1_790_000_000_002},
-			{Number: 3, Hash: "h3", What: RolledBack, By: "cas", Why: "w3", UnixMS: 1_790_000_000_003},
-			{Number: 4, Hash: "h4", What: Harmed, By: "dan", Why: "w4", UnixMS: 1_790_000_000_004},
-			{Number: 5, Hash: "h5", What: Restarted, By: "eve", Why: "w5", UnixMS: 1_790_000_000_005},
-			{Number: 6, Hash: "h6", What: Dropped, By: "fay", Why: "w6", UnixMS: 1_790_000_000_006},
-			{Number: 7, Hash: "h7", What: Applied},
+			{Number: 1, Hash: "h1", Event: EventApplied, Actor: "ann", Reason: "w1", UnixMS: 1_790_000_000_001},
+			{Number: 2, Hash: "h2", Event: EventPromoted, Actor: "ben", Reason: "w2", UnixMS: 1_790_000_000_002},
+			{Number: 3, Hash: "h3", Event: EventRolledBack, Actor: "cas", Reason: "w3", UnixMS: 1_790_000_000_003},
+			{Number: 4, Hash: "h4", Event: EventHarmFound, Actor: "dan", Reason: "w4", UnixMS: 1_790_000_000_004},
+			{Number: 5, Hash: "h5", Event: EventRestored, Actor: "eve", Reason: "w5", UnixMS: 1_790_000_000_005},
+			{Number: 6, Hash: "h6", Event: EventDiscarded, Actor: "fay", Reason: "w6", UnixMS: 1_790_000_000_006},
+			{Number: 7, Hash: "h7", Event: EventApplied},
 		},
 	}
 }
@@ -104,7 +104,7 @@
 
 // A newer form is told by its number alone, whatever else is in it. The committed file was made by hand: this program can't write one.
 func TestGoldenNewerState(t *testing.T) {
-	if _, err := DecodeState(golden.Read(t, "generation/newer-state.json")); !errors.Is(err, ErrNewer) {
+	if _, err := DecodeState(golden.Read(t, "generation/newer-state.json")); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -147,19 +147,19 @@
 func TestGoldenStateOfAManager(t *testing.T) {
 	m := goldenManager(t)
 	golden.Equal(t, "generation/state-of-a-manager", kept(t, m.State()))
-	for _, word := range []string{Applied, Kept, RolledBack, Harmed} {
+	for _, word := range []string{EventApplied, EventPromoted, EventRolledBack, EventHarmFound} {
 		if m.counts[word] == 0 {
 			t.Errorf("nothing was %s", word)
 		}
 	}
 	read := committed(t, "generation/state-of-a-manager")
-	if w := read.Watching; w == nil || w.Step != 1 || read.Staged == "" || read.Previous == nil || len(read.Barred) != 1 {
+	if w := read.Watch; w == nil || w.RolloutStep != 1 || read.StagedHash == "" || read.PreviousConfig == nil || len(read.Blocked) != 1 {
 		t.Fatalf("the committed state reads as %+v", read)
 	}
 	next := newManager()
 	next.options.UnixMS = goldenMS
 	fleet, _ := m.Servers()
-	next.Listed(fleet)
+	next.UpdateServers(fleet)
 	if err := next.Restore(time.Minute, read); err != nil {
 		t.Fatal(err)
 	}
@@ -168,5 +168,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "generation/status-taken-over.json", append(status, []byte("\n"+strings.Join(next.Moved(), " ")+"\n")...))
+	golden.Equal(t, "generation/status-taken-over.json", append(status, []byte("\n"+strings.Join(next.TakeDrainChanges(), " ")+"\n")...))
 }
--- a/internal/generation/golden_texts_test.go
+++ b/internal/generation/golden_texts_test.go
@@ -7,8 +7,8 @@
 	"appleledge/internal/golden"
 )
 
-// What records say; metrics, the state on disk and operators' answers have these words.
+// Event records say; metrics, the state on disk and operators' answers have these words.
 func TestGoldenTexts(t *testing.T) {
 	golden.Equal(t, "texts/generation.txt", fmt.Appendf(nil, "applied %q\nkept %q\nrolled back %q\nharmed %q\nformat %d\n",
-		Applied, Kept, RolledBack, Harmed, Format))
+		EventApplied, EventPromoted, EventRolledBack, EventHarmFound, StateFormat))
 }
--- a/internal/generation/manager.go
+++ b/internal/generation/manager.go
@@ -24,20 +24,20 @@
 
 // Options are what a Manager is told at start.
 type Options struct {
-	Names    Names
-	MaxAfter time.Duration             // the longest come-back time that clients heed
-	UnixMS   func(time.Duration) int64 // the wall time of a time on the engine's clock, for the history
-	Observe  func(Record)              // is told of each record as it comes; may be nil, must not block
+	Names         Names
+	MaxRetryAfter time.Duration             // the longest come-back time that clients heed
+	UnixMS        func(time.Duration) int64 // the wall time of a time on the engine's clock, for the history
+	OnRecord      func(Record)              // is told of each record as it comes; may be nil, must not block
 }
 
 // Manager owns the generations. It is not safe for concurrent use: the engine's goroutine has it.
 type Manager struct {
 	options Options
 	servers Servers
-	version uint64    // of servers: it counts their changes, from 1
-	force   *tenure   // in force
-	before  *Compiled // the one before, while a rollback may want it
-	staged  *Compiled
+	version uint64          // of servers: it counts their changes, from 1
+	force   *tenure         // in force
+	before  *CompiledConfig // the one before, while a rollback may want it
+	staged  *CompiledConfig
 	staging string // by whom
 	watch   *watch // nil while none is under way
 	step    int    // of the rollout, that is done
@@ -57,14 +57,14 @@
 }
 
 // Ends of requests.
-type End int
+type Outcome int
 
 // How a request ended.
 const (
-	Served End = iota
-	Refused
+	Served Outcome = iota
+	Rejected
 	Failed
-	Left // its client; that says nothing of the service
+	ClientCanceled // its client; that says nothing of the service
 )
 
 // New returns a Manager with the empty configuration in force, as generation 0.
@@ -73,12 +73,12 @@
 	if err != nil {
 		panic("generation: " + err.Error()) // the empty configuration names nothing that could be wrong
 	}
-	return &Manager{options: o, servers: Servers{}, force: &tenure{Compiled: empty}, barred: map[string]string{}, drained: map[string]bool{}, counts: map[string]uint64{},
+	return &Manager{options: o, servers: Servers{}, force: &tenure{CompiledConfig: empty}, barred: map[string]string{}, drained: map[string]bool{}, counts: map[string]uint64{},
 		traffic: newTraffic(len(o.Names.Classes), len(o.Names.Tenants))}
 }
 
-// Retune takes the platform's names as they are from now on. Classes keep their numbers; new ones come behind.
-func (m *Manager) Retune(names Names) {
+// SetNames takes the platform's names as they are from now on. Classes keep their numbers; new ones come behind.
+func (m *Manager) SetNames(names Names) {
 	m.options.Names = names
 	m.traffic.grow(len(names.Classes))
 	if m.watch != nil {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Listed takes servers that have come, changed or gone; those that are nil have gone.
-func (m *Manager) Listed(changed Servers) {
+// UpdateServers takes servers that have come, changed or gone; those that are nil have gone.
+func (m *Manager) UpdateServers(changed Servers) {
 	m.version++
 	ids := make([]string, 0, len(changed))
 	for id, s := range changed {
@@ -105,9 +105,9 @@
 }
 
 // all are the generations that are at work.
-func (m *Manager) all() []*Compiled {
-	out := []*Compiled{m.force.Compiled}
-	add := func(c *Compiled) {
+func (m *Manager) all() []*CompiledConfig {
+	out := []*CompiledConfig{m.force.CompiledConfig}
+	add := func(c *CompiledConfig) {
 		if c != nil && !slices.Contains(out, c) {
 			out = append(out, c)
 		}
@@ -115,12 +115,12 @@
 	add(m.before)
 	add(m.staged)
 	for _, t := range m.old {
-		add(t.Compiled)
+		add(t.CompiledConfig)
 	}
 	return out
 }
 
-// Servers are those of the list, for Compile and plans, and their version. The caller gets a copy whose entries are only read.
+// ServerCount are those of the list, for Compile and plans, and their version. The caller gets a copy whose entries are only read.
 func (m *Manager) Servers() (s Servers, version uint64) { return maps.Clone(m.servers), m.version }
 
 // Config is the configuration in force, with its number and hash. It is only read.
@@ -130,7 +130,7 @@
 
 // Bind ties a request to the generation in force, or refuses it for a limit, before anything of it was sent. What is bound
 // is to be ended by Done, once.
-func (m *Manager) Bind(now time.Duration, a *Ask, b *Bound) (Refusal, bool) {
+func (m *Manager) Bind(now time.Duration, a *Request, b *Binding) (Rejection, bool) {
 	pair := m.traffic.pair(a.Class, a.Tenant)
 	touched := m.watch != nil && m.before != nil && m.force.sign(a) != m.before.sign(a)
 	m.traffic.arrived(now, pair)
@@ -141,7 +141,7 @@
 		if m.watch != nil {
 			m.watch.ended(pair, a.Class, touched, true)
 		}
-		told.After = m.comeBack(a.ID, told.After)
+		told.RetryAfter = m.comeBack(a.ID, told.RetryAfter)
 		return told, false
 	}
 	b.class, b.pair, b.touched = a.Class, pair, touched
@@ -152,11 +152,11 @@
 func (m *Manager) comeBack(id string, after time.Duration) time.Duration {
 	part := float64(xxhash.Sum64String(id)>>11) / (1 << 53)
 	spread := time.Duration(float64(after)*(1+part/2)) + time.Millisecond - 1 // up to the next millisecond
-	return min(spread.Truncate(time.Millisecond), m.options.MaxAfter)
+	return min(spread.Truncate(time.Millisecond), m.options.MaxRetryAfter)
 }
 
-// Done ends what Bind has tied.
-func (m *Manager) Done(now time.Duration, b *Bound, end End) {
+// Ended ends what Bind has tied.
+func (m *Manager) Release(now time.Duration, b *Binding, end Outcome) {
 	c := b.of
 	if c == nil {
 		return
@@ -167,9 +167,9 @@
 		}
 	}
 	class := m.traffic.class(b.pair)
-	bad := end != Served || now-b.began > m.options.Names.Classes[b.class].Aim
-	m.traffic.ended(now, b.pair, end != Left, bad)
-	if m.watch != nil && c == m.force && end != Left { // what was bound before the switch says nothing of either
+	bad := end != Served || now-b.began > m.options.Names.Classes[b.class].LatencyObjective
+	m.traffic.ended(now, b.pair, end != ClientCanceled, bad)
+	if m.watch != nil && c == m.force && end != ClientCanceled { // what was bound before the switch says nothing of either
 		m.watch.ended(b.pair, class, b.touched, bad)
 	}
 	b.of = nil
@@ -178,11 +178,11 @@
 	}
 }
 
-// Drained reports whether a server gets nothing new, by the drains in force.
-func (m *Manager) Drained(id string) bool { return m.drained[id] }
+// DrainingServers reports whether a server gets nothing new, by the drains in force.
+func (m *Manager) IsDraining(id string) bool { return m.drained[id] }
 
-// Moved returns the ids of the servers whose drain has begun or ended since the last call.
-func (m *Manager) Moved() []string {
+// TakeDrainChanges returns the ids of the servers whose drain has begun or ended since the last call.
+func (m *Manager) TakeDrainChanges() []string {
 	moved := m.moved
 	m.moved = nil
 	return moved
@@ -233,29 +233,29 @@
 
 // Reasons why a change is not taken.
 var (
-	ErrMoved    = errors.New("another generation is in force than the one that the plan rests on")
-	ErrStaged   = errors.New("another change is being applied")
-	ErrWatched  = errors.New("the change before is still being watched")
-	ErrBarred   = errors.New("this configuration has done harm before")
-	ErrNoReturn = errors.New("there is no generation to go back to")
-	ErrNoChange = errors.New("the configuration is in force already")
+	ErrBaseChanged      = errors.New("another generation is in force than the one that the plan rests on")
+	ErrAlreadyStaged    = errors.New("another change is being applied")
+	ErrWatchActive      = errors.New("the change before is still being watched")
+	ErrBlocked          = errors.New("this configuration has done harm before")
+	ErrNoRollbackTarget = errors.New("there is no generation to go back to")
+	ErrNoChange         = errors.New("the configuration is in force already")
 )
 
 // Stage takes a configuration, compiled for that version of the servers, that is to come in force next. base is the hash of the one
 // that it replaces; force takes one that has done harm before, and ends a watch that is under way as if it had found nothing.
-func (m *Manager) Stage(c *Compiled, version uint64, by, base string, force bool) error {
+func (m *Manager) Stage(c *CompiledConfig, version uint64, by, base string, force bool) error {
 	why, barred := m.barred[c.Hash]
 	switch {
 	case base != m.force.Hash:
-		return fmt.Errorf("%w: %.12s, not %.12s", ErrMoved, m.force.Hash, base)
+		return fmt.Errorf("%w: %.12s, not %.12s", ErrBaseChanged, m.force.Hash, base)
 	case m.staged != nil:
-		return fmt.Errorf("%w, by %s", ErrStaged, m.staging)
+		return fmt.Errorf("%w, by %s", ErrAlreadyStaged, m.staging)
 	case c.Hash == m.force.Hash:
 		return ErrNoChange
 	case m.watch != nil && !force:
-		return fmt.Errorf("%w; roll it back, or wait until the watch ends", ErrWatched)
+		return fmt.Errorf("%w; roll it back, or wait until the watch ends", ErrWatchActive)
 	case barred && !force:
-		return fmt.Errorf("%w: %s; it has to be forced", ErrBarred, why)
+		return fmt.Errorf("%w: %s; it has to be forced", ErrBlocked, why)
 	}
 	if version != m.version {
 		c.update(m.servers, union(c.told, m.servers))
@@ -285,7 +285,7 @@
 	m.replace(c)
 	delete(m.barred, c.Hash)
 	m.barList = slices.DeleteFunc(m.barList, func(hash string) bool { return hash == c.Hash })
-	m.record(now, Record{Number: m.force.number, Hash: c.Hash, What: Applied, By: m.staging, Why: why})
+	m.record(now, Record{Number: m.force.number, Hash: c.Hash, Event: EventApplied, Actor: m.staging, Reason: why})
 	m.step = 0
 	m.startWatch(now, m.traffic.sums(now), limited)
 	m.redrain()
@@ -308,16 +308,16 @@
 }
 
 // replace makes a generation the one in force.
-func (m *Manager) replace(c *Compiled) {
+func (m *Manager) replace(c *CompiledConfig) {
 	old := m.force
-	c.inherit(old.Compiled)
+	c.inherit(old.CompiledConfig)
 	if old.open > 0 {
 		m.old = append(m.old, old)
 	}
-	m.before, m.force = old.Compiled, &tenure{Compiled: c, number: old.number + 1}
+	m.before, m.force = old.CompiledConfig, &tenure{CompiledConfig: c, number: old.number + 1}
 }
 
-func (m *Manager) startWatch(now time.Duration, before []Share, limited []float64) {
+func (m *Manager) startWatch(now time.Duration, before []OutcomeCounts, limited []float64) {
 	set := m.force.Config.Watching()
 	lasts := time.Duration(set.For)
 	if r := m.force.Config.Rollout; r != nil {
@@ -328,8 +328,8 @@
 	m.watch = newWatch(now, lasts, set.FalseAlarms, before, limited, m.traffic.classes())
 }
 
-// Due is when Tick is to be called next, if at all.
-func (m *Manager) Due() (time.Duration, bool) {
+// NextTick is when Tick is to be called next, if at all.
+func (m *Manager) NextTick() (time.Duration, bool) {
 	if m.watch == nil {
 		return 0, false
 	}
@@ -359,7 +359,7 @@
 	}
 	if now >= m.watch.until && m.watch.calm() {
 		m.watch, m.step = nil, 0
-		m.record(now, Record{Number: m.force.number, Hash: m.force.Hash, What: Kept})
+		m.record(now, Record{Number: m.force.number, Hash: m.force.Hash, Event: EventPromoted})
 		m.redrain()
 	}
 }
@@ -372,7 +372,7 @@
 	}
 	why := h.text(m.options.Names.Classes[h.Class].Name, tenant)
 	m.bar(m.force.Hash, why)
-	m.back(now, Record{What: Harmed, Why: why})
+	m.back(now, Record{Event: EventHarmFound, Reason: why})
 }
 
 func (m *Manager) bar(hash, why string) {
@@ -389,9 +389,9 @@
 // Rollback goes back to the generation before, as a new one, which is not watched.
 func (m *Manager) Rollback(now time.Duration, by, why string) error {
 	if m.before == nil {
-		return ErrNoReturn
+		return ErrNoRollbackTarget
 	}
-	m.back(now, Record{What: RolledBack, By: by, Why: why})
+	m.back(now, Record{Event: EventRolledBack, Actor: by, Reason: why})
 	return nil
 }
 
@@ -409,22 +409,22 @@
 	if m.options.UnixMS != nil {
 		r.UnixMS = m.options.UnixMS(now)
 	}
-	m.counts[r.What]++
+	m.counts[r.Event]++
 	m.history = append(m.history, r)
 	if len(m.history) > mostHistory {
 		m.history = slices.Delete(m.history, 0, len(m.history)-mostHistory)
 	}
 	m.changes++
-	if m.options.Observe != nil {
-		m.options.Observe(r)
+	if m.options.OnRecord != nil {
+		m.options.OnRecord(r)
 	}
 }
 
-// Changes counts the changes of what State says: where it has moved, the state is to be kept anew.
-func (m *Manager) Changes() uint64 { return m.changes }
+// StateRevision counts the changes of what State says: where it has moved, the state is to be kept anew.
+func (m *Manager) StateRevision() uint64 { return m.changes }
 
 // limitedBy is, by pair, the share of the last minute's requests that limits which are new or changed would have refused.
-func (m *Manager) limitedBy(now time.Duration, c *Compiled) []float64 {
+func (m *Manager) limitedBy(now time.Duration, c *CompiledConfig) []float64 {
 	out := make([]float64, len(m.traffic.pairs))
 	for w, l := range c.limits {
 		if old := m.force.limits[w]; old != nil && old.sign == l.sign {
@@ -442,47 +442,47 @@
 	return out
 }
 
-// TurnedAway is about how many of the last minute's requests a limit would have refused, of how many.
-func (m *Manager) TurnedAway(now time.Duration, l fleetconfig.Limit) (refused, came float64) {
+// EstimateRejected is about how many of the last minute's requests a limit would have refused, of how many.
+func (m *Manager) EstimateRejected(now time.Duration, l fleetconfig.Limit) (refused, came float64) {
 	arrived, peaks := m.traffic.bySecond(now, m.options.Names.who(l.Class, l.Tenant))
 	return turnedAway(&l, arrived, peaks)
 }
 
 // Status is how a Manager stands.
 type Status struct {
-	Number   uint64         `json:"number"`
-	Hash     string         `json:"hash"`
-	Before   string         `json:"before,omitempty"` // hash of the one that a rollback goes back to
-	Staged   string         `json:"staged,omitempty"`
-	Watched  bool           `json:"watched"`
-	WatchFor float64        `json:"watch_for_s,omitempty"` // seconds left, at the least
-	Out      float64        `json:"rollout,omitempty"`     // the share of new drains that is out
-	Drained  int            `json:"drained"`               // servers
-	Refused  uint64         `json:"refused"`               // by limits, since the start
-	Open     map[uint64]int `json:"open"`                  // requests, by generation
-	Barred   int            `json:"barred"`
-	Servers  int            `json:"servers"`
-	History  []Record       `json:"-"`
-
-	Counts map[string]uint64 `json:"-"` // of records since the start, by what they say
+	Number           uint64         `json:"number"`
+	Hash             string         `json:"hash"`
+	PreviousHash     string         `json:"before,omitempty"` // hash of the one that a rollback goes back to
+	StagedHash       string         `json:"staged,omitempty"`
+	IsWatched        bool           `json:"watched"`
+	WatchSecondsLeft float64        `json:"watch_for_s,omitempty"` // seconds left, at the least
+	RolloutShare     float64        `json:"rollout,omitempty"`     // the share of new drains that is out
+	DrainingServers  int            `json:"drained"`               // servers
+	RejectedRequests uint64         `json:"refused"`               // by limits, since the start
+	OpenRequests     map[uint64]int `json:"open"`                  // requests, by generation
+	BlockedConfigs   int            `json:"barred"`
+	ServerCount      int            `json:"servers"`
+	History          []Record       `json:"-"`
+
+	EventCounts map[string]uint64 `json:"-"` // of records since the start, by what they say
 }
 
 // Status says how the Manager stands.
 func (m *Manager) Status(now time.Duration) Status {
-	s := Status{Number: m.force.number, Hash: m.force.Hash, Drained: len(m.drained), Refused: m.refused, Barred: len(m.barred),
-		Open: map[uint64]int{}, Servers: len(m.servers), History: slices.Clone(m.history), Counts: maps.Clone(m.counts)}
+	s := Status{Number: m.force.number, Hash: m.force.Hash, DrainingServers: len(m.drained), RejectedRequests: m.refused, BlockedConfigs: len(m.barred),
+		OpenRequests: map[uint64]int{}, ServerCount: len(m.servers), History: slices.Clone(m.history), EventCounts: maps.Clone(m.counts)}
 	if m.before != nil {
-		s.Before = m.before.Hash
+		s.PreviousHash = m.before.Hash
 	}
 	if m.staged != nil {
-		s.Staged = m.staged.Hash
+		s.StagedHash = m.staged.Hash
 	}
 	if m.watch != nil {
-		s.Watched, s.WatchFor, s.Out = true, max(0, (m.watch.until-now).Seconds()), m.part()
+		s.IsWatched, s.WatchSecondsLeft, s.RolloutShare = true, max(0, (m.watch.until-now).Seconds()), m.part()
 	}
 	for _, t := range append([]*tenure{m.force}, m.old...) {
 		if t.open > 0 {
-			s.Open[t.number] = t.open
+			s.OpenRequests[t.number] = t.open
 		}
 	}
 	return s
--- a/internal/generation/manager_test.go
+++ b/internal/generation/manager_test.go
@@ -15,10 +15,10 @@
 
 var names = Names{
 	Classes: []Class{{"form-check", 600 * time.Millisecond, 2 * time.Second}, {"refund-record", 600 * time.Millisecond, 2 * time.Second}},
-	Tenants: []string{"glasgow", "lerwick", "wick"}, Zones: []string{"a", "b"}, Headers: []string{"X-Attrs"},
+	Tenants: []string{"glasgow", "lerwick", "wick"}, Zones: []string{"a", "b"}, RoutableHeaders: []string{"X-Attrs"},
 }
 
-func newManager() *Manager { return New(Options{Names: names, MaxAfter: time.Second}) }
+func newManager() *Manager { return New(Options{Names: names, MaxRetryAfter: time.Second}) }
 
 // normal is a configuration in its one form.
 func normal(c fleetconfig.Config) *fleetconfig.Config {
@@ -27,7 +27,7 @@
 }
 
 // compileFor compiles for the servers that there are.
-func compileFor(c *fleetconfig.Config, m *Manager) (*Compiled, error) {
+func compileFor(c *fleetconfig.Config, m *Manager) (*CompiledConfig, error) {
 	servers, _ := m.Servers()
 	return Compile(c, names, servers)
 }
@@ -114,7 +114,7 @@
 }
 
 // plainRoute is the route of a request, found by asking all of them.
-func plainRoute(c *fleetconfig.Config, a Ask) *fleetconfig.Route {
+func plainRoute(c *fleetconfig.Config, a Request) *fleetconfig.Route {
 	var best *fleetconfig.Route
 	count := func(r *fleetconfig.Route) (n int) {
 		if r.Class != "" {
@@ -166,13 +166,13 @@
 
 // taken is a request under way, with what it was told when it came.
 type taken struct {
-	bound  Bound
+	bound  Binding
 	number uint64
 	ids    []string
 	limits []string // that it counts under
 }
 
-func (w *world) limitsOf(a Ask) (out []string) {
+func (w *world) limitsOf(a Request) (out []string) {
 	for _, l := range w.config.Limits {
 		if (l.Class == "" || l.Class == names.Classes[a.Class].Name) && (l.Tenant == "" || l.Tenant == names.Tenants[a.Tenant]) {
 			out = append(out, l.Name)
@@ -209,7 +209,7 @@
 				t.Fatalf("limit %s has %d in flight, and nothing is", l.Name, l.gauge.inFlight)
 			}
 		}
-		if s := w.m.Status(w.now); len(s.Open) > 0 || len(w.m.old) > 0 {
+		if s := w.m.Status(w.now); len(s.OpenRequests) > 0 || len(w.m.old) > 0 {
 			t.Fatalf("held although nothing is open: %+v", s)
 		}
 	})
@@ -232,7 +232,7 @@
 			w.servers[id] = s
 		}
 	}
-	w.m.Listed(changed)
+	w.m.UpdateServers(changed)
 }
 
 func (w *world) apply(t *rapid.T) {
@@ -264,7 +264,7 @@
 	if err := w.m.Restore(w.now, s); err != nil {
 		t.Fatal(err)
 	}
-	w.m.Listed(maps.Clone(w.servers))
+	w.m.UpdateServers(maps.Clone(w.servers))
 }
 
 // follow makes changes in another process, whose state this one follows or takes over; its requests stay, and the list moves
@@ -274,7 +274,7 @@
 	if err := other.Restore(w.now, w.m.State()); err != nil {
 		t.Fatal(err)
 	}
-	other.Listed(maps.Clone(w.servers))
+	other.UpdateServers(maps.Clone(w.servers))
 	switch c := drawConfig(t); {
 	case rapid.Bool().Draw(t, "the other one rolls back") && w.before != nil:
 		if err := other.Rollback(w.now, "test", ""); err != nil {
@@ -286,7 +286,7 @@
 		w.config, w.before = c, w.config
 	}
 	servers, version := w.m.Servers()
-	p, err := Prepare(other.State(), names, servers, version)
+	p, err := CompileState(other.State(), names, servers, version)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -306,7 +306,7 @@
 
 func (w *world) arrive(t *rapid.T) {
 	w.n++
-	a := Ask{ID: fmt.Sprint(w.n), Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"),
+	a := Request{ID: fmt.Sprint(w.n), Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"),
 		Path: rapid.SampledFrom([]string{"/", "/form-check/a/b", "/form-check"}).Draw(t, "path"), Deadline: w.now + time.Second}
 	if rapid.Bool().Draw(t, "attrs") {
 		a.Header = map[string][]string{"X-Attrs": {rapid.SampledFrom([]string{"1", "2"}).Draw(t, "attr")}}
@@ -315,19 +315,19 @@
 	told, ok := w.m.Bind(w.now, &a, &x.bound)
 	if !ok {
 		i := slices.IndexFunc(w.config.Limits, func(l fleetconfig.Limit) bool { return l.Name == told.Limit })
-		if i < 0 || told.Most != *w.config.Limits[i].InFlight {
+		if i < 0 || told.MaxInFlight != *w.config.Limits[i].InFlight {
 			t.Fatalf("refused by %+v, which is not in force", told)
 		}
 		return
 	}
 	if route := plainRoute(w.config, a); route == nil {
-		if x.bound.Servers() != nil {
-			t.Fatalf("without a route it is kept to %v", x.bound.Servers())
+		if x.bound.ServerIDs() != nil {
+			t.Fatalf("without a route it is kept to %v", x.bound.ServerIDs())
 		}
 	} else {
-		w.checkPool(t, route.To[0].Pool, x.bound.Servers())
+		w.checkPool(t, route.To[0].Pool, x.bound.ServerIDs())
 	}
-	x.number, x.ids, x.limits = x.bound.Generation(), slices.Clone(x.bound.Servers()), w.limitsOf(a)
+	x.number, x.ids, x.limits = x.bound.Generation(), slices.Clone(x.bound.ServerIDs()), w.limitsOf(a)
 	w.open = append(w.open, x)
 }
 
@@ -356,11 +356,11 @@
 	}
 	i := rapid.IntRange(0, len(w.open)-1).Draw(t, "ends")
 	x := w.open[i]
-	if x.bound.Generation() != x.number || !slices.Equal(x.bound.Servers(), x.ids) {
-		t.Fatalf("bound to %d and %v, and it ends under %d with %v", x.number, x.ids, x.bound.Generation(), x.bound.Servers())
+	if x.bound.Generation() != x.number || !slices.Equal(x.bound.ServerIDs(), x.ids) {
+		t.Fatalf("bound to %d and %v, and it ends under %d with %v", x.number, x.ids, x.bound.Generation(), x.bound.ServerIDs())
 	}
-	w.m.Done(w.now, &x.bound, Served)
-	w.m.Done(w.now, &x.bound, Served) // a second word changes nothing
+	w.m.Release(w.now, &x.bound, Served)
+	w.m.Release(w.now, &x.bound, Served) // a second word changes nothing
 	w.open = slices.Delete(w.open, i, i+1)
 }
 
@@ -388,7 +388,7 @@
 			t.Fatalf("limit %s lets in %d", l.Name, n)
 		}
 	}
-	if n := w.m.Status(w.now).Open; sum(n) != len(w.open) {
+	if n := w.m.Status(w.now).OpenRequests; sum(n) != len(w.open) {
 		t.Fatalf("open are %v, want %d", n, len(w.open))
 	}
 }
@@ -434,17 +434,17 @@
 	in, afters := 0, map[time.Duration]bool{}
 	for i := range 2000 {
 		now := time.Second + time.Duration(i)*time.Millisecond
-		var b Bound
-		told, ok := m.Bind(now, &Ask{ID: fmt.Sprint(i), Tenant: 2}, &b)
+		var b Binding
+		told, ok := m.Bind(now, &Request{ID: fmt.Sprint(i), Tenant: 2}, &b)
 		if ok {
 			in++
-			m.Done(now, &b, Served)
+			m.Release(now, &b, Served)
 			continue
 		}
-		if told.After <= 0 || told.After > 150*time.Millisecond || told.Limit != "l" || told.Most != 0 {
+		if told.RetryAfter <= 0 || told.RetryAfter > 150*time.Millisecond || told.Limit != "l" || told.MaxInFlight != 0 {
 			t.Fatalf("refused with %+v", told)
 		}
-		afters[told.After] = true
+		afters[told.RetryAfter] = true
 	}
 	if in != 5+19 && in != 5+20 {
 		t.Errorf("%d were let in, over 2 s at 10 a second with a burst of 5", in)
@@ -452,18 +452,18 @@
 	if len(afters) < 50 {
 		t.Errorf("clients are told %d different times to come back", len(afters))
 	}
-	var b Bound
-	if _, ok := m.Bind(time.Second, &Ask{Tenant: 1}, &b); !ok {
+	var b Binding
+	if _, ok := m.Bind(time.Second, &Request{Tenant: 1}, &b); !ok {
 		t.Error("another tenant is limited")
 	}
 }
 
-// What is staged is refused for a reason that can be told from others.
+// Event is staged is refused for a reason that can be told from others.
 func TestWhatIsNotStaged(t *testing.T) {
 	m := newManager()
 	a := normal(fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Pods: []int{1}}}}})
 	b := normal(fleetconfig.Config{Watch: &fleetconfig.Watch{For: fleetconfig.Time(time.Second), FalseAlarms: 0.01}})
-	compiled := func(c *fleetconfig.Config) *Compiled {
+	compiled := func(c *fleetconfig.Config) *CompiledConfig {
 		ready, err := Compile(c, names, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -477,20 +477,20 @@
 			t.Errorf("%s: %v, want %v", what, err, want)
 		}
 	}
-	wants("another base", m.Stage(compiled(a), m.version, "x", "0000000000000000", false), ErrMoved)
+	wants("another base", m.Stage(compiled(a), m.version, "x", "0000000000000000", false), ErrBaseChanged)
 	wants("nothing new", m.Stage(compiled(&fleetconfig.Config{}), m.version, "x", empty, false), ErrNoChange)
 	wants("the first", m.Stage(compiled(a), m.version, "x", empty, false), nil)
-	wants("a second at once", m.Stage(compiled(b), m.version, "y", empty, false), ErrStaged)
+	wants("a second at once", m.Stage(compiled(b), m.version, "y", empty, false), ErrAlreadyStaged)
 	if _, err := m.Switch(time.Second, ""); err != nil {
 		t.Fatal(err)
 	}
-	wants("while it is watched", m.Stage(compiled(b), m.version, "y", a.Hash(), false), ErrWatched)
+	wants("while it is watched", m.Stage(compiled(b), m.version, "y", a.Hash(), false), ErrWatchActive)
 	wants("forced", m.Stage(compiled(b), m.version, "y", a.Hash(), true), nil)
 	m.Unstage()
 	m.bar(b.Hash(), "it was bad")
 	wants("rolled back", m.Rollback(2*time.Second, "x", ""), nil)
-	wants("with nothing before", m.Rollback(2*time.Second, "x", ""), ErrNoReturn)
-	wants("one that has done harm", m.Stage(compiled(b), m.version, "y", empty, false), ErrBarred)
+	wants("with nothing before", m.Rollback(2*time.Second, "x", ""), ErrNoRollbackTarget)
+	wants("one that has done harm", m.Stage(compiled(b), m.version, "y", empty, false), ErrBlocked)
 	wants("the same, forced", m.Stage(compiled(b), m.version, "y", empty, true), nil)
 	if _, err := m.Switch(3*time.Second, ""); err != nil || len(m.barList) != len(m.barred) {
 		t.Errorf("%v; %d in the order of those that have done harm, %d of them", err, len(m.barList), len(m.barred))
@@ -516,13 +516,13 @@
 	for i := range 8 {
 		changed[server(i).ID] = server(i)
 	}
-	leader.Listed(changed)
-	follower.Listed(maps.Clone(changed))
+	leader.UpdateServers(changed)
+	follower.UpdateServers(maps.Clone(changed))
 	apply(t, leader, time.Second, normal(fleetconfig.Config{Rollout: &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Time(time.Second)},
 		Drains: []fleetconfig.Drain{{Name: "d", Selector: fleetconfig.Selector{Kinds: []string{"twin-core"}}, Share: 1}}}))
-	adopt := func(bring func(time.Duration, *Prepared), now time.Duration) {
+	adopt := func(bring func(time.Duration, *CompiledState), now time.Duration) {
 		servers, version := follower.Servers()
-		p, err := Prepare(leader.State(), names, servers, version)
+		p, err := CompileState(leader.State(), names, servers, version)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -535,7 +535,7 @@
 	if n := len(follower.drained); n != 1 {
 		t.Fatalf("%d of 4 are drained at the first of four steps", n)
 	}
-	if _, due := follower.Due(); due {
+	if _, due := follower.NextTick(); due {
 		t.Error("it watches as well")
 	}
 	for now := time.Second; len(leader.drained) < 3; now += 100 * time.Millisecond {
@@ -545,7 +545,7 @@
 	}
 	adopt(follower.Follow, 4*time.Second)
 	adopt(follower.TakeOver, 5*time.Second)
-	if _, due := follower.Due(); !due || len(follower.drained) != 3 {
+	if _, due := follower.NextTick(); !due || len(follower.drained) != 3 {
 		t.Errorf("after it took over: watches %v, %d drained", due, len(follower.drained))
 	}
 }
@@ -561,22 +561,22 @@
 	for i := range 2 * mostPairs {
 		more.Classes = append(more.Classes, Class{fmt.Sprint("c", i), 600 * time.Millisecond, 2 * time.Second})
 	}
-	m.Retune(more)
+	m.SetNames(more)
 	if n := len(m.traffic.pairs); n > 2*mostPairs {
 		t.Fatalf("%d rows", n)
 	}
 	for i := 0; m.watch != nil; i++ { // a class that came behind is harmed
-		var b Bound
-		if _, ok := m.Bind(now, &Ask{ID: fmt.Sprint(i), Class: len(more.Classes) - 1, Tenant: i % 3, Deadline: now + time.Second}, &b); !ok {
+		var b Binding
+		if _, ok := m.Bind(now, &Request{ID: fmt.Sprint(i), Class: len(more.Classes) - 1, Tenant: i % 3, Deadline: now + time.Second}, &b); !ok {
 			t.Fatal("refused")
 		}
-		m.Done(now, &b, Failed)
+		m.Release(now, &b, Failed)
 		now += 10 * time.Millisecond
 		if m.Tick(now); i > 10_000 {
 			t.Fatal("no harm is found")
 		}
 	}
-	if s := m.Status(now); s.Counts[Harmed] != 1 {
-		t.Errorf("%v", s.Counts)
+	if s := m.Status(now); s.EventCounts[EventHarmFound] != 1 {
+		t.Errorf("%v", s.EventCounts)
 	}
 }
--- a/internal/generation/routes.go
+++ b/internal/generation/routes.go
@@ -94,7 +94,7 @@
 }
 
 // find returns the route of a request, or nil.
-func (x routeIndex) find(a *Ask) (best *route) {
+func (x routeIndex) find(a *Request) (best *route) {
 	if len(x) == 0 {
 		return nil
 	}
@@ -120,7 +120,7 @@
 	return [4]who{{class, tenant}, {class, anyone}, {anyone, tenant}, {anyone, anyone}}
 }
 
-func (h *byHeader) find(a *Ask, best *route) *route {
+func (h *byHeader) find(a *Request, best *route) *route {
 	best = better(best, h.plain, a)
 	for _, name := range h.names {
 		if values := a.Header[name]; len(values) == 1 {
@@ -131,7 +131,7 @@
 }
 
 // better returns the first of the routes that fits, where it goes before the best one so far.
-func better(best *route, routes []*route, a *Ask) *route {
+func better(best *route, routes []*route, a *Request) *route {
 	for _, r := range routes {
 		if best != nil && best.rank < r.rank {
 			return best
@@ -144,7 +144,7 @@
 }
 
 // fits reports whether a request has the route's headers. One that is there twice fits none.
-func (r *route) fits(a *Ask) bool {
+func (r *route) fits(a *Request) bool {
 	for _, h := range r.headers {
 		if values := a.Header[h.name]; len(values) != 1 || values[0] != h.value {
 			return false
@@ -154,11 +154,11 @@
 }
 
 // target picks the pool for a request: the same one for all requests of one key.
-func (r *route) target(a *Ask) *pool {
+func (r *route) target(a *Request) *pool {
 	if len(r.targets) == 1 {
 		return r.targets[0].pool
 	}
-	key := cmp.Or(a.Key, a.RepeatKey, a.ID)
+	key := cmp.Or(a.AffinityKey, a.IdempotencyKey, a.ID)
 	at := float64(xxhash.Sum64String(key)>>11) / (1 << 53) * r.total
 	for _, t := range r.targets {
 		if at < t.until {
--- a/internal/generation/traffic.go
+++ b/internal/generation/traffic.go
@@ -81,15 +81,15 @@
 }
 
 // sums are the ends of the last minute, by pair.
-func (t *traffic) sums(now time.Duration) []Share {
-	out := make([]Share, len(t.pairs))
+func (t *traffic) sums(now time.Duration) []OutcomeCounts {
+	out := make([]OutcomeCounts, len(t.pairs))
 	if len(out) == 0 {
 		return out
 	}
 	t.at(now, 0)
 	for i := range t.pairs {
 		for _, s := range t.pairs[i].ring {
-			out[i].Done += int(s.done)
+			out[i].Ended += int(s.done)
 			out[i].Bad += int(s.bad)
 		}
 	}
--- a/internal/generation/watch.go
+++ b/internal/generation/watch.go
@@ -7,20 +7,22 @@
 	"time"
 )
 
-// Share is how many requests ended, and how many of them badly: refused, failed or served later than their class's aim.
-type Share struct {
-	Done int `json:"done"`
-	Bad  int `json:"bad"`
+// OutcomeCounts is how many requests ended, and how many of them badly: refused, failed or served later than their class's aim.
+type OutcomeCounts struct {
+	Ended int `json:"done"`
+	Bad   int `json:"bad"`
 }
 
-func (s Share) of() float64 {
-	if s.Done == 0 {
+func (s OutcomeCounts) of() float64 {
+	if s.Ended == 0 {
 		return 0
 	}
-	return float64(s.Bad) / float64(s.Done)
+	return float64(s.Bad) / float64(s.Ended)
 }
 
-func (s Share) plus(o Share) Share { return Share{s.Done + o.Done, s.Bad + o.Bad} }
+func (s OutcomeCounts) plus(o OutcomeCounts) OutcomeCounts {
+	return OutcomeCounts{s.Ended + o.Ended, s.Bad + o.Bad}
+}
 
 // The sequential test. For each pair of class and tenant it sums, look by look, the logarithm of how much likelier the ends
 // of the requests that a change touches are under harm than without it, and never less than 0, so that harm which begins late
@@ -41,10 +43,10 @@
 
 // watch is a change under watch.
 type watch struct {
-	until   time.Duration // it is kept then
-	alarm   float64       // the sum at which harm is found
-	before  []Share       // by pair, in the minute before the switch
-	limited []float64     // by pair: the share that new limits would have turned away then
+	until   time.Duration   // it is kept then
+	alarm   float64         // the sum at which harm is found
+	before  []OutcomeCounts // by pair, in the minute before the switch
+	limited []float64       // by pair: the share that new limits would have turned away then
 	pairs   []watched
 	byClass []watched // all pairs of a class together
 	next    time.Duration
@@ -52,14 +54,14 @@
 
 // watched is the state of a pair.
 type watched struct {
-	touched, beside Share   // since the last look
-	allTouched      Share   // since the switch
-	limited         float64 // of the touched ones: how many limits may turn away, as far as is known
+	touched, beside OutcomeCounts // since the last look
+	allTouched      OutcomeCounts // since the switch
+	limited         float64       // of the touched ones: how many limits may turn away, as far as is known
 	sum             float64
-	late            Share // the untouched ends of the last looks, fading
+	late            OutcomeCounts // the untouched ends of the last looks, fading
 }
 
-func newWatch(now, lasts time.Duration, falseAlarms float64, before []Share, limited []float64, classes int) *watch {
+func newWatch(now, lasts time.Duration, falseAlarms float64, before []OutcomeCounts, limited []float64, classes int) *watch {
 	looks := float64(lasts/lookEvery) + 1
 	tests := float64(len(before) + classes)
 	return &watch{until: now + lasts, alarm: math.Log(looks * tests / falseAlarms), before: before, limited: limited,
@@ -69,7 +71,7 @@
 // grow makes room for pairs and classes that have come: before the switch there was nothing of them.
 func (w *watch) grow(pairs, classes int) {
 	for len(w.pairs) < pairs {
-		w.before, w.limited, w.pairs = append(w.before, Share{}), append(w.limited, 0), append(w.pairs, watched{})
+		w.before, w.limited, w.pairs = append(w.before, OutcomeCounts{}), append(w.limited, 0), append(w.pairs, watched{})
 	}
 	for len(w.byClass) < classes {
 		w.byClass = append(w.byClass, watched{})
@@ -77,7 +79,7 @@
 }
 
 func (w *watch) ended(pair, class int, touched, bad bool) {
-	s := Share{Done: 1}
+	s := OutcomeCounts{Ended: 1}
 	if bad {
 		s.Bad = 1
 	}
@@ -97,12 +99,12 @@
 	var found *Harm
 	for class := range w.byClass {
 		x := &w.byClass[class]
-		x.late = Share{x.late.Done/2 + x.beside.Done, x.late.Bad/2 + x.beside.Bad}
+		x.late = OutcomeCounts{x.late.Ended/2 + x.beside.Ended, x.late.Bad/2 + x.beside.Bad}
 	}
 	for pair := range w.pairs {
 		class := t.class(pair)
 		before := w.before[pair]
-		if before.Done < enoughBefore {
+		if before.Ended < enoughBefore {
 			before = w.classBefore(t, class)
 		}
 		found = worse(found, w.test(&w.pairs[pair], &w.byClass[class], before, class, pair))
@@ -115,13 +117,13 @@
 }
 
 func worse(a, b *Harm) *Harm {
-	if a == nil || b != nil && b.Sum > a.Sum {
+	if a == nil || b != nil && b.Evidence > a.Evidence {
 		return b
 	}
 	return a
 }
 
-func (w *watch) classBefore(t *traffic, class int) (sum Share) {
+func (w *watch) classBefore(t *traffic, class int) (sum OutcomeCounts) {
 	for pair, s := range w.before {
 		if t.class(pair) == class {
 			sum = sum.plus(s)
@@ -131,20 +133,20 @@
 }
 
 // test looks at one stratum.
-func (w *watch) test(x, class *watched, before Share, number, pair int) *Harm {
-	s, limited := x.touched, x.limited/max(float64(x.touched.Done), 1)
-	x.touched, x.beside, x.limited = Share{}, Share{}, 0
-	if s.Done == 0 {
+func (w *watch) test(x, class *watched, before OutcomeCounts, number, pair int) *Harm {
+	s, limited := x.touched, x.limited/max(float64(x.touched.Ended), 1)
+	x.touched, x.beside, x.limited = OutcomeCounts{}, OutcomeCounts{}, 0
+	if s.Ended == 0 {
 		return nil
 	}
 	usual := unknown
-	if before.Done > 0 {
-		usual = (float64(before.Bad) + 1) / (float64(before.Done) + 2)
-		usual += 2 * math.Sqrt(usual*(1-usual)/float64(before.Done+2)) // it is measured, not known
+	if before.Ended > 0 {
+		usual = (float64(before.Bad) + 1) / (float64(before.Ended) + 2)
+		usual += 2 * math.Sqrt(usual*(1-usual)/float64(before.Ended+2)) // it is measured, not known
 	}
 	beside := 0.0
-	if class.late.Done >= enoughBeside {
-		beside = class.late.of() + 2*math.Sqrt(0.25/float64(class.late.Done))
+	if class.late.Ended >= enoughBeside {
+		beside = class.late.of() + 2*math.Sqrt(0.25/float64(class.late.Ended))
 		if class.late.of() <= usual {
 			beside = 0
 		}
@@ -154,12 +156,12 @@
 		return nil
 	}
 	p1 := min(p0+max(harm, p0/2), 0.99)
-	gain := float64(s.Bad)*math.Log(p1/p0) + float64(s.Done-s.Bad)*math.Log((1-p1)/(1-p0))
+	gain := float64(s.Bad)*math.Log(p1/p0) + float64(s.Ended-s.Bad)*math.Log((1-p1)/(1-p0))
 	x.sum = max(0, x.sum+min(gain, w.alarm/looksLeast))
 	if x.sum < w.alarm {
 		return nil
 	}
-	return &Harm{Class: number, Pair: pair, Now: x.allTouched, Before: before, Beside: class.late, Sum: x.sum}
+	return &Harm{Class: number, Pair: pair, Changed: x.allTouched, Baseline: before, Unchanged: class.late, Evidence: x.sum}
 }
 
 // calm reports whether nothing points to harm at present.
@@ -176,13 +178,13 @@
 
 // Harm is what a watch has found.
 type Harm struct {
-	Class, Pair         int // Pair is -1 of a whole class
-	Now, Before, Beside Share
-	Sum                 float64
+	Class, Pair                  int // Pair is -1 of a whole class
+	Changed, Baseline, Unchanged OutcomeCounts
+	Evidence                     float64
 }
 
 // text says it in one line.
 func (h *Harm) text(class, tenant string) string {
 	return fmt.Sprintf("%s of %s: %.0f%% of %d requests that the change concerns were refused, failed or late; before it %.0f%% of %d, beside it %.0f%% of %d",
-		class, cmp.Or(tenant, "all tenants"), 100*h.Now.of(), h.Now.Done, 100*h.Before.of(), h.Before.Done, 100*h.Beside.of(), h.Beside.Done)
+		class, cmp.Or(tenant, "all tenants"), 100*h.Changed.of(), h.Changed.Ended, 100*h.Baseline.of(), h.Baseline.Ended, 100*h.Unchanged.of(), h.Unchanged.Ended)
 }
--- a/internal/generation/watch_test.go
+++ b/internal/generation/watch_test.go
@@ -20,28 +20,28 @@
 	m    *Manager
 	rng  *rand.Rand
 	now  time.Duration
-	rate float64                        // requests a second
-	bad  func(a *Ask, b *Bound) float64 // the chance of a bad end
-	took func(a *Ask, b *Bound) time.Duration
+	rate float64                              // requests a second
+	bad  func(a *Request, b *Binding) float64 // the chance of a bad end
+	took func(a *Request, b *Binding) time.Duration
 	n    int
 	open []ending
 }
 
 type ending struct {
 	at  time.Duration
-	b   *Bound
-	end End
+	b   *Binding
+	end Outcome
 }
 
 func newTrial(seed uint64, rate float64) *trial {
 	x := &trial{m: newManager(), rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, rate: rate}
-	x.took = func(*Ask, *Bound) time.Duration { return time.Duration(50+x.rng.IntN(200)) * time.Millisecond }
-	x.bad = func(*Ask, *Bound) float64 { return 0.01 }
+	x.took = func(*Request, *Binding) time.Duration { return time.Duration(50+x.rng.IntN(200)) * time.Millisecond }
+	x.bad = func(*Request, *Binding) float64 { return 0.01 }
 	fleet := Servers{}
 	for i := range 12 {
 		fleet[server(i).ID] = server(i)
 	}
-	x.m.Listed(fleet)
+	x.m.UpdateServers(fleet)
 	return x
 }
 
@@ -51,8 +51,8 @@
 	for until := x.now + span; x.now < until; x.now += step {
 		for n := x.rate * step.Seconds(); n > 0 && x.rng.Float64() < n; n-- {
 			x.n++
-			a := &Ask{ID: fmt.Sprint(x.n), Class: x.n % 2, Tenant: x.rng.IntN(3), Path: "/", Key: fmt.Sprint(x.rng.IntN(500))}
-			b := &Bound{}
+			a := &Request{ID: fmt.Sprint(x.n), Class: x.n % 2, Tenant: x.rng.IntN(3), Path: "/", AffinityKey: fmt.Sprint(x.rng.IntN(500))}
+			b := &Binding{}
 			if _, ok := x.m.Bind(x.now, a, b); !ok {
 				continue
 			}
@@ -65,20 +65,20 @@
 		left := x.open[:0]
 		for _, e := range x.open {
 			if e.at <= x.now {
-				x.m.Done(x.now, e.b, e.end)
+				x.m.Release(x.now, e.b, e.end)
 			} else {
 				left = append(left, e)
 			}
 		}
 		x.open = left
-		if due, ok := x.m.Due(); ok && due <= x.now {
+		if due, ok := x.m.NextTick(); ok && due <= x.now {
 			x.m.Tick(x.now)
 		}
 	}
 }
 
 // last is what the history says last of a change.
-func (x *trial) last() string { return x.m.history[len(x.m.history)-1].What }
+func (x *trial) last() string { return x.m.history[len(x.m.history)-1].Event }
 
 // toPool is a configuration that routes a tenant to the servers of pod 3.
 func toPool(tenant string, weight int) *fleetconfig.Config {
@@ -91,9 +91,9 @@
 }
 
 // pooled is a chance of a bad end for what goes to the new pool, and another for the rest.
-func pooled(in, out float64) func(*Ask, *Bound) float64 {
-	return func(_ *Ask, b *Bound) float64 {
-		if b.Servers() != nil {
+func pooled(in, out float64) func(*Request, *Binding) float64 {
+	return func(_ *Request, b *Binding) float64 {
+		if b.ServerIDs() != nil {
 			return in
 		}
 		return out
@@ -110,51 +110,51 @@
 	want          string
 	within        time.Duration // that harm is to be found in
 }{
-	{"harmless, busy", 300, nil, nil, toPool("", 50), Kept, 0},
-	{"harmless, quiet", 4, nil, nil, toPool("wick", 50), Kept, 0},
-	{"harmless, amid an outage that was there before", 300, func(x *trial) { x.bad = pooled(0.5, 0.5) }, nil, toPool("wick", 100), Kept, 0},
-	{"harmless, and an outage comes that hits all", 300, nil, func(x *trial) { x.bad = pooled(0.6, 0.6) }, toPool("wick", 100), Kept, 0},
-	{"harmless, with load that trebles", 100, nil, func(x *trial) { x.rate = 300 }, toPool("", 10), Kept, 0},
+	{"harmless, busy", 300, nil, nil, toPool("", 50), EventPromoted, 0},
+	{"harmless, quiet", 4, nil, nil, toPool("wick", 50), EventPromoted, 0},
+	{"harmless, amid an outage that was there before", 300, func(x *trial) { x.bad = pooled(0.5, 0.5) }, nil, toPool("wick", 100), EventPromoted, 0},
+	{"harmless, and an outage comes that hits all", 300, nil, func(x *trial) { x.bad = pooled(0.6, 0.6) }, toPool("wick", 100), EventPromoted, 0},
+	{"harmless, with load that trebles", 100, nil, func(x *trial) { x.rate = 300 }, toPool("", 10), EventPromoted, 0},
 	{"harmless, with bursts of failures", 300, func(x *trial) {
-		x.bad = func(*Ask, *Bound) float64 {
+		x.bad = func(*Request, *Binding) float64 {
 			if x.now%(7*time.Second) < 300*time.Millisecond {
 				return 0.3
 			}
 			return 0.01
 		}
-	}, nil, toPool("", 50), Kept, 0},
-	{"a limit that turns away what the plan says", 300, nil, nil, normal(fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "wick", Rate: 90, Burst: 90}}}), Kept, 0},
+	}, nil, toPool("", 50), EventPromoted, 0},
+	{"a limit that turns away what the plan says", 300, nil, nil, normal(fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "wick", Rate: 90, Burst: 90}}}), EventPromoted, 0},
 	{"a pool of hung servers", 300, nil, func(x *trial) {
 		x.bad = pooled(1, 0.01)
-		x.took = func(_ *Ask, b *Bound) time.Duration {
-			if b.Servers() != nil {
+		x.took = func(_ *Request, b *Binding) time.Duration {
+			if b.ServerIDs() != nil {
 				return 2 * time.Second
 			}
 			return 100 * time.Millisecond
 		}
-	}, toPool("wick", 100), Harmed, 8 * time.Second},
-	{"a tenth of one tenant to a pool that fails", 300, nil, func(x *trial) { x.bad = pooled(1, 0.01) }, toPool("wick", 10), Harmed, 25 * time.Second},
+	}, toPool("wick", 100), EventHarmFound, 8 * time.Second},
+	{"a tenth of one tenant to a pool that fails", 300, nil, func(x *trial) { x.bad = pooled(1, 0.01) }, toPool("wick", 10), EventHarmFound, 25 * time.Second},
 	{"a pool that is late for half", 300, nil, func(x *trial) {
-		x.took = func(_ *Ask, b *Bound) time.Duration {
-			if b.Servers() != nil && x.rng.IntN(2) == 0 {
+		x.took = func(_ *Request, b *Binding) time.Duration {
+			if b.ServerIDs() != nil && x.rng.IntN(2) == 0 {
 				return 900 * time.Millisecond
 			}
 			return 100 * time.Millisecond
 		}
-	}, toPool("wick", 100), Harmed, 10 * time.Second},
-	{"a limit of zero", 300, nil, nil, inFlightLimit(0, "wick"), Harmed, 6 * time.Second},
-	{"a limit of zero for a quiet tenant", 12, nil, nil, inFlightLimit(0, "wick"), Harmed, 30 * time.Second},
+	}, toPool("wick", 100), EventHarmFound, 10 * time.Second},
+	{"a limit of zero", 300, nil, nil, inFlightLimit(0, "wick"), EventHarmFound, 6 * time.Second},
+	{"a limit of zero for a quiet tenant", 12, nil, nil, inFlightLimit(0, "wick"), EventHarmFound, 30 * time.Second},
 	{"harm that begins 20 s later", 300, nil, func(x *trial) {
 		late := x.now + 20*time.Second
-		x.bad = func(_ *Ask, b *Bound) float64 {
-			if b.Servers() != nil && x.now > late {
+		x.bad = func(_ *Request, b *Binding) float64 {
+			if b.ServerIDs() != nil && x.now > late {
 				return 0.6
 			}
 			return 0.01
 		}
-	}, toPool("wick", 100), Harmed, 28 * time.Second},
+	}, toPool("wick", 100), EventHarmFound, 28 * time.Second},
 	{"a pool that fails, amid failures that were there before", 300, func(x *trial) { x.bad = pooled(0.3, 0.3) },
-		func(x *trial) { x.bad = pooled(0.95, 0.3) }, toPool("wick", 100), Harmed, 10 * time.Second},
+		func(x *trial) { x.bad = pooled(0.95, 0.3) }, toPool("wick", 100), EventHarmFound, 10 * time.Second},
 }
 
 // The watch on days of many kinds: false and missed alarms over all of them are rare, and harm is found in
@@ -175,7 +175,7 @@
 					kind.after(x)
 				}
 				at := x.now
-				for x.last() == Applied && x.now < at+time.Minute {
+				for x.last() == EventApplied && x.now < at+time.Minute {
 					x.run(500 * time.Millisecond)
 				}
 				if x.last() != kind.want {
@@ -195,7 +195,7 @@
 	}
 }
 
-// What has done harm is rolled back with a line that says what was seen, and is not taken again until it is forced. The
+// Event has done harm is rolled back with a line that says what was seen, and is not taken again until it is forced. The
 // generation before is in force again for what comes next.
 func TestHarmIsBarred(t *testing.T) {
 	x := newTrial(1, 300)
@@ -205,7 +205,7 @@
 	x.bad = pooled(1, 0.01)
 	x.run(10 * time.Second)
 	last := x.m.history[len(x.m.history)-1]
-	if last.What != Harmed || last.Hash != bad.Hash() || !strings.Contains(last.Why, "wick") && !strings.Contains(last.Why, "all tenants") {
+	if last.Event != EventHarmFound || last.Hash != bad.Hash() || !strings.Contains(last.Reason, "wick") && !strings.Contains(last.Reason, "all tenants") {
 		t.Fatalf("the history says %+v", last)
 	}
 	if _, number, hash := x.m.Config(); number != 2 || hash != (&fleetconfig.Config{}).Hash() {
@@ -215,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.m.Stage(ready, x.m.version, "x", (&fleetconfig.Config{}).Hash(), false); err == nil || !strings.Contains(err.Error(), last.Why) {
+	if err := x.m.Stage(ready, x.m.version, "x", (&fleetconfig.Config{}).Hash(), false); err == nil || !strings.Contains(err.Error(), last.Reason) {
 		t.Errorf("staged again: %v", err)
 	}
 }
@@ -236,7 +236,7 @@
 		}
 		good.run(500 * time.Millisecond)
 	}
-	if fmt.Sprint(out) != "[3 5 6]" || good.last() != Kept {
+	if fmt.Sprint(out) != "[3 5 6]" || good.last() != EventPromoted {
 		t.Errorf("out were %v of 6, and it is %s", out, good.last())
 	}
 
@@ -244,13 +244,13 @@
 	bad.run(65 * time.Second)
 	apply(t, bad.m, bad.now, change())
 	bad.run(6 * time.Second)
-	bad.bad = func(*Ask, *Bound) float64 { return 0.5 } // no request is beside a change of drains
+	bad.bad = func(*Request, *Binding) float64 { return 0.5 } // no request is beside a change of drains
 	most := 0
 	for range 40 {
 		bad.run(500 * time.Millisecond)
 		most = max(most, len(bad.m.drained))
 	}
-	if most > 5 || len(bad.m.drained) != 0 || bad.last() != Harmed {
+	if most > 5 || len(bad.m.drained) != 0 || bad.last() != EventHarmFound {
 		t.Errorf("%d were out at the most, %d are, and it is %s", most, len(bad.m.drained), bad.last())
 	}
 }
@@ -277,7 +277,7 @@
 	}
 	y.bad = pooled(1, 0.01)
 	y.run(10 * time.Second)
-	if y.last() != Harmed {
+	if y.last() != EventHarmFound {
 		t.Errorf("after a restart the history ends with %+v", y.m.history)
 	}
 }
--- a/internal/plan/golden_test.go
+++ b/internal/plan/golden_test.go
@@ -87,8 +87,8 @@
 			Pod: i / 2, Weight: 1 + float64(i)/4, StartedMS: 1000 + int64(i), Draining: i == 5}
 	}
 	return Input{Agent: "n0", Number: 7, From: from, To: to, Servers: servers, Keyed: []string{"refund-record"}, MostTaken: 0.25, UnixMS: 1700000000123,
-		Names: generation.Names{Classes: []generation.Class{{Name: "form-check", Aim: time.Second}, {Name: "refund-record", Aim: time.Second}},
-			Tenants: []string{"wick"}, Zones: []string{"edinburgh-dc"}, Keyed: []string{"refund-record"}},
+		Names: generation.Names{Classes: []generation.Class{{Name: "form-check", LatencyObjective: time.Second}, {Name: "refund-record", LatencyObjective: time.Second}},
+			Tenants: []string{"wick"}, Zones: []string{"edinburgh-dc"}, IdempotentClasses: []string{"refund-record"}},
 		TurnedAway: func(l fleetconfig.Limit) (refused, came float64) {
 			return map[string]float64{"some": 10.4, "most": 80}[l.Name], 100
 		}}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -128,7 +128,7 @@
 )
 
 // Make makes a plan, and returns the proposed configuration compiled for the same servers.
-func Make(in Input) (*Plan, *generation.Compiled, error) {
+func Make(in Input) (*Plan, *generation.CompiledConfig, error) {
 	from, err := generation.Compile(in.From, in.Names, in.Servers)
 	if err != nil {
 		return nil, nil, fmt.Errorf("the configuration in force: %w", err)
@@ -154,14 +154,14 @@
 // maker fills a plan in.
 type maker struct {
 	in       Input
-	from, to *generation.Compiled
+	from, to *generation.CompiledConfig
 	plan     *Plan
 }
 
 func (m *maker) drains() {
 	e := &m.plan.Effect
 	for _, id := range slices.Sorted(maps.Keys(m.in.Servers)) {
-		was, is := m.from.Out()[id], m.to.Out()[id]
+		was, is := m.from.DrainedIDs()[id], m.to.DrainedIDs()[id]
 		switch {
 		case is && !was:
 			e.Drains = append(e.Drains, id)
@@ -179,11 +179,11 @@
 			continue
 		}
 		for _, c := range []*Capacity{&e.Capacity, named(kinds, s.Kind), named(zones, s.Zone), named(pods, strconv.Itoa(s.Pod))} {
-			if !m.from.Out()[id] {
+			if !m.from.DrainedIDs()[id] {
 				c.Servers++
 				c.Weight += s.Weight
 			}
-			if !m.to.Out()[id] {
+			if !m.to.DrainedIDs()[id] {
 				c.ServersAfter++
 				c.WeightAfter += s.Weight
 			}
@@ -217,7 +217,7 @@
 	m.plan.Effect.Capacity.Weight = rounded(m.plan.Effect.Capacity.Weight)
 	m.plan.Effect.Capacity.WeightAfter = rounded(m.plan.Effect.Capacity.WeightAfter)
 	verbs := m.verbs("route")
-	for _, r := range m.to.Ordered() {
+	for _, r := range m.to.OrderedRoutes() {
 		to := RouteTo{Route: r.Name, Verb: string(verbs[r.Name])}
 		sum := 0
 		for _, t := range r.To {
@@ -242,12 +242,12 @@
 
 // serving counts the servers of a pool that get requests after the change.
 func (m *maker) serving(pool string) (n int) {
-	ids, all := m.to.Pool(pool)
+	ids, all := m.to.PoolServerIDs(pool)
 	if all {
 		return m.plan.Effect.Capacity.ServersAfter
 	}
 	for _, id := range ids {
-		if s := m.in.Servers[id]; s != nil && !s.Draining && !m.to.Out()[id] {
+		if s := m.in.Servers[id]; s != nil && !s.Draining && !m.to.DrainedIDs()[id] {
 			n++
 		}
 	}
@@ -288,11 +288,11 @@
 	}
 	for _, c := range m.plan.Changes {
 		for _, side := range []struct {
-			from  *generation.Compiled
+			from  *generation.CompiledConfig
 			state json.RawMessage
 		}{{m.from, c.Before}, {m.to, c.After}} {
 			for _, pool := range poolsOf(c, side.state) {
-				members, _ := side.from.Pool(pool)
+				members, _ := side.from.PoolServerIDs(pool)
 				for _, id := range members {
 					ids[id] = true
 				}
@@ -417,7 +417,9 @@
 	if len(data) > MostBytes {
 		return nil, fmt.Errorf("a plan has %d bytes at most", MostBytes)
 	}
-	var head struct{ Format int }
+	var head struct {
+		Format int `json:"format"`
+	}
 	if err := json.Unmarshal(data, &head); err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
 	}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -78,8 +78,8 @@
 		})
 	}
 	part(func(p page) {
-		s.generation(p, generation.Status{Number: 221, Watched: true, Drained: 222, Refused: 223, Barred: 224, Servers: 225,
-			Counts: map[string]uint64{generation.Applied: 226, generation.Kept: 227, generation.RolledBack: 228, generation.Harmed: 229}})
+		s.generation(p, generation.Status{Number: 221, IsWatched: true, DrainingServers: 222, RejectedRequests: 223, BlockedConfigs: 224, ServerCount: 225,
+			EventCounts: map[string]uint64{generation.EventApplied: 226, generation.EventPromoted: 227, generation.EventRolledBack: 228, generation.EventHarmFound: 229}})
 	})
 	part(func(p page) {
 		s.ties(p, affinity.Counts{Entries: 241, Tied: 242, Lost: 243, Overflowed: 244, Evicted: 245, Unprotected: 246, Undurable: 247, Restored: 248})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -153,12 +153,12 @@
 
 func (s *Server) generation(p page, g generation.Status) {
 	p.gauge("appleledge_generation", "", float64(g.Number))
-	p.gauge("appleledge_generation_watched", "", bit(g.Watched))
-	p.gauge("appleledge_generation_drained", "", float64(g.Drained))
-	p.gauge("appleledge_generation_barred", "", float64(g.Barred))
-	p.count("appleledge_generation_refused_total", "", g.Refused)
-	for _, what := range []string{generation.Applied, generation.Kept, generation.RolledBack, generation.Harmed} {
-		p.count("appleledge_generation_changes_total", fmt.Sprintf("what=%q", what), g.Counts[what])
+	p.gauge("appleledge_generation_watched", "", bit(g.IsWatched))
+	p.gauge("appleledge_generation_drained", "", float64(g.DrainingServers))
+	p.gauge("appleledge_generation_barred", "", float64(g.BlockedConfigs))
+	p.count("appleledge_generation_refused_total", "", g.RejectedRequests)
+	for _, what := range []string{generation.EventApplied, generation.EventPromoted, generation.EventRolledBack, generation.EventHarmFound} {
+		p.count("appleledge_generation_changes_total", fmt.Sprintf("what=%q", what), g.EventCounts[what])
 	}
 }
 
