--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -78,7 +78,7 @@
 	k.file = atomicfile.File{Path: filepath.Join(k.set.Dir, knowledge), FS: x.disk()}
 	k.repeats = clientsReturn
 	for _, c := range cfg.Site.Logic.Classes {
-		k.repeats = max(k.repeats, c.Deadline+c.Window+clientsReturn)
+		k.repeats = max(k.repeats, c.Deadline+c.DedupWindow+clientsReturn)
 	}
 	if x.Ties == nil || x.Ties.Dir == "" || !x.Ties.Sync {
 		log.Warn("a loss of power loses where refunds went, as [affinity] does not keep it with sync: repeats that clients do not mark may run twice then")
@@ -103,13 +103,13 @@
 		log.Error("what is kept is not whole: the agent begins with nothing", "file", k.file.Path, "error", err, "kept_as", aside, "not_set_aside", failed)
 		return k, nil
 	}
-	why := ""
+	var why string
 	if k.trust, why = k.before.Judge(now); k.trust == ondisk.None {
 		k.off, k.before = why, ondisk.Document{}
 		log.Error("the folder for what is kept is another agent's: nothing of it is used, and nothing is kept", "dir", k.set.Dir, "why", why)
 		return k, nil
 	}
-	log.Info("knowledge from before", "trusted", k.trust.String(), "why", why, "servers", len(k.before.Servers), "held_out", len(k.before.Bans.Out))
+	log.Info("knowledge from before", "trusted", k.trust.String(), "why", why, "servers", len(k.before.Servers), "held_out", len(k.before.Bans.DeniedSince))
 	return k, nil
 }
 
@@ -153,7 +153,7 @@
 }
 
 // bans are those from before.
-func (k *keeping) bans() (st denylist.State) {
+func (k *keeping) bans() (st denylist.Snapshot) {
 	if k != nil {
 		st = k.before.Bans
 	}
@@ -164,10 +164,10 @@
 func (k *keeping) attach(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Door, heard func() bool, askFor time.Duration) {
 	k.core = core
 	site := cfg.Site.Logic
-	o := recovery.Options{Agents: site.Balancers, Self: site.Me, ColdFrom: site.ColdFrom, ColdFor: site.ColdFor, Overload: site.Overload,
+	o := recovery.Options{Agents: site.Balancers, Self: site.Index, ColdFrom: site.SlowStartInitialRatio, ColdFor: site.SlowStartDuration, Overload: site.WarmingOverloadRatio,
 		MaxAfter: site.MaxRetryAfter, AskFor: askFor, Seed: cfg.Seed}
 	for _, c := range site.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Priority, Aim: c.LatencyObjective, Safe: c.Effect == balancer.Idempotent})
 	}
 	r := recovery.New(o, behind)
 	before := k.before.Before(k.classes(site.Classes))
@@ -279,7 +279,7 @@
 // document is what the agent knows now; ok is false before it has been told of any server.
 func (k *keeping) document(ctx context.Context) (d ondisk.Document, ok bool, err error) {
 	known, err := k.core.Snapshot(ctx)
-	if err != nil || len(known.Members) == 0 && len(known.Denylist.Out) == 0 {
+	if err != nil || len(known.Members) == 0 && len(known.Denylist.DeniedSince) == 0 {
 		return d, false, err
 	}
 	now, err := k.now()
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -71,13 +71,13 @@
 	r.keys = c.keys
 	rules := r.terms.Rules()
 	r.core.SetClassNames(tell.Classes)
-	changed, misfit := r.own.tell(engine.SettingsChanged{Retune: tell, Version: rules.Number})
+	changed, misfit := r.own.tell(engine.SettingsChanged{ClassUpdate: tell, Version: rules.Number})
 	r.core.Post(changed)
 	r.rules.Put(rules)
 	r.disco.Move(c.Discovery)
 	var names []string
 	for _, class := range tell.Classes {
-		if !class.Dropped {
+		if !class.Retired {
 			names = append(names, class.Name)
 		}
 	}
--- a/internal/agent/scale_test.go
+++ b/internal/agent/scale_test.go
@@ -25,16 +25,19 @@
 	parts   []time.Duration // of the time that changes took the engine
 }
 
-func newLarge(tb testing.TB, n int) *large {
-	set := balancer.Settings{Balancers: 2, Tick: time.Millisecond, MaxAttempts: 2, WarmKeys: true, ListWeights: true,
-		ColdFrom: 0.3, ColdFor: 10 * time.Second, Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Safe, Aim: 600e6, Deadline: 2e9, Worth: 1}}}
+// largeFleet is the number of servers in a large fleet.
+const largeFleet = 10_000
+
+func newLarge(tb testing.TB) *large {
+	set := balancer.Settings{Balancers: 2, Tick: time.Millisecond, MaxAttempts: 2, KeyAffinity: true, UseListWeights: true,
+		SlowStartInitialRatio: 0.3, SlowStartDuration: 10 * time.Second, Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Idempotent, LatencyObjective: 600e6, Deadline: 2e9, Priority: 1}}}
 	m, err := balancer.New(set, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	l := &large{now: time.Hour, table: membership.NewTable(membership.Options{}, 1), pool: connpool.New(time.Second, time.Second, 100), module: m}
 	m.Start(l.now)
-	for range n {
+	for range largeFleet {
 		l.members = append(l.members, l.fresh())
 	}
 	l.table.Update(l.now, 0, membership.Update{Full: true, Members: l.members})
@@ -73,7 +76,7 @@
 	for range n {
 		i := l.next % len(l.members)
 		gone := l.members[i]
-		gone.State = balancer.Gone
+		gone.State = balancer.Removed
 		l.members[i] = l.fresh()
 		u.Members = append(u.Members, gone, l.members[i])
 	}
@@ -87,8 +90,8 @@
 	id := fmt.Sprint("r", l.asked)
 	for _, a := range l.module.Handle(l.now, balancer.Request{ID: id, Key: fmt.Sprint("k", l.asked%5000), Deadline: l.now + 1e9}) {
 		if a.Kind == balancer.Send {
-			l.module.Handle(l.now, balancer.Outcome{Request: id, Server: a.Server, Result: balancer.OK, Took: 20 * time.Millisecond, Closed: true,
-				Report: balancer.Report{Util: 0.5, Rate: 50, Errors: -1, InFlight: -1, Queue: -1}})
+			l.module.Handle(l.now, balancer.Outcome{Request: id, Server: a.Server, Result: balancer.OK, Latency: 20 * time.Millisecond, RequestClosed: true,
+				Report: balancer.Report{Utilization: 0.5, ServedRate: 50, ErrorRate: -1, InFlight: -1, QueueLength: -1}})
 		}
 	}
 	l.module.Handle(l.now, balancer.TimerFired{})
@@ -109,7 +112,7 @@
 // are replaced each minute.
 func TestMemoryOverADayOfChurn(t *testing.T) {
 	before := heapMB()
-	l := newLarge(t, 10_000)
+	l := newLarge(t)
 	hour := func(n int) float64 {
 		for range n * 60 {
 			l.now += time.Minute
@@ -135,14 +138,14 @@
 // BenchmarkChange is a change of lists at 10,000 members: of one entry, and of all at once, which comes in parts.
 func BenchmarkChange(b *testing.B) {
 	b.Run("one of 10000", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		b.ReportAllocs()
 		for b.Loop() {
 			l.replace(1)
 		}
 	})
 	b.Run("all of 10000", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		l.parts = nil
 		for b.Loop() {
 			for i := range l.members {
@@ -158,7 +161,7 @@
 		}
 	})
 	b.Run("whole list, one differs", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		for b.Loop() {
 			l.members[l.next%10_000] = l.fresh()
 			l.table.Update(l.now, 0, membership.Update{Full: true, Members: l.members})
--- a/internal/downstream/extproc/fuzz_test.go
+++ b/internal/downstream/extproc/fuzz_test.go
@@ -46,7 +46,7 @@
 			began := clock.Now()
 			call, err := s.accept(&req, h)
 			if err != nil {
-				bad, ok := errors.AsType[requesthead.BadRequest](err)
+				bad, ok := errors.AsType[requesthead.BadRequestError](err)
 				if !ok || bad.Status < 400 || bad.Status >= 500 || bad.Status == http.StatusTooManyRequests {
 					t.Errorf("refused with %#v", err)
 				}
@@ -57,7 +57,7 @@
 			}
 			class := site.Logic.Classes[call.Class]
 			if call.ID == "" || len(call.ID) > 128 || call.Deadline <= began || call.Deadline > clock.Now()+class.Deadline ||
-				class.Effect == balancer.Keyed && (call.IdempotencyKey == "" || call.IdempotencyWindow != class.Window) || len(call.Candidates) > 2 {
+				class.Effect == balancer.IdempotentByKey && (call.IdempotencyKey == "" || call.IdempotencyWindow != class.DedupWindow) || len(call.Candidates) > 2 {
 				t.Errorf("accepted %+v", call)
 			}
 		}
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -19,7 +19,7 @@
 // When too much is open, what comes is refused at once: past the limit on descriptors nothing would be answered at
 // all.
 func TestTooMuchOpen(t *testing.T) {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,8 +58,8 @@
 	l.Shut()
 	s := New(Options{Clock: engine.NewClock()}, l) // with no engine: one that is asked is a panic of another kind
 	defer func() {
-		if err := recover(); err != http.ErrAbortHandler {
-			t.Errorf("%v", err)
+		if reason := recover(); reason != any(http.ErrAbortHandler) {
+			t.Errorf("%v", reason)
 		}
 	}()
 	r := httptest.NewRequest(http.MethodGet, "/form-check", nil)
@@ -68,7 +68,7 @@
 
 // A request that lay unread until its client had gone is not begun.
 func TestWhoHasGoneGetsNothingBegun(t *testing.T) {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,8 +89,8 @@
 	besteffort.Close(far)
 	agenttest.Eventually(t, "the close has come", func() bool { return connlimit.Left(ctx) })
 	defer func() {
-		if err := recover(); err != http.ErrAbortHandler {
-			t.Errorf("%v", err)
+		if reason := recover(); reason != any(http.ErrAbortHandler) {
+			t.Errorf("%v", reason)
 		}
 		if s.held.Load() != 0 {
 			t.Errorf("%d are held", s.held.Load())
--- a/internal/engine/door_test.go
+++ b/internal/engine/door_test.go
@@ -55,7 +55,7 @@
 	e.Handle(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
 	call := func(id string, try int) (*Call, *ear) {
 		heard := &ear{}
-		c := &Call{ID: id, Class: 1, Effect: balancer.Keyed, IdempotencyWindow: window, Deadline: now + deadline, IdempotencyKey: "key-" + id, Transport: s, Responder: heard, CallerAttempt: try}
+		c := &Call{ID: id, Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: now + deadline, IdempotencyKey: "key-" + id, Transport: s, Responder: heard, CallerAttempt: try}
 		e.Handle(CallArrived(c))
 		return c, heard
 	}
@@ -97,7 +97,7 @@
 	e.Handle(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
 	try := func(id string, number int, full bool) *proxied {
 		p := &proxied{m: &machine{ran: map[string][]*run{}, class: map[string]int{}}, id: id}
-		e.Handle(CallArrived(&Call{ID: id, Class: 2, Effect: balancer.Unsafe, Deadline: now + deadline, Responder: p, CallerAttempt: number, AtCapacity: full}))
+		e.Handle(CallArrived(&Call{ID: id, Class: 2, Effect: balancer.NonIdempotent, Deadline: now + deadline, Responder: p, CallerAttempt: number, AtCapacity: full}))
 		return p
 	}
 	if p := try("x", 1, true); len(p.answers) != 1 || p.answers[0].Kind != Rejected {
@@ -156,7 +156,7 @@
 	})
 	calls, heard := make([]*Call, 3), make([]ear, 3)
 	for i := range calls {
-		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Safe, Deadline: x.now + deadline, Transport: x.out, Responder: &heard[i], CoalesceDigest: &coalesce.Digest{}}
+		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Idempotent, Deadline: x.now + deadline, Transport: x.out, Responder: &heard[i], CoalesceDigest: &coalesce.Digest{}}
 		x.Handle(CallArrived(calls[i]))
 	}
 	if len(x.out.attempts) != 1 {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -63,9 +63,9 @@
 	began      time.Duration   // when the engine was told of it
 	counted    bool            // the tally has it as open
 	flies      bool            // it is a flight of joined calls, and nobody's own
-	bound      generation.Bound
-	key        affinity.Key    // of a keyed call, where ties are kept
-	before     balancer.Before // what may have run of it under another id
+	bound      generation.Binding
+	key        affinity.Key            // of a keyed call, where ties are kept
+	before     balancer.EarlierAttempt // what may have run of it under another id
 }
 
 // Closed reports whether the call needs no answer any more. It may be asked from any goroutine.
@@ -231,7 +231,7 @@
 	// SettingsChanged brings settings that have changed, and their number; what is switched on beside the module hears of the classes
 	// as it needs them.
 	SettingsChanged struct {
-		balancer.Retune
+		balancer.ClassUpdate
 		Version    int
 		Coalescing []coalesce.Class
 		Admission  []admission.Class
@@ -331,7 +331,7 @@
 	Coalescing     coalesce.Counts
 	Admission      admission.Counts
 	Counters       Counters
-	Balancer       balancer.Picture
+	Balancer       balancer.Stats
 	Generation     generation.Status
 	Affinity       affinity.Counts
 	Recovery       *recovery.Status // nil where none is switched on
@@ -350,7 +350,7 @@
 }
 
 func (e *Engine) load() Stats {
-	l := Stats{Calls: len(e.calls), InFlight: e.balancer.InFlight(), Balancer: e.balancer.Picture()}
+	l := Stats{Calls: len(e.calls), InFlight: e.balancer.InFlight(), Balancer: e.balancer.Stats()}
 	if e.ended != nil {
 		l.ForgottenEarly = e.ended.Evicted()
 	}
@@ -405,7 +405,7 @@
 		}
 	}
 	if e.governed != nil {
-		if due, is := e.governed.manager.Due(); is && (!ok || due < at) {
+		if due, is := e.governed.manager.NextTick(); is && (!ok || due < at) {
 			at, ok = due, true
 		}
 	}
@@ -541,8 +541,8 @@
 		return
 	}
 	e.passed(c, admission.Left)
-	e.unbind(c, generation.Left)
-	e.decide(balancer.ClientGone{Request: c.ID})
+	e.unbind(c, generation.ClientCanceled)
+	e.decide(balancer.ClientDisconnected{Request: c.ID})
 	e.forget(c)
 }
 
@@ -552,7 +552,7 @@
 		return
 	}
 	end := Answer{Kind: Rejected}
-	if c.ranSince != 0 || c.before.May {
+	if c.ranSince != 0 || c.before.MayHaveRun {
 		end.Kind = Failed
 	}
 	e.finish(c, end)
@@ -560,7 +560,7 @@
 		e.leave(c)
 		return
 	}
-	e.decide(balancer.ClientGone{Request: c.ID})
+	e.decide(balancer.ClientDisconnected{Request: c.ID})
 }
 
 // ask brings a call to the module, past the door.
@@ -573,9 +573,9 @@
 	if !e.admit(c) {
 		return
 	}
-	e.decide(balancer.Request{Was: c.SettingsVersion < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, Again: c.ClientRetry,
-		Among: c.among(), OnDemand: c.chooser != nil || c.Upload != nil, Uploads: c.Upload != nil,
-		Attempts: fewest(c.MaxAttempts, c.bound.Attempts), Before: c.before})
+	e.decide(balancer.Request{UsesPreviousClasses: c.SettingsVersion < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, IsClientRetry: c.ClientRetry,
+		AllowedServers: c.among(), ManualRetry: c.chooser != nil || c.Upload != nil, StreamsBody: c.Upload != nil,
+		MaxAttempts: fewest(c.MaxAttempts, c.bound.MaxAttempts), Earlier: c.before})
 }
 
 // fewest is the lower of two numbers of which 0 states none.
@@ -589,7 +589,7 @@
 // retuned puts settings in force for what comes from now on.
 func (e *Engine) retuned(r SettingsChanged) {
 	e.settings = r.Version
-	e.decide(r.Retune)
+	e.decide(r.ClassUpdate)
 	if e.joins != nil {
 		e.joins.table.Retune(r.Coalescing)
 	}
@@ -597,7 +597,7 @@
 		d.Retune(r.Admission)
 	}
 	if e.governed != nil {
-		e.governed.manager.Retune(r.Names)
+		e.governed.manager.SetNames(r.Names)
 	}
 }
 
@@ -638,17 +638,17 @@
 	switch {
 	case served:
 		e.finish(c, Answer{Kind: Served, Payload: o.Payload, Private: o.Private})
-	case spent && (c.ranSince == 0 || c.Effect == balancer.Safe): // what it would need is gone
+	case spent && (c.ranSince == 0 || c.Effect == balancer.Idempotent): // what it would need is gone
 		e.finish(c, Answer{Kind: Rejected})
 	case spent:
 		e.finish(c, Answer{Kind: Failed})
-	case o.FromOtherServer && c.Effect != balancer.Safe: // the group in which it may be repeated is not known
+	case o.FromOtherServer && c.Effect != balancer.Idempotent: // the group in which it may be repeated is not known
 		e.finish(c, Answer{Kind: Failed})
 	}
 	e.decide(balancer.Outcome{Request: c.ID, Attempt: a.Number, Server: a.Server, Result: o.Result,
-		Took: e.clock.Now() - max(a.Sent, a.begun), Closed: c.closed.Load(), Report: o.Report})
+		Latency: e.clock.Now() - max(a.Sent, a.begun), RequestClosed: c.closed.Load(), Report: o.Report})
 	if c.Upload != nil && !c.closed.Load() {
-		e.decide(balancer.Retry{Request: c.ID, Among: c.among()})
+		e.decide(balancer.Retry{Request: c.ID, AllowedServers: c.among()})
 	}
 	e.forget(c)
 }
@@ -657,7 +657,7 @@
 func (e *Engine) uploaded(u uploaded) {
 	if a := u.attempt; !a.over {
 		a.begun = e.clock.Now()
-		e.decide(balancer.Written{Request: a.Call.ID, Attempt: a.Number, Deadline: u.deadline})
+		e.decide(balancer.BodySent{Request: a.Call.ID, Attempt: a.Number, Deadline: u.deadline})
 	}
 }
 
@@ -692,7 +692,7 @@
 	for i, m := range l.Members {
 		servers[i] = m.Server
 	}
-	e.decide(balancer.ServerList{Full: l.Full, Servers: servers, Drop: l.Drop})
+	e.decide(balancer.ServerList{Full: l.Full, Servers: servers, DropRatio: l.Drop})
 	if e.returning != nil {
 		e.remask()
 	}
@@ -707,11 +707,11 @@
 		switch a.Kind {
 		case balancer.Send:
 			e.send(a)
-		case balancer.Refuse:
-			e.tally.givenUp(a.Why)
+		case balancer.Reject:
+			e.tally.givenUp(a.Reason)
 			e.finish(e.calls[a.Request], Answer{Kind: Rejected, RetryAfter: a.After})
 		case balancer.Fail:
-			e.tally.givenUp(a.Why)
+			e.tally.givenUp(a.Reason)
 			e.finish(e.calls[a.Request], Answer{Kind: Failed})
 		case balancer.SetTimer:
 			heap.Push(&e.timers, timer{due: e.clock.Now() + a.After, token: a.Token})
@@ -724,7 +724,7 @@
 // send starts an attempt in a goroutine of its own, so that a dead dial holds up nothing else.
 func (e *Engine) send(act balancer.Action) {
 	c := e.calls[act.Request]
-	e.tally.sent(c, act.Cold)
+	e.tally.sent(c, act.WarmingUp)
 	before := c.ranSince
 	a := c.attempt(act, e.clock.Now())
 	if e.returning != nil {
@@ -802,7 +802,7 @@
 // forget drops a call that is over. While attempts are in flight it is kept: their outcomes still teach.
 func (e *Engine) forget(c *Call) {
 	if c.closed.Load() && c.out == 0 && e.calls[c.ID] == c {
-		e.unbind(c, generation.Left) // one that was closed from outside has told nobody
+		e.unbind(c, generation.ClientCanceled) // one that was closed from outside has told nobody
 		e.tally.forgotten(c)
 		delete(e.calls, c.ID)
 		c.release()
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -42,7 +42,7 @@
 		defer func() {
 			for id := range before {
 				if _, still := h.told[id]; !still {
-					h.set.Unlisted(id)
+					h.set.MarkUnlisted(id)
 				}
 			}
 		}()
@@ -50,12 +50,12 @@
 	h.drop = l.Drop
 	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
-		if m.State == balancer.Gone {
+		if m.State == balancer.Removed {
 			delete(h.told, m.ID)
-			h.set.Unlisted(m.ID)
+			h.set.MarkUnlisted(m.ID)
 		} else {
 			h.told[m.ID] = m
-			h.set.Listed(m.ID, m.Started)
+			h.set.MarkListed(m.ID, m.Started)
 		}
 		out.Members = append(out.Members, h.overlay(m))
 	}
@@ -64,8 +64,8 @@
 
 // overlay is a member as the fleet and the module are to see it.
 func (h *held) overlay(m Member) Member {
-	m.Started = h.set.Started(m.ID, m.Started)
-	if m.State == balancer.Ready && h.set.Out(m.ID) {
+	m.Started = h.set.EffectiveStart(m.ID, m.Started)
+	if m.State == balancer.Ready && h.set.IsDenied(m.ID) {
 		m.State = balancer.Draining
 	}
 	return m
@@ -111,7 +111,7 @@
 		n.Listed = len(e.held.told)
 		ill := e.balancer.Ejected()
 		for id := range e.held.told {
-			if e.held.set.Out(id) || ill[id] {
+			if e.held.set.IsDenied(id) || ill[id] {
 				n.Avoided++
 			}
 		}
--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -49,7 +49,7 @@
 		heard = &ear{}
 		x.ids++
 		before := len(x.out.attempts)
-		x.Handle(CallArrived(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: balancer.Keyed, IdempotencyWindow: window, Deadline: x.now + deadline, IdempotencyKey: key,
+		x.Handle(CallArrived(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: x.now + deadline, IdempotencyKey: key,
 			ClientRetry: marked, Transport: x.out, Responder: heard}))
 		return len(x.out.attempts) > before, heard
 	}
