--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -229,9 +229,9 @@
 	}
 	var rekey func() error
 	if others != nil {
-		core.Heed(with.heard(disco), others.Tell)
+		core.Heed(with.heard(disco), others.Broadcast)
 		parts.Go(func() { others.Run(leaving, core) })
-		rekey = func() error { return others.Rekey(with.Peers.KeyFile) }
+		rekey = func() error { return others.ReloadKeys(with.Peers.KeyFile) }
 	}
 	together = with.openSharing(core, cfg, log)
 	if together != nil {
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -48,8 +48,8 @@
 		if err != nil {
 			return f, err
 		}
-		p := operator.Peers{Self: v.peers.Self(), Alive: st.Alive, Sent: st.Sent, Bytes: st.SentBytes, Taken: st.Taken, Dropped: st.Dropped, HeldOut: held,
-			Claims: counts.Claims, Bounded: counts.Dropped, Refuted: st.Counts.Refuted, Suspects: st.Counts.Suspected}
+		p := operator.Peers{Self: v.peers.Self(), Alive: st.Alive, Sent: st.Sent, Bytes: st.SentBytes, Taken: st.Received, Dropped: st.Dropped, HeldOut: held,
+			Claims: counts.Accepted, Bounded: counts.OverLimit, Refuted: st.Counts.Refuted, Suspects: st.Counts.Suspected}
 		for _, s := range st.States {
 			p.States = append(p.States, s.String())
 		}
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -57,8 +57,8 @@
 	every(ctx, shareLook, func() {
 		var body []byte
 		var to int
-		if err := s.core.Sharing(ctx, func(now time.Duration) { body, to = s.door.Tell(now, gossip.MostBody) }); err == nil && body != nil {
-			others.Share(body, to)
+		if err := s.core.Sharing(ctx, func(now time.Duration) { body, to = s.door.Tell(now, gossip.MaxPayloadBytes) }); err == nil && body != nil {
+			others.SendPayload(body, to)
 		}
 	})
 }
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -41,9 +41,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: the key: %w", err)
 	}
-	o := gossip.NodeOptions{Self: self, Keys: keys, Period: x.Peers.Period, Now: clk.Now, Log: log}
+	o := gossip.NodeOptions{Self: self, Keys: keys, ProbeInterval: x.Peers.Period, Now: clk.Now, Log: log}
 	if x.link != nil {
-		o.Stays = x.link.Succeeded
+		o.HasSuccessor = x.link.Succeeded
 	}
 	for _, m := range members {
 		at, err := netip.ParseAddrPort(m)
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -89,7 +89,7 @@
 	}
 	text, err := k.file.Load()
 	if err == nil {
-		k.before, err = ondisk.Parse(text)
+		k.before, err = ondisk.Decode(text)
 	}
 	switch {
 	case errors.Is(err, atomicfile.ErrNone):
@@ -104,12 +104,12 @@
 		return k, nil
 	}
 	why := ""
-	if k.trust, why = k.before.Judge(now); k.trust == ondisk.None {
+	if k.trust, why = k.before.Assess(now); k.trust == ondisk.TrustNothing {
 		k.off, k.before = why, ondisk.Document{}
 		log.Error("the folder for what is kept is another agent's: nothing of it is used, and nothing is kept", "dir", k.set.Dir, "why", why)
 		return k, nil
 	}
-	log.Info("knowledge from before", "trusted", k.trust.String(), "why", why, "servers", len(k.before.Servers), "held_out", len(k.before.Bans.Out))
+	log.Info("knowledge from before", "trusted", k.trust.String(), "why", why, "servers", len(k.before.Servers), "held_out", len(k.before.Denylist.Out))
 	return k, nil
 }
 
@@ -121,13 +121,13 @@
 	return x.Disk
 }
 
-func (k *keeping) now() (ondisk.Now, error) {
+func (k *keeping) now() (ondisk.Reader, error) {
 	run, err := k.set.run()
 	if err != nil {
-		return ondisk.Now{}, err
+		return ondisk.Reader{}, err
 	}
 	_, since, err := bindinglog.SinceBoot()
-	return ondisk.Now{Agent: k.agent, Run: run, SinceBoot: since}, err
+	return ondisk.Reader{Agent: k.agent, BootID: run, SinceBoot: since}, err
 }
 
 // run names the present run of the machine.
@@ -138,10 +138,10 @@
 
 // known is the list to begin with: what was kept, or what the platform says if that is newer.
 func (k *keeping) known(platform listing.List) listing.List {
-	if k == nil || k.trust == ondisk.None || len(k.before.Servers) == 0 || platform.Version > k.before.Version {
+	if k == nil || k.trust == ondisk.TrustNothing || len(k.before.Servers) == 0 || platform.Version > k.before.ListVersion {
 		return platform
 	}
-	return k.before.List(k.trust)
+	return k.before.EndpointList(k.trust)
 }
 
 // wait is how long the list is waited for before the known one is used; 0: as usual.
@@ -155,7 +155,7 @@
 // bans are those from before.
 func (k *keeping) bans() (st denylist.State) {
 	if k != nil {
-		st = k.before.Bans
+		st = k.before.Denylist
 	}
 	return st
 }
@@ -170,11 +170,11 @@
 		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
 	}
 	r := recovery.New(o, behind)
-	before := k.before.Before(k.classes(site.Classes))
+	before := k.before.RecoveryBaseline(k.classes(site.Classes))
 	switch k.trust {
-	case ondisk.Names:
+	case ondisk.TrustNames:
 		r.Begin(clk.Now(), before, "the machine has started anew")
-	case ondisk.Complete: // the servers have run on, as the machine has
+	case ondisk.TrustEverything: // the servers have run on, as the machine has
 		r.Resume(before)
 	default:
 		r.Begin(clk.Now(), recovery.Before{}, "nothing is known from before")
@@ -185,7 +185,7 @@
 		default:
 		}
 	})
-	if k.trust != ondisk.Complete { // whatever is on the disk: it may be a backup's, or of before the last that was sent
+	if k.trust != ondisk.TrustEverything { // whatever is on the disk: it may be a backup's, or of before the last that was sent
 		core.Forgot(clk.Now() + k.repeats)
 	}
 }
@@ -261,11 +261,11 @@
 	if err != nil || !ok {
 		return err
 	}
-	if d.Same(k.last) && time.Since(k.written) < staleWrite {
+	if d.HasSameContent(k.last) && time.Since(k.written) < staleWrite {
 		return nil
 	}
-	d.Writes = max(k.last.Writes, k.before.Writes) + 1
-	text, err := d.Text()
+	d.PreviousWrites = max(k.last.PreviousWrites, k.before.PreviousWrites) + 1
+	text, err := d.Encode()
 	if err != nil {
 		return err
 	}
@@ -286,8 +286,8 @@
 	if err != nil {
 		return d, false, err
 	}
-	d = ondisk.Document{Agent: now.Agent, Run: now.Run, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
-		Usual: map[string]float64{}, Use: rounded(known.Before.Use), Bans: known.Bans}
+	d = ondisk.Document{Agent: now.Agent, BootID: now.BootID, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
+		ClassRates: map[string]float64{}, Utilization: rounded(known.Before.Use), Denylist: known.Bans}
 	for _, m := range known.Members {
 		d.Servers = append(d.Servers, k.reader.Entry(m))
 	}
@@ -299,7 +299,7 @@
 	names := k.core.Tally().Classes
 	for class, rate := range known.Before.Usual {
 		if class < len(names) && rate > 0 {
-			d.Usual[names[class]] = rounded(rate)
+			d.ClassRates[names[class]] = rounded(rate)
 		}
 	}
 	return d, true, nil
--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -72,9 +72,9 @@
 
 // A server that another agent says drains gets nothing while that word is fresh, and what the own list says is told to others.
 func TestWordOfADrain(t *testing.T) {
-	var told []gossip.Fact
+	var told []gossip.Observation
 	x := newTied(t, func(x *tiedEngine) {
-		x.Heed(func() bool { return true }, func(f gossip.Fact) { told = append(told, f) })
+		x.Heed(func() bool { return true }, func(f gossip.Observation) { told = append(told, f) })
 	})
 	uses := func() (n int) {
 		for range 40 {
@@ -91,7 +91,7 @@
 		t.Fatal("it is not used in calm")
 	}
 	x.now += time.Second
-	x.Step(Spoken(3, gossip.Fact{Kind: corroborate.Drains, ID: corroborate.Server("s1")}))
+	x.Step(Spoken(3, gossip.Observation{Kind: corroborate.Draining, ID: corroborate.ServerID("s1")}))
 	if n := uses(); n != 0 {
 		t.Errorf("%d requests went to a server that drains by word", n)
 	}
@@ -100,7 +100,7 @@
 	if uses() == 0 {
 		t.Error("word holds for ever")
 	}
-	if x.list(Listed{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.Server("s2") {
+	if x.list(Listed{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.ServerID("s2") {
 		t.Errorf("the others are told %v", told)
 	}
 }
--- a/internal/engine/shared.go
+++ b/internal/engine/shared.go
@@ -41,8 +41,8 @@
 
 func (shared) event() {}
 
-// Share takes what another agent tells of overload.
-func (e *Engine) Share(from int, body []byte) { e.Tell(Shared(from, body)) }
+// HandleOverloadReport takes what another agent tells of overload.
+func (e *Engine) HandleOverloadReport(from int, body []byte) { e.Tell(Shared(from, body)) }
 
 // Shared is what another agent tells, as an event.
 func Shared(from int, body []byte) Event { return shared{from, body} }
@@ -54,13 +54,13 @@
 
 // heldWith are the servers that are held out on others' word of a drain, and those on their word that they are ill.
 func (w *worded) heldWith(now time.Duration) (held map[uint64]bool, changed bool) {
-	held, changed = w.holds.Settle(now)
+	held, changed = w.holds.Recompute(now)
 	if w.sharer == nil {
 		return held, changed
 	}
 	held = maps.Clone(held)
 	for _, id := range w.sharer.Held(now) {
-		held[corroborate.Server(id)] = true
+		held[corroborate.ServerID(id)] = true
 	}
 	return held, !maps.Equal(held, w.held)
 }
--- a/internal/engine/worded.go
+++ b/internal/engine/worded.go
@@ -14,9 +14,9 @@
 // worded is what the engine keeps for the word of other agents: what they hold servers for, and the list as it was told, since what is
 // held out on their word lies over it.
 type worded struct {
-	holds  *corroborate.Holds
-	heard  func() bool       // the list is of now, and not from before
-	tell   func(gossip.Fact) // to the others; must not block
+	holds  *corroborate.Exclusions
+	heard  func() bool              // the list is of now, and not from before
+	tell   func(gossip.Observation) // to the others; must not block
 	told   map[string]Member
 	names  map[uint64]string
 	held   map[uint64]bool
@@ -25,7 +25,7 @@
 }
 
 // Heed makes the engine heed the word of others, and tell them what it knows. It is called before Run.
-func (e *Engine) Heed(heard func() bool, tell func(gossip.Fact)) {
+func (e *Engine) Heed(heard func() bool, tell func(gossip.Observation)) {
 	e.worded = &worded{holds: corroborate.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
 }
 
@@ -33,7 +33,7 @@
 type (
 	spoken struct {
 		from int
-		fact gossip.Fact
+		fact gossip.Observation
 	}
 	living struct{ alive []bool }
 )
@@ -41,23 +41,23 @@
 func (spoken) event() {}
 func (living) event() {}
 
-// Hear takes word of another agent.
-func (e *Engine) Hear(from int, f gossip.Fact) { e.Tell(Spoken(from, f)) }
+// HandleGossip takes word of another agent.
+func (e *Engine) HandleGossip(from int, f gossip.Observation) { e.Tell(Spoken(from, f)) }
 
-// Lives takes which agents live, by number.
-func (e *Engine) Lives(alive []bool) { e.Tell(living{alive}) }
+// HandleLiveness takes which agents live, by number.
+func (e *Engine) HandleLiveness(alive []bool) { e.Tell(living{alive}) }
 
 // Spoken is word of another agent as an event, for Step.
-func Spoken(from int, f gossip.Fact) Event { return spoken{from, f} }
+func Spoken(from int, f gossip.Observation) Event { return spoken{from, f} }
 
 // hear takes word of another agent.
 func (e *Engine) hear(s spoken) {
 	switch now := e.clock.Now(); s.fact.Kind {
-	case corroborate.Drains:
-		if e.worded.holds.Hear(now, s.from, s.fact) {
+	case corroborate.Draining:
+		if e.worded.holds.Observe(now, s.from, s.fact) {
 			e.settleWord(now)
 		}
-	case corroborate.Answers:
+	case corroborate.Responding:
 		if name, known := e.worded.names[s.fact.ID]; known && e.returning != nil {
 			e.returning.Heard(now, name)
 		}
@@ -89,7 +89,7 @@
 }
 
 func (w *worded) overlay(m Member) Member {
-	if m.State == balancer.Ready && w.held[corroborate.Server(m.ID)] {
+	if m.State == balancer.Ready && w.held[corroborate.ServerID(m.ID)] {
 		m.State = balancer.Draining
 	}
 	return m
@@ -110,16 +110,16 @@
 		}
 	}
 	for _, m := range l.Members {
-		id := corroborate.Server(m.ID)
+		id := corroborate.ServerID(m.ID)
 		was, there := w.told[m.ID]
 		switch {
 		case m.State == balancer.Gone:
 			w.gone(m.ID)
 			continue
 		case m.State == balancer.Draining && (!there || was.State != balancer.Draining):
-			w.tell(gossip.Fact{Kind: corroborate.Drains, ID: id})
+			w.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
 		case m.State == balancer.Ready && heard && (!there || was != m):
-			w.holds.Ready(now, id)
+			w.holds.MarkReady(now, id)
 		}
 		w.told[m.ID], w.names[id] = m, m.ID
 		if w.sharer != nil {
@@ -127,9 +127,9 @@
 		}
 	}
 	if heard {
-		w.holds.Listed(len(w.told))
+		w.holds.SetConfirmedListSize(len(w.told))
 	} else {
-		w.holds.Known(len(w.told))
+		w.holds.SetCachedListSize(len(w.told))
 	}
 	w.held, _ = w.heldWith(now)
 	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
@@ -144,14 +144,14 @@
 	if _, there := w.told[name]; !there {
 		return
 	}
-	id := corroborate.Server(name)
+	id := corroborate.ServerID(name)
 	delete(w.told, name)
 	delete(w.names, id)
-	w.holds.Gone(id)
+	w.holds.Forget(id)
 	if w.sharer != nil {
 		w.sharer.Listed(name, false, false)
 	}
-	w.tell(gossip.Fact{Kind: corroborate.Drains, ID: id})
+	w.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
 }
 
 // Held returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
@@ -172,7 +172,7 @@
 func (e *Engine) found() {
 	for _, id := range e.returning.Found() {
 		if e.worded != nil {
-			e.worded.tell(gossip.Fact{Kind: corroborate.Answers, ID: corroborate.Server(id)})
+			e.worded.tell(gossip.Observation{Kind: corroborate.Responding, ID: corroborate.ServerID(id)})
 		}
 	}
 }
--- a/internal/fleet/corroborate/golden_test.go
+++ b/internal/fleet/corroborate/golden_test.go
@@ -8,6 +8,6 @@
 )
 
 // The kinds of facts and the names of servers in them are as they were.
-func TestGoldenFacts(t *testing.T) {
-	golden.Equal(t, "fleet/word/facts.txt", fmt.Appendf(nil, "drains %d\nanswers %d\ns-1 %016x\n", Drains, Answers, Server("s-1")))
+func TestGoldenObservationKinds(t *testing.T) {
+	golden.Equal(t, "fleet/word/facts.txt", fmt.Appendf(nil, "drains %d\nanswers %d\ns-1 %016x\n", Draining, Responding, ServerID("s-1")))
 }
--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -9,9 +9,9 @@
 
 // Options are what a Core goes by.
 type Options struct {
-	Self, Agents int
-	Period       time.Duration // between two probes; 0: a second
-	Seed         uint64
+	Self, Agents  int
+	ProbeInterval time.Duration // between two probes; 0: a second
+	Seed          uint64
 }
 
 const (
@@ -33,16 +33,13 @@
 	mostRequests  = 64 // probes on behalf of others at a time
 )
 
-// FactFor is how long a fact is remembered.
-const FactFor = time.Minute
+// ObservationTTL is how long a fact is remembered.
+const ObservationTTL = time.Minute
 
-// Out is a message to send.
-type Out = Message
-
-// Heard is a fact as another agent told it.
-type Heard struct {
+// TakeObservations is a fact as another agent told it.
+type ReceivedObservation struct {
 	From int
-	Fact
+	Observation
 }
 
 // Core is one agent's view of the others. It is a deterministic state machine, not safe for concurrent use: the time, messages and
@@ -68,12 +65,12 @@
 	probe      probe
 	number     uint32
 	requests   []request
-	rumours    []telling[Rumour]
+	rumours    []telling[MemberUpdate]
 	facts      map[factKey]*telling[kept]
 	ring       []factKey // of facts, in the order in which they are told when nothing is new
 	ringAt     int
 	introduced int // who was, last
-	heard      []Heard
+	heard      []ReceivedObservation
 	suspects   []int
 	alive      int
 	counts     Counts
@@ -109,7 +106,7 @@
 }
 
 type factKey struct {
-	kind FactKind
+	kind ObservationKind
 	id   uint64
 }
 
@@ -126,15 +123,15 @@
 
 // Counts are what a Core has done since it was made.
 type Counts struct {
-	Probes, Unanswered uint64
-	Suspected, Died    uint64 // of others, here
-	Refuted            uint64 // suspicions of this agent
+	Probes, Unanswered      uint64
+	Suspected, DeclaredDead uint64 // of others, here
+	Refuted                 uint64 // suspicions of this agent
 }
 
 // New returns a Core that has heard of nobody.
 func New(o Options) *Core {
-	if o.Period <= 0 {
-		o.Period = time.Second
+	if o.ProbeInterval <= 0 {
+		o.ProbeInterval = time.Second
 	}
 	c := &Core{set: o, rng: rand.New(rand.NewPCG(o.Seed, 11)), members: make([]member, o.Agents), facts: map[factKey]*telling[kept]{}}
 	c.probe.target, c.introduced = -1, c.rng.IntN(o.Agents)
@@ -149,21 +146,21 @@
 	return c
 }
 
-// Begin lets the Core begin, some part of a period later.
-func (c *Core) Begin(now time.Duration) {
-	c.began, c.due = now, now+time.Duration(c.rng.Float64()*meetEvery*float64(c.set.Period))
-	c.rumour(Rumour{Alive, c.set.Self, c.self.incarnation, c.set.Self})
+// Start lets the Core begin, some part of a period later.
+func (c *Core) Start(now time.Duration) {
+	c.began, c.due = now, now+time.Duration(c.rng.Float64()*meetEvery*float64(c.set.ProbeInterval))
+	c.rumour(MemberUpdate{Alive, c.set.Self, c.self.incarnation, c.set.Self})
 }
 
-// Greet pings an agent at once, beside the probes: one that is met after a start answers with what it knows.
-func (c *Core) Greet(now time.Duration, agent int) (out []Out) {
+// Ping pings an agent at once, beside the probes: one that is met after a start answers with what it knows.
+func (c *Core) Ping(now time.Duration, agent int) (out []Message) {
 	c.number++
 	c.send(now, &out, Message{Kind: Ping, To: agent, Number: c.number})
 	return out
 }
 
-// First are a few agents to greet at a start, drawn from all.
-func (c *Core) First() []int { return c.order[:min(len(c.order), firstGreeted)] }
+// Seeds are a few agents to greet at a start, drawn from all.
+func (c *Core) Seeds() []int { return c.order[:min(len(c.order), firstGreeted)] }
 
 // tellings is how often a rumour is told.
 func (c *Core) tellings() int {
@@ -173,24 +170,24 @@
 // State is what is held of an agent.
 func (c *Core) State(agent int) State { return c.members[agent].state }
 
-// Alive is how many agents live as far as is known, suspects and this one among them.
-func (c *Core) Alive() int { return c.alive }
+// AliveCount is how many agents live as far as is known, suspects and this one among them.
+func (c *Core) AliveCount() int { return c.alive }
 
 // Counts are the figures.
 func (c *Core) Counts() Counts { return c.counts }
 
-// Heard returns the facts that others have told since the last call.
-func (c *Core) Heard() []Heard {
+// TakeObservations returns the facts that others have told since the last call.
+func (c *Core) TakeObservations() []ReceivedObservation {
 	h := c.heard
 	c.heard = nil
 	return h
 }
 
-// Tell lets a fact be told to all others.
-func (c *Core) Tell(now time.Duration, f Fact) { c.fact(now, f) }
+// Broadcast lets a fact be told to all others.
+func (c *Core) Broadcast(now time.Duration, f Observation) { c.fact(now, f) }
 
-// Due is when Tick has something to do.
-func (c *Core) Due() time.Duration {
+// NextTimer is when Tick has something to do.
+func (c *Core) NextTimer() time.Duration {
 	due := c.due
 	if p := &c.probe; p.target >= 0 {
 		if due = min(due, p.end); !p.asked && !p.answered {
@@ -210,7 +207,7 @@
 }
 
 // Tick does what is due.
-func (c *Core) Tick(now time.Duration) (out []Out) {
+func (c *Core) Tick(now time.Duration) (out []Message) {
 	c.endRequests(now, &out)
 	if p := &c.probe; p.target >= 0 {
 		if !p.answered && !p.asked && now >= p.ask {
@@ -222,8 +219,8 @@
 	}
 	for _, i := range slices.Clone(c.suspects) {
 		if m := &c.members[i]; now >= m.until {
-			c.counts.Died++
-			c.take(now, Rumour{Dead, i, m.incarnation, c.set.Self})
+			c.counts.DeclaredDead++
+			c.take(now, MemberUpdate{Dead, i, m.incarnation, c.set.Self})
 		}
 	}
 	if now >= c.due && c.probe.target < 0 {
@@ -236,14 +233,14 @@
 // period is the time between two probes: shorter at first, so that agents which start together know of each other soon, and longer
 // while this one seems ill itself.
 func (c *Core) period(now time.Duration) time.Duration {
-	if now-c.began < meetFor*c.set.Period {
-		return time.Duration(meetEvery * float64(c.set.Period))
+	if now-c.began < meetFor*c.set.ProbeInterval {
+		return time.Duration(meetEvery * float64(c.set.ProbeInterval))
 	}
-	return c.set.Period * time.Duration(1+c.slow)
+	return c.set.ProbeInterval * time.Duration(1+c.slow)
 }
 
 // next begins the next probe.
-func (c *Core) next(now time.Duration, out *[]Out) {
+func (c *Core) next(now time.Duration, out *[]Message) {
 	period := c.period(now)
 	c.due = now + period
 	target := c.choose(now)
@@ -260,7 +257,7 @@
 // choose is whom to probe: those that live in turn, by an order that is shuffled each time, and now and then one that does not, so
 // that two parts of a fleet that could not hear each other find each other again.
 func (c *Core) choose(now time.Duration) int {
-	meeting := now-c.began < meetFor*c.set.Period
+	meeting := now-c.began < meetFor*c.set.ProbeInterval
 	lost := meeting && c.probes%2 == 0 || c.probes%deadEvery == deadEvery-1
 	for pass := range 2 {
 		for range c.order {
@@ -279,7 +276,7 @@
 }
 
 // askOthers asks a few others to probe who has not answered.
-func (c *Core) askOthers(now time.Duration, out *[]Out) {
+func (c *Core) askOthers(now time.Duration, out *[]Message) {
 	p := &c.probe
 	p.asked = true
 	if s := c.members[p.target].state; s != Alive && s != Suspect {
@@ -291,10 +288,10 @@
 	}
 }
 
-// Share tells so many others, drawn from those that live, what other parts of the agent have to tell.
-func (c *Core) Share(now time.Duration, body []byte, to int) (out []Out) {
+// HandleOverloadReport tells so many others, drawn from those that live, what other parts of the agent have to tell.
+func (c *Core) SendPayload(now time.Duration, body []byte, to int) (out []Message) {
 	for _, i := range c.some(to, -1) {
-		out = append(out, Message{Kind: Share, From: c.set.Self, To: i, Incarnation: c.self.incarnation, Body: body})
+		out = append(out, Message{Kind: Payload, From: c.set.Self, To: i, Incarnation: c.self.incarnation, Payload: body})
 	}
 	return out
 }
@@ -321,7 +318,7 @@
 	p := c.probe
 	c.probe = probe{target: -1}
 	m := &c.members[p.target]
-	if p.answered || m.latest != 0 && now-m.latest < c.set.Period {
+	if p.answered || m.latest != 0 && now-m.latest < c.set.ProbeInterval {
 		c.slow = max(0, c.slow-1)
 		return
 	}
@@ -332,11 +329,11 @@
 	if p.requests > 0 && p.nacks < p.requests {
 		c.slow = min(mostSlow, c.slow+1)
 	}
-	c.take(now, Rumour{Suspect, p.target, m.incarnation, c.set.Self})
+	c.take(now, MemberUpdate{Suspect, p.target, m.incarnation, c.set.Self})
 }
 
 // endRequests says of probes on behalf of others that they were in vain.
-func (c *Core) endRequests(now time.Duration, out *[]Out) {
+func (c *Core) endRequests(now time.Duration, out *[]Message) {
 	c.requests = slices.DeleteFunc(c.requests, func(r request) bool {
 		return now >= r.end
 	})
@@ -349,25 +346,25 @@
 }
 
 // Receive takes a message that another agent has sent, which a Link has opened.
-func (c *Core) Receive(now time.Duration, m Message) (out []Out) {
+func (c *Core) Receive(now time.Duration, m Message) (out []Message) {
 	from := &c.members[m.From]
 	from.latest = now
-	if m.Kind == Farewell {
-		c.take(now, Rumour{Left, m.From, m.Incarnation, m.From})
+	if m.Kind == Leave {
+		c.take(now, MemberUpdate{Left, m.From, m.Incarnation, m.From})
 		return nil
 	}
 	if m.Kind == Ping || m.Kind == Ack {
 		from.knows = m.Target
 	}
 	c.lives(now, m)
-	for _, r := range m.Rumours {
-		if r.Subject < len(c.members) && r.By < len(c.members) {
+	for _, r := range m.Updates {
+		if r.Member < len(c.members) && r.Reporter < len(c.members) {
 			c.take(now, r)
 		}
 	}
-	for _, f := range m.Facts {
+	for _, f := range m.Observations {
 		if len(c.heard) < mostHeard {
-			c.heard = append(c.heard, Heard{m.From, f})
+			c.heard = append(c.heard, ReceivedObservation{m.From, f})
 		}
 		c.fact(now, f)
 	}
@@ -392,8 +389,8 @@
 	case PingReq:
 		if m.Target < len(c.members) && m.Target != c.set.Self && m.Target != m.From && len(c.requests) < mostRequests {
 			c.number++
-			part := time.Duration(probePart * float64(c.set.Period))
-			c.requests = append(c.requests, request{m.From, m.Target, m.Number, c.number, now + part, now + c.set.Period})
+			part := time.Duration(probePart * float64(c.set.ProbeInterval))
+			c.requests = append(c.requests, request{m.From, m.Target, m.Number, c.number, now + part, now + c.set.ProbeInterval})
 			c.send(now, &out, Message{Kind: Ping, To: m.Target, Number: c.number})
 		}
 	}
@@ -405,22 +402,22 @@
 	known := &c.members[m.From]
 	switch {
 	case m.Incarnation > known.incarnation || known.state == Unknown:
-		c.take(now, Rumour{Alive, m.From, m.Incarnation, m.From})
+		c.take(now, MemberUpdate{Alive, m.From, m.Incarnation, m.From})
 	case known.state != Alive:
-		c.rumour(Rumour{known.state, m.From, known.incarnation, c.set.Self})
+		c.rumour(MemberUpdate{known.state, m.From, known.incarnation, c.set.Self})
 	}
 }
 
 // take takes a rumour, and tells it on if it is news.
-func (c *Core) take(now time.Duration, r Rumour) {
-	if r.Subject == c.set.Self {
+func (c *Core) take(now time.Duration, r MemberUpdate) {
+	if r.Member == c.set.Self {
 		c.refute(r)
 		return
 	}
-	m := &c.members[r.Subject]
+	m := &c.members[r.Member]
 	news := m.state == Unknown || r.Incarnation > m.incarnation || r.Incarnation == m.incarnation && r.State > m.state
-	if r.State == Suspect && m.state == Suspect && r.Incarnation == m.incarnation && len(m.by) <= confirmMost && !slices.Contains(m.by, r.By) {
-		m.by = append(m.by, r.By) // others see it as well: it has less time
+	if r.State == Suspect && m.state == Suspect && r.Incarnation == m.incarnation && len(m.by) <= confirmMost && !slices.Contains(m.by, r.Reporter) {
+		m.by = append(m.by, r.Reporter) // others see it as well: it has less time
 		m.until = m.since + c.suspicion(len(m.by)-1)
 		c.rumour(r)
 		return
@@ -430,14 +427,14 @@
 	}
 	c.alive -= living(m.state)
 	if m.state == Suspect {
-		c.suspects = slices.DeleteFunc(c.suspects, func(i int) bool { return i == r.Subject })
+		c.suspects = slices.DeleteFunc(c.suspects, func(i int) bool { return i == r.Member })
 	}
 	m.state, m.incarnation, m.since, m.by = r.State, r.Incarnation, now, nil
 	c.alive += living(m.state)
 	if r.State == Suspect {
 		c.counts.Suspected++
-		c.suspects = append(c.suspects, r.Subject)
-		m.by = []int{r.By}
+		c.suspects = append(c.suspects, r.Member)
+		m.by = []int{r.Reporter}
 		m.until = now + c.suspicion(0)
 	}
 	c.rumour(r)
@@ -452,14 +449,14 @@
 
 // suspicion is for how long a suspect may speak up, where so many others suspect it as well.
 func (c *Core) suspicion(others int) time.Duration {
-	low := suspicionLow * max(1, math.Log10(float64(c.alive))) * float64(c.set.Period)
+	low := suspicionLow * max(1, math.Log10(float64(c.alive))) * float64(c.set.ProbeInterval)
 	high := low * suspicionHigh
 	k := min(confirmMost, max(1, c.alive-2))
 	return time.Duration(max(low, high-(high-low)*math.Log(float64(others)+1)/math.Log(float64(k)+1)))
 }
 
 // refute answers what is said of this agent.
-func (c *Core) refute(r Rumour) {
+func (c *Core) refute(r MemberUpdate) {
 	if c.self.leaving || r.Incarnation < c.self.incarnation || r.Incarnation == c.self.incarnation && r.State == Alive {
 		return
 	}
@@ -470,36 +467,36 @@
 		}
 	}
 	c.self.incarnation = r.Incarnation + 1
-	c.rumour(Rumour{Alive, c.set.Self, c.self.incarnation, c.set.Self})
+	c.rumour(MemberUpdate{Alive, c.set.Self, c.self.incarnation, c.set.Self})
 }
 
 // Leave ends this agent for the others.
-func (c *Core) Leave(now time.Duration) (out []Out) {
+func (c *Core) Leave(now time.Duration) (out []Message) {
 	c.self.leaving = true
 	for _, i := range c.some(c.tellings(), -1) {
-		c.send(now, &out, Message{Kind: Farewell, To: i})
+		c.send(now, &out, Message{Kind: Leave, To: i})
 	}
 	return out
 }
 
 // rumour puts a rumour on the list of what is told. There is one of each subject; of many the most told goes.
-func (c *Core) rumour(r Rumour) {
-	at := slices.IndexFunc(c.rumours, func(t telling[Rumour]) bool {
-		return t.what.Subject == r.Subject && (t.what.State != Suspect || r.State != Suspect || t.what.By == r.By || t.what.Incarnation < r.Incarnation)
+func (c *Core) rumour(r MemberUpdate) {
+	at := slices.IndexFunc(c.rumours, func(t telling[MemberUpdate]) bool {
+		return t.what.Member == r.Member && (t.what.State != Suspect || r.State != Suspect || t.what.Reporter == r.Reporter || t.what.Incarnation < r.Incarnation)
 	})
 	if at >= 0 {
 		c.rumours = slices.Delete(c.rumours, at, at+1)
 	}
-	c.rumours = append(c.rumours, telling[Rumour]{what: r})
+	c.rumours = append(c.rumours, telling[MemberUpdate]{what: r})
 	if len(c.rumours) > mostRumours {
 		c.rumours = slices.Delete(c.rumours, 0, 1)
 	}
 }
 
 // fact takes a fact up, if it is newer than what is known.
-func (c *Core) fact(now time.Duration, f Fact) {
+func (c *Core) fact(now time.Duration, f Observation) {
 	at := now - f.Age
-	if f.Age >= FactFor {
+	if f.Age >= ObservationTTL {
 		return
 	}
 	k := factKey{f.Kind, f.ID}
@@ -522,7 +519,7 @@
 		return
 	}
 	c.ringAt = (c.ringAt + 1) % len(c.ring)
-	if k := c.ring[c.ringAt]; now-c.facts[k].what.at >= FactFor {
+	if k := c.ring[c.ringAt]; now-c.facts[k].what.at >= ObservationTTL {
 		delete(c.facts, k)
 		c.ring[c.ringAt] = c.ring[len(c.ring)-1]
 		c.ring = c.ring[:len(c.ring)-1]
@@ -530,38 +527,38 @@
 }
 
 // send writes a message and fills it with what is to be told: first what the other is said to be, then what was told least.
-func (c *Core) send(now time.Duration, out *[]Out, m Message) {
+func (c *Core) send(now time.Duration, out *[]Message, m Message) {
 	m.From, m.Incarnation = c.set.Self, c.self.incarnation
 	if t := &c.members[m.To]; t.state >= Suspect {
-		m.Rumours = append(m.Rumours, Rumour{t.state, m.To, t.incarnation, c.set.Self})
+		m.Updates = append(m.Updates, MemberUpdate{t.state, m.To, t.incarnation, c.set.Self})
 	}
 	most := c.tellings()
-	// Facts have a third of the room at least, where there are any.
+	// Observations have a third of the room at least, where there are any.
 	reserved := min(len(c.ring), room/3/factSize)
-	slices.SortStableFunc(c.rumours, func(x, y telling[Rumour]) int { return x.times - y.times })
+	slices.SortStableFunc(c.rumours, func(x, y telling[MemberUpdate]) int { return x.times - y.times })
 	for i := range c.rumours {
-		if (len(m.Rumours)+1)*rumourSize+reserved*factSize > room {
+		if (len(m.Updates)+1)*rumourSize+reserved*factSize > room {
 			break
 		}
-		if t := &c.rumours[i]; t.what.Subject != m.To {
-			m.Rumours = append(m.Rumours, t.what)
+		if t := &c.rumours[i]; t.what.Member != m.To {
+			m.Updates = append(m.Updates, t.what)
 			t.times++
 		}
 	}
-	c.rumours = slices.DeleteFunc(c.rumours, func(t telling[Rumour]) bool { return t.times >= most })
-	_, left := RoomFor(len(m.Rumours))
+	c.rumours = slices.DeleteFunc(c.rumours, func(t telling[MemberUpdate]) bool { return t.times >= most })
+	_, left := recordCapacity(len(m.Updates))
 	for pass := range 2 { // those that are news, then others in turn, for who has started anew
-		for n := len(c.ring); n > 0 && len(m.Facts) < left; n-- {
+		for n := len(c.ring); n > 0 && len(m.Observations) < left; n-- {
 			c.ringAt = (c.ringAt + 1) % len(c.ring)
 			k := c.ring[c.ringAt]
 			t := c.facts[k]
 			age := now - t.what.at
-			told := slices.ContainsFunc(m.Facts, func(f Fact) bool { return f.Kind == k.kind && f.ID == k.id })
-			if told || age >= FactFor || (pass == 0) != (t.times < factTold*most) {
+			told := slices.ContainsFunc(m.Observations, func(f Observation) bool { return f.Kind == k.kind && f.ID == k.id })
+			if told || age >= ObservationTTL || (pass == 0) != (t.times < factTold*most) {
 				continue
 			}
 			t.times++
-			m.Facts = append(m.Facts, Fact{k.kind, k.id, t.what.value, age})
+			m.Observations = append(m.Observations, Observation{k.kind, k.id, t.what.value, age})
 		}
 	}
 	if m.Kind == Ping || m.Kind == Ack {
@@ -575,11 +572,11 @@
 
 // introduce tells one that knows few of the others in turn, as far as there is room.
 func (c *Core) introduce(m *Message) {
-	for n := len(c.members); n > 0 && (len(m.Rumours)+1)*rumourSize+len(m.Facts)*factSize <= room; n-- {
+	for n := len(c.members); n > 0 && (len(m.Updates)+1)*rumourSize+len(m.Observations)*factSize <= room; n-- {
 		c.introduced = (c.introduced + 1) % len(c.members)
 		i, o := c.introduced, &c.members[c.introduced]
-		if living(o.state) == 1 && i != m.To && i != c.set.Self && !slices.ContainsFunc(m.Rumours, func(r Rumour) bool { return r.Subject == i }) {
-			m.Rumours = append(m.Rumours, Rumour{Alive, i, o.incarnation, i})
+		if living(o.state) == 1 && i != m.To && i != c.set.Self && !slices.ContainsFunc(m.Updates, func(r MemberUpdate) bool { return r.Member == i }) {
+			m.Updates = append(m.Updates, MemberUpdate{Alive, i, o.incarnation, i})
 		}
 	}
 }
--- a/internal/fleet/gossip/core_test.go
+++ b/internal/fleet/gossip/core_test.go
@@ -49,7 +49,7 @@
 	return d
 }
 
-func (n *network) look(i int) { heap.Push(&n.dues, due{n.cores[i].Due(), i, n.cores[i]}) }
+func (n *network) look(i int) { heap.Push(&n.dues, due{n.cores[i].NextTimer(), i, n.cores[i]}) }
 
 type packet struct {
 	at   time.Duration
@@ -82,14 +82,14 @@
 func (n *network) start(i int) {
 	n.lives[i]++
 	n.cores[i] = New(Options{Self: i, Agents: len(n.cores), Seed: uint64(i + 1000*n.lives[i])})
-	n.cores[i].Begin(n.now)
+	n.cores[i].Start(n.now)
 	n.look(i)
 }
 
-func (n *network) send(out []Out) {
+func (n *network) send(out []Message) {
 	for _, m := range out {
 		size := len(m.append(nil, stamp{})) + macSize
-		if size > Most {
+		if size > MaxDatagramBytes {
 			panic("a datagram is too long")
 		}
 		n.sent[m.From]++
@@ -124,7 +124,7 @@
 			return
 		}
 		d := heap.Pop(&n.dues).(due)
-		if n.cores[d.who] != d.core || d.core.Due() > d.at { // it is down, or was looked at since
+		if n.cores[d.who] != d.core || d.core.NextTimer() > d.at { // it is down, or was looked at since
 			continue
 		}
 		n.now = max(n.now, d.at)
@@ -230,7 +230,7 @@
 		n.run(10 * time.Second)
 		n.cut = cut
 		n.run(30 * time.Second)
-		if got := n.cores[0].Alive(); name == "both ways" && got != 10 {
+		if got := n.cores[0].AliveCount(); name == "both ways" && got != 10 {
 			t.Errorf("%s: %d agents live as one half sees it", name, got)
 		}
 		n.cut = nil
@@ -247,7 +247,7 @@
 	heard := map[int]bool{0: true}
 	listen := func() bool {
 		for i, c := range n.cores {
-			for _, h := range c.Heard() {
+			for _, h := range c.TakeObservations() {
 				if h.Kind == 3 && h.ID == 77 && h.Value == 5 && h.Age < 10*time.Second {
 					heard[i] = true
 				}
@@ -255,7 +255,7 @@
 		}
 		return len(heard) == 50
 	}
-	n.cores[0].Tell(n.now, Fact{Kind: 3, ID: 77, Value: 5})
+	n.cores[0].Broadcast(n.now, Observation{Kind: 3, ID: 77, Value: 5})
 	if took := n.until(6*time.Second, listen); took < 0 {
 		t.Fatalf("a fact has reached %d of 50 agents", len(heard))
 	}
@@ -264,7 +264,7 @@
 	if took := n.until(5*time.Second, listen); took < 0 {
 		t.Error("one that starts anew hears nothing of it")
 	}
-	n.run(2 * FactFor)
+	n.run(2 * ObservationTTL)
 	if left := len(n.cores[9].facts); left != 0 {
 		t.Errorf("%d facts are remembered after twice their time", left)
 	}
@@ -291,10 +291,10 @@
 	}
 	c := New(Options{Agents: 100})
 	for i := range 100_000 {
-		m := Message{Kind: Ping, From: 1 + i%99, Number: uint32(i), Facts: []Fact{{Kind: FactKind(i), ID: uint64(i)}},
-			Rumours: []Rumour{{State(1 + i%4), i % 65536, uint32(i), i % 65536}}}
+		m := Message{Kind: Ping, From: 1 + i%99, Number: uint32(i), Observations: []Observation{{Kind: ObservationKind(i), ID: uint64(i)}},
+			Updates: []MemberUpdate{{State(1 + i%4), i % 65536, uint32(i), i % 65536}}}
 		for _, o := range c.Receive(time.Duration(i), m) {
-			if size := len(o.append(nil, stamp{})) + macSize; size > Most {
+			if size := len(o.append(nil, stamp{})) + macSize; size > MaxDatagramBytes {
 				t.Fatalf("an answer of %d bytes", size)
 			}
 		}
@@ -310,10 +310,10 @@
 		n := newNetwork(8, rapid.Uint64().Draw(t, "seed"))
 		n.run(6 * time.Second)
 		for range rapid.IntRange(1, 20).Draw(t, "lies") {
-			lie := Rumour{rapid.SampledFrom([]State{Alive, Suspect, Dead, Left}).Draw(t, "state"), rapid.IntRange(0, 7).Draw(t, "subject"),
+			lie := MemberUpdate{rapid.SampledFrom([]State{Alive, Suspect, Dead, Left}).Draw(t, "state"), rapid.IntRange(0, 7).Draw(t, "subject"),
 				rapid.Uint32Range(0, 1<<20).Draw(t, "incarnation"), rapid.IntRange(0, 7).Draw(t, "by")}
 			to := rapid.IntRange(1, 7).Draw(t, "to")
-			n.send(n.cores[to].Receive(n.now, Message{Kind: Ping, From: 0, To: to, Rumours: []Rumour{lie}}))
+			n.send(n.cores[to].Receive(n.now, Message{Kind: Ping, From: 0, To: to, Updates: []MemberUpdate{lie}}))
 			n.run(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
 		}
 		if took := n.until(20*time.Second, n.all); took < 0 {
--- a/internal/fleet/gossip/decisions_test.go
+++ b/internal/fleet/gossip/decisions_test.go
@@ -24,15 +24,15 @@
 	cores := make([]*Core, agents)
 	was := make([][]State, agents)
 	loss, cut, slow := 0.02, false, -1
-	put := func(out []Out) {
+	put := func(out []Message) {
 		for _, m := range out {
-			tr.Add(now, int(m.Kind), m.From, m.To, int(m.Incarnation), int(m.Number), m.Target, string(m.Body), len(m.Rumours), len(m.Facts))
+			tr.Add(now, int(m.Kind), m.From, m.To, int(m.Incarnation), int(m.Number), m.Target, string(m.Payload), len(m.Updates), len(m.Observations))
 			tr.Count(fmt.Sprintf("messages of kind %d", int(m.Kind)))
-			for _, r := range m.Rumours {
-				tr.Add(int(r.State), r.Subject, int(r.Incarnation), r.By)
+			for _, r := range m.Updates {
+				tr.Add(int(r.State), r.Member, int(r.Incarnation), r.Reporter)
 				tr.Count(fmt.Sprintf("rumours of state %d", int(r.State)))
 			}
-			for _, f := range m.Facts {
+			for _, f := range m.Observations {
 				tr.Add(int(f.Kind), f.ID, int(f.Value), f.Age)
 				tr.Count("facts told")
 			}
@@ -43,16 +43,16 @@
 			if m.From == slow || m.To == slow {
 				delay = rnd.Millis(200, 1500)
 			}
-			m.Rumours, m.Facts = slices.Clone(m.Rumours), slices.Clone(m.Facts)
+			m.Updates, m.Observations = slices.Clone(m.Updates), slices.Clone(m.Observations)
 			packets = append(packets, tracePacket{now + delay, m})
 		}
 	}
 	begin := func(i int) {
-		cores[i] = New(Options{Self: i, Agents: agents, Period: time.Second, Seed: uint64(seed*100+i) + uint64(now)})
+		cores[i] = New(Options{Self: i, Agents: agents, ProbeInterval: time.Second, Seed: uint64(seed*100+i) + uint64(now)})
 		was[i] = make([]State, agents)
-		cores[i].Begin(now)
-		for _, other := range cores[i].First() {
-			put(cores[i].Greet(now, other))
+		cores[i].Start(now)
+		for _, other := range cores[i].Seeds() {
+			put(cores[i].Ping(now, other))
 		}
 	}
 	for i := range agents {
@@ -96,16 +96,16 @@
 			if c == nil {
 				continue
 			}
-			if c.Due() <= now {
+			if c.NextTimer() <= now {
 				put(c.Tick(now))
 			}
 			if rnd.Chance(0.002) {
-				c.Tell(now, Fact{Kind: FactKind(1 + rnd.Below(2)), ID: uint64(rnd.Below(30)), Value: uint32(rnd.Below(4)), Age: rnd.Millis(0, 2000)})
+				c.Broadcast(now, Observation{Kind: ObservationKind(1 + rnd.Below(2)), ID: uint64(rnd.Below(30)), Value: uint32(rnd.Below(4)), Age: rnd.Millis(0, 2000)})
 			}
 			if rnd.Chance(0.005) {
-				put(c.Share(now, []byte{1, 2, byte(step)}, 1+rnd.Below(3)))
+				put(c.SendPayload(now, []byte{1, 2, byte(step)}, 1+rnd.Below(3)))
 			}
-			for _, h := range c.Heard() {
+			for _, h := range c.TakeObservations() {
 				tr.Add(now, i, h.From, int(h.Kind), h.ID, int(h.Value), h.Age)
 			}
 			for other := range agents {
@@ -117,9 +117,9 @@
 			}
 			if step%50 == 0 {
 				n := c.Counts()
-				tr.Add(now, i, c.Alive(), c.Due(), n.Probes, n.Unanswered, n.Suspected, n.Died, n.Refuted)
+				tr.Add(now, i, c.AliveCount(), c.NextTimer(), n.Probes, n.Unanswered, n.Suspected, n.DeclaredDead, n.Refuted)
 				tr.CountIf(n.Refuted > 0, "looks after a suspicion was refuted")
-				tr.CountIf(n.Died > 0, "looks after one died")
+				tr.CountIf(n.DeclaredDead > 0, "looks after one died")
 			}
 		}
 	}
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -12,31 +12,31 @@
 
 // goldenMessages are a message of each kind, by the name of its file, with all that the kind carries.
 func goldenMessages() (names []string, messages map[string]Message) {
-	rumours := []Rumour{
-		{State: Alive, Subject: 0x1112, Incarnation: 0x13141516, By: 0x1718},
-		{State: Suspect, Subject: 0x2122, Incarnation: 0x23242526, By: 0x2728},
-		{State: Dead, Subject: 0x3132, Incarnation: 0x33343536, By: 0x3738},
-		{State: Left, Subject: 0x4142, Incarnation: 0x43444546, By: 0x4748},
+	rumours := []MemberUpdate{
+		{State: Alive, Member: 0x1112, Incarnation: 0x13141516, Reporter: 0x1718},
+		{State: Suspect, Member: 0x2122, Incarnation: 0x23242526, Reporter: 0x2728},
+		{State: Dead, Member: 0x3132, Incarnation: 0x33343536, Reporter: 0x3738},
+		{State: Left, Member: 0x4142, Incarnation: 0x43444546, Reporter: 0x4748},
 	}
-	facts := []Fact{
+	facts := []Observation{
 		{Kind: 1, ID: 0x5152535455565758, Value: 0x595a5b5c, Age: 12300 * time.Millisecond},
 		{Kind: 2, ID: 0x6162636465666768, Value: 0x696a6b6c, Age: 6553 * time.Second},
 	}
-	body := make([]byte, MostBody)
+	body := make([]byte, MaxPayloadBytes)
 	for i := range body {
 		body[i] = byte(i + 1)
 	}
 	full := func(kind Kind, n uint32) Message {
 		return Message{Kind: kind, From: 0x0102, To: 0x0304, Incarnation: 0x71727300 + n, Number: 0x81828300 + n, Target: 0x9100 + int(n),
-			Rumours: rumours, Facts: facts}
+			Updates: rumours, Observations: facts}
 	}
 	hello := Message{Kind: Hello, From: 0x0102, To: 0x0304, Incarnation: 0xa1a2a3a4, Number: 0xb1b2b3b4, Target: 0xc1c2,
 		challenge: 0xd1d2d3d4d5d6d7d8, proof: 0xe1e2e3e4e5e6e7e8}
-	share := full(Share, 6)
-	share.Rumours, share.Facts, share.Body = nil, nil, body
+	share := full(Payload, 6)
+	share.Updates, share.Observations, share.Payload = nil, nil, body
 	return []string{"hello", "ping", "ack", "ping-req", "nack", "farewell", "share"}, map[string]Message{
 		"hello": hello, "ping": full(Ping, 1), "ack": full(Ack, 2), "ping-req": full(PingReq, 3), "nack": full(Nack, 4),
-		"farewell": full(Farewell, 5), "share": share}
+		"farewell": full(Leave, 5), "share": share}
 }
 
 // goldenLinks are two links that have met, with fixed lives and keys.
@@ -91,7 +91,7 @@
 	for s := Unknown; s <= Left; s++ {
 		fmt.Fprintf(&b, "state %d %s\n", s, s)
 	}
-	fmt.Fprintf(&b, "kinds %d\n", []int{int(Hello), int(Ping), int(Ack), int(PingReq), int(Nack), int(Farewell), int(Share)})
+	fmt.Fprintf(&b, "kinds %d\n", []int{int(Hello), int(Ping), int(Ack), int(PingReq), int(Nack), int(Leave), int(Payload)})
 	for i := range 4 {
 		fmt.Fprintf(&b, "key %d %02x\n", i, Key{byte(i)}.name())
 	}
--- a/internal/fleet/gossip/link.go
+++ b/internal/fleet/gossip/link.go
@@ -46,9 +46,9 @@
 
 // Errors that are told apart.
 var (
-	ErrForged = errors.New("a datagram whose code of authentication is wrong")
-	ErrStale  = errors.New("a datagram that is not of now")
-	ErrFlood  = errors.New("more datagrams than one agent has to send")
+	ErrForged      = errors.New("a datagram whose code of authentication is wrong")
+	ErrStale       = errors.New("a datagram that is not of now")
+	ErrRateLimited = errors.New("more datagrams than one agent has to send")
 )
 
 const (
@@ -125,19 +125,19 @@
 	e := &l.ends[m.To]
 	e.sequence++
 	m.From = l.self
-	b := m.append(make([]byte, 0, Most), stamp{l.seal, l.life, e.echo, e.sequence})
+	b := m.append(make([]byte, 0, MaxDatagramBytes), stamp{l.seal, l.life, e.echo, e.sequence})
 	return append(b, l.keys.Seal.code(b)...)
 }
 
 // Open reads a datagram that came from another agent's address. A Hello is the Link's own affair: it is returned as one, with
 // nothing in it. reply is to be sent back where it is not nil.
 func (l *Link) Open(now time.Duration, from int, b []byte) (m Message, reply []byte, err error) {
-	if len(b) < headSize+macSize || len(b) > Most || from < 0 || from >= len(l.ends) {
-		return m, nil, fmt.Errorf("%w: %d bytes", errForm, len(b))
+	if len(b) < headSize+macSize || len(b) > MaxDatagramBytes || from < 0 || from >= len(l.ends) {
+		return m, nil, fmt.Errorf("%w: %d bytes", errMalformed, len(b))
 	}
 	e := &l.ends[from]
 	if !e.tokens.take(now, mostASecond, mostAtOnce) { // before anything is reckoned
-		return m, nil, ErrFlood
+		return m, nil, ErrRateLimited
 	}
 	text, code := b[:len(b)-macSize], b[len(b)-macSize:]
 	if !slices.ContainsFunc(l.keys.Open, func(k Key) bool {
@@ -154,7 +154,7 @@
 	case m.Kind == Hello:
 		was := e.proved
 		reply = l.hello(now, from, m, s)
-		return Message{Kind: Hello, From: from, To: l.self, Met: e.proved != was}, reply, nil
+		return Message{Kind: Hello, From: from, To: l.self, IsNewSession: e.proved != was}, reply, nil
 	case s.echo != l.life || s.life != e.proved:
 		e.echo = s.life
 		return m, l.ask(now, from), ErrStale
--- a/internal/fleet/gossip/link_test.go
+++ b/internal/fleet/gossip/link_test.go
@@ -115,7 +115,7 @@
 		}
 	}
 	meet(a, b)
-	good := a.Seal(Message{Kind: Ping, To: 1, Number: 5, Rumours: []Rumour{{Alive, 2, 3, 0}}, Facts: []Fact{{1, 7, 9, time.Second}}})
+	good := a.Seal(Message{Kind: Ping, To: 1, Number: 5, Updates: []MemberUpdate{{Alive, 2, 3, 0}}, Observations: []Observation{{1, 7, 9, time.Second}}})
 	for i := range good {
 		bad := bytes.Clone(good)
 		bad[i] ^= 1
@@ -132,7 +132,7 @@
 		t.Errorf("with another key: %v", err)
 	}
 	m, _, err := b.Open(now, 0, good)
-	if err != nil || m.Number != 5 || !reflect.DeepEqual(m.Rumours, []Rumour{{Alive, 2, 3, 0}}) || !reflect.DeepEqual(m.Facts, []Fact{{1, 7, 9, time.Second}}) {
+	if err != nil || m.Number != 5 || !reflect.DeepEqual(m.Updates, []MemberUpdate{{Alive, 2, 3, 0}}) || !reflect.DeepEqual(m.Observations, []Observation{{1, 7, 9, time.Second}}) {
 		t.Errorf("%+v %v", m, err)
 	}
 	if _, _, err := b.Open(now, 0, good); !errors.Is(err, ErrStale) {
@@ -142,7 +142,7 @@
 	for range 1000 {
 		if _, _, err := b.Open(now, 0, a.Seal(Message{Kind: Ping, To: 1})); err == nil {
 			taken++
-		} else if !errors.Is(err, ErrFlood) {
+		} else if !errors.Is(err, ErrRateLimited) {
 			t.Fatal(err)
 		}
 	}
@@ -185,7 +185,7 @@
 // Of a later revision of the form what is known is read, and another form is not.
 func TestVersionsOfMessages(t *testing.T) {
 	text := func(version byte, kind Kind, more ...byte) []byte {
-		b := append(Message{Kind: kind, From: 3, Incarnation: 4, Rumours: []Rumour{{Alive, 2, 3, 0}}}.append(nil, stamp{}), more...)
+		b := append(Message{Kind: kind, From: 3, Incarnation: 4, Updates: []MemberUpdate{{Alive, 2, 3, 0}}}.append(nil, stamp{}), more...)
 		b[0] = version
 		return b
 	}
@@ -199,12 +199,12 @@
 		{"one before", text(form<<4|1, Ping), nil, 1},
 		{"a later revision", text(version+1, Ping), nil, 1},
 		{"with a record that is not known behind", text(version+1, Ping, 99, 1, 2), nil, 1},
-		{"with a kind that is not known", text(version+1, Share+1), nil, 0},
-		{"such a kind of this revision", text(version, Share+1), errForm, 0},
-		{"no revision", text(form<<4, Ping), ErrVersion, 0},
-		{"another form", text((form+1)<<4|1, Ping), ErrVersion, 0},
+		{"with a kind that is not known", text(version+1, Payload+1), nil, 0},
+		{"such a kind of this revision", text(version, Payload+1), errMalformed, 0},
+		{"no revision", text(form<<4, Ping), ErrUnsupportedFormat, 0},
+		{"another form", text((form+1)<<4|1, Ping), ErrUnsupportedFormat, 0},
 	} {
-		if m, _, err := parse(c.text); !errors.Is(err, c.err) || err == nil && (m.From != 3 || m.Incarnation != 4 || len(m.Rumours) != c.rumours) {
+		if m, _, err := parse(c.text); !errors.Is(err, c.err) || err == nil && (m.From != 3 || m.Incarnation != 4 || len(m.Updates) != c.rumours) {
 			t.Errorf("%s: %+v, %v", c.name, m, err)
 		}
 	}
@@ -212,29 +212,29 @@
 
 // Whatever comes, it is read within bounds, and what is read is written the same.
 func FuzzParse(f *testing.F) {
-	f.Add(Message{Kind: Ping, From: 3, To: 4, Rumours: []Rumour{{Alive, 2, 3, 0}}, Facts: []Fact{{1, 7, 9, time.Second}}}.append(nil, stamp{1, 2, 3, 4}))
+	f.Add(Message{Kind: Ping, From: 3, To: 4, Updates: []MemberUpdate{{Alive, 2, 3, 0}}, Observations: []Observation{{1, 7, 9, time.Second}}}.append(nil, stamp{1, 2, 3, 4}))
 	f.Add(Message{Kind: Hello, challenge: 5, proof: 6}.append(nil, stamp{}))
-	f.Add(append(Message{Kind: Farewell}.append(nil, stamp{}), 9, 9, 9))
-	f.Add(Message{Kind: Share, Body: []byte{1, 2, 3}}.append(nil, stamp{}))
-	later := Message{Kind: Share + 1, Rumours: []Rumour{{Alive, 2, 3, 0}}}.append(nil, stamp{})
+	f.Add(append(Message{Kind: Leave}.append(nil, stamp{}), 9, 9, 9))
+	f.Add(Message{Kind: Payload, Payload: []byte{1, 2, 3}}.append(nil, stamp{}))
+	later := Message{Kind: Payload + 1, Updates: []MemberUpdate{{Alive, 2, 3, 0}}}.append(nil, stamp{})
 	later[0]++
 	f.Add(later)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > Most {
+		if len(b) > MaxDatagramBytes {
 			return
 		}
 		m, s, err := parse(b)
 		if err != nil {
 			return
 		}
-		if m.Kind > Share { // of a later revision, which this one does not write
-			if len(m.Rumours)+len(m.Facts)+len(m.Body) > 0 {
+		if m.Kind > Payload { // of a later revision, which this one does not write
+			if len(m.Updates)+len(m.Observations)+len(m.Payload) > 0 {
 				t.Fatalf("of a kind that is not known %+v is read", m)
 			}
 			return
 		}
-		if len(m.Rumours) > room/rumourSize+8 || len(m.Facts) > room/factSize+8 {
-			t.Fatalf("%d rumours and %d facts of %d bytes", len(m.Rumours), len(m.Facts), len(b))
+		if len(m.Updates) > room/rumourSize+8 || len(m.Observations) > room/factSize+8 {
+			t.Fatalf("%d rumours and %d facts of %d bytes", len(m.Updates), len(m.Observations), len(b))
 		}
 		again, s2, err := parse(m.append(nil, s))
 		if err != nil || s2 != s || !reflect.DeepEqual(again, m) {
@@ -245,7 +245,7 @@
 
 // BenchmarkCodes is what each of the codes weighed costs for a full datagram.
 func BenchmarkCodes(b *testing.B) {
-	text := make([]byte, Most-macSize)
+	text := make([]byte, MaxDatagramBytes-macSize)
 	b.Run("blake2s", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/fleet/gossip/message.go
+++ b/internal/fleet/gossip/message.go
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// Most is the longest datagram, in bytes.
-const Most = 256
+// MaxDatagramBytes is the longest datagram, in bytes.
+const MaxDatagramBytes = 256
 
 // Kind says what a message is for.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	Hello    Kind = 1 + iota // a Link's own: wants a number repeated, or repeats one
-	Ping                     // wants an Ack
-	Ack                      // answers a Ping, also one by way of another
-	PingReq                  // wants Target pinged
-	Nack                     // says that Target was pinged in vain so far
-	Farewell                 // the sender ends in order
-	Share                    // carries a Body; since revision 2
+	Hello   Kind = 1 + iota // a Link's own: wants a number repeated, or repeats one
+	Ping                    // wants an Ack
+	Ack                     // answers a Ping, also one by way of another
+	PingReq                 // wants Target pinged
+	Nack                    // says that Target was pinged in vain so far
+	Leave                   // the sender ends in order
+	Payload                 // carries a Body; since revision 2
 )
 
 // State is what is held of an agent.
@@ -45,21 +45,21 @@
 	return [...]string{"unknown", "alive", "suspect", "dead", "left"}[min(s, Left)]
 }
 
-// Rumour is what is told of an agent.
-type Rumour struct {
+// MemberUpdate is what is told of an agent.
+type MemberUpdate struct {
 	State       State
-	Subject     int
+	Member      int
 	Incarnation uint32 // of the subject: its own word goes before that of others of the same
-	By          int    // who says so, of a suspicion
+	Reporter    int    // who says so, of a suspicion
 }
 
-// FactKind says what a fact is about.
-type FactKind uint8
+// ObservationKind says what a fact is about.
+type ObservationKind uint8
 
-// Fact is a piece of word about something that the agents have in common, such as a server. What it is worth is decided by who
+// Observation is a piece of word about something that the agents have in common, such as a server. What it is worth is decided by who
 // uses it; see package word.
-type Fact struct {
-	Kind  FactKind
+type Observation struct {
+	Kind  ObservationKind
 	ID    uint64        // of what it is about
 	Value uint32        // as the kind has it
 	Age   time.Duration // since it held, to a tenth of a second
@@ -67,16 +67,16 @@
 
 // Message is a datagram, opened.
 type Message struct {
-	Kind        Kind
-	From, To    int
-	Incarnation uint32 // the sender's
-	Number      uint32 // by which an Ack or Nack is told to belong to a Ping or PingReq
-	Target      int    // of a PingReq and a Nack: whom it is about; of a Ping and an Ack: how many agents live as the sender knows
-	Rumours     []Rumour
-	Facts       []Fact
-	Body        []byte // of a Share: another part's affair
-
-	Met              bool   // of a Hello that was opened: the sender has proved a life that was not known
+	Kind         Kind
+	From, To     int
+	Incarnation  uint32 // the sender's
+	Number       uint32 // by which an Ack or Nack is told to belong to a Ping or PingReq
+	Target       int    // of a PingReq and a Nack: whom it is about; of a Ping and an Ack: how many agents live as the sender knows
+	Updates      []MemberUpdate
+	Observations []Observation
+	Payload      []byte // of a Share: another part's affair
+
+	IsNewSession     bool   // of a Hello that was opened: the sender has proved a life that was not known
 	challenge, proof uint64 // of a Hello
 }
 
@@ -98,10 +98,10 @@
 	helloSize  = 16
 	rumourSize = 10
 	factSize   = 16
-	room       = Most - headSize - macSize // for records
+	room       = MaxDatagramBytes - headSize - macSize // for records
 
-	// MostBody is how much a Share carries, in bytes.
-	MostBody = room
+	// MaxPayloadBytes is how much a Share carries, in bytes.
+	MaxPayloadBytes = room
 
 	recordRumour = 1
 	recordFact   = 2
@@ -112,13 +112,13 @@
 const mostPeers = 1 << 16
 
 var (
-	errForm = errors.New("a datagram that is none of ours")
-	// ErrVersion is a datagram of a form that this version can't read.
-	ErrVersion = errors.New("a datagram of another form")
+	errMalformed = errors.New("a datagram that is none of ours")
+	// ErrUnsupportedFormat is a datagram of a form that this version can't read.
+	ErrUnsupportedFormat = errors.New("a datagram of another form")
 )
 
-// RoomFor is how many rumours and facts fit a datagram beside so many rumours.
-func RoomFor(rumours int) (moreRumours, facts int) {
+// recordCapacity is how many rumours and facts fit a datagram beside so many rumours.
+func recordCapacity(rumours int) (moreRumours, facts int) {
 	left := room - rumours*rumourSize
 	return max(0, left/rumourSize), max(0, left/factSize)
 }
@@ -145,16 +145,16 @@
 		b = binary.BigEndian.AppendUint64(b, m.challenge)
 		return binary.BigEndian.AppendUint64(b, m.proof)
 	}
-	if m.Kind == Share {
-		return append(b, m.Body...)
+	if m.Kind == Payload {
+		return append(b, m.Payload...)
 	}
-	for _, r := range m.Rumours {
+	for _, r := range m.Updates {
 		b = append(b, recordRumour, byte(r.State))
-		b = binary.BigEndian.AppendUint16(b, uint16(r.Subject))
+		b = binary.BigEndian.AppendUint16(b, uint16(r.Member))
 		b = binary.BigEndian.AppendUint32(b, r.Incarnation)
-		b = binary.BigEndian.AppendUint16(b, uint16(r.By))
+		b = binary.BigEndian.AppendUint16(b, uint16(r.Reporter))
 	}
-	for _, f := range m.Facts {
+	for _, f := range m.Observations {
 		b = append(b, recordFact, byte(f.Kind))
 		b = binary.BigEndian.AppendUint64(b, f.ID)
 		b = binary.BigEndian.AppendUint32(b, f.Value)
@@ -167,15 +167,15 @@
 // them counts, so that a later version may add kinds behind.
 func parse(b []byte) (m Message, s stamp, err error) {
 	if len(b) < headSize {
-		return m, s, fmt.Errorf("%w: %d bytes", errForm, len(b))
+		return m, s, fmt.Errorf("%w: %d bytes", errMalformed, len(b))
 	}
 	later := b[0]&0xf > revision
 	if b[0]>>4 != form || b[0]&0xf == 0 {
-		return m, s, fmt.Errorf("%w: form %d, revision %d", ErrVersion, b[0]>>4, b[0]&0xf)
+		return m, s, fmt.Errorf("%w: form %d, revision %d", ErrUnsupportedFormat, b[0]>>4, b[0]&0xf)
 	}
 	m.Kind, s.key = Kind(b[1]), b[2]
-	if m.Kind < Hello || m.Kind > Share && !later {
-		return m, s, fmt.Errorf("%w: kind %d", errForm, b[1])
+	if m.Kind < Hello || m.Kind > Payload && !later {
+		return m, s, fmt.Errorf("%w: kind %d", errMalformed, b[1])
 	}
 	m.From, m.To = int(binary.BigEndian.Uint16(b[3:])), int(binary.BigEndian.Uint16(b[5:]))
 	m.Incarnation = binary.BigEndian.Uint32(b[7:])
@@ -184,33 +184,33 @@
 	m.Target = int(binary.BigEndian.Uint16(b[35:]))
 	if b = b[headSize:]; m.Kind == Hello {
 		if len(b) != helloSize {
-			return m, s, fmt.Errorf("%w: a hello of %d bytes", errForm, len(b))
+			return m, s, fmt.Errorf("%w: a hello of %d bytes", errMalformed, len(b))
 		}
 		m.challenge, m.proof = binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])
 		return m, s, nil
 	}
 	switch {
-	case m.Kind == Share:
-		m.Body = b
+	case m.Kind == Payload:
+		m.Payload = b
 		return m, s, nil
-	case m.Kind > Share: // what it has is not known
+	case m.Kind > Payload: // what it has is not known
 		return m, s, nil
 	}
 	for len(b) > 0 {
 		switch {
 		case b[0] == recordRumour && len(b) >= rumourSize:
-			r := Rumour{State: State(b[1]), Subject: int(binary.BigEndian.Uint16(b[2:])), Incarnation: binary.BigEndian.Uint32(b[4:]),
-				By: int(binary.BigEndian.Uint16(b[8:]))}
+			r := MemberUpdate{State: State(b[1]), Member: int(binary.BigEndian.Uint16(b[2:])), Incarnation: binary.BigEndian.Uint32(b[4:]),
+				Reporter: int(binary.BigEndian.Uint16(b[8:]))}
 			if r.State < Alive || r.State > Left {
-				return m, s, fmt.Errorf("%w: state %d", errForm, b[1])
+				return m, s, fmt.Errorf("%w: state %d", errMalformed, b[1])
 			}
-			m.Rumours, b = append(m.Rumours, r), b[rumourSize:]
+			m.Updates, b = append(m.Updates, r), b[rumourSize:]
 		case b[0] == recordFact && len(b) >= factSize:
-			m.Facts = append(m.Facts, Fact{Kind: FactKind(b[1]), ID: binary.BigEndian.Uint64(b[2:]), Value: binary.BigEndian.Uint32(b[10:]),
+			m.Observations = append(m.Observations, Observation{Kind: ObservationKind(b[1]), ID: binary.BigEndian.Uint64(b[2:]), Value: binary.BigEndian.Uint32(b[10:]),
 				Age: time.Duration(binary.BigEndian.Uint16(b[14:])) * 100 * time.Millisecond})
 			b = b[factSize:]
 		case b[0] == recordRumour || b[0] == recordFact:
-			return m, s, fmt.Errorf("%w: a record is cut", errForm)
+			return m, s, fmt.Errorf("%w: a record is cut", errMalformed)
 		default:
 			return m, s, nil
 		}
--- a/internal/fleet/gossip/node.go
+++ b/internal/fleet/gossip/node.go
@@ -18,25 +18,25 @@
 	"appleledge/internal/besteffort"
 )
 
-// Host is who a Node tells what it hears.
-type Host interface {
-	// Hear takes a fact that another agent has told. It must not block for long.
-	Hear(from int, f Fact)
-	// Share takes what another agent's other parts tell. It must not block for long.
-	Share(from int, body []byte)
-	// Lives takes which agents live now, whenever that has changed.
-	Lives(alive []bool)
+// Handler is who a Node tells what it hears.
+type Handler interface {
+	// HandleGossip takes a fact that another agent has told. It must not block for long.
+	HandleGossip(from int, f Observation)
+	// HandleOverloadReport takes what another agent's other parts tell. It must not block for long.
+	HandleOverloadReport(from int, body []byte)
+	// HandleLiveness takes which agents live now, whenever that has changed.
+	HandleLiveness(alive []bool)
 }
 
 // NodeOptions are what a Node goes by.
 type NodeOptions struct {
-	Self    int
-	Members []netip.AddrPort // of all agents, in the order of their numbers
-	Keys    Keys
-	Period  time.Duration
-	Now     func() time.Duration // of the agent's clock
-	Stays   func() bool          // another process of the agent goes on, so that no farewell is said; nil: none does
-	Log     *slog.Logger
+	Self          int
+	Members       []netip.AddrPort // of all agents, in the order of their numbers
+	Keys          Keys
+	ProbeInterval time.Duration
+	Now           func() time.Duration // of the agent's clock
+	HasSuccessor  func() bool          // another process of the agent goes on, so that no farewell is said; nil: none does
+	Log           *slog.Logger
 }
 
 const (
@@ -51,7 +51,7 @@
 	set    NodeOptions
 	listen string
 	index  map[netip.AddrPort]int
-	tell   chan Fact
+	tell   chan Observation
 	share  chan sharing
 	keys   chan Keys
 
@@ -67,7 +67,7 @@
 	Counts    Counts
 	Sent      uint64 // datagrams
 	SentBytes uint64
-	Taken     uint64
+	Received  uint64
 	Dropped   map[string]uint64 // by why
 }
 
@@ -76,7 +76,7 @@
 	if o.Self < 0 || o.Self >= len(o.Members) || len(o.Members) > mostPeers {
 		return nil, fmt.Errorf("agent %d is none of the %d members", o.Self, len(o.Members))
 	}
-	n := &Node{set: o, listen: listen, index: map[netip.AddrPort]int{}, tell: make(chan Fact, queueMost), share: make(chan sharing, 1), keys: make(chan Keys, 1)}
+	n := &Node{set: o, listen: listen, index: map[netip.AddrPort]int{}, tell: make(chan Observation, queueMost), share: make(chan sharing, 1), keys: make(chan Keys, 1)}
 	for i, m := range o.Members {
 		if other, twice := n.index[m]; twice {
 			return nil, fmt.Errorf("the members %d and %d have one address, %v", other, i, m)
@@ -93,8 +93,8 @@
 // Agents is how many there are, this one among them.
 func (n *Node) Agents() int { return len(n.set.Members) }
 
-// Tell lets a fact be told to the others; where too many wait it is lost, as word may be.
-func (n *Node) Tell(f Fact) {
+// Broadcast lets a fact be told to the others; where too many wait it is lost, as word may be.
+func (n *Node) Broadcast(f Observation) {
 	select {
 	case n.tell <- f:
 	default:
@@ -107,8 +107,8 @@
 	to   int
 }
 
-// Share lets a body be told to so many others, drawn from those that live; where one waits already it is lost, as word may be.
-func (n *Node) Share(body []byte, to int) {
+// HandleOverloadReport lets a body be told to so many others, drawn from those that live; where one waits already it is lost, as word may be.
+func (n *Node) SendPayload(body []byte, to int) {
 	select {
 	case n.share <- sharing{body, to}:
 	default:
@@ -124,8 +124,8 @@
 	n.keys <- k
 }
 
-// Rekey reads the keys again and puts them in force. An error changes nothing.
-func (n *Node) Rekey(path string) error {
+// ReloadKeys reads the keys again and puts them in force. An error changes nothing.
+func (n *Node) ReloadKeys(path string) error {
 	keys, err := ReadKeys(path)
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 
 // Run takes part until the context ends, and says farewell then. Where another process of the agent has the address it waits until
 // that ends: two processes are one agent, and one of them speaks.
-func (n *Node) Run(ctx context.Context, host Host) {
+func (n *Node) Run(ctx context.Context, host Handler) {
 	var socket *net.UDPConn
 	for waited := false; ; {
 		at, err := net.ResolveUDPAddr("udp4", n.listen)
@@ -187,7 +187,7 @@
 
 // read reads until the socket is closed. What finds no room is lost, as datagrams may be.
 func read(socket *net.UDPConn, to chan<- datagram) {
-	buffer := make([]byte, Most+1)
+	buffer := make([]byte, MaxDatagramBytes+1)
 	for {
 		size, from, err := socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -203,9 +203,9 @@
 	}
 }
 
-func (n *Node) loop(ctx context.Context, socket *net.UDPConn, came <-chan datagram, host Host) {
+func (n *Node) loop(ctx context.Context, socket *net.UDPConn, came <-chan datagram, host Handler) {
 	now := n.set.Now
-	core := New(Options{Self: n.set.Self, Agents: len(n.set.Members), Period: n.set.Period, Seed: random()})
+	core := New(Options{Self: n.set.Self, Agents: len(n.set.Members), ProbeInterval: n.set.ProbeInterval, Seed: random()})
 	link := NewLink(n.set.Self, len(n.set.Members), n.set.Keys, random)
 	var total bucket
 	var logged time.Duration
@@ -217,7 +217,7 @@
 			n.note(func(s *Status) { s.Sent++; s.SentBytes += uint64(len(text)) })
 		}
 	}
-	send := func(out []Out) {
+	send := func(out []Message) {
 		for _, m := range out {
 			write(m.To, link.Seal(m))
 		}
@@ -229,9 +229,9 @@
 			n.set.Log.Warn("datagrams are dropped; further ones are not logged for a while", "why", why, "from", from, "error", err)
 		}
 	}
-	core.Begin(now())
-	for _, i := range core.First() {
-		send(core.Greet(now(), i))
+	core.Start(now())
+	for _, i := range core.Seeds() {
+		send(core.Ping(now(), i))
 	}
 	n.note(func(s *Status) { s.Listening = true })
 	alive := make([]bool, len(n.set.Members))
@@ -240,16 +240,16 @@
 	for {
 		select {
 		case <-ctx.Done():
-			if n.set.Stays == nil || !n.set.Stays() {
+			if n.set.HasSuccessor == nil || !n.set.HasSuccessor() {
 				send(core.Leave(now()))
 			}
 			return
 		case k := <-n.keys:
 			link.SetKeys(k)
 		case f := <-n.tell:
-			core.Tell(now(), f)
+			core.Broadcast(now(), f)
 		case s := <-n.share:
-			send(core.Share(now(), s.body, s.to))
+			send(core.SendPayload(now(), s.body, s.to))
 		case d := <-came:
 			from, known := n.index[d.from]
 			switch {
@@ -265,29 +265,29 @@
 					n.note(func(s *Status) { s.Dropped["not of now"]++ })
 				case errors.Is(err, ErrForged):
 					drop("forged", d.from, err)
-				case errors.Is(err, ErrVersion):
+				case errors.Is(err, ErrUnsupportedFormat):
 					drop("of another form", d.from, err)
-				case errors.Is(err, ErrFlood):
+				case errors.Is(err, ErrRateLimited):
 					drop("too many of one", d.from, err)
 				case err != nil:
 					drop("not understood", d.from, err)
-				case m.Met:
-					send(core.Greet(now(), from))
+				case m.IsNewSession:
+					send(core.Ping(now(), from))
 				case m.Kind != Hello:
-					n.note(func(s *Status) { s.Taken++ })
+					n.note(func(s *Status) { s.Received++ })
 					send(core.Receive(now(), m))
-					if m.Kind == Share {
-						host.Share(from, m.Body)
+					if m.Kind == Payload {
+						host.HandleOverloadReport(from, m.Payload)
 					}
 				}
 			}
 		case <-timer.C:
 		}
-		if at := now(); core.Due() <= at {
+		if at := now(); core.NextTimer() <= at {
 			send(core.Tick(at))
 		}
-		for _, h := range core.Heard() {
-			host.Hear(h.From, h.Fact)
+		for _, h := range core.TakeObservations() {
+			host.HandleGossip(h.From, h.Observation)
 		}
 		changed := false
 		for i := range alive {
@@ -296,15 +296,15 @@
 			}
 		}
 		n.note(func(s *Status) {
-			s.Alive, s.Counts = core.Alive(), core.Counts()
+			s.Alive, s.Counts = core.AliveCount(), core.Counts()
 			for i := range s.States {
 				s.States[i] = core.State(i)
 			}
 		})
 		if changed {
-			host.Lives(append([]bool(nil), alive...))
+			host.HandleLiveness(append([]bool(nil), alive...))
 		}
-		timer.Reset(max(core.Due()-now(), time.Millisecond))
+		timer.Reset(max(core.NextTimer()-now(), time.Millisecond))
 	}
 }
 
--- a/internal/fleet/gossip/node_test.go
+++ b/internal/fleet/gossip/node_test.go
@@ -23,7 +23,7 @@
 	alive int
 }
 
-func (l *listener) Hear(_ int, f Fact) {
+func (l *listener) HandleGossip(_ int, f Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, heard := l.facts[f.ID]; !heard {
@@ -31,9 +31,9 @@
 	}
 }
 
-func (l *listener) Share(int, []byte) {}
+func (l *listener) HandleOverloadReport(int, []byte) {}
 
-func (l *listener) Lives(alive []bool) {
+func (l *listener) HandleLiveness(alive []bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.alive = 0
@@ -85,7 +85,7 @@
 	}
 	epoch := time.Now().Add(-time.Second)
 	start := func(i int) (*Node, *listener, func()) {
-		n, err := NewNode(at[i].String(), NodeOptions{Self: i, Members: at, Keys: only(keyOne), Period: 200 * time.Millisecond,
+		n, err := NewNode(at[i].String(), NodeOptions{Self: i, Members: at, Keys: only(keyOne), ProbeInterval: 200 * time.Millisecond,
 			Now: func() time.Duration { return time.Since(epoch) }, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
@@ -107,7 +107,7 @@
 	for _, l := range hears {
 		eventually(t, "all live", l.lives(agents))
 	}
-	nodes[1].Tell(Fact{Kind: 1, ID: 7})
+	nodes[1].Broadcast(Observation{Kind: 1, ID: 7})
 	for i, l := range hears {
 		if i != 1 {
 			eventually(t, "the fact is heard", l.heard(7))
@@ -125,7 +125,7 @@
 		t.Logf("heard after %v", took)
 	}
 	eventually(t, "all live again", fresh.lives(agents))
-	if st := nodes[2].Status(); st.Alive != agents || st.Sent == 0 || st.Taken == 0 {
+	if st := nodes[2].Status(); st.Alive != agents || st.Sent == 0 || st.Received == 0 {
 		t.Errorf("%+v", st)
 	}
 }
--- a/internal/fleet/snapshot/golden_test.go
+++ b/internal/fleet/snapshot/golden_test.go
@@ -15,24 +15,24 @@
 )
 
 // full is a document in which each field has a value of its own.
-func full() Document {
+func fullDocument() Document {
 	return Document{
-		Form: 1, Agent: "n0 127.0.0.1:8081", Run: "5f1c3a52-6c1e-4c0f-9d55-0123456789ab", SinceBoot: 61_000, Writes: 7, Version: 41, Use: 0.51,
+		FormatVersion: 1, Agent: "n0 127.0.0.1:8081", BootID: "5f1c3a52-6c1e-4c0f-9d55-0123456789ab", SinceBoot: 61_000, PreviousWrites: 7, ListVersion: 41, Utilization: 0.51,
 		Servers: []listing.Entry{
 			{ID: "s-1", Addr: "127.0.0.1:9001", Zone: "zone-a", Kind: "twin-core", Cell: 2, State: "Ready", Weight: 1.25, StartedMS: 1_790_000_000_001},
 			{ID: "s-2", Addr: "127.0.0.1:9002", Zone: "zone-b", Kind: "quad-core", Cell: 3, State: "Terminating", Weight: 2.5, StartedMS: 1_790_000_000_002},
 		},
-		Capacity: map[string]float64{"s-1": 45, "s-2": 46.5},
-		Usual:    map[string]float64{"form-check": 40, "refund-record": 0.75},
-		Bans:     denylist.State{Out: map[string]int64{"s-3": 1_790_000_000_003}, Back: map[string]int64{"s-1": 1_790_000_000_004}, Seen: []string{"s-1", "s-2", "s-3"}},
+		Capacity:   map[string]float64{"s-1": 45, "s-2": 46.5},
+		ClassRates: map[string]float64{"form-check": 40, "refund-record": 0.75},
+		Denylist:   denylist.State{Out: map[string]int64{"s-3": 1_790_000_000_003}, Back: map[string]int64{"s-1": 1_790_000_000_004}, Seen: []string{"s-1", "s-2", "s-3"}},
 	}
 }
 
 // The whole file, with the store's first line.
 func TestGoldenFile(t *testing.T) {
-	written := full()
-	written.Form = 0 // which is set as it is kept
-	text, err := written.Text()
+	written := fullDocument()
+	written.FormatVersion = 0 // which is set as it is kept
+	text, err := written.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,29 +53,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := Parse(text)
-	if err != nil || !reflect.DeepEqual(read, full()) {
+	read, err := Decode(text)
+	if err != nil || !reflect.DeepEqual(read, fullDocument()) {
 		t.Fatalf("the committed document reads as %+v, %v", read, err)
 	}
-	if trust, why := read.Judge(Now{Agent: read.Agent, Run: read.Run, SinceBoot: 62 * time.Second}); trust != Complete || why != "it was written 1s ago" {
+	if trust, why := read.Assess(Reader{Agent: read.Agent, BootID: read.BootID, SinceBoot: 62 * time.Second}); trust != TrustEverything || why != "it was written 1s ago" {
 		t.Errorf("it is trusted %v: %s", trust, why)
 	}
 	want := recovery.Before{Use: 0.51, Usual: []float64{0.75, 40}, Servers: []recovery.BeforeServer{
 		{ID: "s-1", Cell: 2, Ready: true, Capacity: 45}, {ID: "s-2", Cell: 3, Capacity: 46.5}}}
-	if got := read.Before([]string{"refund-record", "form-check"}); !reflect.DeepEqual(got, want) {
+	if got := read.RecoveryBaseline([]string{"refund-record", "form-check"}); !reflect.DeepEqual(got, want) {
 		t.Errorf("a recovery goes by %+v", got)
 	}
 }
 
 // The least document: what may be left out is not written.
 func TestGoldenLeastDocument(t *testing.T) {
-	least := Document{Form: 1, Agent: "n1", Run: "run"}
-	text, err := least.Text()
+	least := Document{FormatVersion: 1, Agent: "n1", BootID: "run"}
+	text, err := least.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "kept/least.json", text)
-	if read, err := Parse(golden.Read(t, "kept/least.json")); err != nil || !reflect.DeepEqual(read, least) {
+	if read, err := Decode(golden.Read(t, "kept/least.json")); err != nil || !reflect.DeepEqual(read, least) {
 		t.Errorf("the committed document reads as %+v, %v", read, err)
 	}
 }
@@ -83,7 +83,7 @@
 // What the log says of trust.
 func TestGoldenTrust(t *testing.T) {
 	got := ""
-	for trust := None; trust <= Complete; trust++ {
+	for trust := TrustNothing; trust <= TrustEverything; trust++ {
 		got += trust.String() + "\n"
 	}
 	golden.Equal(t, "kept/trust", []byte(got))
--- /dev/null
+++ b/internal/fleet/snapshot/snapshot_test.go
@@ -0,0 +1,106 @@
+package snapshot
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"appleledge/internal/membership/listing"
+)
+
+func sampleDocument() Document {
+	return Document{Agent: "n0 127.0.0.1:8081", BootID: "run-1", SinceBoot: 60_000, PreviousWrites: 7, ListVersion: 41, Utilization: 0.5,
+		Servers: []listing.Entry{{ID: "s-1", Addr: "127.0.0.1:9001", State: "Ready", Weight: 1, StartedMS: 1_790_000_000_000},
+			{ID: "s-2", Addr: "127.0.0.1:9002", Cell: 1, State: "Terminating", Weight: 1}},
+		Capacity: map[string]float64{"s-1": 45}, ClassRates: map[string]float64{"form-check": 40, "gone-class": 1}}
+}
+
+// What is kept is trusted by who wrote it in which run of the machine, never by a wall clock.
+func TestTrustDependsOnWriterAndBoot(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		now  Reader
+		want Trust
+		why  string
+	}{
+		{"a process that ended", Reader{"n0 127.0.0.1:8081", "run-1", 90 * time.Second}, TrustEverything, "30s ago"},
+		{"a machine that lost power", Reader{"n0 127.0.0.1:8081", "run-2", 2 * time.Second}, TrustNames, "started anew"},
+		{"last week's state, from a backup", Reader{"n0 127.0.0.1:8081", "run-9", 9 * time.Hour}, TrustNames, "started anew"},
+		{"a run that cannot be told", Reader{"n0 127.0.0.1:8081", "", 90 * time.Second}, TrustNames, "not known"},
+		{"a state from later in the same run", Reader{"n0 127.0.0.1:8081", "run-1", 30 * time.Second}, TrustNames, "later"},
+		{"a folder of another agent", Reader{"n1 127.0.0.1:8081", "run-1", 90 * time.Second}, TrustNothing, "of the agent"},
+	} {
+		d := sampleDocument()
+		got, why := d.Assess(c.now)
+		if got != c.want || !strings.Contains(why, c.why) {
+			t.Errorf("%s: %v, %q", c.name, got, why)
+		}
+		l, b := d.EndpointList(got), d.RecoveryBaseline([]string{"form-check", "refund-record"})
+		switch got {
+		case TrustNothing:
+			if len(l.Servers) != 0 {
+				t.Errorf("%s: %v", c.name, l)
+			}
+			continue
+		case TrustNames:
+			if l.Servers[0].StartedMS != 0 {
+				t.Errorf("%s: a start is believed", c.name)
+			}
+		case TrustEverything:
+			if l.Servers[0].StartedMS != 1_790_000_000_000 {
+				t.Errorf("%s: a start is lost", c.name)
+			}
+		}
+		if len(l.Servers) != 2 || l.Servers[1].State != "Terminating" || !l.Full || b.Usual[0] != 40 || b.Usual[1] != 0 ||
+			!b.Servers[0].Ready || b.Servers[1].Ready || b.Servers[0].Capacity != 45 || d.Servers[0].StartedMS == 0 {
+			t.Errorf("%s: %+v %+v", c.name, l, b)
+		}
+	}
+}
+
+func TestValidateRejectsBadDocument(t *testing.T) {
+	for name, change := range map[string]func(*Document){
+		"form":       func(d *Document) { d.FormatVersion = 2 },
+		"run":        func(d *Document) { d.BootID = "" },
+		"since_boot": func(d *Document) { d.SinceBoot = -1 },
+		"use":        func(d *Document) { d.Utilization = 1.5 },
+		"rate":       func(d *Document) { d.ClassRates["form-check"] = -1 },
+		"id":         func(d *Document) { d.Servers[0].ID = "" },
+		"addr":       func(d *Document) { d.Servers[0].Addr = strings.Repeat("x", 600) },
+	} {
+		d := sampleDocument()
+		d.FormatVersion = formatVersion
+		if change(&d); d.validate() == nil {
+			t.Errorf("a wrong %s passes", name)
+		}
+	}
+}
+
+// Whatever is on the disk, what is read of it is within bounds and reads the same when it is kept again.
+func FuzzDecode(f *testing.F) {
+	text, err := sampleDocument().Encode()
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(text)
+	f.Add([]byte(`{"form":1,"agent":"a","run":"r","use":1e999}`))
+	f.Add([]byte(`{"form":1,"agent":"a","run":"r","servers":[{"id":1}],"usual":{"a":null}}`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		d, err := Decode(text)
+		if err != nil {
+			return
+		}
+		for _, now := range []Reader{{d.Agent, d.BootID, time.Hour}, {d.Agent, "another", 0}} {
+			trust, _ := d.Assess(now)
+			d.EndpointList(trust)
+			d.RecoveryBaseline([]string{"form-check"})
+		}
+		again, err := d.Encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if e, err := Decode(again); err != nil || !e.HasSameContent(d) || !d.HasSameContent(e) {
+			t.Errorf("%v: %s became %s", err, text, again)
+		}
+	})
+}
--- a/internal/harness/cluster/network.go
+++ b/internal/harness/cluster/network.go
@@ -149,7 +149,7 @@
 // otherVersion is a message as another version of the program would send it.
 func otherVersion(text []byte, version byte) []byte {
 	const hello, unknown, size = 1, 99, 3
-	if text[0] = version; text[1] != hello && len(text)+size <= gossip.Most-16 {
+	if text[0] = version; text[1] != hello && len(text)+size <= gossip.MaxDatagramBytes-16 {
 		text = append(text, unknown, 1, 2)
 	}
 	return text
--- a/internal/scenario/comeback.go
+++ b/internal/scenario/comeback.go
@@ -25,14 +25,14 @@
 	w, life := a.w, a.life
 	core := gossip.New(gossip.Options{Self: a.number, Agents: w.script.Fleet.Agents, Seed: uint64(a.number*1000 + life)})
 	a.others = core
-	a.engine.Heed(func() bool { return a.heard }, func(f gossip.Fact) { core.Tell(w.now, f) })
-	core.Begin(w.now)
+	a.engine.Heed(func() bool { return a.heard }, func(f gossip.Observation) { core.Broadcast(w.now, f) })
+	core.Start(w.now)
 	a.look(core, time.Duration(1<<62))
 }
 
 // look plans the next look of an agent at the others, if that is before what is planned already.
 func (a *simAgent) look(core *gossip.Core, planned time.Duration) {
-	w, due := a.w, core.Due()
+	w, due := a.w, core.NextTimer()
 	if due >= planned {
 		return
 	}
@@ -45,10 +45,10 @@
 }
 
 // pass carries messages to the others, and what was heard to the engine.
-func (a *simAgent) pass(core *gossip.Core, out []gossip.Out) {
+func (a *simAgent) pass(core *gossip.Core, out []gossip.Message) {
 	w := a.w
-	for _, h := range core.Heard() {
-		a.step(engine.Spoken(h.From, h.Fact))
+	for _, h := range core.TakeObservations() {
+		a.step(engine.Spoken(h.From, h.Observation))
 	}
 	if a.shares != nil {
 		a.lives(core)
@@ -62,8 +62,8 @@
 		}
 		w.after(w.way(), func() {
 			if to.life == life && to.up && to.others != nil {
-				if m.Kind == gossip.Share {
-					to.step(engine.Shared(m.From, m.Body))
+				if m.Kind == gossip.Payload {
+					to.step(engine.Shared(m.From, m.Payload))
 				}
 				to.pass(to.others, to.others.Receive(w.now, m))
 				to.look(to.others, w.now+time.Second)
--- a/internal/scenario/together.go
+++ b/internal/scenario/together.go
@@ -44,8 +44,8 @@
 		if a.life != life || !a.up {
 			return
 		}
-		if body, to := d.Tell(w.now, gossip.MostBody); body != nil {
-			a.pass(core, core.Share(w.now, body, to))
+		if body, to := d.Tell(w.now, gossip.MaxPayloadBytes); body != nil {
+			a.pass(core, core.SendPayload(w.now, body, to))
 		}
 		w.after(shareEvery, tell)
 	}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -34,7 +34,7 @@
 func goldenPeers() *gossip.Status {
 	return &gossip.Status{Listening: true, Alive: 2, States: []gossip.State{gossip.Unknown, gossip.Alive, gossip.Alive, gossip.Suspect, gossip.Suspect, gossip.Suspect,
 		gossip.Dead, gossip.Dead, gossip.Dead, gossip.Dead, gossip.Left, gossip.Left, gossip.Left, gossip.Left, gossip.Left},
-		Counts: gossip.Counts{Probes: 401, Unanswered: 402, Suspected: 403, Died: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Taken: 408,
+		Counts: gossip.Counts{Probes: 401, Unanswered: 402, Suspected: 403, DeclaredDead: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Received: 408,
 		Dropped: map[string]uint64{"forged": 409, "not of now": 410}}
 }
 
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -209,7 +209,7 @@
 	p.gauge("appleledge_peers_listening", "", bit(st.Listening))
 	p.count("appleledge_peer_datagrams_sent_total", "", st.Sent)
 	p.count("appleledge_peer_bytes_sent_total", "", st.SentBytes)
-	p.count("appleledge_peer_datagrams_taken_total", "", st.Taken)
+	p.count("appleledge_peer_datagrams_taken_total", "", st.Received)
 	for why, n := range st.Dropped {
 		p.count("appleledge_peer_datagrams_dropped_total", fmt.Sprintf("reason=%q", why), n)
 	}
