--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -221,7 +221,7 @@
 	if governed != nil {
 		parts.Go(func() { governed.run(ctx, core.Done(), log) })
 	}
-	var door recovery.Door
+	var door recovery.Admitter
 	if with.Storm != nil {
 		door = newStorm(cfg, *with.Storm)
 		core.Guard(door)
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -32,10 +32,10 @@
 	f := operator.Fleet{Agent: v.name}
 	load := v.core.Load()
 	if st := load.Recovery; st != nil && v.keep != nil {
-		r := operator.Recovery{Phase: st.Phase.String(), Why: st.Why, ForS: operator.Seconds(v.clock.Now() - st.Since), LetIn: rounded(st.Rate),
-			Warm: rounded(st.Warm), Servers: st.Servers, Answered: st.Heard, Trials: st.Counts.Trials, InVain: st.Counts.Vain,
+		r := operator.Recovery{Phase: st.Phase.String(), Why: st.Reason, ForS: operator.Seconds(v.clock.Now() - st.Since), LetIn: rounded(st.AdmissionRate),
+			Warm: rounded(st.WarmCapacityRatio), Servers: st.Servers, Answered: st.RespondingServers, Trials: st.Counts.Trials, InVain: st.Counts.FailedTrials,
 			Refused: map[string]uint64{}, Trusted: v.keep.trust.String(), Keeping: v.keep.standing()}
-		for class, n := range st.Counts.Refused {
+		for class, n := range st.Counts.Rejected {
 			if class < len(load.Tally.Classes) {
 				r.Refused[load.Tally.Classes[class]] = n
 			}
@@ -66,15 +66,15 @@
 }
 
 func overloadOf(st overload.Status, classes []string) *operator.Overload {
-	o := &operator.Overload{Trust: rounded(st.Trust), Limit: rounded(st.Limit), Capacity: rounded(st.Capacity), Use: rounded(st.Use),
-		Refused: rounded(st.Refused), Asked: rounded(st.Asked.All), LetIn: rounded(st.Asked.LetIn), Open: rounded(st.Asked.Open), Good: rounded(st.Asked.Good),
-		Late: rounded(st.Asked.Late), Further: rounded(st.Asked.Extra), HeardOf: st.Asked.Heard, Classes: map[string]operator.OverloadClass{}, HeldOut: st.Held,
-		Alone: st.Counts.Alone, TooLate: st.Counts.Late, Unsent: st.Counts.Unsent, Told: st.Counts.Told, Heard: st.Counts.Picture.Digests + st.Counts.Picture.Reports + st.Counts.Picture.Voices,
-		Bounded: st.Counts.Picture.Bounded, Malformed: st.Counts.Picture.Malformed}
-	for c, chance := range st.Chances {
+	o := &operator.Overload{Trust: rounded(st.Trust), Limit: rounded(st.Limit), Capacity: rounded(st.Capacity), Use: rounded(st.Utilization),
+		Refused: rounded(st.RejectedRatio), Asked: rounded(st.Demand.Requests), LetIn: rounded(st.Demand.Admitted), Open: rounded(st.Demand.InFlight), Good: rounded(st.Demand.ServedInTime),
+		Late: rounded(st.Demand.LateOrFailed), Further: rounded(st.Demand.ExtraAttempts), HeardOf: st.Demand.KnownAgents, Classes: map[string]operator.OverloadClass{}, HeldOut: st.Excluded,
+		Alone: st.Counts.DecidedLocally, TooLate: st.Counts.PastDeadline, Unsent: st.Counts.RejectedRetries, Told: st.Counts.PayloadsSent, Heard: st.Counts.View.Digests + st.Counts.View.Reports + st.Counts.View.Observations,
+		Bounded: st.Counts.View.Capped, Malformed: st.Counts.View.Malformed}
+	for c, chance := range st.AdmitProbabilities {
 		if c < len(classes) {
-			o.Classes[classes[c]] = operator.OverloadClass{Asked: rounded(st.Asked.First[c]), Again: rounded(st.Asked.Again[c]), Chance: rounded(chance),
-				Refused: st.Counts.Refused[c][0], RefusedAgain: st.Counts.Refused[c][1]}
+			o.Classes[classes[c]] = operator.OverloadClass{Asked: rounded(st.Demand.NewRequests[c]), Again: rounded(st.Demand.ClientRetries[c]), Chance: rounded(chance),
+				Refused: st.Counts.Rejected[c][0], RefusedAgain: st.Counts.Rejected[c][1]}
 		}
 	}
 	return o
--- a/internal/agent/golden_fleet_test.go
+++ b/internal/agent/golden_fleet_test.go
@@ -13,12 +13,12 @@
 
 // What is held of overload is shown to operators as it was, each figure in its place.
 func TestGoldenOverloadView(t *testing.T) {
-	st := overload.Status{Trust: 0.11, Limit: 120, Capacity: 130, Use: 0.14, Gain: 1.5, Chances: []float64{0.16, 0.17}, Refused: 0.18,
-		Asked: overload.Asked{First: []float64{19, 20}, Again: []float64{21, 22}, Tenants: []float64{23}, All: 24, LetIn: 25, Open: 26, Extra: 27, Good: 28, Late: 29,
-			Heard: 30, Alive: 31},
-		Held: []string{"s-32", "s-33"},
-		Counts: overload.Counts{Refused: [][2]uint64{{34, 35}, {36, 37}}, Alone: 38, Late: 39, Unsent: 40, Told: 41,
-			Picture: overload.PictureCounts{Digests: 1000, Reports: 200, Voices: 30, Bounded: 42, Malformed: 43}}}
+	st := overload.Status{Trust: 0.11, Limit: 120, Capacity: 130, Utilization: 0.14, Gain: 1.5, AdmitProbabilities: []float64{0.16, 0.17}, RejectedRatio: 0.18,
+		Demand: overload.Demand{NewRequests: []float64{19, 20}, ClientRetries: []float64{21, 22}, Tenants: []float64{23}, Requests: 24, Admitted: 25, InFlight: 26, ExtraAttempts: 27, ServedInTime: 28, LateOrFailed: 29,
+			KnownAgents: 30, AliveAgents: 31},
+		Excluded: []string{"s-32", "s-33"},
+		Counts: overload.Counts{Rejected: [][2]uint64{{34, 35}, {36, 37}}, DecidedLocally: 38, PastDeadline: 39, RejectedRetries: 40, PayloadsSent: 41,
+			View: overload.ViewCounts{Digests: 1000, Reports: 200, Observations: 30, Capped: 42, Malformed: 43}}}
 	data, err := json.Marshal(overloadOf(st, []string{"form-check", "refund-record"}))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -82,15 +82,15 @@
 	core.Count(site.Logic.Classes)
 	var classes []recovery.Class
 	for _, c := range site.Logic.Classes {
-		classes = append(classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		classes = append(classes, recovery.Class{Name: c.Name, Priority: c.Worth, LatencyObjective: c.Aim, IsIdempotent: c.Effect == balancer.Safe})
 	}
-	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdFrom: 0.32, ColdFor: 8 * time.Second, Overload: 3, MaxAfter: time.Second}, nil)
-	before := recovery.Before{Usual: []float64{40, 20, 10}, Use: 0.5}
+	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdCapacityRatio: 0.32, WarmupTime: 8 * time.Second, ColdOverloadFactor: 3, MaxRetryAfter: time.Second}, nil)
+	before := recovery.Baseline{ClassRates: []float64{40, 20, 10}, Utilization: 0.5}
 	for i := range 3 {
-		before.Servers = append(before.Servers, recovery.BeforeServer{ID: fmt.Sprint("s-", i), Cell: i, Ready: true, Capacity: 45})
+		before.Servers = append(before.Servers, recovery.BaselineServer{ID: fmt.Sprint("s-", i), Cell: i, Ready: true, Capacity: 45})
 	}
-	r.Begin(18*time.Second, before, "power")
-	r.Outcome(19*time.Second, "s-1", true, false, 20, 0.8)
+	r.Start(18*time.Second, before, "power")
+	r.ObserveAttempt(19*time.Second, "s-1", true, false, 20, 0.8)
 	core.Return(r, func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -23,7 +23,7 @@
 // sharing is the agent's part of what the fleet decides on overload.
 type sharing struct {
 	set  Overload
-	door *overload.Door
+	door *overload.AdmissionController
 	core *engine.Engine
 	log  *slog.Logger
 }
@@ -37,7 +37,7 @@
 	site := cfg.Site.Logic
 	alone := newStorm(cfg, Storm{Remember: x.Overload.Remember})
 	s := &sharing{set: *x.Overload, core: core, log: log, door: overload.New(overload.Options{Self: site.Me, Agents: site.Balancers,
-		Classes: stormClasses(site.Classes), Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
+		Classes: stormClasses(site.Classes), TenantQuotas: site.Shares, MaxRetryAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
 	core.Guard(s.door)
 	return s
 }
@@ -47,7 +47,7 @@
 	if others == nil {
 		return errors.New("overload: the agent knows of no others")
 	}
-	s.door.Among(others.Self(), others.Agents())
+	s.door.SetFleetPosition(others.Self(), others.Agents())
 	s.core.ShareBy(s.door)
 	return nil
 }
@@ -57,7 +57,7 @@
 	every(ctx, shareLook, func() {
 		var body []byte
 		var to int
-		if err := s.core.Sharing(ctx, func(now time.Duration) { body, to = s.door.Tell(now, gossip.MaxPayloadBytes) }); err == nil && body != nil {
+		if err := s.core.Sharing(ctx, func(now time.Duration) { body, to = s.door.NextPayload(now, gossip.MaxPayloadBytes) }); err == nil && body != nil {
 			others.SendPayload(body, to)
 		}
 	})
@@ -89,7 +89,7 @@
 		if err != nil {
 			return
 		}
-		is, now := st.Refused > 0, clk.Now()
+		is, now := st.RejectedRatio > 0, clk.Now()
 		if is == refused && !(is && now-logged >= s.set.LogEvery) {
 			return
 		}
@@ -97,10 +97,10 @@
 			return
 		}
 		refused, logged = is, now
-		s.log.Info("overload", "refused_part", rounded(st.Refused), "limit", rounded(st.Limit), "capacity", rounded(st.Capacity), "use", rounded(st.Use),
-			"asked", rounded(st.Asked.All), "let_in", rounded(st.Asked.LetIn), "heard_of", st.Asked.Heard, "alive", st.Asked.Alive, "trust", rounded(st.Trust),
-			"held_out", st.Held)
+		s.log.Info("overload", "refused_part", rounded(st.RejectedRatio), "limit", rounded(st.Limit), "capacity", rounded(st.Capacity), "use", rounded(st.Utilization),
+			"asked", rounded(st.Demand.Requests), "let_in", rounded(st.Demand.Admitted), "heard_of", st.Demand.KnownAgents, "alive", st.Demand.AliveAgents, "trust", rounded(st.Trust),
+			"held_out", st.Excluded)
 	})
 }
 
-var _ engine.Sharer = (*overload.Door)(nil)
+var _ engine.Sharer = (*overload.AdmissionController)(nil)
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -161,23 +161,23 @@
 }
 
 // attach puts the recovery at the engine's door, before it runs.
-func (k *keeping) attach(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Door, heard func() bool, askFor time.Duration) {
+func (k *keeping) attach(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Admitter, heard func() bool, askFor time.Duration) {
 	k.core = core
 	site := cfg.Site.Logic
-	o := recovery.Options{Agents: site.Balancers, Self: site.Me, ColdFrom: site.ColdFrom, ColdFor: site.ColdFor, Overload: site.Overload,
-		MaxAfter: site.MaxRetryAfter, AskFor: askFor, Seed: cfg.Seed}
+	o := recovery.Options{Agents: site.Balancers, Self: site.Me, ColdCapacityRatio: site.ColdFrom, WarmupTime: site.ColdFor, ColdOverloadFactor: site.Overload,
+		MaxRetryAfter: site.MaxRetryAfter, PeerPollTime: askFor, Seed: cfg.Seed}
 	for _, c := range site.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Worth, LatencyObjective: c.Aim, IsIdempotent: c.Effect == balancer.Safe})
 	}
 	r := recovery.New(o, behind)
 	before := k.before.RecoveryBaseline(k.classes(site.Classes))
 	switch k.trust {
 	case ondisk.TrustNames:
-		r.Begin(clk.Now(), before, "the machine has started anew")
+		r.Start(clk.Now(), before, "the machine has started anew")
 	case ondisk.TrustEverything: // the servers have run on, as the machine has
 		r.Resume(before)
 	default:
-		r.Begin(clk.Now(), recovery.Before{}, "nothing is known from before")
+		r.Start(clk.Now(), recovery.Baseline{}, "nothing is known from before")
 	}
 	core.Return(r, heard, func() {
 		select {
@@ -287,7 +287,7 @@
 		return d, false, err
 	}
 	d = ondisk.Document{Agent: now.Agent, BootID: now.BootID, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
-		ClassRates: map[string]float64{}, Utilization: rounded(known.Before.Use), Denylist: known.Bans}
+		ClassRates: map[string]float64{}, Utilization: rounded(known.Before.Utilization), Denylist: known.Bans}
 	for _, m := range known.Members {
 		d.Servers = append(d.Servers, k.reader.Entry(m))
 	}
@@ -297,7 +297,7 @@
 		}
 	}
 	names := k.core.Tally().Classes
-	for class, rate := range known.Before.Usual {
+	for class, rate := range known.Before.ClassRates {
 		if class < len(names) && rate > 0 {
 			d.ClassRates[names[class]] = rounded(rate)
 		}
@@ -329,10 +329,10 @@
 			return
 		}
 		now := clk.Now()
-		if st.Phase != last.Phase || st.Phase != recovery.Full && now-logged >= k.set.LogEvery {
+		if st.Phase != last.Phase || st.Phase != recovery.FullService && now-logged >= k.set.LogEvery {
 			logged = now
-			k.log.Info("recovery", "phase", st.Phase.String(), "why", st.Why, "let_in", rounded(st.Rate), "warm", rounded(st.Warm),
-				"servers", st.Servers, "answered", st.Heard, "trials", st.Counts.Trials, "in_vain", st.Counts.Vain)
+			k.log.Info("recovery", "phase", st.Phase.String(), "why", st.Reason, "let_in", rounded(st.AdmissionRate), "warm", rounded(st.WarmCapacityRatio),
+				"servers", st.Servers, "answered", st.RespondingServers, "trials", st.Counts.Trials, "in_vain", st.Counts.FailedTrials)
 		}
 		last = *st
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -487,14 +487,14 @@
 		e.hear(ev)
 	case living:
 		if e.returning != nil {
-			e.returning.Lives(ev.alive)
+			e.returning.SetLiveAgents(ev.alive)
 		}
 		if s := e.sharer(); s != nil {
-			s.Lives(ev.alive)
+			s.HandleLiveness(ev.alive)
 		}
 	case shared:
 		if s := e.sharer(); s != nil {
-			besteffort.Ignore(s.Take(e.clock.Now(), ev.from, ev.body)) // what can't be read is counted there
+			besteffort.Ignore(s.HandlePayload(e.clock.Now(), ev.from, ev.body)) // what can't be read is counted there
 		}
 	}
 }
@@ -619,7 +619,7 @@
 		e.returned(o)
 	}
 	if s := e.sharer(); s != nil && !a.Barred {
-		s.Ended(e.clock.Now(), a.Server, o.Result, o.Report)
+		s.AttemptEnded(e.clock.Now(), a.Server, o.Result, o.Report)
 	}
 	served := o.Result == balancer.OK
 	if o.Elsewhere {
@@ -727,8 +727,8 @@
 		e.returning.repeats(c, a, before)
 	}
 	if s := e.sharer(); s != nil {
-		if a.Barred = a.Barred || a.Number > 0 && !s.MayRetry(a.Sent); !a.Barred {
-			s.Sent(a.Sent, act.Server, a.Number > 0)
+		if a.Barred = a.Barred || a.Number > 0 && !s.AllowsRetry(a.Sent); !a.Barred {
+			s.AttemptSent(a.Sent, act.Server, a.Number > 0)
 		}
 	}
 	a.Life, a.tally, a.tell = e.fleet.Life(act.Server), e.tally, e.Tell
--- a/internal/engine/returning.go
+++ b/internal/engine/returning.go
@@ -14,7 +14,7 @@
 // returning is what the engine keeps for a recovery: the list as it was told, since starts that the recovery sees otherwise lie over
 // it.
 type returning struct {
-	*recovery.Recovery
+	*recovery.Controller
 	heard func() bool // the list is of now, and not from before
 	moved func()      // is told of what has to be kept at once; never nil
 	told  map[string]Member
@@ -47,8 +47,8 @@
 
 // Return puts a recovery at the door. heard says whether the list has been confirmed since the start; moved is called on the engine's
 // goroutine when the list tells of another server, or of one that drains or is gone. It is called before Run, and in place of Guard.
-func (e *Engine) Return(r *recovery.Recovery, heard func() bool, moved func()) {
-	e.returning = &returning{Recovery: r, heard: heard, moved: moved, told: map[string]Member{}}
+func (e *Engine) Return(r *recovery.Controller, heard func() bool, moved func()) {
+	e.returning = &returning{Controller: r, heard: heard, moved: moved, told: map[string]Member{}}
 	e.Guard(r)
 }
 
@@ -61,7 +61,7 @@
 // Known is what an agent has to remember over a loss of power.
 type Known struct {
 	Members []Member // as the list has them, by id
-	Before  recovery.Before
+	Before  recovery.Baseline
 	Bans    denylist.State
 }
 
@@ -78,7 +78,7 @@
 		for _, id := range slices.Sorted(maps.Keys(told)) {
 			k.Members = append(k.Members, told[id])
 		}
-		k.Before = e.returning.Before()
+		k.Before = e.returning.Baseline()
 		if e.held != nil {
 			k.Bans = e.held.set.State(func(t time.Duration) int64 { return e.clock.At(t).UnixMilli() })
 		}
@@ -98,7 +98,7 @@
 			if !named[id] {
 				delete(r.told, id)
 				changed = true
-				r.Recovery.Listed(now, recovery.Server{ID: id, Gone: true}, heard)
+				r.Controller.UpdateServer(now, recovery.Server{ID: id, Gone: true}, heard)
 			}
 		}
 	}
@@ -110,15 +110,15 @@
 		} else {
 			r.told[m.ID] = m
 		}
-		r.Recovery.Listed(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready, Gone: m.State == balancer.Gone,
+		r.Controller.UpdateServer(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready, Gone: m.State == balancer.Gone,
 			Started: m.Started}, heard)
 	}
-	if r.Settled(now); changed {
+	if r.ListApplied(now); changed {
 		r.moved()
 	}
 	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
-		m.Started = r.Started(m.ID, m.Started)
+		m.Started = r.EffectiveStart(m.ID, m.Started)
 		out.Members = append(out.Members, m)
 	}
 	return out
@@ -127,9 +127,9 @@
 // remask tells the module of servers whose start is seen otherwise than before.
 func (e *Engine) remask() {
 	var servers []balancer.Server
-	for _, id := range e.returning.Moved() {
+	for _, id := range e.returning.TakeStartChanges() {
 		if m, there := e.returning.told[id]; there {
-			m.Started = e.returning.Started(id, m.Started)
+			m.Started = e.returning.EffectiveStart(id, m.Started)
 			servers = append(servers, m.Server)
 		}
 	}
@@ -142,7 +142,7 @@
 func (e *Engine) returned(o Outcome) {
 	broke := o.Result == balancer.ConnectFailed || o.Result == balancer.Reset
 	answered := o.Result == balancer.OK || o.Result == balancer.Failed || o.Result == balancer.Rejected
-	e.returning.Outcome(e.clock.Now(), o.Attempt.Server, answered, broke, o.Report.Rate, o.Report.Util)
+	e.returning.ObserveAttempt(e.clock.Now(), o.Attempt.Server, answered, broke, o.Report.Rate, o.Report.Util)
 	e.found()
 	e.remask()
 }
@@ -155,7 +155,7 @@
 	}
 	a.OnlySince = since
 	if m, there := r.told[a.Server]; there {
-		a.Barred = a.Barred || !r.MayRepeat(m.Cell, since)
+		a.Barred = a.Barred || !r.AllowsRetryIn(m.Cell, since)
 	}
 }
 
--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -13,8 +13,8 @@
 // returningEngine is an engine with ties and a recovery, whose list is of now.
 func returningEngine(t *testing.T, change func(*tiedEngine)) *tiedEngine {
 	return newTied(t, func(x *tiedEngine) {
-		x.Return(recovery.New(recovery.Options{Agents: 1, ColdFrom: 0.3, ColdFor: time.Second,
-			Classes: []recovery.Class{{Worth: 1, Aim: time.Second, Safe: true}, {Worth: 5, Aim: time.Second}}}, nil), func() bool { return true }, func() {})
+		x.Return(recovery.New(recovery.Options{Agents: 1, ColdCapacityRatio: 0.3, WarmupTime: time.Second,
+			Classes: []recovery.Class{{Priority: 1, LatencyObjective: time.Second, IsIdempotent: true}, {Priority: 5, LatencyObjective: time.Second}}}, nil), func() bool { return true }, func() {})
 		change(x)
 	})
 }
@@ -31,7 +31,7 @@
 	x.now += 10 * time.Millisecond
 	for i := range 4 {
 		if i/2 == pod {
-			x.returning.Outcome(x.now, "s"+string(rune('0'+i)), false, true, -1, -1)
+			x.returning.ObserveAttempt(x.now, "s"+string(rune('0'+i)), false, true, -1, -1)
 		}
 	}
 	x.now += 10 * time.Millisecond
--- a/internal/engine/shared.go
+++ b/internal/engine/shared.go
@@ -9,18 +9,18 @@
 	"appleledge/internal/fleet/corroborate"
 )
 
-// Sharer is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package share.
+// Sharer is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package overload.
 type Sharer interface {
-	// MayRetry reports whether an attempt beyond a call's first may go out.
-	MayRetry(now time.Duration) bool
-	Sent(now time.Duration, server string, further bool)
-	Ended(now time.Duration, server string, r balancer.Result, rep balancer.Report)
-	Listed(id string, there, ready bool)
-	Lives(alive []bool)
-	// Take takes what another agent tells. An error is a body that can't be read.
-	Take(now time.Duration, from int, body []byte) error
-	// Held are the servers that are held out on the word of others.
-	Held(now time.Duration) []string
+	// AllowsRetry reports whether an attempt beyond a call's first may go out.
+	AllowsRetry(now time.Duration) bool
+	AttemptSent(now time.Duration, server string, further bool)
+	AttemptEnded(now time.Duration, server string, r balancer.Result, rep balancer.Report)
+	UpdateServer(id string, there, ready bool)
+	HandleLiveness(alive []bool)
+	// HandlePayload takes what another agent tells. An error is a body that can't be read.
+	HandlePayload(now time.Duration, from int, body []byte) error
+	// ExcludedServers are the servers that are held out on the word of others.
+	ExcludedServers(now time.Duration) []string
 }
 
 // ShareBy makes the agent one of many that handle overload together. It is called before Run, after Heed.
@@ -59,7 +59,7 @@
 		return held, changed
 	}
 	held = maps.Clone(held)
-	for _, id := range w.sharer.Held(now) {
+	for _, id := range w.sharer.ExcludedServers(now) {
 		held[corroborate.ServerID(id)] = true
 	}
 	return held, !maps.Equal(held, w.held)
--- a/internal/engine/worded.go
+++ b/internal/engine/worded.go
@@ -59,7 +59,7 @@
 		}
 	case corroborate.Responding:
 		if name, known := e.worded.names[s.fact.ID]; known && e.returning != nil {
-			e.returning.Heard(now, name)
+			e.returning.PeerReportsResponding(now, name)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		}
 		w.told[m.ID], w.names[id] = m, m.ID
 		if w.sharer != nil {
-			w.sharer.Listed(m.ID, true, m.State == balancer.Ready)
+			w.sharer.UpdateServer(m.ID, true, m.State == balancer.Ready)
 		}
 	}
 	if heard {
@@ -149,7 +149,7 @@
 	delete(w.names, id)
 	w.holds.Forget(id)
 	if w.sharer != nil {
-		w.sharer.Listed(name, false, false)
+		w.sharer.UpdateServer(name, false, false)
 	}
 	w.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
 }
@@ -170,7 +170,7 @@
 
 // found tells the others of servers that have answered for the first time since a loss of power.
 func (e *Engine) found() {
-	for _, id := range e.returning.Found() {
+	for _, id := range e.returning.TakeResponding() {
 		if e.worded != nil {
 			e.worded.tell(gossip.Observation{Kind: corroborate.Responding, ID: corroborate.ServerID(id)})
 		}
--- a/internal/fleet/gossip/core.go
+++ b/internal/fleet/gossip/core.go
@@ -36,7 +36,7 @@
 // ObservationTTL is how long a fact is remembered.
 const ObservationTTL = time.Minute
 
-// TakeObservations is a fact as another agent told it.
+// ReceivedObservation is a fact as another agent told it.
 type ReceivedObservation struct {
 	From int
 	Observation
@@ -288,7 +288,7 @@
 	}
 }
 
-// HandleOverloadReport tells so many others, drawn from those that live, what other parts of the agent have to tell.
+// SendPayload tells so many others, drawn from those that live, what other parts of the agent have to tell.
 func (c *Core) SendPayload(now time.Duration, body []byte, to int) (out []Message) {
 	for _, i := range c.some(to, -1) {
 		out = append(out, Message{Kind: Payload, From: c.set.Self, To: i, Incarnation: c.self.incarnation, Payload: body})
--- a/internal/fleet/gossip/node.go
+++ b/internal/fleet/gossip/node.go
@@ -107,7 +107,7 @@
 	to   int
 }
 
-// HandleOverloadReport lets a body be told to so many others, drawn from those that live; where one waits already it is lost, as word may be.
+// SendPayload lets a body be told to so many others, drawn from those that live; where one waits already it is lost, as word may be.
 func (n *Node) SendPayload(body []byte, to int) {
 	select {
 	case n.share <- sharing{body, to}:
--- a/internal/fleet/overload/door.go
+++ b/internal/fleet/overload/admission.go
@@ -18,11 +18,11 @@
 
 // Options are what a Door goes by.
 type Options struct {
-	Self, Agents int
-	Classes      []admission.Class
-	Shares       []float64     // of the service, one for each tenant; may be empty
-	MaxAfter     time.Duration // the longest come-back time that clients heed; 0 where they are told none
-	Seed         uint64
+	Self, Agents  int
+	Classes       []admission.Class
+	TenantQuotas  []float64     // of the service, one for each tenant; may be empty
+	MaxRetryAfter time.Duration // the longest come-back time that clients heed; 0 where they are told none
+	Seed          uint64
 }
 
 const (
@@ -64,13 +64,13 @@
 	toCalm   = 1
 )
 
-// Door is one agent's part of what the fleet decides: it lets in by the fleet's picture, as far as that is trusted, and else by the
+// AdmissionController is one agent's part of what the fleet decides: it lets in by the fleet's picture, as far as that is trusted, and else by the
 // agent's own watch for storms behind it. It is not safe for concurrent use.
-type Door struct {
+type AdmissionController struct {
 	set     Options
 	rng     *rand.Rand
 	alone   *admission.Watch
-	picture *Picture
+	picture *FleetView
 	order   []int // classes by worth
 	ids     map[uint32]string
 	ready   map[uint32]bool
@@ -99,49 +99,49 @@
 
 // Counts are what a Door has done since it was made.
 type Counts struct {
-	Refused [][2]uint64 // by class: first tries, repeats; on the fleet's account
-	Alone   uint64      // that the agent's own watch decided
-	Late    uint64      // of these, for want of time
-	Unsent  uint64      // attempts beyond a call's first, for the fleet's budget
-	Told    uint64      // bodies
-	Picture PictureCounts
+	Rejected        [][2]uint64 // by class: first tries, repeats; on the fleet's account
+	DecidedLocally  uint64      // that the agent's own watch decided
+	PastDeadline    uint64      // of these, for want of time
+	RejectedRetries uint64      // attempts beyond a call's first, for the fleet's budget
+	PayloadsSent    uint64      // bodies
+	View            ViewCounts
 }
 
 // New returns a Door before an agent's own watch.
-func New(o Options, alone *admission.Watch) *Door {
-	d := &Door{set: o, rng: rand.New(rand.NewPCG(o.Seed, 9)), alone: alone, ids: map[uint32]string{}, ready: map[uint32]bool{}, gain: 1}
-	if n := len(o.Shares); n > MostTenants { // those behind are one, as digests have them
-		d.set.Shares = slices.Clone(o.Shares[:MostTenants])
-		for _, x := range o.Shares[MostTenants:] {
-			d.set.Shares[MostTenants-1] += x
+func New(o Options, alone *admission.Watch) *AdmissionController {
+	d := &AdmissionController{set: o, rng: rand.New(rand.NewPCG(o.Seed, 9)), alone: alone, ids: map[uint32]string{}, ready: map[uint32]bool{}, gain: 1}
+	if n := len(o.TenantQuotas); n > MaxTenants { // those behind are one, as digests have them
+		d.set.TenantQuotas = slices.Clone(o.TenantQuotas[:MaxTenants])
+		for _, x := range o.TenantQuotas[MaxTenants:] {
+			d.set.TenantQuotas[MaxTenants-1] += x
 		}
 	}
-	d.picture = newPicture(o.Self, o.Agents, len(o.Classes), len(d.set.Shares))
+	d.picture = newPicture(o.Self, o.Agents, len(o.Classes), len(d.set.TenantQuotas))
 	d.Retune(o.Classes)
 	return d
 }
 
-// Among says which of how many agents this one is. It is called before anything is heard.
-func (d *Door) Among(self, agents int) {
+// SetFleetPosition says which of how many agents this one is. It is called before anything is heard.
+func (d *AdmissionController) SetFleetPosition(self, agents int) {
 	d.set.Self, d.set.Agents = self, agents
 	d.picture = newPicture(self, agents, d.picture.classes, d.picture.tenants)
 }
 
 // Retune takes the classes as they are from now on; each keeps its number.
-func (d *Door) Retune(classes []admission.Class) {
+func (d *AdmissionController) Retune(classes []admission.Class) {
 	d.set.Classes = classes
 	d.alone.Retune(classes)
-	if n := min(len(classes), MostClasses); n != d.picture.classes {
-		p := newPicture(d.set.Self, d.set.Agents, n, len(d.set.Shares))
+	if n := min(len(classes), MaxClasses); n != d.picture.classes {
+		p := newPicture(d.set.Self, d.set.Agents, n, len(d.set.TenantQuotas))
 		p.servers, p.order, p.dead, p.alive = d.picture.servers, d.picture.order, d.picture.dead, d.picture.alive
 		d.picture = p
 	}
 	d.own.room(d.picture.classes, d.picture.tenants)
-	for len(d.counts.Refused) < len(classes) {
-		d.counts.Refused = append(d.counts.Refused, [2]uint64{})
+	for len(d.counts.Rejected) < len(classes) {
+		d.counts.Rejected = append(d.counts.Rejected, [2]uint64{})
 	}
 	d.order = d.order[:0]
-	for i := range min(len(classes), MostClasses) {
+	for i := range min(len(classes), MaxClasses) {
 		d.order = append(d.order, i)
 	}
 	slices.SortStableFunc(d.order, func(a, b int) int { return cmp.Compare(classes[b].Worth, classes[a].Worth) })
@@ -152,7 +152,7 @@
 func kind(i, kinds int) int { return min(max(i, 0), kinds-1) }
 
 // Arrive is of engine.Door.
-func (d *Door) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
+func (d *AdmissionController) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
 	pass, refusal := d.alone.Arrive(now, a)
 	// Of a class that may be repeated at will many ask for the same: there the key tells no repeat for certain.
 	repeat := a.Again || !d.set.Classes[a.Class].Safe && (pass != nil && pass.Repeat || refusal.Repeat)
@@ -160,7 +160,7 @@
 	lot := d.lot(now, a)
 	d.own.asked(now, kind(a.Class, d.picture.classes), a.Tenant, repeat, lot, d.plan.chance(kind(a.Class, d.picture.classes), a.Tenant, false))
 	if d.rng.Float64() >= d.plan.trust {
-		if d.counts.Alone++; pass != nil {
+		if d.counts.DecidedLocally++; pass != nil {
 			d.letIn(now)
 		}
 		return pass, refusal
@@ -174,7 +174,7 @@
 		if repeat {
 			n = 1
 		}
-		d.counts.Refused[a.Class][n]++
+		d.counts.Rejected[a.Class][n]++
 		return nil, admission.Refusal{After: d.after(), Repeat: repeat} // its limit is the fleet's, and a rate: no header of a client's says that
 	}
 	d.letIn(now)
@@ -184,16 +184,18 @@
 	return pass, admission.Refusal{}
 }
 
-func (d *Door) digest(now time.Duration) Digest { return d.own.digest(now, d.set.Self, d.open) }
+func (d *AdmissionController) digest(now time.Duration) LoadDigest {
+	return d.own.digest(now, d.set.Self, d.open)
+}
 
-func (d *Door) letIn(now time.Duration) {
+func (d *AdmissionController) letIn(now time.Duration) {
 	d.open++
 	d.own.letIn.add(now, 1)
 }
 
 // lot is what a request draws, from 0 to 1. One that comes again draws the same for a while, so that what was refused is refused again and
 // costs nobody a place in vain, as by then it would be late (after DAGOR's user-level priorities; H. Zhou and others, 2018).
-func (d *Door) lot(now time.Duration, a admission.Ask) float64 {
+func (d *AdmissionController) lot(now time.Duration, a admission.Ask) float64 {
 	if a.Key == "" {
 		return d.rng.Float64()
 	}
@@ -210,25 +212,25 @@
 }
 
 // refuses reports whether a request is refused: the fleet has no room for its kind, or it can't be answered in time any more.
-func (d *Door) refuses(now time.Duration, a admission.Ask, repeat bool, lot float64) bool {
+func (d *AdmissionController) refuses(now time.Duration, a admission.Ask, repeat bool, lot float64) bool {
 	chance := d.plan.chance(kind(a.Class, d.picture.classes), a.Tenant, repeat)
 	if chance >= 1 || lot < chance && !d.alone.TooLate(now, a) {
 		return false
 	}
 	if lot < chance {
-		d.counts.Late++
+		d.counts.PastDeadline++
 	}
 	return true
 }
 
 // after draws when a client had better come back: the later the more is refused, and never all at once.
-func (d *Door) after() time.Duration {
+func (d *AdmissionController) after() time.Duration {
 	least := 0.3 + 0.5*d.plan.refused
-	return time.Duration(float64(d.set.MaxAfter) * (least + (1-least)*d.rng.Float64()))
+	return time.Duration(float64(d.set.MaxRetryAfter) * (least + (1-least)*d.rng.Float64()))
 }
 
 // Done is of engine.Door.
-func (d *Door) Done(now time.Duration, p *admission.Pass, end admission.End) {
+func (d *AdmissionController) Done(now time.Duration, p *admission.Pass, end admission.End) {
 	class, took, by := p.Ended(now)
 	d.open = max(0, d.open-1)
 	if by == admission.ByWatch {
@@ -249,44 +251,44 @@
 }
 
 // Counts is of engine.Door.
-func (d *Door) Counts() admission.Counts { return d.alone.Counts() }
+func (d *AdmissionController) Counts() admission.Counts { return d.alone.Counts() }
 
-// MayRetry reports whether an attempt beyond a call's first may go out: all agents' together keep to a share of the fleet's first tries. As long as little of it is spent
+// AllowsRetry reports whether an attempt beyond a call's first may go out: all agents' together keep to a share of the fleet's first tries. As long as little of it is spent
 // anyone may, however little that one has to do itself.
-func (d *Door) MayRetry(now time.Duration) bool {
+func (d *AdmissionController) AllowsRetry(now time.Duration) bool {
 	d.look(now)
 	p := &d.plan
 	if p.trust == 0 || d.rng.Float64() >= p.trust {
 		return true
 	}
 	first := 0.0
-	for _, x := range p.asked.First {
+	for _, x := range p.asked.NewRequests {
 		first += x
 	}
 	part := extraPart
 	if p.refused > 0 {
 		part = extraFull
 	}
-	if d.rng.Float64() < 2*(1-p.asked.Extra/max(part*first, math.SmallestNonzeroFloat64)) {
+	if d.rng.Float64() < 2*(1-p.asked.ExtraAttempts/max(part*first, math.SmallestNonzeroFloat64)) {
 		return true
 	}
-	d.counts.Unsent++
+	d.counts.RejectedRetries++
 	return false
 }
 
-// Sent takes that an attempt goes to a server; further is one beyond a call's first.
-func (d *Door) Sent(now time.Duration, id string, further bool) {
+// AttemptSent takes that an attempt goes to a server; further is one beyond a call's first.
+func (d *AdmissionController) AttemptSent(now time.Duration, id string, further bool) {
 	if further {
 		d.own.extra.add(now, 1)
 	}
-	if s := d.picture.server(Server(id)); s != nil {
+	if s := d.picture.server(ServerID(id)); s != nil {
 		s.sent(now)
 	}
 }
 
-// Ended takes how an attempt ended, with the server's report where Use is not below 0.
-func (d *Door) Ended(now time.Duration, id string, result balancer.Result, rep balancer.Report) {
-	number := Server(id)
+// AttemptEnded takes how an attempt ended, with the server's report where Use is not below 0.
+func (d *AdmissionController) AttemptEnded(now time.Duration, id string, result balancer.Result, rep balancer.Report) {
+	number := ServerID(id)
 	s := d.picture.server(number)
 	if s == nil {
 		return
@@ -295,7 +297,7 @@
 	if result != balancer.OK || rep.Util < 0 {
 		return
 	}
-	r := Report{Server: number, Use: rep.Util}
+	r := LoadReport{Server: number, Utilization: rep.Util}
 	if rep.Rate > 0 && rep.Util >= sureUse {
 		r.Capacity = rep.Rate / rep.Util
 		if s.own > 0 { // reports are noisy
@@ -318,9 +320,9 @@
 	smooth  = 0.3
 )
 
-// Listed takes which servers the agent's list names, and which of them are ready.
-func (d *Door) Listed(id string, there, ready bool) {
-	number := Server(id)
+// UpdateServer takes which servers the agent's list names, and which of them are ready.
+func (d *AdmissionController) UpdateServer(id string, there, ready bool) {
+	number := ServerID(id)
 	if !there {
 		delete(d.ids, number)
 		delete(d.ready, number)
@@ -330,11 +332,11 @@
 	d.picture.server(number)
 }
 
-// Lives takes which agents live, by number.
-func (d *Door) Lives(alive []bool) { d.picture.lives(alive) }
+// HandleLiveness takes which agents live, by number.
+func (d *AdmissionController) HandleLiveness(alive []bool) { d.picture.lives(alive) }
 
-// Take takes what another agent tells.
-func (d *Door) Take(now time.Duration, from int, text []byte) error {
+// HandlePayload takes what another agent tells.
+func (d *AdmissionController) HandlePayload(now time.Duration, from int, text []byte) error {
 	b, err := parse(text)
 	if err == nil && (from < 0 || from >= d.set.Agents || from == d.set.Self) {
 		err = fmt.Errorf("agent %d is none of the others", from)
@@ -343,14 +345,14 @@
 		d.picture.counts.Malformed++
 		return err
 	}
-	if d.picture.take(now, from, b); b.Busy {
+	if d.picture.take(now, from, b); b.IsBusy {
 		d.busyAt = max(d.busyAt, now-busyFor/2) // word alone keeps nobody busy
 	}
 	return nil
 }
 
-// Tell returns what is to be told now, and to how many others; no body where it is not time yet.
-func (d *Door) Tell(now time.Duration, most int) (body []byte, to int) {
+// NextPayload returns what is to be told now, and to how many others; no body where it is not time yet.
+func (d *AdmissionController) NextPayload(now time.Duration, most int) (body []byte, to int) {
 	d.look(now)
 	every, to := tellCalm, toCalm
 	if d.picture.urgent {
@@ -362,12 +364,12 @@
 		return nil, 0
 	}
 	d.toldAt, d.picture.urgent = now, false
-	d.counts.Told++
+	d.counts.PayloadsSent++
 	return d.picture.tell(now, d.digest(now), now-d.busyAt < busyFor/2 && d.busyAt != 0, most), to
 }
 
-// Held are the servers that are held out on the word of several agents, by id.
-func (d *Door) Held(now time.Duration) (ids []string) {
+// ExcludedServers are the servers that are held out on the word of several agents, by id.
+func (d *AdmissionController) ExcludedServers(now time.Duration) (ids []string) {
 	for _, n := range d.picture.held(now, func(id uint32) bool { return d.ready[id] }) {
 		ids = append(ids, d.ids[n])
 	}
@@ -375,7 +377,7 @@
 }
 
 // look makes a new plan when it is time.
-func (d *Door) look(now time.Duration) {
+func (d *AdmissionController) look(now time.Duration) {
 	if now-d.planned < look && d.planned != 0 {
 		return
 	}
@@ -387,15 +389,15 @@
 	capacity, use, sure, known := p.capacity(now, func(id uint32) bool { return d.ready[id] })
 	asked := p.sum(now, d.digest(now), capacity)
 	if capacity == 0 && use > 0 { // servers that do not say what they do: what is let in makes them so busy
-		capacity = asked.LetIn / use
+		capacity = asked.Admitted / use
 	}
 	use = sure*use + (1-sure)*min(use, targetUse) // where little is heard, as nearly all is refused, servers have long had room
 	d.steer(now, use, asked)
 	if use >= busyUse || d.plan.refused > 0 {
 		d.busyAt = now
 	}
-	trust := min(1, known/trustedPart, float64(asked.Heard)/float64(asked.Alive)/trustedPart, d.plan.trust+passed/trustOver.Seconds())
-	if capacity == 0 || d.useAt == 0 || asked.Heard == 1 && d.set.Agents > 1 { // nothing is known of servers, by own answers, or of any other agent
+	trust := min(1, known/trustedPart, float64(asked.KnownAgents)/float64(asked.AliveAgents)/trustedPart, d.plan.trust+passed/trustOver.Seconds())
+	if capacity == 0 || d.useAt == 0 || asked.KnownAgents == 1 && d.set.Agents > 1 { // nothing is known of servers, by own answers, or of any other agent
 		trust = 0
 	}
 	d.plan = d.newPlan(now, asked, capacity, use)
@@ -410,7 +412,7 @@
 // steer corrects the limit by what it brings: less where servers are full or answers late, and more, while some are refused, only if own
 // answers are in time. What it goes by is as late as the word of others and an answer's time, 1 to 2 s, and the loop's gain is
 // below what that bears (see the design note).
-func (d *Door) steer(now time.Duration, use float64, asked Asked) {
+func (d *AdmissionController) steer(now time.Duration, use float64, asked Demand) {
 	passed := min(now-d.steered, time.Second).Seconds()
 	d.steered = now
 	if d.plan.refused == 0 {
--- a/internal/fleet/overload/decisions_test.go
+++ b/internal/fleet/overload/decisions_test.go
@@ -46,12 +46,12 @@
 	classes := []admission.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
 	shares := []float64{0.2, 0.3, 0.5}
 	alive := []bool{true, true, true, true}
-	var doors []*Door
+	var doors []*AdmissionController
 	for i := range 4 {
 		watch := admission.New(admission.Options{Classes: classes, Shares: shares, MaxAfter: time.Second, Remember: 200, Seed: uint64(seed*10 + i)})
-		d := New(Options{Self: 0, Agents: 1, Classes: classes, Shares: shares, MaxAfter: time.Second, Seed: uint64(seed*10 + i)}, watch)
-		d.Among(i, 4)
-		d.Lives(alive)
+		d := New(Options{Self: 0, Agents: 1, Classes: classes, TenantQuotas: shares, MaxRetryAfter: time.Second, Seed: uint64(seed*10 + i)}, watch)
+		d.SetFleetPosition(i, 4)
+		d.HandleLiveness(alive)
 		doors = append(doors, d)
 	}
 	var servers []*traceServer
@@ -59,7 +59,7 @@
 		s := &traceServer{id: "s" + strconv.Itoa(i), capacity: 40}
 		servers = append(servers, s)
 		for _, d := range doors {
-			d.Listed(s.id, true, true)
+			d.UpdateServer(s.id, true, true)
 		}
 	}
 	var calls, again []traceCall
@@ -69,7 +69,7 @@
 	send := func(c traceCall) {
 		c.server = servers[rnd.Below(len(servers))]
 		s, d := c.server, doors[c.door]
-		d.Sent(now, s.id, c.further)
+		d.AttemptSent(now, s.id, c.further)
 		s.atWork++
 		c.result, c.at = balancer.OK, now+time.Duration(float64(rnd.Millis(20, 80))*(1+max(0, s.atWork-3)/3))
 		switch {
@@ -119,22 +119,22 @@
 			servers[3].hangs, servers[4].down = false, false
 			alive[3] = false
 			for _, d := range doors {
-				d.Lives(slices.Clone(alive))
+				d.HandleLiveness(slices.Clone(alive))
 			}
 		case 2600:
 			for _, d := range doors {
-				d.Listed("s5", false, false)
-				d.Listed("s6", true, false)
-				d.Listed("new", true, true)
+				d.UpdateServer("s5", false, false)
+				d.UpdateServer("s6", true, false)
+				d.UpdateServer("new", true, true)
 			}
 		case 2900:
 			alive[3] = true
 			for _, d := range doors {
-				d.Lives(slices.Clone(alive))
+				d.HandleLiveness(slices.Clone(alive))
 			}
 		case 3100: // a claim beyond all bounds
-			b := Body{Digests: []Digest{{Agent: 2, First: []float64{9000, 9000, 9000}, Again: []float64{1, 1, 1}, Tenants: []float64{5, 5, 9000}, All: 30000, LetIn: 10}},
-				Reports: []Report{{Server: Server("s1"), Use: 1, Capacity: 4000}}, Voices: []Voice{{Server: Server("s2"), Agent: 2}}}
+			b := Payload{Digests: []LoadDigest{{Agent: 2, NewRequests: []float64{9000, 9000, 9000}, ClientRetries: []float64{1, 1, 1}, Tenants: []float64{5, 5, 9000}, Requests: 30000, Admitted: 10}},
+				Reports: []LoadReport{{Server: ServerID("s1"), Utilization: 1, Capacity: 4000}}, Observations: []Observation{{Server: ServerID("s2"), Agent: 2}}}
 			bodies = append(bodies, traceBody{from: 2, to: 0, body: b.append(nil), at: now}, traceBody{from: 2, to: 1, body: []byte{0, 9, 9}, at: now},
 				traceBody{from: 1, to: 1, body: b.append(nil), at: now})
 		case 3700:
@@ -148,7 +148,7 @@
 				rest = append(rest, b)
 				continue
 			}
-			err := doors[b.to].Take(now, b.from, b.body)
+			err := doors[b.to].HandlePayload(now, b.from, b.body)
 			tr.CountIf(err == nil, "bodies taken")
 			tr.CountIf(err != nil, "bodies that are none")
 		}
@@ -170,12 +170,12 @@
 				}
 			}
 			d := doors[c.door]
-			d.Ended(now, c.server.id, c.result, rep)
+			d.AttemptEnded(now, c.server.id, c.result, rep)
 			tr.Count("ends of result " + strconv.Itoa(int(c.result)))
 			switch {
 			case c.result == balancer.OK:
 				d.Done(now, c.p, admission.Served)
-			case !c.further && d.MayRetry(now):
+			case !c.further && d.AllowsRetry(now):
 				tr.Count("further attempts")
 				tr.Add(now, "further")
 				c.further = true
@@ -211,7 +211,7 @@
 			if step%2 == i%2 || !alive[i] {
 				continue
 			}
-			if body, to := d.Tell(now, 400); body != nil {
+			if body, to := d.NextPayload(now, 400); body != nil {
 				tr.Add(now, i, to, string(body))
 				tr.Count("bodies told to " + strconv.Itoa(to))
 				for range to {
@@ -221,20 +221,20 @@
 					}
 				}
 			}
-			if held := d.Held(now); step%5 == 0 && held != nil {
+			if held := d.ExcludedServers(now); step%5 == 0 && held != nil {
 				tr.Add(now, i, held)
 				tr.Count("looks that hold servers out")
 			}
 			if step%20 < 2 {
 				st := d.Status(now)
-				tr.Add(now, i, st.Trust, st.Limit, st.Capacity, st.Use, st.Gain, st.Refused, st.Held, st.Asked.All, st.Asked.LetIn, st.Asked.Open,
-					st.Asked.Extra, st.Asked.Good, st.Asked.Late, st.Asked.Heard, st.Asked.Alive, st.Counts.Alone, st.Counts.Late, st.Counts.Unsent,
-					st.Counts.Told, st.Counts.Picture.Digests, st.Counts.Picture.Reports, st.Counts.Picture.Voices, st.Counts.Picture.Bounded,
-					st.Counts.Picture.Malformed)
-				for _, x := range slices.Concat(st.Chances, st.Asked.First, st.Asked.Again, st.Asked.Tenants) {
+				tr.Add(now, i, st.Trust, st.Limit, st.Capacity, st.Utilization, st.Gain, st.RejectedRatio, st.Excluded, st.Demand.Requests, st.Demand.Admitted, st.Demand.InFlight,
+					st.Demand.ExtraAttempts, st.Demand.ServedInTime, st.Demand.LateOrFailed, st.Demand.KnownAgents, st.Demand.AliveAgents, st.Counts.DecidedLocally, st.Counts.PastDeadline, st.Counts.RejectedRetries,
+					st.Counts.PayloadsSent, st.Counts.View.Digests, st.Counts.View.Reports, st.Counts.View.Observations, st.Counts.View.Capped,
+					st.Counts.View.Malformed)
+				for _, x := range slices.Concat(st.AdmitProbabilities, st.Demand.NewRequests, st.Demand.ClientRetries, st.Demand.Tenants) {
 					tr.Add(x)
 				}
-				for _, x := range st.Counts.Refused {
+				for _, x := range st.Counts.Rejected {
 					tr.Add(x[0], x[1])
 					tr.CountIf(x[0] > 0, "looks after a first try was refused for the fleet")
 					tr.CountIf(x[1] > 0, "looks after a repeat was refused for the fleet")
@@ -243,10 +243,10 @@
 				tr.CountIf(st.Trust > 0 && st.Trust < 1, "looks at trust in part")
 				tr.CountIf(st.Trust == 1, "looks at full trust")
 				tr.CountIf(st.Gain != 1, "looks at a corrected limit")
-				tr.CountIf(st.Counts.Late > 0, "looks after a late one")
-				tr.CountIf(st.Counts.Unsent > 0, "looks after an attempt was not sent")
-				tr.CountIf(st.Counts.Picture.Bounded > 0, "looks after a claim was bounded")
-				tr.CountIf(st.Counts.Picture.Voices > 0, "looks after a voice")
+				tr.CountIf(st.Counts.PastDeadline > 0, "looks after a late one")
+				tr.CountIf(st.Counts.RejectedRetries > 0, "looks after an attempt was not sent")
+				tr.CountIf(st.Counts.View.Capped > 0, "looks after a claim was bounded")
+				tr.CountIf(st.Counts.View.Observations > 0, "looks after a voice")
 			}
 		}
 	}
--- a/internal/fleet/overload/ill.go
+++ b/internal/fleet/overload/outliers.go
@@ -72,7 +72,7 @@
 }
 
 // voice takes one agent's word that a server does not serve it.
-func (p *Picture) voice(now time.Duration, from int, v Voice) {
+func (p *FleetView) voice(now time.Duration, from int, v Observation) {
 	s, at := p.server(v.Server), now-v.Age
 	if s == nil || v.Age >= voiceFor || v.Agent >= len(p.digests) || p.dead[v.Agent] {
 		return
@@ -81,20 +81,20 @@
 		if o := &s.voices[i]; o.what.Agent == v.Agent {
 			if at > o.at+ageUnit {
 				o.at, o.by = at, from
-				p.counts.Voices++
+				p.counts.Observations++
 			}
 			return
 		}
 	}
-	s.voices = slices.DeleteFunc(s.voices, func(o told[Voice]) bool { return now-o.at >= voiceFor })
+	s.voices = slices.DeleteFunc(s.voices, func(o told[Observation]) bool { return now-o.at >= voiceFor })
 	if len(s.voices) < mostVoices {
-		s.voices = append(s.voices, told[Voice]{what: v, at: at, by: from})
-		p.counts.Voices++
+		s.voices = append(s.voices, told[Observation]{what: v, at: at, by: from})
+		p.counts.Observations++
 	}
 }
 
 // speak raises this agent's own voice for the servers that do not serve it, unless it is so many that the fault is likely its own.
-func (p *Picture) speak(now time.Duration) {
+func (p *FleetView) speak(now time.Duration) {
 	var ills []uint32
 	used := 0
 	for id, s := range p.servers {
@@ -109,14 +109,14 @@
 		return
 	}
 	for _, id := range ills {
-		p.voice(now, p.self, Voice{Server: id, Agent: p.self})
+		p.voice(now, p.self, Observation{Server: id, Agent: p.self})
 	}
 }
 
 // held are the servers that are held out on the voices of several agents, sorted: those that nobody has had an answer in order from
 // since, that do not serve this agent itself, and whose trials are others'. The longest held come first, so that it is no other set
 // with each voice.
-func (p *Picture) held(now time.Duration, ready func(uint32) bool) (ids []uint32) {
+func (p *FleetView) held(now time.Duration, ready func(uint32) bool) (ids []uint32) {
 	type claim struct {
 		id    uint32
 		since time.Duration
@@ -157,7 +157,7 @@
 
 // tests reports whether this agent is one of those that go on with a server while others hold it out: by rendezvous over those that
 // live, so that nobody has to be told (D. Thaler and C. Ravishankar, 1998).
-func (p *Picture) tests(id uint32) bool {
+func (p *FleetView) tests(id uint32) bool {
 	own, above := bid(id, p.self), 0
 	for i := range p.dead {
 		if i != p.self && !p.dead[i] && bid(id, i) > own {
--- a/internal/fleet/overload/share_test.go
+++ b/internal/fleet/overload/overload_test.go
@@ -23,36 +23,36 @@
 	return admission.New(admission.Options{Classes: classes, MaxAfter: time.Second, Remember: 100, Seed: seed})
 }
 
-func door(agents int) *Door {
-	d := New(Options{Agents: agents, Classes: classes, Shares: []float64{0.5, 0.5}, MaxAfter: time.Second, Seed: 1}, watch(2))
-	d.Lives(slices.Repeat([]bool{true}, agents))
+func door(agents int) *AdmissionController {
+	d := New(Options{Agents: agents, Classes: classes, TenantQuotas: []float64{0.5, 0.5}, MaxRetryAfter: time.Second, Seed: 1}, watch(2))
+	d.HandleLiveness(slices.Repeat([]bool{true}, agents))
 	return d
 }
 
 // digest is what an agent says that is asked so much, evenly of both tenants.
-func digest(agent int, checks, refunds float64) Digest {
+func digest(agent int, checks, refunds float64) LoadDigest {
 	all := checks + refunds
-	return Digest{Agent: agent, First: []float64{checks, refunds}, Again: []float64{0, 0}, Tenants: []float64{all / 2, all / 2}, All: all, LetIn: all, Good: all}
+	return LoadDigest{Agent: agent, NewRequests: []float64{checks, refunds}, ClientRetries: []float64{0, 0}, Tenants: []float64{all / 2, all / 2}, Requests: all, Admitted: all, ServedInTime: all}
 }
 
 const start = 10 * time.Second
 
 // servers lets a door know of servers, with this use and capacity each, by its own answers or by others' word.
-func servers(d *Door, now time.Duration, n int, use, capacity float64, own bool) {
+func servers(d *AdmissionController, now time.Duration, n int, use, capacity float64, own bool) {
 	for i := range n {
 		id := fmt.Sprint("s-", i)
-		d.Listed(id, true, true)
+		d.UpdateServer(id, true, true)
 		if own {
-			d.Sent(now, id, false)
-			d.Ended(now, id, balancer.OK, balancer.Report{Util: use, Rate: use * capacity})
+			d.AttemptSent(now, id, false)
+			d.AttemptEnded(now, id, balancer.OK, balancer.Report{Util: use, Rate: use * capacity})
 		} else {
-			d.picture.report(now, Report{Server: Server(id), Use: use, Capacity: capacity}, false)
+			d.picture.report(now, LoadReport{Server: ServerID(id), Utilization: use, Capacity: capacity}, false)
 		}
 	}
 }
 
 // settle lets trust return.
-func settle(d *Door, now time.Duration) plan {
+func settle(d *AdmissionController, now time.Duration) plan {
 	for range 40 {
 		d.planned = now - time.Second
 		d.look(now)
@@ -69,57 +69,57 @@
 			}
 			return all
 		}
-		classes, tenants := rapid.IntRange(0, MostClasses).Draw(t, "classes"), rapid.IntRange(0, MostTenants).Draw(t, "tenants")
-		d := Digest{Agent: rapid.IntRange(0, 65535).Draw(t, "agent"), Age: time.Duration(rapid.IntRange(0, 200).Draw(t, "age")) * ageUnit,
-			First: rates(classes), Again: rates(classes), Tenants: rates(tenants), All: 1, LetIn: rate.Draw(t, "let in"), Open: 3, Good: 2, Late: 0}
-		in := Body{Busy: rapid.Bool().Draw(t, "busy"), Digests: []Digest{d}, Reports: []Report{{7, 0.5, rate.Draw(t, "capacity"), ageUnit}}, Voices: []Voice{{8, 9, 2 * ageUnit}}}
+		classes, tenants := rapid.IntRange(0, MaxClasses).Draw(t, "classes"), rapid.IntRange(0, MaxTenants).Draw(t, "tenants")
+		d := LoadDigest{Agent: rapid.IntRange(0, 65535).Draw(t, "agent"), Age: time.Duration(rapid.IntRange(0, 200).Draw(t, "age")) * ageUnit,
+			NewRequests: rates(classes), ClientRetries: rates(classes), Tenants: rates(tenants), Requests: 1, Admitted: rate.Draw(t, "let in"), InFlight: 3, ServedInTime: 2, LateOrFailed: 0}
+		in := Payload{IsBusy: rapid.Bool().Draw(t, "busy"), Digests: []LoadDigest{d}, Reports: []LoadReport{{7, 0.5, rate.Draw(t, "capacity"), ageUnit}}, Observations: []Observation{{8, 9, 2 * ageUnit}}}
 		text := in.append(nil)
 		if want := 1 + digestSize(classes, tenants) + reportSize + voiceSize; len(text) != want {
 			t.Fatalf("%d bytes, not %d", len(text), want)
 		}
 		out, err := parse(text)
-		if err != nil || out.Busy != in.Busy || len(out.Digests) != 1 || len(out.Reports) != 1 || len(out.Voices) != 1 || out.Voices[0] != in.Voices[0] {
+		if err != nil || out.IsBusy != in.IsBusy || len(out.Digests) != 1 || len(out.Reports) != 1 || len(out.Observations) != 1 || out.Observations[0] != in.Observations[0] {
 			t.Fatalf("%+v, %v", out, err)
 		}
 		near := func(a, b float64) bool { return a == b || math.Abs(a/b-1) < 0.03 }
 		got := out.Digests[0]
-		if got.Agent != d.Agent || got.Age != d.Age || got.Late != 0 || !near(got.LetIn, d.LetIn) || !near(out.Reports[0].Capacity, in.Reports[0].Capacity) ||
-			!slices.EqualFunc(got.First, d.First, near) || !slices.EqualFunc(got.Again, d.Again, near) || !slices.EqualFunc(got.Tenants, d.Tenants, near) {
+		if got.Agent != d.Agent || got.Age != d.Age || got.LateOrFailed != 0 || !near(got.Admitted, d.Admitted) || !near(out.Reports[0].Capacity, in.Reports[0].Capacity) ||
+			!slices.EqualFunc(got.NewRequests, d.NewRequests, near) || !slices.EqualFunc(got.ClientRetries, d.ClientRetries, near) || !slices.EqualFunc(got.Tenants, d.Tenants, near) {
 			t.Fatalf("%+v, not %+v", got, d)
 		}
 	})
 }
 
 func FuzzBody(f *testing.F) {
-	f.Add(Body{Busy: true, Digests: []Digest{digest(3, 10, 5)}, Reports: []Report{{1, 0.5, 80, 0}}, Voices: []Voice{{1, 2, 0}}}.append(nil))
+	f.Add(Payload{IsBusy: true, Digests: []LoadDigest{digest(3, 10, 5)}, Reports: []LoadReport{{1, 0.5, 80, 0}}, Observations: []Observation{{1, 2, 0}}}.append(nil))
 	f.Add([]byte{0, kindDigest, 0, 1, 2, 0xff})
 	f.Add([]byte{1, 99})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d := door(4)
 		for i := range 3 {
-			besteffort.Ignore(d.Take(start+time.Duration(i)*time.Second, 1+i%3, text))
+			besteffort.Ignore(d.HandlePayload(start+time.Duration(i)*time.Second, 1+i%3, text))
 		}
 		p := settle(d, start+3*time.Second)
-		for _, x := range append(append([]float64{p.limit, p.refused, p.trust}, p.asked.First...), p.asked.Again...) {
+		for _, x := range append(append([]float64{p.limit, p.refused, p.trust}, p.asked.NewRequests...), p.asked.ClientRetries...) {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				t.Fatalf("%+v", p)
 			}
 		}
-		if body, _ := d.Tell(start+4*time.Second, 203); len(body) > 203 {
+		if body, _ := d.NextPayload(start+4*time.Second, 203); len(body) > 203 {
 			t.Fatalf("a body of %d bytes", len(body))
 		}
 	})
 }
 
 // askedMuch is a door among five agents, of which the others are asked so many checks a second at the least, and so much again; and its plan.
-func askedMuch(t *rapid.T, checks float64, again *rapid.Generator[float64]) (*Door, plan) {
+func askedMuch(t *rapid.T, checks float64, again *rapid.Generator[float64]) (*AdmissionController, plan) {
 	const agents = 5
 	d := door(agents)
 	servers(d, start, 6, 0.8, rapid.Float64Range(20, 100).Draw(t, "capacity"), true)
 	for i := 1; i < agents; i++ {
 		of := digest(i, rapid.Float64Range(checks, 400).Draw(t, "checks"), rapid.Float64Range(0, 400).Draw(t, "refunds"))
-		of.Again[check], of.Again[refund] = again.Draw(t, "again"), again.Draw(t, "again")
-		d.picture.take(start, of.Agent, Body{Digests: []Digest{of}})
+		of.ClientRetries[check], of.ClientRetries[refund] = again.Draw(t, "again"), again.Draw(t, "again")
+		d.picture.take(start, of.Agent, Payload{Digests: []LoadDigest{of}})
 	}
 	return d, settle(d, start)
 }
@@ -137,9 +137,9 @@
 		last, letIn := 1.0, 0.0
 		for _, c := range []int{refund, check} {
 			for b, chance := range p.chances[c] {
-				want := p.asked.First[c]
+				want := p.asked.NewRequests[c]
 				if b%2 == 1 {
-					want = p.asked.Again[c]
+					want = p.asked.ClientRetries[c]
 				}
 				over := 0.0
 				for _, x := range p.excess[c] {
@@ -216,18 +216,18 @@
 // What one agent says moves nobody further than its bound.
 func TestOneThatIsWrong(t *testing.T) {
 	const now = start
-	honest := func() *Door {
+	honest := func() *AdmissionController {
 		d := door(4)
 		servers(d, now, 6, 0.45, 50, true)
 		for i := 1; i < 3; i++ {
-			d.picture.take(now, i, Body{Digests: []Digest{digest(i, 40, 20)}})
+			d.picture.take(now, i, Payload{Digests: []LoadDigest{digest(i, 40, 20)}})
 		}
 		return d
 	}
 	everything := digest(3, 1e6, 1e6)
 	d := honest()
-	d.picture.take(now, 3, Body{Digests: []Digest{everything}})
-	if p := settle(d, now); p.asked.First[check]+p.asked.First[refund] > 120+2*120+1 || d.picture.counts.Bounded == 0 {
+	d.picture.take(now, 3, Payload{Digests: []LoadDigest{everything}})
+	if p := settle(d, now); p.asked.NewRequests[check]+p.asked.NewRequests[refund] > 120+2*120+1 || d.picture.counts.Capped == 0 {
 		t.Errorf("its claim counts for more than its bound: %+v", p.asked)
 	}
 	// Its word of busy servers and of much that is asked refuses nobody while own answers show servers at rest.
@@ -237,24 +237,24 @@
 		d.own.asked(now, check, 0, false, 0, 1)
 	}
 	for i := range 6 {
-		d.picture.report(now+100*time.Millisecond, Report{Server: Server(fmt.Sprint("s-", i)), Use: 1, Capacity: 1}, false)
+		d.picture.report(now+100*time.Millisecond, LoadReport{Server: ServerID(fmt.Sprint("s-", i)), Utilization: 1, Capacity: 1}, false)
 	}
-	d.picture.take(now, 3, Body{Digests: []Digest{everything}})
+	d.picture.take(now, 3, Payload{Digests: []LoadDigest{everything}})
 	if p := settle(d, now+100*time.Millisecond); p.refused > 0 {
 		t.Errorf("%v are refused on word alone", p.refused)
 	}
 	// Nor can it say so for all the others.
 	d = honest()
 	for i := 1; i < 4; i++ {
-		d.picture.take(now+100*time.Millisecond, 3, Body{Digests: []Digest{digest(i, 1e6, 1e6)}})
+		d.picture.take(now+100*time.Millisecond, 3, Payload{Digests: []LoadDigest{digest(i, 1e6, 1e6)}})
 	}
-	if a := d.picture.sum(now+100*time.Millisecond, d.digest(now+100*time.Millisecond), 300); a.First[check]+a.First[refund] > 2*300/8+1 {
-		t.Errorf("what one tells of all counts for %v", a.First)
+	if a := d.picture.sum(now+100*time.Millisecond, d.digest(now+100*time.Millisecond), 300); a.NewRequests[check]+a.NewRequests[refund] > 2*300/8+1 {
+		t.Errorf("what one tells of all counts for %v", a.NewRequests)
 	}
 	// Nor does its word of strong servers let in more than twice what own answers showed.
 	d = honest()
 	for i := range 6 {
-		d.picture.report(now+100*time.Millisecond, Report{Server: Server(fmt.Sprint("s-", i)), Use: 0.1, Capacity: 1e6}, false)
+		d.picture.report(now+100*time.Millisecond, LoadReport{Server: ServerID(fmt.Sprint("s-", i)), Utilization: 0.1, Capacity: 1e6}, false)
 	}
 	any := func(uint32) bool { return true }
 	if capacity, _, _, _ := d.picture.capacity(now+100*time.Millisecond, any); capacity > 660 {
@@ -268,22 +268,22 @@
 	}
 	d = door(4) // and without any own answer it goes by its own watch
 	servers(d, now, 6, 0.1, 1e6, false)
-	d.picture.take(now, 1, Body{Digests: []Digest{digest(1, 40, 20)}})
+	d.picture.take(now, 1, Payload{Digests: []LoadDigest{digest(1, 40, 20)}})
 	if p := settle(d, now); p.trust != 0 {
 		t.Errorf("on word alone the picture is trusted %v", p.trust)
 	}
 	// One that claims nothing, or says nothing, is like the others at the most.
 	d = honest()
-	if p := settle(d, now); math.Abs(p.asked.First[check]-80*4.0/3) > 1 {
-		t.Errorf("with one of four that says nothing %v are asked", p.asked.First[check])
+	if p := settle(d, now); math.Abs(p.asked.NewRequests[check]-80*4.0/3) > 1 {
+		t.Errorf("with one of four that says nothing %v are asked", p.asked.NewRequests[check])
 	}
 	// What was said long ago, or by one that died, does not count.
 	d = honest()
-	d.Lives([]bool{true, true, false, false})
-	if a := d.picture.sum(now, d.digest(now), 300); a.Heard != 2 || a.First[check] != 40 {
+	d.HandleLiveness([]bool{true, true, false, false})
+	if a := d.picture.sum(now, d.digest(now), 300); a.KnownAgents != 2 || a.NewRequests[check] != 40 {
 		t.Errorf("%+v", a)
 	}
-	if a := d.picture.sum(now+freshFor, d.digest(now), 300); a.Heard != 1 {
+	if a := d.picture.sum(now+freshFor, d.digest(now), 300); a.KnownAgents != 1 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -322,15 +322,15 @@
 // A server is held out on the word of two agents, by all but two, as long as nobody has had an answer of it since.
 func TestIllServersAreHeldOutTogether(t *testing.T) {
 	const agents = 12
-	ill := Server("s-0")
-	holds := func(change func(d *Door)) (n int) {
+	ill := ServerID("s-0")
+	holds := func(change func(d *AdmissionController)) (n int) {
 		for self := range agents {
 			d := door(agents)
-			d.Among(self, agents)
-			d.Lives(slices.Repeat([]bool{true}, agents))
+			d.SetFleetPosition(self, agents)
+			d.HandleLiveness(slices.Repeat([]bool{true}, agents))
 			servers(d, start-2*time.Second, 8, 0.5, 50, false)
 			change(d)
-			if held := d.Held(start); len(held) > 0 {
+			if held := d.ExcludedServers(start); len(held) > 0 {
 				if len(held) != 1 || held[0] != "s-0" {
 					t.Fatalf("agent %d holds out %v", self, held)
 				}
@@ -339,35 +339,35 @@
 		}
 		return n
 	}
-	say := func(d *Door, age time.Duration, by ...int) {
+	say := func(d *AdmissionController, age time.Duration, by ...int) {
 		for _, agent := range by {
-			d.picture.voice(start, agent, Voice{ill, agent, age})
+			d.picture.voice(start, agent, Observation{ill, agent, age})
 		}
 	}
 	for _, c := range []struct {
 		name string
-		do   func(d *Door)
+		do   func(d *AdmissionController)
 		want int
 	}{
-		{"one voice", func(d *Door) { say(d, 0, 3) }, 0},
-		{"one that says it again", func(d *Door) { say(d, time.Second, 3); say(d, 0, 3, 3) }, 0},
-		{"two voices", func(d *Door) { say(d, 0, 3, 5) }, agents - testers},
-		{"two, as one agent tells", func(d *Door) {
-			d.picture.voice(start, 3, Voice{ill, 3, 0})
-			d.picture.voice(start, 3, Voice{ill, 5, 0})
+		{"one voice", func(d *AdmissionController) { say(d, 0, 3) }, 0},
+		{"one that says it again", func(d *AdmissionController) { say(d, time.Second, 3); say(d, 0, 3, 3) }, 0},
+		{"two voices", func(d *AdmissionController) { say(d, 0, 3, 5) }, agents - testers},
+		{"two, as one agent tells", func(d *AdmissionController) {
+			d.picture.voice(start, 3, Observation{ill, 3, 0})
+			d.picture.voice(start, 3, Observation{ill, 5, 0})
 		}, 0},
-		{"two of long ago", func(d *Door) { say(d, voiceFor, 3, 5) }, 0},
-		{"one of a dead agent", func(d *Door) {
+		{"two of long ago", func(d *AdmissionController) { say(d, voiceFor, 3, 5) }, 0},
+		{"one of a dead agent", func(d *AdmissionController) {
 			say(d, 0, 3, 5)
 			alive := slices.Repeat([]bool{true}, agents)
 			alive[5] = false
-			d.Lives(alive)
+			d.HandleLiveness(alive)
 		}, 0},
-		{"an answer since", func(d *Door) {
+		{"an answer since", func(d *AdmissionController) {
 			say(d, 100*time.Millisecond, 3, 5)
-			d.picture.report(start, Report{ill, 0.5, 50, 0}, false)
+			d.picture.report(start, LoadReport{ill, 0.5, 50, 0}, false)
 		}, 0},
-		{"an own answer just before", func(d *Door) {
+		{"an own answer just before", func(d *AdmissionController) {
 			servers(d, start-300*time.Millisecond, 1, 0.5, 50, true)
 			say(d, 0, 3, 5)
 		}, 0},
@@ -380,10 +380,10 @@
 	servers(d, start-2*time.Second, 9, 0.5, 50, false)
 	for i := range 9 {
 		for agent := range 4 {
-			d.picture.voice(start, agent+1, Voice{Server(fmt.Sprint("s-", i)), agent + 1, 0})
+			d.picture.voice(start, agent+1, Observation{ServerID(fmt.Sprint("s-", i)), agent + 1, 0})
 		}
 	}
-	if n := len(d.Held(start)); n > 3 {
+	if n := len(d.ExcludedServers(start)); n > 3 {
 		t.Errorf("%d of 9 servers are held out on word", n)
 	}
 }
@@ -396,10 +396,10 @@
 		d := door(3)
 		for i := range 8 {
 			id := fmt.Sprint("s-", i)
-			d.Listed(id, true, true)
-			d.Sent(start, id, false)
+			d.UpdateServer(id, true, true)
+			d.AttemptSent(start, id, false)
 			if i >= c.ills {
-				d.Ended(start+100*time.Millisecond, id, balancer.OK, balancer.NoReport)
+				d.AttemptEnded(start+100*time.Millisecond, id, balancer.OK, balancer.NoReport)
 			}
 		}
 		d.look(start + silentMost)
@@ -423,13 +423,13 @@
 		servers(d, start, 6, 0.3, 100, true)
 		for agent := range 2 {
 			of := digest(agent+1, 50, 50)
-			of.Extra = c.extra / 2
-			d.picture.take(start, of.Agent, Body{Digests: []Digest{of}})
+			of.ExtraAttempts = c.extra / 2
+			d.picture.take(start, of.Agent, Payload{Digests: []LoadDigest{of}})
 		}
 		settle(d, start)
 		n := 0
 		for range 1000 {
-			if d.MayRetry(start) {
+			if d.AllowsRetry(start) {
 				n++
 			}
 		}
@@ -442,13 +442,13 @@
 // What an agent remembers and tells is bounded, whatever it hears.
 func TestWhatIsRememberedIsBounded(t *testing.T) {
 	d := door(50)
-	d.Listed("s", true, true)
+	d.UpdateServer("s", true, true)
 	for i := range 50_000 {
 		now := start + time.Duration(i)*time.Millisecond
-		besteffort.Ignore(d.Take(now, 1+i%49, Body{Digests: []Digest{digest(i%70_000%65_536, 1, 1)}, Reports: []Report{{uint32(i), 0.5, 5, 0}},
-			Voices: []Voice{{uint32(i), i % 60, 0}}}.append(nil)))
+		besteffort.Ignore(d.HandlePayload(now, 1+i%49, Payload{Digests: []LoadDigest{digest(i%70_000%65_536, 1, 1)}, Reports: []LoadReport{{uint32(i), 0.5, 5, 0}},
+			Observations: []Observation{{uint32(i), i % 60, 0}}}.append(nil)))
 		if i%500 == 0 {
-			if body, to := d.Tell(now, 203); len(body) > 203 || to > toBusy {
+			if body, to := d.NextPayload(now, 203); len(body) > 203 || to > toBusy {
 				t.Fatalf("%d bytes to %d", len(body), to)
 			}
 		}
@@ -468,7 +468,7 @@
 		d := door(3)
 		servers(d, start, 6, 0.8, 100, true)
 		for agent := range 2 {
-			d.picture.take(start, agent+1, Body{Digests: []Digest{digest(agent+1, 10, 10)}})
+			d.picture.take(start, agent+1, Payload{Digests: []LoadDigest{digest(agent+1, 10, 10)}})
 		}
 		settle(d, start)
 		if c.storm { // hardly anything is served, and it has gone dark
@@ -491,7 +491,7 @@
 		d.Done(start+100*time.Millisecond, p, admission.Failed)
 		for agent := range 2 { // and now much more is asked than there is room for
 			d.picture.digests[agent+1].at = 0
-			d.picture.take(start, agent+1, Body{Digests: []Digest{digest(agent+1, 4000, 4000)}})
+			d.picture.take(start, agent+1, Payload{Digests: []LoadDigest{digest(agent+1, 4000, 4000)}})
 		}
 		settle(d, start+200*time.Millisecond)
 		refused := 0
@@ -526,7 +526,7 @@
 		d := door(3)
 		d.gain, d.plan.refused, d.steered = 2, 0.5, start-time.Second
 		d.inTime, d.late, d.endedAt = c.inTime, c.late, start-c.ago
-		d.steer(start, c.use, Asked{Good: 100})
+		d.steer(start, c.use, Demand{ServedInTime: 100})
 		if got := cmp.Compare(d.gain, 2); got != c.want {
 			t.Errorf("%s: from 2 to %v", c.name, d.gain)
 		}
--- a/internal/fleet/overload/body.go
+++ b/internal/fleet/overload/payload.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// Digest is what an agent tells of itself. Rates are a second.
-type Digest struct {
-	Agent   int
-	Age     time.Duration // of what it says
-	First   []float64     // first tries that were asked, by class
-	Again   []float64     // repeats that are known for such, by class
-	Tenants []float64     // first tries, by tenant
-	All     float64       // tries, whatever they are
-	LetIn   float64       // calls that were let in
-	Open    float64       // calls that were let in and have not ended: a number
-	Extra   float64       // attempts beyond the first of each call
-	Good    float64       // calls that were served in time
-	Late    float64       // calls that were served late, or failed
+// LoadDigest is what an agent tells of itself. Rates are a second.
+type LoadDigest struct {
+	Agent         int
+	Age           time.Duration // of what it says
+	NewRequests   []float64     // first tries that were asked, by class
+	ClientRetries []float64     // repeats that are known for such, by class
+	Tenants       []float64     // first tries, by tenant
+	Requests      float64       // tries, whatever they are
+	Admitted      float64       // calls that were let in
+	InFlight      float64       // calls that were let in and have not ended: a number
+	ExtraAttempts float64       // attempts beyond the first of each call
+	ServedInTime  float64       // calls that were served in time
+	LateOrFailed  float64       // calls that were served late, or failed
 }
 
-// Report is what a server said of itself to one of the agents.
-type Report struct {
-	Server   uint32 // see Server
-	Use      float64
-	Capacity float64 // requests a second that it does at full use; 0: not known
-	Age      time.Duration
+// LoadReport is what a server said of itself to one of the agents.
+type LoadReport struct {
+	Server      uint32 // see Server
+	Utilization float64
+	Capacity    float64 // requests a second that it does at full use; 0: not known
+	Age         time.Duration
 }
 
-// Voice is one agent's word that a server does not serve it.
-type Voice struct {
+// Observation is one agent's word that a server does not serve it.
+type Observation struct {
 	Server uint32
 	Agent  int
 	Age    time.Duration
 }
 
-// Body is what an agent tells at a time.
-type Body struct {
-	Busy    bool // the teller sees the fleet busy: who hears it tells more often for a while
-	Digests []Digest
-	Reports []Report
-	Voices  []Voice
+// Payload is what an agent tells at a time.
+type Payload struct {
+	IsBusy       bool // the teller sees the fleet busy: who hears it tells more often for a while
+	Digests      []LoadDigest
+	Reports      []LoadReport
+	Observations []Observation
 }
 
 // The form: a byte of flags, then records of a kind each. Rates are told to a part of sixteen of their doubling, ages to 50 ms.
@@ -71,10 +71,10 @@
 	nibble      = 15
 )
 
-// MostClasses and MostTenants are how many of each a digest tells apart; those behind are told with the last.
+// MaxClasses and MaxTenants are how many of each a digest tells apart; those behind are told with the last.
 const (
-	MostClasses = nibble
-	MostTenants = nibble
+	MaxClasses = nibble
+	MaxTenants = nibble
 )
 
 var errBody = errors.New("no body of ours")
@@ -112,17 +112,17 @@
 func useCode(use float64) byte { return byte(math.Round(min(max(use, 0), 1) * useUnit)) }
 
 // append writes a body.
-func (b Body) append(to []byte) []byte {
+func (b Payload) append(to []byte) []byte {
 	flags := byte(0)
-	if b.Busy {
+	if b.IsBusy {
 		flags |= flagBusy
 	}
 	to = append(to, flags)
 	for _, d := range b.Digests {
 		to = append(to, kindDigest)
 		to = binary.BigEndian.AppendUint16(to, uint16(d.Agent))
-		to = append(to, ageCode(d.Age), byte(len(d.First)<<4|len(d.Tenants)))
-		for _, rates := range [][]float64{d.First, d.Again, d.Tenants, {d.All, d.LetIn, d.Open, d.Extra, d.Good, d.Late}} {
+		to = append(to, ageCode(d.Age), byte(len(d.NewRequests)<<4|len(d.Tenants)))
+		for _, rates := range [][]float64{d.NewRequests, d.ClientRetries, d.Tenants, {d.Requests, d.Admitted, d.InFlight, d.ExtraAttempts, d.ServedInTime, d.LateOrFailed}} {
 			for _, x := range rates {
 				to = append(to, rateCode(x))
 			}
@@ -131,9 +131,9 @@
 	for _, r := range b.Reports {
 		to = append(to, kindReport)
 		to = binary.BigEndian.AppendUint32(to, r.Server)
-		to = append(to, useCode(r.Use), rateCode(r.Capacity), ageCode(r.Age))
+		to = append(to, useCode(r.Utilization), rateCode(r.Capacity), ageCode(r.Age))
 	}
-	for _, v := range b.Voices {
+	for _, v := range b.Observations {
 		to = append(to, kindVoice)
 		to = binary.BigEndian.AppendUint32(to, v.Server)
 		to = binary.BigEndian.AppendUint16(to, uint16(v.Agent))
@@ -143,11 +143,11 @@
 }
 
 // parse reads a body. Records of a kind that is not known end the reading: what is before them counts.
-func parse(b []byte) (body Body, err error) {
+func parse(b []byte) (body Payload, err error) {
 	if len(b) == 0 {
 		return body, fmt.Errorf("%w: it is empty", errBody)
 	}
-	body.Busy = b[0]&flagBusy != 0
+	body.IsBusy = b[0]&flagBusy != 0
 	for b = b[1:]; len(b) > 0; {
 		size := 0
 		switch b[0] {
@@ -169,23 +169,23 @@
 	return body, nil
 }
 
-func (b *Body) record(text []byte) {
+func (b *Payload) record(text []byte) {
 	switch text[0] {
 	case kindDigest:
 		classes, tenants := int(text[4]>>4), int(text[4]&nibble)
-		d := Digest{Agent: int(binary.BigEndian.Uint16(text[1:])), Age: ageOf(text[3])}
+		d := LoadDigest{Agent: int(binary.BigEndian.Uint16(text[1:])), Age: ageOf(text[3])}
 		rates := make([]float64, 0, 2*classes+tenants)
 		for _, code := range text[digestHead : len(text)-digestTail] {
 			rates = append(rates, rateOf(code))
 		}
-		d.First, d.Again, d.Tenants = rates[:classes], rates[classes:2*classes], rates[2*classes:]
+		d.NewRequests, d.ClientRetries, d.Tenants = rates[:classes], rates[classes:2*classes], rates[2*classes:]
 		tail := text[len(text)-digestTail:]
-		d.All, d.LetIn, d.Open = rateOf(tail[0]), rateOf(tail[1]), rateOf(tail[2])
-		d.Extra, d.Good, d.Late = rateOf(tail[3]), rateOf(tail[4]), rateOf(tail[5])
+		d.Requests, d.Admitted, d.InFlight = rateOf(tail[0]), rateOf(tail[1]), rateOf(tail[2])
+		d.ExtraAttempts, d.ServedInTime, d.LateOrFailed = rateOf(tail[3]), rateOf(tail[4]), rateOf(tail[5])
 		b.Digests = append(b.Digests, d)
 	case kindReport:
-		b.Reports = append(b.Reports, Report{Server: binary.BigEndian.Uint32(text[1:]), Use: float64(text[5]) / useUnit, Capacity: rateOf(text[6]), Age: ageOf(text[7])})
+		b.Reports = append(b.Reports, LoadReport{Server: binary.BigEndian.Uint32(text[1:]), Utilization: float64(text[5]) / useUnit, Capacity: rateOf(text[6]), Age: ageOf(text[7])})
 	case kindVoice:
-		b.Voices = append(b.Voices, Voice{Server: binary.BigEndian.Uint32(text[1:]), Agent: int(binary.BigEndian.Uint16(text[5:])), Age: ageOf(text[7])})
+		b.Observations = append(b.Observations, Observation{Server: binary.BigEndian.Uint32(text[1:]), Agent: int(binary.BigEndian.Uint16(text[5:])), Age: ageOf(text[7])})
 	}
 }
--- a/internal/fleet/overload/plan.go
+++ b/internal/fleet/overload/plan.go
@@ -19,7 +19,7 @@
 	chances  [][4]float64 // by class and bucket; nil: all are let in
 	excess   [][]float64  // by class and tenant: part of what it asks that is over its share
 	refused  float64      // part of all that is asked that is refused
-	asked    Asked
+	asked    Demand
 	capacity float64
 	use      float64
 }
@@ -57,14 +57,14 @@
 }
 
 // newPlan fills the fleet's limit in the order of worth. That of an agent whose own servers are not busy counts for nothing.
-func (d *Door) newPlan(now time.Duration, asked Asked, capacity, use float64) plan {
+func (d *AdmissionController) newPlan(now time.Duration, asked Demand, capacity, use float64) plan {
 	// What servers do at present is heard of sooner than what all agents are asked: where servers do more than agents say that they let in,
 	// what is asked has grown as much meanwhile.
-	d.peak = max(d.peak*math.Exp(-float64(now-d.peakAt)/float64(peakFor)), asked.LetIn+asked.Extra) // what servers do is of a moment ago
+	d.peak = max(d.peak*math.Exp(-float64(now-d.peakAt)/float64(peakFor)), asked.Admitted+asked.ExtraAttempts) // what servers do is of a moment ago
 	d.peakAt = now
 	if done := use * capacity; d.peak > 0 && done > agrees*d.peak {
 		grown := min(done/d.peak, mostGrown)
-		for _, rates := range [][]float64{asked.First, asked.Again, asked.Tenants} {
+		for _, rates := range [][]float64{asked.NewRequests, asked.ClientRetries, asked.Tenants} {
 			for i := range rates {
 				rates[i] *= grown
 			}
@@ -72,12 +72,12 @@
 	}
 	p := plan{asked: asked, use: use, capacity: capacity, limit: d.gain * targetUse * capacity * (1 - pushback*max(0, use-aimedUse(asked.lateShare())))}
 	all := 0.0
-	for c := range asked.First {
-		all += asked.First[c] + asked.Again[c]
+	for c := range asked.NewRequests {
+		all += asked.NewRequests[c] + asked.ClientRetries[c]
 	}
 	// What waits at servers beyond what is usual is worked off first.
-	waits := max(0, asked.Open-p.limit*openTime*d.set.Classes[d.order[0]].Aim.Seconds())
-	left := max(leastPart*p.limit, p.limit-asked.Extra-waits/drainIn.Seconds())
+	waits := max(0, asked.InFlight-p.limit*openTime*d.set.Classes[d.order[0]].Aim.Seconds())
+	left := max(leastPart*p.limit, p.limit-asked.ExtraAttempts-waits/drainIn.Seconds())
 	if all <= left || capacity == 0 {
 		return p
 	}
@@ -92,22 +92,22 @@
 	for _, x := range asked.Tenants {
 		tenants += x
 	}
-	p.chances, p.excess = make([][4]float64, len(asked.First)), make([][]float64, len(asked.First))
+	p.chances, p.excess = make([][4]float64, len(asked.NewRequests)), make([][]float64, len(asked.NewRequests))
 	letIn := 0.0
 	for _, c := range d.order {
 		of := make([]float64, len(asked.Tenants)) // what each tenant asks of the class, as far as all ask alike
 		for t, x := range asked.Tenants {
-			of[t] = x * asked.First[c] / max(tenants, math.SmallestNonzeroFloat64)
+			of[t] = x * asked.NewRequests[c] / max(tenants, math.SmallestNonzeroFloat64)
 		}
-		p.excess[c] = excess(of, d.set.Shares, left)
+		p.excess[c] = excess(of, d.set.TenantQuotas, left)
 		over := 0.0
 		for t, x := range of {
-			over += x * p.excess[c][t] / max(asked.First[c], math.SmallestNonzeroFloat64)
+			over += x * p.excess[c][t] / max(asked.NewRequests[c], math.SmallestNonzeroFloat64)
 		}
 		for b := range p.chances[c] {
-			want := asked.First[c]
+			want := asked.NewRequests[c]
 			if b%2 == 1 {
-				want = asked.Again[c]
+				want = asked.ClientRetries[c]
 			}
 			if b < 2 {
 				want *= 1 - over
@@ -199,10 +199,10 @@
 	}
 }
 
-func (r *rates) digest(now time.Duration, self, open int) Digest {
-	d := Digest{Agent: self, All: r.all.rate(now), Open: float64(open), LetIn: r.letIn.rate(now), Extra: r.extra.rate(now), Good: r.good.rate(now), Late: r.late.rate(now)}
+func (r *rates) digest(now time.Duration, self, open int) LoadDigest {
+	d := LoadDigest{Agent: self, Requests: r.all.rate(now), InFlight: float64(open), Admitted: r.letIn.rate(now), ExtraAttempts: r.extra.rate(now), ServedInTime: r.good.rate(now), LateOrFailed: r.late.rate(now)}
 	for c := range r.first {
-		d.First, d.Again = append(d.First, r.first[c].rate(now)), append(d.Again, r.again[c].rate(now))
+		d.NewRequests, d.ClientRetries = append(d.NewRequests, r.first[c].rate(now)), append(d.ClientRetries, r.again[c].rate(now))
 	}
 	for t := range r.tenants {
 		d.Tenants = append(d.Tenants, r.tenants[t].rate(now))
--- a/internal/fleet/overload/picture.go
+++ b/internal/fleet/overload/view.go
@@ -15,8 +15,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Server is a server's id as agents tell it.
-func Server(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
+// ServerID is a server's id as agents tell it.
+func ServerID(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 const (
 	freshFor    = 4 * time.Second        // for which a digest counts
@@ -37,11 +37,11 @@
 	tellings    = 4                      // of a piece of news, before it is told in turn with all others
 )
 
-// Picture is the fleet as one agent sees it. It is not safe for concurrent use.
+// View is the fleet as one agent sees it. It is not safe for concurrent use.
 //
 // Invariants: of each agent the latest digest counts, while it is fresh and the agent lives; what one agent claims is bounded; of each
 // server the latest report counts, whoever had it.
-type Picture struct {
+type FleetView struct {
 	self, classes, tenants int
 	digests                []heard // by agent
 	dead                   []bool  // by agent
@@ -51,14 +51,14 @@
 	order                  []uint32 // of servers, as they are told in turn
 	turn, round            int
 	urgent                 bool // a server has become full
-	counts                 PictureCounts
+	counts                 ViewCounts
 }
 
-// PictureCounts are what a Picture has been told.
-type PictureCounts struct {
-	Digests, Reports, Voices uint64 // that were news
-	Bounded                  uint64 // claims that were over their bound
-	Malformed                uint64 // bodies
+// ViewCounts are what a Picture has been told.
+type ViewCounts struct {
+	Digests, Reports, Observations uint64 // that were news
+	Capped                         uint64 // claims that were over their bound
+	Malformed                      uint64 // bodies
 }
 
 // told is something with the time at which it held, and who told it here.
@@ -70,7 +70,7 @@
 
 // heard is a digest as it is held.
 type heard struct {
-	told[Digest]
+	told[LoadDigest]
 	was   [2]float64    // the first tries and repeats that were held before it came; below 0: none were
 	gap   time.Duration // by how much later it holds than these
 	times int           // that it was told on
@@ -79,20 +79,20 @@
 
 // server is what is known of one.
 type server struct {
-	report  told[Report]
-	own     float64       // capacity as own answers showed it last; 0: none did
-	voices  []told[Voice] // of agents that it does not serve
-	illness               // as this agent sees it
+	report  told[LoadReport]
+	own     float64             // capacity as own answers showed it last; 0: none did
+	voices  []told[Observation] // of agents that it does not serve
+	illness                     // as this agent sees it
 }
 
 // newPicture returns a picture of nothing.
-func newPicture(self, agents, classes, tenants int) *Picture {
-	return &Picture{self: self, classes: min(classes, MostClasses), tenants: min(tenants, MostTenants), digests: make([]heard, agents),
+func newPicture(self, agents, classes, tenants int) *FleetView {
+	return &FleetView{self: self, classes: min(classes, MaxClasses), tenants: min(tenants, MaxTenants), digests: make([]heard, agents),
 		dead: make([]bool, agents), alive: 1, servers: map[uint32]*server{}}
 }
 
 // lives takes which agents live.
-func (p *Picture) lives(alive []bool) {
+func (p *FleetView) lives(alive []bool) {
 	p.alive = 0
 	for i := range p.dead {
 		if p.dead[i] = i < len(alive) && !alive[i] && i != p.self; !p.dead[i] {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (p *Picture) server(id uint32) *server {
+func (p *FleetView) server(id uint32) *server {
 	s := p.servers[id]
 	if s == nil && len(p.servers) < mostServers {
 		s = &server{}
@@ -112,7 +112,7 @@
 }
 
 // forget drops servers that the list does not name any more.
-func (p *Picture) forget(named func(uint32) bool) {
+func (p *FleetView) forget(named func(uint32) bool) {
 	p.order = slices.DeleteFunc(p.order, func(id uint32) bool {
 		if named(id) {
 			return false
@@ -123,22 +123,22 @@
 }
 
 // take takes what another agent tells, of itself and of others.
-func (p *Picture) take(now time.Duration, from int, b Body) {
+func (p *FleetView) take(now time.Duration, from int, b Payload) {
 	for _, d := range b.Digests {
-		if d.Agent < len(p.digests) && d.Agent != p.self && len(d.First) == p.classes && len(d.Tenants) == p.tenants {
+		if d.Agent < len(p.digests) && d.Agent != p.self && len(d.NewRequests) == p.classes && len(d.Tenants) == p.tenants {
 			p.digest(now, from, d)
 		}
 	}
 	for _, r := range b.Reports {
 		p.report(now, r, false)
 	}
-	for _, v := range b.Voices {
+	for _, v := range b.Observations {
 		p.voice(now, from, v)
 	}
 }
 
 // digest takes the latest of an agent. A clock's tick of doubt is not news.
-func (p *Picture) digest(now time.Duration, from int, d Digest) {
+func (p *FleetView) digest(now time.Duration, from int, d LoadDigest) {
 	e, at := &p.digests[d.Agent], now-d.Age
 	if d.Age >= freshFor || e.at != 0 && at <= e.at+ageUnit {
 		return
@@ -156,7 +156,7 @@
 
 // report takes what a server said, to this agent or to another. Of what it can do others' word is believed within what own answers have
 // shown.
-func (p *Picture) report(now time.Duration, r Report, own bool) {
+func (p *FleetView) report(now time.Duration, r LoadReport, own bool) {
 	s, at := p.server(r.Server), now-r.Age
 	if s == nil || r.Age >= reportFor {
 		return
@@ -169,7 +169,7 @@
 		return
 	}
 	p.counts.Reports++
-	if r.Use >= urgentUse && s.report.what.Use < urgentUse {
+	if r.Utilization >= urgentUse && s.report.what.Utilization < urgentUse {
 		p.urgent = true
 	}
 	if r.Capacity == 0 {
@@ -181,7 +181,7 @@
 // capacity is what all servers can do at full use, how busy they are, how far that is of now, and of which part of them it is known.
 // Of what a server can do others' word is believed within what own answers have shown, of it or else of the others, and not at all where they
 // have shown nothing.
-func (p *Picture) capacity(now time.Duration, ready func(uint32) bool) (capacity, use, sure, known float64) {
+func (p *FleetView) capacity(now time.Duration, ready func(uint32) bool) (capacity, use, sure, known float64) {
 	own, owns := 0.0, 0.0
 	for _, id := range p.order {
 		if s := p.servers[id]; s.own > 0 {
@@ -207,13 +207,13 @@
 			}
 			if c > most {
 				c = most
-				p.counts.Bounded++
+				p.counts.Capped++
 			}
 			sum += c
 			weight++
 		}
 		w := math.Exp(-float64(age) / float64(useFades))
-		usage, weights = usage+w*s.report.what.Use, weights+w
+		usage, weights = usage+w*s.report.what.Utilization, weights+w
 	}
 	if weight > 0 { // those whose capacity nobody knows are like the others
 		capacity = sum * fresh / weight
@@ -221,25 +221,25 @@
 	return capacity, usage / max(weights, math.SmallestNonzeroFloat64), weights / max(fresh, 1), fresh / max(all, 1)
 }
 
-// Asked is what the fleet is asked, as far as is known: rates a second.
-type Asked struct {
-	First, Again, Tenants   []float64
-	All, LetIn, Open, Extra float64
-	Good, Late              float64
-	Heard                   int // agents of which that is known
-	Alive                   int
+// Demand is what the fleet is asked, as far as is known: rates a second.
+type Demand struct {
+	NewRequests, ClientRetries, Tenants         []float64
+	Requests, Admitted, InFlight, ExtraAttempts float64
+	ServedInTime, LateOrFailed                  float64
+	KnownAgents                                 int // agents of which that is known
+	AliveAgents                                 int
 }
 
 // lateShare is the part of the answers that come late or not.
-func (a *Asked) lateShare() float64 {
-	return a.Late / max(a.Late+a.Good, math.SmallestNonzeroFloat64)
+func (a *Demand) lateShare() float64 {
+	return a.LateOrFailed / max(a.LateOrFailed+a.ServedInTime, math.SmallestNonzeroFloat64)
 }
 
 // totals are all first tries and all repeats that an agent is asked.
-func (d *Digest) totals() (sums [2]float64) {
-	for c := range d.First {
-		sums[0] += d.First[c]
-		sums[1] += d.Again[c]
+func (d *LoadDigest) totals() (sums [2]float64) {
+	for c := range d.NewRequests {
+		sums[0] += d.NewRequests[c]
+		sums[1] += d.ClientRetries[c]
 	}
 	return sums
 }
@@ -247,9 +247,9 @@
 // sum adds up what all agents say. What some have said a while ago is brought up to now by how those of now differ from what was held of
 // them before (a ratio estimate), and those of which nothing is heard are taken to be like the others. Nobody's claim counts for more than
 // a multiple of what all servers can do and of what all others say, and neither does all that one agent has told here, of itself and others.
-func (p *Picture) sum(now time.Duration, own Digest, capacity float64) Asked {
-	a := Asked{First: slices.Clone(own.First), Again: slices.Clone(own.Again), Tenants: slices.Clone(own.Tenants),
-		All: own.All, LetIn: own.LetIn, Open: own.Open, Extra: own.Extra, Good: own.Good, Late: own.Late, Heard: 1, Alive: max(1, p.alive)}
+func (p *FleetView) sum(now time.Duration, own LoadDigest, capacity float64) Demand {
+	a := Demand{NewRequests: slices.Clone(own.NewRequests), ClientRetries: slices.Clone(own.ClientRetries), Tenants: slices.Clone(own.Tenants),
+		Requests: own.Requests, Admitted: own.Admitted, InFlight: own.InFlight, ExtraAttempts: own.ExtraAttempts, ServedInTime: own.ServedInTime, LateOrFailed: own.LateOrFailed, KnownAgents: 1, AliveAgents: max(1, p.alive)}
 	var fresh, held [2]float64
 	gaps, n := time.Duration(0), time.Duration(0)
 	for i := range p.digests {
@@ -266,7 +266,7 @@
 			trend[k] = min(max(fresh[k]/held[k], 1/mostTrend), mostTrend)
 		}
 	}
-	claim := func(d *Digest) float64 {
+	claim := func(d *LoadDigest) float64 {
 		totals := d.totals()
 		return min(totals[0]+totals[1], mostClaim*capacity)
 	}
@@ -286,7 +286,7 @@
 			continue
 		}
 		e := &p.digests[i]
-		a.Heard++
+		a.KnownAgents++
 		totals, part, again := e.what.totals(), 1.0, 1.0
 		if now-e.at >= nowFor && n > 0 {
 			over := min(1, float64(now-e.at)/max(1, float64(gaps/n)))
@@ -295,15 +295,15 @@
 		says := part*totals[0] + again*totals[1]
 		if most := bound(claim(&e.what)); capacity > 0 && says > most {
 			part, again = part*most/says, again*most/says
-			p.counts.Bounded++
+			p.counts.Capped++
 		}
 		if all := tellers[e.by]; capacity > 0 && all > bound(all) {
 			part, again = part*bound(all)/all, again*bound(all)/all
-			p.counts.Bounded++
+			p.counts.Capped++
 		}
-		for c := range e.what.First {
-			a.First[c] += part * e.what.First[c]
-			a.Again[c] += again * e.what.Again[c]
+		for c := range e.what.NewRequests {
+			a.NewRequests[c] += part * e.what.NewRequests[c]
+			a.ClientRetries[c] += again * e.what.ClientRetries[c]
 		}
 		tenants := 0.0
 		for _, x := range e.what.Tenants {
@@ -313,33 +313,33 @@
 			a.Tenants[t] += part * x * min(1, totals[0]/max(tenants, math.SmallestNonzeroFloat64))
 		}
 		asked := part*totals[0] + again*totals[1] // what the rest can't be much more than
-		a.All += part * e.what.All
-		a.LetIn += min(part*e.what.LetIn, asked)
-		a.Open += min(e.what.Open, asked*openMost.Seconds())
-		a.Extra += min(e.what.Extra, extraMost*asked)
-		a.Good += min(e.what.Good, asked)
-		a.Late += min(e.what.Late, asked)
+		a.Requests += part * e.what.Requests
+		a.Admitted += min(part*e.what.Admitted, asked)
+		a.InFlight += min(e.what.InFlight, asked*openMost.Seconds())
+		a.ExtraAttempts += min(e.what.ExtraAttempts, extraMost*asked)
+		a.ServedInTime += min(e.what.ServedInTime, asked)
+		a.LateOrFailed += min(e.what.LateOrFailed, asked)
 	}
-	if missing := min(mostMissing, float64(a.Alive)/float64(a.Heard)); missing > 1 {
-		for _, rates := range [][]float64{a.First, a.Again, a.Tenants} {
+	if missing := min(mostMissing, float64(a.AliveAgents)/float64(a.KnownAgents)); missing > 1 {
+		for _, rates := range [][]float64{a.NewRequests, a.ClientRetries, a.Tenants} {
 			for i := range rates {
 				rates[i] *= missing
 			}
 		}
-		a.All, a.LetIn, a.Open, a.Extra, a.Good, a.Late = a.All*missing, a.LetIn*missing, a.Open*missing, a.Extra*missing, a.Good*missing, a.Late*missing
+		a.Requests, a.Admitted, a.InFlight, a.ExtraAttempts, a.ServedInTime, a.LateOrFailed = a.Requests*missing, a.Admitted*missing, a.InFlight*missing, a.ExtraAttempts*missing, a.ServedInTime*missing, a.LateOrFailed*missing
 	}
 	return a
 }
 
 // heardOf reports whether an agent's digest counts.
-func (p *Picture) heardOf(agent int, now time.Duration) bool {
+func (p *FleetView) heardOf(agent int, now time.Duration) bool {
 	e := &p.digests[agent]
 	return agent != p.self && !p.dead[agent] && e.at != 0 && now-e.at < freshFor
 }
 
 // tell writes a body of so many bytes at the most: the own digest, what servers said, voices, and others' digests, the news first.
-func (p *Picture) tell(now time.Duration, own Digest, busy bool, most int) []byte {
-	b := Body{Busy: busy, Digests: []Digest{own}}
+func (p *FleetView) tell(now time.Duration, own LoadDigest, busy bool, most int) []byte {
+	b := Payload{IsBusy: busy, Digests: []LoadDigest{own}}
 	size := digestSize(p.classes, p.tenants)
 	room := most - 1 - size
 	voices := room / 4 / voiceSize
@@ -350,7 +350,7 @@
 		p.round = (p.round + 1) % len(p.order)
 		for _, v := range p.servers[p.order[p.round]].voices {
 			if age := now - v.at; voices > 0 && age < voiceFor {
-				b.Voices = append(b.Voices, Voice{v.what.Server, v.what.Agent, age})
+				b.Observations = append(b.Observations, Observation{v.what.Server, v.what.Agent, age})
 				voices--
 				room -= voiceSize
 			}
--- a/internal/fleet/overload/weigh_test.go
+++ b/internal/fleet/overload/weigh_test.go
@@ -20,7 +20,7 @@
 // gossip is the way that was chosen: digests of all, told on.
 type gossip struct {
 	random *rand.Rand
-	all    []*Picture
+	all    []*FleetView
 	asked  []float64
 	now    time.Duration
 }
@@ -35,12 +35,12 @@
 	return g
 }
 
-func (g *gossip) own(i int) Digest {
+func (g *gossip) own(i int) LoadDigest {
 	of := make([]float64, 8)
 	for t := range of {
 		of[t] = g.asked[i] / 8
 	}
-	return Digest{Agent: i, First: []float64{g.asked[i], 0}, Again: []float64{0, 0}, Tenants: of}
+	return LoadDigest{Agent: i, NewRequests: []float64{g.asked[i], 0}, ClientRetries: []float64{0, 0}, Tenants: of}
 }
 
 func (g *gossip) step(now time.Duration, asked []float64, lost func(from, to int) bool) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (g *gossip) knows(i int) float64 { return g.all[i].sum(g.now, g.own(i), 0).First[0] }
+func (g *gossip) knows(i int) float64 { return g.all[i].sum(g.now, g.own(i), 0).NewRequests[0] }
 
 // pushSum averages (D. Kempe, A. Dobra and J. Gehrke, 2003), with each change put in as it comes.
 type pushSum struct {
--- a/internal/fleet/recovery/habits.go
+++ b/internal/fleet/recovery/baseline.go
@@ -9,32 +9,32 @@
 	"appleledge/internal/admission"
 )
 
-// Before is what an agent knew before: the part of what is kept that a Recovery goes by.
-type Before struct {
-	Servers []BeforeServer
-	Usual   []float64 // requests a second that it was served, by class; none where it is not known
-	Use     float64   // how busy servers were, from 0 to 1; 0: not known
+// Baseline is what an agent knew before: the part of what is kept that a Recovery goes by.
+type Baseline struct {
+	Servers     []BaselineServer
+	ClassRates  []float64 // requests a second that it was served, by class; none where it is not known
+	Utilization float64   // how busy servers were, from 0 to 1; 0: not known
 }
 
-// BeforeServer is a server as it was.
-type BeforeServer struct {
+// BaselineServer is a server as it was.
+type BaselineServer struct {
 	ID       string
 	Cell     int
 	Ready    bool
 	Capacity float64 // requests a second when warm; 0: not known
 }
 
-// Rate is the sum over the classes.
-func (b Before) Rate() (sum float64) {
-	for _, x := range b.Usual {
+// AdmissionRate is the sum over the classes.
+func (b Baseline) TotalRate() (sum float64) {
+	for _, x := range b.ClassRates {
 		sum += x
 	}
 	return sum
 }
 
-func (b Before) usual(class int) float64 {
-	if class < len(b.Usual) {
-		return b.Usual[class]
+func (b Baseline) usual(class int) float64 {
+	if class < len(b.ClassRates) {
+		return b.ClassRates[class]
 	}
 	return 0
 }
@@ -47,8 +47,8 @@
 	askedTime   = 2 * time.Second        // over which first tries are averaged, where nothing is known
 )
 
-// Habits are what is usual for an agent: what a recovery goes by, later.
-type Habits struct {
+// trafficProfile are what is usual for an agent: what a recovery goes by, later.
+type trafficProfile struct {
 	usual  []float64 // requests a second, by class
 	counts []float64 // since the last look
 	use    float64
@@ -58,14 +58,14 @@
 	start  time.Duration
 }
 
-func (h *Habits) classes(n int) {
+func (h *trafficProfile) classes(n int) {
 	for len(h.usual) < n {
 		h.usual, h.counts = append(h.usual, 0), append(h.counts, 0)
 	}
 }
 
 // asked counts an arrival.
-func (h *Habits) asked(now time.Duration, a admission.Ask) {
+func (h *trafficProfile) asked(now time.Duration, a admission.Ask) {
 	if a.Again {
 		return
 	}
@@ -78,13 +78,13 @@
 }
 
 // askedRate is how many first tries come a second.
-func (h *Habits) askedRate(now time.Duration) float64 {
+func (h *trafficProfile) askedRate(now time.Duration) float64 {
 	over := askedTime.Seconds() * (1 - math.Exp(-max(0.1, (now-h.start).Seconds())/askedTime.Seconds()))
 	return h.firsts * math.Exp(-(now-h.at).Seconds()/askedTime.Seconds()) / over
 }
 
 // look averages the rates of first tries, in calm.
-func (h *Habits) look(now time.Duration) {
+func (h *trafficProfile) look(now time.Duration) {
 	passed := now - h.looked
 	if passed < habitLook {
 		return
@@ -105,7 +105,7 @@
 }
 
 // reported learns from a server's report, in calm.
-func (h *Habits) reported(now time.Duration, s *server) {
+func (h *trafficProfile) reported(now time.Duration, s *server) {
 	if s.asOf != now {
 		return
 	}
@@ -124,30 +124,30 @@
 }
 
 // before is what is usual, as what a recovery goes by.
-func (h *Habits) before(r *Recovery) Before {
-	b := Before{Usual: slices.Clone(h.usual), Use: h.use}
+func (h *trafficProfile) before(r *Controller) Baseline {
+	b := Baseline{ClassRates: slices.Clone(h.usual), Utilization: h.use}
 	for _, s := range r.servers {
-		b.Servers = append(b.Servers, BeforeServer{s.id, s.cell, s.ready, s.capacity})
+		b.Servers = append(b.Servers, BaselineServer{s.id, s.cell, s.ready, s.capacity})
 	}
-	slices.SortFunc(b.Servers, func(x, y BeforeServer) int { return strings.Compare(x.ID, y.ID) })
+	slices.SortFunc(b.Servers, func(x, y BaselineServer) int { return strings.Compare(x.ID, y.ID) })
 	return b
 }
 
 // Resume goes on with what is known from before, where it is known that nothing has lost power since.
-func (r *Recovery) Resume(before Before) {
-	copy(r.habits.usual, before.Usual)
-	r.habits.use = before.Use
+func (r *Controller) Resume(before Baseline) {
+	copy(r.habits.usual, before.ClassRates)
+	r.habits.use = before.Utilization
 	for _, s := range before.Servers {
 		own := r.server(s.ID)
 		own.cell, own.ready, own.capacity = s.Cell, s.Ready, s.Capacity
 	}
 }
 
-// Before is what is to be kept: what is usual, or, while a recovery is under way, what that goes by.
-func (r *Recovery) Before() Before {
+// Baseline is what is to be kept: what is usual, or, while a recovery is under way, what that goes by.
+func (r *Controller) Baseline() Baseline {
 	b := r.habits.before(r)
-	if r.phase != Full {
-		b.Usual, b.Use = slices.Clone(r.base.Usual), r.base.Use
+	if r.phase != FullService {
+		b.ClassRates, b.Utilization = slices.Clone(r.base.ClassRates), r.base.Utilization
 	}
 	return b
 }
--- a/internal/fleet/recovery/decisions_test.go
+++ b/internal/fleet/recovery/decisions_test.go
@@ -32,27 +32,27 @@
 // capacity are rounded here: the module adds them up over a map, in an order of chance, on which their last bits hang.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
-	classes := []Class{{Name: "a", Worth: 1, Aim: 300e6, Safe: true}, {Name: "b", Worth: 10, Aim: 400e6}, {Name: "c", Worth: 4, Aim: 300e6, Safe: true}}
+	classes := []Class{{Name: "a", Priority: 1, LatencyObjective: 300e6, IsIdempotent: true}, {Name: "b", Priority: 10, LatencyObjective: 400e6}, {Name: "c", Priority: 4, LatencyObjective: 300e6, IsIdempotent: true}}
 	watched := []admission.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
-	make := func(askFor time.Duration) *Recovery {
-		var behind Door
+	make := func(askFor time.Duration) *Controller {
+		var behind Admitter
 		if seed > 1 {
 			behind = admission.New(admission.Options{Classes: watched, MaxAfter: time.Second, Remember: 100, Seed: uint64(seed)})
 		}
-		return New(Options{Classes: classes, Agents: 3, Self: 1, ColdFrom: 0.25, ColdFor: 4 * time.Second, Overload: float64(seed % 3 * 2),
-			MaxAfter: time.Second, AskFor: askFor, Seed: uint64(seed)}, behind)
+		return New(Options{Classes: classes, Agents: 3, Self: 1, ColdCapacityRatio: 0.25, WarmupTime: 4 * time.Second, ColdOverloadFactor: float64(seed % 3 * 2),
+			MaxRetryAfter: time.Second, PeerPollTime: askFor, Seed: uint64(seed)}, behind)
 	}
 	r := make(0)
 	pods := []*tracePod{}
-	now, was := time.Hour, Full
+	now, was := time.Hour, FullService
 	listed := func(s *tracePod, start time.Duration) {
-		r.Listed(now, Server{ID: s.id, Cell: s.cell, Ready: true, Started: start}, true)
+		r.UpdateServer(now, Server{ID: s.id, Cell: s.cell, Ready: true, Started: start}, true)
 	}
 	for i := range 12 {
 		pods = append(pods, &tracePod{id: "s" + strconv.Itoa(i), cell: i / 3, up: true, use: 0.5})
 		listed(pods[i], 0)
 	}
-	r.Settled(now)
+	r.ListApplied(now)
 	var out []traceTry
 	refused := map[int]bool{}
 	ask := func() {
@@ -104,59 +104,59 @@
 			for _, s := range pods {
 				power(s, false)
 			}
-			r.Lives([]bool{true, true, seed == 1})
+			r.SetLiveAgents([]bool{true, true, seed == 1})
 		case step > 1000 && step < 1300 && step%20 == 0: // and comes back
 			power(pods[step/20%12], true)
 		case step > 1400 && step < 1700 && step%20 == 0:
 			s := pods[step/20%12]
 			listed(s, s.started)
-			r.Settled(now)
+			r.ListApplied(now)
 		case step == 2500: // all restart at once
 			for _, s := range pods {
 				power(s, true)
 				listed(s, now)
 			}
-			r.Settled(now)
+			r.ListApplied(now)
 		case step == 3300: // the agent restarts, and does not know what has become of the fleet
-			before := r.Before()
+			before := r.Baseline()
 			r = make(500 * time.Millisecond)
-			r.Begin(now, before, "restart")
+			r.Start(now, before, "restart")
 			for i, s := range pods {
 				power(s, i%4 != 0 && seed != 2)
 			}
 		case step == 3400:
 			for _, s := range pods[:6] {
-				r.Heard(now, s.id)
+				r.PeerReportsResponding(now, s.id)
 			}
 		case step == 3700:
 			for _, s := range pods {
 				s.up = true
-				r.Listed(now, Server{ID: s.id, Cell: s.cell, Ready: true}, false)
+				r.UpdateServer(now, Server{ID: s.id, Cell: s.cell, Ready: true}, false)
 			}
 		case step == 4300: // with nothing
 			r = make(0)
-			r.Begin(now, Before{}, "restart")
+			r.Start(now, Baseline{}, "restart")
 		case step == 4400:
 			for _, s := range pods {
 				power(s, true)
 				listed(s, now)
 			}
-			r.Settled(now)
+			r.ListApplied(now)
 		case step == 5200: // and with all that it knew
-			before := r.Before()
+			before := r.Baseline()
 			r = make(0)
 			r.Resume(before)
-			r.Listed(now, Server{ID: "s1", Gone: true}, true)
+			r.UpdateServer(now, Server{ID: "s1", Gone: true}, true)
 			listed(pods[1], 0)
 			r.Retune([]admission.Class{watched[0], {Worth: 0.5, Aim: 400e6}, watched[2], {Worth: 3, Aim: 300e6, Safe: true}})
 		case step == 5300:
 			r = make(0)
-			r.Begin(now, Before{}, "restart")
+			r.Start(now, Baseline{}, "restart")
 		case step == 5350: // warm servers
 			for _, s := range pods {
 				listed(s, 0)
 			}
-			r.Settled(now)
+			r.ListApplied(now)
 		}
 		rest := out[:0:0]
 		for _, x := range out {
@@ -171,25 +171,25 @@
 				rate = use * 64
 			}
 			if x.end != admission.Left {
-				r.Outcome(now, x.pod.id, x.pod.up, !x.pod.up, rate, use)
+				r.ObserveAttempt(now, x.pod.id, x.pod.up, !x.pod.up, rate, use)
 			}
 		}
 		out = rest
 		for owed += 4 * rnd.Share(); owed >= 1; owed-- {
 			ask()
 		}
-		if moved := r.Moved(); moved != nil {
+		if moved := r.TakeStartChanges(); moved != nil {
 			tr.Add(now, moved)
 			tr.Count("moved")
 		}
-		if found := r.Found(); found != nil {
+		if found := r.TakeResponding(); found != nil {
 			tr.Add(now, found)
 			tr.Count("found")
 		}
 		if step%7 == 0 {
 			s := pods[rnd.Below(12)]
-			may := r.MayRepeat(s.cell, now-rnd.Millis(0, 3000))
-			tr.Add(now, may, r.Started(s.id, s.started), r.Started("unknown", 5))
+			may := r.AllowsRetryIn(s.cell, now-rnd.Millis(0, 3000))
+			tr.Add(now, may, r.EffectiveStart(s.id, s.started), r.EffectiveStart("unknown", 5))
 			tr.CountIf(may, "may be repeated")
 			tr.CountIf(!may, "may not be repeated")
 		}
@@ -199,14 +199,14 @@
 			was = st.Phase
 		}
 		if step%10 == 0 {
-			tr.Add(now, int(st.Phase), st.Since, rounded(st.Rate), rounded(st.Warm), st.Servers, st.Heard, st.Counts.Recoveries, st.Counts.Trials, st.Counts.Vain)
-			for i := range st.Counts.Refused {
-				tr.Add(st.Counts.Refused[i], st.Counts.LetIn[i])
+			tr.Add(now, int(st.Phase), st.Since, rounded(st.AdmissionRate), rounded(st.WarmCapacityRatio), st.Servers, st.RespondingServers, st.Counts.Recoveries, st.Counts.Trials, st.Counts.FailedTrials)
+			for i := range st.Counts.Rejected {
+				tr.Add(st.Counts.Rejected[i], st.Counts.Admitted[i])
 			}
-			tr.CountIf(st.Counts.Vain > 0, "looks after a trial in vain")
-			b := r.Before()
-			tr.Add(b.Use, len(b.Servers))
-			for _, x := range b.Usual {
+			tr.CountIf(st.Counts.FailedTrials > 0, "looks after a trial in vain")
+			b := r.Baseline()
+			tr.Add(b.Utilization, len(b.Servers))
+			for _, x := range b.ClassRates {
 				tr.Add(x)
 			}
 			if step%500 == 0 {
--- a/internal/fleet/recovery/golden_texts_test.go
+++ b/internal/fleet/recovery/golden_texts_test.go
@@ -11,42 +11,42 @@
 // The phases, and the reasons that a recovery gives from a loss of power to full service, and when servers are seen to go.
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
-	for i, p := range []Phase{Full, Dark, Asking, Trying, Worthiest, Proving} {
+	for i, p := range []Phase{FullService, NoEndpoints, PollingPeers, TrialRequests, TopPriority, Ramping} {
 		out = fmt.Appendf(out, "phase %d %d %v\n", i, p, p)
 	}
-	var r *Recovery
+	var r *Controller
 	last := ""
 	note := func(now time.Duration) {
-		if s := r.Status(now); s.Phase.String()+s.Why != last {
-			last = s.Phase.String() + s.Why
-			out = fmt.Appendf(out, "%v since %v: %s\n", s.Phase, s.Since, s.Why)
+		if s := r.Status(now); s.Phase.String()+s.Reason != last {
+			last = s.Phase.String() + s.Reason
+			out = fmt.Appendf(out, "%v since %v: %s\n", s.Phase, s.Since, s.Reason)
 		}
 	}
 	for _, c := range []struct{ rate, refunds float64 }{{20, 21}, {200, 21}, {200, 500}} { // what is asked a second, and what refunds were before
 		o := options(4, 0)
-		o.AskFor = 300 * time.Millisecond
+		o.PeerPollTime = 300 * time.Millisecond
 		r = New(o, nil)
 		note(0)
-		r.Begin(start, known(12, 42, c.refunds, 0.5), "power")
+		r.Start(start, known(12, 42, c.refunds, 0.5), "power")
 		note(start)
 		for i := range int(25 * c.rate) {
 			now := start + time.Duration(float64(i)/c.rate*float64(second))
 			if now > start+second/2 && i%7 == 0 {
-				r.Outcome(now, fmt.Sprint("s-", i%12), true, false, 20, 0.8)
+				r.ObserveAttempt(now, fmt.Sprint("s-", i%12), true, false, 20, 0.8)
 			}
 			class := form
 			if i%3 == 0 {
 				class = refund
 			}
 			r.Arrive(now, ask(class))
-			r.Look(now)
+			r.Tick(now)
 			note(now)
 		}
 		now := start + 30*second
 		for i := range 12 {
-			r.Outcome(now, fmt.Sprint("s-", i), false, true, -1, -1)
+			r.ObserveAttempt(now, fmt.Sprint("s-", i), false, true, -1, -1)
 		}
-		r.Look(now)
+		r.Tick(now)
 		note(now)
 	}
 	for _, c := range []struct {
@@ -55,13 +55,13 @@
 	}{{true, 0}, {true, start + 19*second}, {false, start + 19*second}} { // the list says so of a fleet of which nothing is known
 		r = New(options(4, 0), nil)
 		if c.begins {
-			r.Begin(start, Before{}, "nothing")
+			r.Start(start, Baseline{}, "nothing")
 		}
 		note(start)
 		for i := range 3 {
-			r.Listed(start+20*second, Server{ID: fmt.Sprint("s-", i), Ready: true, Started: c.started}, true)
+			r.UpdateServer(start+20*second, Server{ID: fmt.Sprint("s-", i), Ready: true, Started: c.started}, true)
 		}
-		r.Settled(start + 20*second)
+		r.ListApplied(start + 20*second)
 		note(start + 20*second)
 	}
 	golden.Equal(t, "texts/recovery.txt", out)
--- a/internal/fleet/recovery/recovery.go
+++ b/internal/fleet/recovery/recovery.go
@@ -5,7 +5,7 @@
 // The order: dark (no server is known), asking (servers are known from before, and the other agents are asked what they know), trying (first trials are out, spread over the agents), worthiest (the class that is worth most is let
 // in), proving (the others follow as capacity is proven), full.
 //
-// Why the sum over all agents pushes no cold server over, whoever hears whom. While the fleet is cold as a whole an agent lets in
+// Reason the sum over all agents pushes no cold server over, whoever hears whom. While the fleet is cold as a whole an agent lets in
 // at most half of Overload * s / use of the rate at which it was served itself before, where s is the part of its capacity that a server
 // has at least so long after its start, and use how busy servers were then. Of these rates the sum over all agents is what the
 // fleet served before, use * C, so that the sum of all is at most half of what topples it; an agent
@@ -31,38 +31,38 @@
 
 // The phases, in their order.
 const (
-	Full Phase = iota // nothing is held back
-	Dark
-	Asking
-	Trying
-	Worthiest
-	Proving
+	FullService Phase = iota // nothing is held back
+	NoEndpoints
+	PollingPeers
+	TrialRequests
+	TopPriority
+	Ramping
 )
 
-var phases = [...]string{Full: "full", Dark: "dark", Asking: "asking", Trying: "trying",
-	Worthiest: "worthiest", Proving: "proving"}
+var phases = [...]string{FullService: "full", NoEndpoints: "dark", PollingPeers: "asking", TrialRequests: "trying",
+	TopPriority: "worthiest", Ramping: "proving"}
 
 func (p Phase) String() string { return phases[p] }
 
 // Class describes a class of requests.
 type Class struct {
-	Name  string
-	Worth float64
-	Aim   time.Duration // an answer after it comes late
-	Safe  bool          // may be repeated at will
+	Name             string
+	Priority         float64
+	LatencyObjective time.Duration // an answer after it comes late
+	IsIdempotent     bool          // may be repeated at will
 }
 
 // Options are what a Recovery goes by.
 type Options struct {
-	Classes  []Class
-	Agents   int // that there are, as far as is known
-	Self     int // the number of this one
-	ColdFrom float64
-	ColdFor  time.Duration
-	Overload float64       // times what a cold server can do, which topples it; 0: none does
-	MaxAfter time.Duration // the longest come-back time that clients heed; 0 where they are told none
-	AskFor   time.Duration // for which others are waited for; 0 where there is nobody to ask
-	Seed     uint64
+	Classes            []Class
+	Agents             int // that there are, as far as is known
+	Self               int // the number of this one
+	ColdCapacityRatio  float64
+	WarmupTime         time.Duration
+	ColdOverloadFactor float64       // times what a cold server can do, which topples it; 0: none does
+	MaxRetryAfter      time.Duration // the longest come-back time that clients heed; 0 where they are told none
+	PeerPollTime       time.Duration // for which others are waited for; 0 where there is nobody to ask
+	Seed               uint64
 }
 
 const (
@@ -94,16 +94,16 @@
 	topMost    = 3   // times their usual rate, that all may come to when they ask for more
 )
 
-// Recovery is one agent's. It is not safe for concurrent use. It stands at the engine's door: in phase Full all pass to the door
+// Controller is one agent's. It is not safe for concurrent use. It stands at the engine's door: in phase Full all pass to the door
 // behind it, if there is one.
-type Recovery struct {
+type Controller struct {
 	set     Options
 	rng     *rand.Rand
-	order   []int // classes, the worthiest for its time first
-	behind  Door  // nil: none
+	order   []int    // classes, the worthiest for its time first
+	behind  Admitter // nil: none
 	servers map[string]*server
-	habits  Habits
-	base    Before // what is gone by while not Full
+	habits  trafficProfile
+	base    Baseline // what is gone by while not Full
 
 	phase  Phase
 	why    string
@@ -127,8 +127,8 @@
 	counts     Counts
 }
 
-// Door is who lets in behind a Recovery.
-type Door interface {
+// Admitter is who lets in behind a Recovery.
+type Admitter interface {
 	Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal)
 	Done(now time.Duration, p *admission.Pass, end admission.End)
 	Counts() admission.Counts
@@ -144,7 +144,7 @@
 	started  time.Duration // as the list says; 0: long ago, or not known
 	start    time.Duration // that counts: the list's, or else the first answer
 	masked   bool          // the module is told of no start
-	birth    time.Duration // since when it may have run without a break; see MayRepeat
+	birth    time.Duration // since when it may have run without a break; see AllowsRetryIn
 	answered time.Duration // the first answer of this recovery; 0: none
 	asOf     time.Duration // of the last report
 	rate     float64       // it does so many a second
@@ -159,25 +159,25 @@
 
 // Counts are what a Recovery has done since it was made.
 type Counts struct {
-	Recoveries uint64
-	Trials     uint64
-	Vain       uint64   // trials in vain
-	Refused    []uint64 // by class
-	LetIn      []uint64 // by class, while not full
+	Recoveries   uint64
+	Trials       uint64
+	FailedTrials uint64   // trials in vain
+	Rejected     []uint64 // by class
+	Admitted     []uint64 // by class, while not full
 }
 
 // New returns a Recovery in phase Full that knows nothing. The door behind may be nil.
-func New(o Options, behind Door) *Recovery {
-	r := &Recovery{set: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), behind: behind, servers: map[string]*server{}, why: "start"}
+func New(o Options, behind Admitter) *Controller {
+	r := &Controller{set: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), behind: behind, servers: map[string]*server{}, why: "start"}
 	r.retune(o.Classes)
 	return r
 }
 
 // Retune takes the classes as they are from now on; each keeps its number.
-func (r *Recovery) Retune(classes []admission.Class) {
+func (r *Controller) Retune(classes []admission.Class) {
 	own := make([]Class, len(classes))
 	for i, c := range classes {
-		own[i] = Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Safe}
+		own[i] = Class{Priority: c.Worth, LatencyObjective: c.Aim, IsIdempotent: c.Safe}
 		if i < len(r.set.Classes) {
 			own[i].Name = r.set.Classes[i].Name
 		}
@@ -188,22 +188,22 @@
 	}
 }
 
-func (r *Recovery) retune(classes []Class) {
+func (r *Controller) retune(classes []Class) {
 	r.set.Classes, r.order = classes, make([]int, len(classes))
 	for i := range r.order {
 		r.order[i] = i
 	}
-	slices.SortStableFunc(r.order, func(a, b int) int { return cmp.Compare(classes[b].Worth, classes[a].Worth) })
+	slices.SortStableFunc(r.order, func(a, b int) int { return cmp.Compare(classes[b].Priority, classes[a].Priority) })
 	for len(r.tokens) < len(classes) {
 		r.tokens = append(r.tokens, 0)
-		r.counts.Refused, r.counts.LetIn = append(r.counts.Refused, 0), append(r.counts.LetIn, 0)
+		r.counts.Rejected, r.counts.Admitted = append(r.counts.Rejected, 0), append(r.counts.Admitted, 0)
 	}
 	r.habits.classes(len(classes))
 }
 
-// Begin starts a recovery with what is known from before. Of its servers no more is trusted than that they were there: whether
+// Start starts a recovery with what is known from before. Of its servers no more is trusted than that they were there: whether
 // they have started since is not known.
-func (r *Recovery) Begin(now time.Duration, before Before, why string) {
+func (r *Controller) Start(now time.Duration, before Baseline, why string) {
 	r.enter(now, before, why)
 	for _, s := range before.Servers {
 		own := r.server(s.ID)
@@ -211,18 +211,18 @@
 	}
 	switch {
 	case len(before.Servers) == 0:
-		r.become(now, Dark, why)
-	case r.set.AskFor > 0:
-		r.become(now, Asking, why)
+		r.become(now, NoEndpoints, why)
+	case r.set.PeerPollTime > 0:
+		r.become(now, PollingPeers, why)
 	default:
-		r.become(now, Trying, why)
+		r.become(now, TrialRequests, why)
 	}
 }
 
 // enter begins a recovery, whatever phase it starts in.
-func (r *Recovery) enter(now time.Duration, before Before, why string) {
+func (r *Controller) enter(now time.Duration, before Baseline, why string) {
 	r.base, r.began, r.first, r.anchor, r.gain, r.looked, r.filled, r.refused = before, now, 0, 0, 1, now, now, now
-	r.inTime, r.late, r.vainBefore = 0, 0, r.counts.Vain
+	r.inTime, r.late, r.vainBefore = 0, 0, r.counts.FailedTrials
 	r.counts.Recoveries++
 	r.why = why
 	r.primed = false
@@ -231,14 +231,14 @@
 	}
 }
 
-func (r *Recovery) become(now time.Duration, p Phase, why string) {
+func (r *Controller) become(now time.Duration, p Phase, why string) {
 	if r.phase != p {
 		r.phase, r.since = p, now
 	}
 	r.why = why
 }
 
-func (r *Recovery) server(id string) *server {
+func (r *Controller) server(id string) *server {
 	s := r.servers[id]
 	if s == nil {
 		s = &server{id: id, hash: xxhash.Sum64String(id)}
@@ -256,9 +256,9 @@
 	Started time.Duration // 0 for long ago
 }
 
-// Listed takes what the own list says of a server. heard is false of a list from before, which nobody has confirmed: where it
+// UpdateServer takes what the own list says of a server. heard is false of a list from before, which nobody has confirmed: where it
 // names a start all the same, that is known otherwise.
-func (r *Recovery) Listed(now time.Duration, l Server, heard bool) {
+func (r *Controller) UpdateServer(now time.Duration, l Server, heard bool) {
 	if l.Gone {
 		delete(r.servers, l.ID)
 		return
@@ -275,37 +275,37 @@
 	r.settle(s)
 }
 
-// Settled is called when a list, or a part of it, has been taken in. It may begin a recovery, or end one.
-func (r *Recovery) Settled(now time.Duration) {
+// ListApplied is called when a list, or a part of it, has been taken in. It may begin a recovery, or end one.
+func (r *Controller) ListApplied(now time.Duration) {
 	cold := r.coldPart(now) >= coldFleet
-	if r.phase == Full && cold { // those of which the last recovery knew are no news
+	if r.phase == FullService && cold { // those of which the last recovery knew are no news
 		cold = r.newlyCold(now)
 	}
 	switch {
 	case len(r.servers) == 0:
-	case r.phase == Full && cold && len(r.servers) > 1:
+	case r.phase == FullService && cold && len(r.servers) > 1:
 		r.enter(now, r.habits.before(r), "the list says that most servers have just started")
-		r.become(now, Trying, r.why)
+		r.become(now, TrialRequests, r.why)
 		for _, s := range r.servers {
-			if s.start != 0 && now-s.start < r.set.ColdFor {
+			if s.start != 0 && now-s.start < r.set.WarmupTime {
 				s.start = 0
 			}
 			r.settle(s)
 		}
-	case r.phase == Dark && !cold:
-		r.become(now, Full, "the list says that servers are warm")
+	case r.phase == NoEndpoints && !cold:
+		r.become(now, FullService, "the list says that servers are warm")
 		for _, s := range r.servers {
 			r.mask(s, false)
 		}
-	case r.phase == Dark:
-		r.become(now, Trying, "the list is there, and most servers have just started")
+	case r.phase == NoEndpoints:
+		r.become(now, TrialRequests, "the list is there, and most servers have just started")
 	}
 }
 
 // settle follows a change of what is known of a server's start. While the fleet is cold as a whole the module is told of none, for
 // all that came back together: the door holds back for them as one, by worth, which the module would do server by server and by
 // chance. A server that came back later than the others is cold beside them, and the module's.
-func (r *Recovery) settle(s *server) {
+func (r *Controller) settle(s *server) {
 	start := s.answered
 	if s.listed {
 		start = s.started
@@ -317,22 +317,22 @@
 	if s.start = start; start == 0 {
 		return
 	}
-	if r.phase != Full && (r.anchor == 0 || start < r.anchor) {
+	if r.phase != FullService && (r.anchor == 0 || start < r.anchor) {
 		r.anchor = start
 	}
 	same := s.masked && was != 0 && start < was+sameLife
-	r.mask(s, same || r.phase != Full && start <= r.anchor+together)
+	r.mask(s, same || r.phase != FullService && start <= r.anchor+together)
 }
 
-func (r *Recovery) mask(s *server, on bool) {
+func (r *Controller) mask(s *server, on bool) {
 	if s.masked != on || !on {
 		s.masked = on
 		r.moved = append(r.moved, s.id)
 	}
 }
 
-// Started is the start that the module is to be told of a server.
-func (r *Recovery) Started(id string, listed time.Duration) time.Duration {
+// EffectiveStart is the start that the module is to be told of a server.
+func (r *Controller) EffectiveStart(id string, listed time.Duration) time.Duration {
 	s := r.servers[id]
 	switch {
 	case s == nil:
@@ -343,8 +343,8 @@
 	return s.start
 }
 
-// Moved returns the servers of whose start the module is to be told anew, since the last call.
-func (r *Recovery) Moved() (ids []string) {
+// TakeStartChanges returns the servers of whose start the module is to be told anew, since the last call.
+func (r *Controller) TakeStartChanges() (ids []string) {
 	if len(r.moved) == 0 {
 		return nil
 	}
@@ -354,12 +354,12 @@
 }
 
 // coldPart is how much of the fleet's capacity belongs to servers that have just started, by the own list.
-func (r *Recovery) coldPart(now time.Duration) float64 {
+func (r *Controller) coldPart(now time.Duration) float64 {
 	cold, all := 0.0, 0.0
 	for _, s := range r.servers {
 		if s.ready {
 			all++
-			if s.listed && s.started != 0 && now-s.started < r.set.ColdFor {
+			if s.listed && s.started != 0 && now-s.started < r.set.WarmupTime {
 				cold++
 			}
 		}
@@ -368,12 +368,12 @@
 }
 
 // newlyCold reports whether most servers have started since the last recovery.
-func (r *Recovery) newlyCold(now time.Duration) bool {
+func (r *Controller) newlyCold(now time.Duration) bool {
 	fresh, all := 0.0, 0.0
 	for _, s := range r.servers {
 		if s.ready {
 			all++
-			if s.listed && !s.masked && s.started > r.began && now-s.started < r.set.ColdFor {
+			if s.listed && !s.masked && s.started > r.began && now-s.started < r.set.WarmupTime {
 				fresh++
 			}
 		}
@@ -381,26 +381,26 @@
 	return fresh >= coldFleet*all
 }
 
-// Heard takes what others say: that a server answers. It only says whom to try next; it is no proof.
-func (r *Recovery) Heard(now time.Duration, id string) {
+// RespondingServers takes what others say: that a server answers. It only says whom to try next; it is no proof.
+func (r *Controller) PeerReportsResponding(now time.Duration, id string) {
 	if s := r.servers[id]; s != nil && s.answered == 0 && s.word < r.began {
 		s.word, s.tryAt = now, min(s.tryAt, now+time.Duration(r.rng.Int64N(int64(tryAgain))))
 	}
 }
 
-// Lives takes which agents live as far as is known, by number.
-func (r *Recovery) Lives(alive []bool) { r.alive = alive }
+// SetLiveAgents takes which agents live as far as is known, by number.
+func (r *Controller) SetLiveAgents(alive []bool) { r.alive = alive }
 
-// Found returns the servers that have answered for the first time since the recovery began, since the last call.
-func (r *Recovery) Found() (ids []string) {
+// TakeResponding returns the servers that have answered for the first time since the recovery began, since the last call.
+func (r *Controller) TakeResponding() (ids []string) {
 	ids, r.found = r.found, nil
 	return ids
 }
 
 // Arrive is of Door.
-func (r *Recovery) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
+func (r *Controller) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
 	r.habits.asked(now, a)
-	if r.Look(now); r.phase == Full {
+	if r.Tick(now); r.phase == FullService {
 		if r.behind != nil {
 			return r.behind.Arrive(now, a)
 		}
@@ -408,11 +408,11 @@
 	}
 	p := admission.NewPass(now, a, admission.ByRecovery)
 	switch r.phase {
-	case Dark, Asking:
+	case NoEndpoints, PollingPeers:
 		if !a.Bound {
 			return nil, r.turnAway(now, a)
 		}
-	case Trying:
+	case TrialRequests:
 		id, ok := r.trial(now, a)
 		if !ok && !a.Bound {
 			return nil, r.turnAway(now, a)
@@ -425,12 +425,12 @@
 			return nil, r.turnAway(now, a)
 		}
 	}
-	r.counts.LetIn[a.Class]++
+	r.counts.Admitted[a.Class]++
 	return p, admission.Refusal{}
 }
 
 // Done is of Door.
-func (r *Recovery) Done(now time.Duration, p *admission.Pass, end admission.End) {
+func (r *Controller) Done(now time.Duration, p *admission.Pass, end admission.End) {
 	class, took, by := p.Ended(now)
 	if by != admission.ByRecovery {
 		if r.behind != nil {
@@ -438,7 +438,7 @@
 		}
 		return
 	}
-	if end == admission.Served && took <= r.set.Classes[class].Aim {
+	if end == admission.Served && took <= r.set.Classes[class].LatencyObjective {
 		r.inTime++
 	} else if end == admission.Served || end == admission.Failed {
 		r.late++
@@ -446,7 +446,7 @@
 }
 
 // Counts is of Door.
-func (r *Recovery) Counts() admission.Counts {
+func (r *Controller) Counts() admission.Counts {
 	if r.behind != nil {
 		return r.behind.Counts()
 	}
@@ -456,7 +456,7 @@
 // take takes one token for a request, of its class or of one that is worth less. An agent with few requests has seldom a whole
 // token when one comes, and many such agents must be fair together: a token that is not there yet is lent by chance, the rarer the
 // more is owed.
-func (r *Recovery) take(now time.Duration, a admission.Ask) bool {
+func (r *Controller) take(now time.Duration, a admission.Ask) bool {
 	r.fill(now)
 	at := slices.Index(r.order, a.Class)
 	for _, class := range r.order[at:] {
@@ -474,11 +474,11 @@
 }
 
 // lent is how many tokens of a class may be owed.
-func (r *Recovery) lent(class int) float64 { return 1 + r.base.usual(class)*burstTime }
+func (r *Controller) lent(class int) float64 { return 1 + r.base.usual(class)*burstTime }
 
 // fill hands out what has become free since: to the worthiest class first, and what it has no use for to the next. At first each
 // class has what it would have come to in the long run, so that all agents together begin evenly.
-func (r *Recovery) fill(now time.Duration) {
+func (r *Controller) fill(now time.Duration) {
 	seconds := (now - r.filled).Seconds()
 	r.filled = now
 	rate := r.rate(now)
@@ -506,33 +506,33 @@
 }
 
 // rate is how many requests a second may be let in now.
-func (r *Recovery) rate(now time.Duration) float64 {
+func (r *Controller) rate(now time.Duration) float64 {
 	s, proven := r.warmth(now)
-	use := r.base.Use
+	use := r.base.Utilization
 	if use == 0 {
 		use = useUnknown
 	}
 	use = max(use, useLeast)
-	base := r.base.Rate()
+	base := r.base.TotalRate()
 	if base == 0 {
 		base = r.habits.askedRate(now)
 	}
 	s = max(s, proven)
-	topples := r.set.Overload
+	topples := r.set.ColdOverloadFactor
 	if topples <= 0 {
 		topples = usualMost
 	}
 	most := s * hardPart * topples / use
 	aim := firstUse
 	if r.first != 0 {
-		aim += (aimUse - firstUse) * min(1, float64(now-r.first)/float64(r.set.ColdFor))
+		aim += (aimUse - firstUse) * min(1, float64(now-r.first)/float64(r.set.WarmupTime))
 	}
 	return base * min(topMost, most, r.gain*s*aim/use)
 }
 
 // warmth is the part of the fleet's capacity that there is at least, by the time since the servers' start, and by what those that
 // have reported of late can do at present. A server whose usual capacity is not known counts as one of the mean.
-func (r *Recovery) warmth(now time.Duration) (least, proven float64) {
+func (r *Controller) warmth(now time.Duration) (least, proven float64) {
 	mean, known := 0.0, 0.0
 	for _, s := range r.servers {
 		if s.ready && s.capacity > 0 {
@@ -566,7 +566,7 @@
 
 // coldShare is the part of its capacity that a server has at least. One that nobody has tried is taken to have come back with the
 // first, and one that has been tried in vain to be away.
-func (r *Recovery) coldShare(now time.Duration, s *server) float64 {
+func (r *Controller) coldShare(now time.Duration, s *server) float64 {
 	since := s.answered
 	switch {
 	case s.listed && s.started == 0:
@@ -580,8 +580,8 @@
 	case since == 0:
 		since = now
 	}
-	if age := now - since; age < r.set.ColdFor {
-		return r.set.ColdFrom + (1-r.set.ColdFrom)*max(0, float64(age)/float64(r.set.ColdFor))
+	if age := now - since; age < r.set.WarmupTime {
+		return r.set.ColdCapacityRatio + (1-r.set.ColdCapacityRatio)*max(0, float64(age)/float64(r.set.WarmupTime))
 	}
 	return 1
 }
@@ -589,8 +589,8 @@
 // trial chooses a server that the request may find out about: as long as none has been tried in vain any request may, within the
 // safe rate; then one that may be repeated, at a server whose turn it is, as one that must not run twice would only get lost at a
 // server that hangs.
-func (r *Recovery) trial(now time.Duration, a admission.Ask) (id string, ok bool) {
-	if vain := r.counts.Vain > r.vainBefore; vain && !r.set.Classes[a.Class].Safe && r.anySafe() {
+func (r *Controller) trial(now time.Duration, a admission.Ask) (id string, ok bool) {
+	if vain := r.counts.FailedTrials > r.vainBefore; vain && !r.set.Classes[a.Class].IsIdempotent && r.anySafe() {
 		return "", false
 	}
 	var best *server
@@ -601,7 +601,7 @@
 		if s.trial { // nothing was heard of the last one: it hangs, or the request found no way there
 			s.trial = false
 			s.vain++
-			r.counts.Vain++
+			r.counts.FailedTrials++
 		}
 		if best == nil || s.vain < best.vain || s.vain == best.vain && r.mark(s, r.set.Self) > r.mark(best, r.set.Self) {
 			best = s
@@ -620,13 +620,13 @@
 	return best.id, true
 }
 
-func (r *Recovery) anySafe() bool {
-	return slices.ContainsFunc(r.set.Classes, func(c Class) bool { return c.Safe })
+func (r *Controller) anySafe() bool {
+	return slices.ContainsFunc(r.set.Classes, func(c Class) bool { return c.IsIdempotent })
 }
 
 // mine reports whether a server's trials fall to this agent: by rendezvous over the agents that live, or over all where no word is
 // heard (D. Thaler and C. Ravishankar, 1998).
-func (r *Recovery) mine(s *server) bool {
+func (r *Controller) mine(s *server) bool {
 	own := r.mark(s, r.set.Self)
 	for i := range r.set.Agents {
 		if i != r.set.Self && r.lives(i) && r.mark(s, i) > own {
@@ -637,7 +637,7 @@
 }
 
 // lives reports whether an agent may take its turns. Where few are heard of, word may be missing and not the agents: all count.
-func (r *Recovery) lives(agent int) bool {
+func (r *Controller) lives(agent int) bool {
 	heard := 0
 	for _, is := range r.alive {
 		if is {
@@ -648,7 +648,7 @@
 }
 
 // mark is what an agent bids for a server.
-func (r *Recovery) mark(s *server, agent int) uint64 {
+func (r *Controller) mark(s *server, agent int) uint64 {
 	x := s.hash ^ uint64(agent+1)*0x9E3779B97F4A7C15
 	x ^= x >> 31
 	x *= 0xBF58476D1CE4E5B9
@@ -656,16 +656,16 @@
 }
 
 // turnAway refuses a request, and says when service is likely there.
-func (r *Recovery) turnAway(now time.Duration, a admission.Ask) admission.Refusal {
-	r.counts.Refused[a.Class]++
+func (r *Controller) turnAway(now time.Duration, a admission.Ask) admission.Refusal {
+	r.counts.Rejected[a.Class]++
 	r.refused = now
-	most := float64(r.set.MaxAfter)
+	most := float64(r.set.MaxRetryAfter)
 	return admission.Refusal{After: time.Duration(most * (0.4 + 0.6*r.rng.Float64()))}
 }
 
-// Outcome takes how an attempt ended: whether it shows that the server's process answers, that a connection broke or could not
+// ObserveAttempt takes how an attempt ended: whether it shows that the server's process answers, that a connection broke or could not
 // be had, and its report, where Use is below 0 without one.
-func (r *Recovery) Outcome(now time.Duration, id string, answered, broke bool, rate, use float64) {
+func (r *Controller) ObserveAttempt(now time.Duration, id string, answered, broke bool, rate, use float64) {
 	s := r.servers[id]
 	if s == nil {
 		return
@@ -673,7 +673,7 @@
 	if use >= 0 && rate >= 0 {
 		s.asOf, s.rate, s.use = now, rate, use
 	}
-	if r.phase == Full {
+	if r.phase == FullService {
 		r.habits.reported(now, s)
 		if broke {
 			s.broke, s.birth = now, now
@@ -685,7 +685,7 @@
 		s.trial = false
 		if !answered {
 			s.vain++
-			r.counts.Vain++
+			r.counts.FailedTrials++
 		}
 	}
 	if broke {
@@ -704,10 +704,10 @@
 	}
 }
 
-// MayRepeat reports whether a pod may still remember a request that was sent to it then: whether any of its servers may have run
+// AllowsRetryIn reports whether a pod may still remember a request that was sent to it then: whether any of its servers may have run
 // without a break since. Where all have started anew, have broken off or had lost their power, nobody is left who would drop the
 // repeat. A server says of itself that it ran on only by a connection from before; see the engine.
-func (r *Recovery) MayRepeat(cell int, since time.Duration) bool {
+func (r *Controller) AllowsRetryIn(cell int, since time.Duration) bool {
 	for _, s := range r.servers {
 		if s.cell == cell && s.birth <= since {
 			return true
@@ -717,7 +717,7 @@
 }
 
 // darkened looks whether nearly all servers broke within a moment: they have lost power, or the agent is cut off.
-func (r *Recovery) darkened(now time.Duration) {
+func (r *Controller) darkened(now time.Duration) {
 	broken, all := 0.0, 0.0
 	for _, s := range r.servers {
 		if s.ready {
@@ -734,31 +734,31 @@
 	for _, s := range r.servers { // what the list said is of before; whether they start anew it says later
 		s.listed, s.start = false, 0
 	}
-	r.become(now, Trying, r.why)
+	r.become(now, TrialRequests, r.why)
 }
 
-// Look does what is due.
-func (r *Recovery) Look(now time.Duration) {
-	if r.phase == Full {
+// Tick does what is due.
+func (r *Controller) Tick(now time.Duration) {
+	if r.phase == FullService {
 		r.habits.look(now)
 		return
 	}
 	switch r.phase {
-	case Asking:
-		if now-r.since >= r.set.AskFor {
-			r.become(now, Trying, r.why)
+	case PollingPeers:
+		if now-r.since >= r.set.PeerPollTime {
+			r.become(now, TrialRequests, r.why)
 		}
-	case Trying:
+	case TrialRequests:
 		if r.first != 0 {
 			r.filled, r.looked = now, now
-			r.become(now, Worthiest, "a server has answered")
+			r.become(now, TopPriority, "a server has answered")
 		}
 	}
 	if now-r.looked < look {
 		return
 	}
 	r.looked = now
-	if r.phase < Worthiest {
+	if r.phase < TopPriority {
 		return
 	}
 	r.adjust(now)
@@ -766,18 +766,18 @@
 	top := r.base.usual(r.order[0])
 	switch {
 	case now-r.refused > steady && (s > 0.9 || r.gain > 1):
-		r.become(now, Full, "all that is asked is let in")
+		r.become(now, FullService, "all that is asked is let in")
 	case s > 0.99: // what is too much for a warm fleet is the module's to refuse
-		r.become(now, Full, "all servers are warm")
+		r.become(now, FullService, "all servers are warm")
 	case r.rate(now) > top*room:
-		r.become(now, Proving, "the worthiest class has what it asks")
+		r.become(now, Ramping, "the worthiest class has what it asks")
 	default:
-		r.become(now, Worthiest, "servers have less than the worthiest class asks")
+		r.become(now, TopPriority, "servers have less than the worthiest class asks")
 	}
 }
 
 // adjust lets more in where servers report that they have room, and less where answers are late.
-func (r *Recovery) adjust(now time.Duration) {
+func (r *Controller) adjust(now time.Duration) {
 	use, told := 0.0, 0.0
 	for _, s := range r.servers {
 		if s.asOf != 0 && now-s.asOf < fresh/2 && s.ready {
@@ -799,29 +799,29 @@
 
 // Status is how a recovery stands.
 type Status struct {
-	Phase   Phase
-	Why     string
-	Since   time.Duration // of the phase
-	Rate    float64       // requests a second that are let in; 0 where all are
-	Warm    float64       // part of the fleet's capacity that there is at least
-	Servers int           // known
-	Heard   int           // of which have answered in this recovery
-	Counts  Counts
+	Phase             Phase
+	Reason            string
+	Since             time.Duration // of the phase
+	AdmissionRate     float64       // requests a second that are let in; 0 where all are
+	WarmCapacityRatio float64       // part of the fleet's capacity that there is at least
+	Servers           int           // known
+	RespondingServers int           // of which have answered in this recovery
+	Counts            Counts
 }
 
 // Status returns it.
-func (r *Recovery) Status(now time.Duration) Status {
-	st := Status{Phase: r.phase, Why: r.why, Since: r.since, Servers: len(r.servers), Counts: r.counts}
-	st.Counts.Refused, st.Counts.LetIn = slices.Clone(r.counts.Refused), slices.Clone(r.counts.LetIn)
+func (r *Controller) Status(now time.Duration) Status {
+	st := Status{Phase: r.phase, Reason: r.why, Since: r.since, Servers: len(r.servers), Counts: r.counts}
+	st.Counts.Rejected, st.Counts.Admitted = slices.Clone(r.counts.Rejected), slices.Clone(r.counts.Admitted)
 	for _, s := range r.servers {
 		if s.answered != 0 {
-			st.Heard++
+			st.RespondingServers++
 		}
 	}
-	st.Warm = 1
-	if r.phase != Full {
-		st.Rate = r.rate(now)
-		st.Warm, _ = r.warmth(now)
+	st.WarmCapacityRatio = 1
+	if r.phase != FullService {
+		st.AdmissionRate = r.rate(now)
+		st.WarmCapacityRatio, _ = r.warmth(now)
 	}
 	return st
 }
--- a/internal/fleet/recovery/recovery_test.go
+++ b/internal/fleet/recovery/recovery_test.go
@@ -18,15 +18,15 @@
 )
 
 func options(agents, self int) Options {
-	return Options{Agents: agents, Self: self, ColdFrom: 0.32, ColdFor: 8700 * time.Millisecond, Overload: 3, MaxAfter: second, Seed: uint64(self),
+	return Options{Agents: agents, Self: self, ColdCapacityRatio: 0.32, WarmupTime: 8700 * time.Millisecond, ColdOverloadFactor: 3, MaxRetryAfter: second, Seed: uint64(self),
 		Classes: []Class{{"form-check", 2, 600 * time.Millisecond, true}, {"refund-record", 10, 600 * time.Millisecond, false}}}
 }
 
 // known is what an agent remembers that was served so much, of a fleet that was that busy.
-func known(servers int, forms, refunds, use float64) Before {
-	b := Before{Usual: []float64{forms, refunds}, Use: use}
+func known(servers int, forms, refunds, use float64) Baseline {
+	b := Baseline{ClassRates: []float64{forms, refunds}, Utilization: use}
 	for i := range servers {
-		b.Servers = append(b.Servers, BeforeServer{ID: fmt.Sprint("s-", i), Cell: i / 3, Ready: true, Capacity: 45})
+		b.Servers = append(b.Servers, BaselineServer{ID: fmt.Sprint("s-", i), Cell: i / 3, Ready: true, Capacity: 45})
 	}
 	return b
 }
@@ -45,7 +45,7 @@
 		empty := rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "share of empty disks")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		capacity := servers * 45.0
-		var all []*Recovery
+		var all []*Controller
 		var rates []float64
 		for i := range agents {
 			rate := use * capacity / float64(agents) * (0.3 + 0.7*random.ExpFloat64())
@@ -53,9 +53,9 @@
 			r := New(options(agents, i), nil)
 			before := known(servers, rate*0.67, rate*0.33, use)
 			if random.Float64() < empty {
-				before = Before{Servers: before.Servers}
+				before = Baseline{Servers: before.Servers}
 			}
-			r.Begin(start, before, "power")
+			r.Start(start, before, "power")
 			all = append(all, r)
 		}
 		served := 0.0
@@ -68,7 +68,7 @@
 			n := 0
 			for i, r := range all {
 				if now == start+400*time.Millisecond { // the first answers
-					r.Outcome(now, fmt.Sprint("s-", i%servers), true, false, -1, -1)
+					r.ObserveAttempt(now, fmt.Sprint("s-", i%servers), true, false, -1, -1)
 				}
 				for x := random.Float64(); x < rates[i]*times*step.Seconds(); x++ {
 					a := ask(form)
@@ -97,13 +97,13 @@
 // stated order, and all is let in at the end.
 func TestRefundsComeFirst(t *testing.T) {
 	r := New(options(4, 0), nil)
-	r.Begin(start, known(12, 42, 21, 0.5), "power")
+	r.Start(start, known(12, 42, 21, 0.5), "power")
 	var phases []Phase
 	let, asked := [2]int{}, [2]int{}
 	for i := range 15 * 60 {
 		now := start + time.Duration(i)*second/60
 		if i == 20 {
-			r.Outcome(now, "s-1", true, false, 20, 0.8)
+			r.ObserveAttempt(now, "s-1", true, false, 20, 0.8)
 		}
 		{
 			class := form
@@ -131,7 +131,7 @@
 	if part := float64(let[refund]) / float64(asked[refund]); part < 0.85 || part < 1.5*float64(let[form])/float64(asked[form]) {
 		t.Errorf("%.2f of the refunds were let in, %v of %v", part, let, asked)
 	}
-	if phases[0] != Trying || phases[len(phases)-1] != Full {
+	if phases[0] != TrialRequests || phases[len(phases)-1] != FullService {
 		t.Errorf("the phases were %v", phases)
 	}
 }
@@ -139,8 +139,8 @@
 // As long as the class that is worth most does not get all that it asks, the other gets next to nothing.
 func TestNothingIsLeftForOthers(t *testing.T) {
 	r := New(options(1, 0), nil)
-	r.Begin(start, known(12, 40, 160, 0.9), "power")
-	r.Outcome(start, "s-1", true, false, 20, 0.8)
+	r.Start(start, known(12, 40, 160, 0.9), "power")
+	r.ObserveAttempt(start, "s-1", true, false, 20, 0.8)
 	let := [2]int{}
 	for i := range 400 { // in 2 s
 		if p, _ := r.Arrive(start+time.Duration(i)*5*time.Millisecond, ask(min(i%5, 1))); p != nil {
@@ -158,7 +158,7 @@
 	dials, late, first := 0, 0, map[string]int{}
 	for self := range agents {
 		r := New(options(agents, self), nil)
-		r.Begin(start, known(servers, 60, 40, 0.5), "power")
+		r.Start(start, known(servers, 60, 40, 0.5), "power")
 		for now := start; now < start+60*second; now += 20 * time.Millisecond {
 			p, _ := r.Arrive(now, ask(form))
 			if p == nil {
@@ -175,10 +175,10 @@
 			if now < start+second {
 				first[p.Among[0]]++
 			}
-			r.Outcome(now, p.Among[0], false, true, -1, -1)
+			r.ObserveAttempt(now, p.Among[0], false, true, -1, -1)
 			r.Done(now, p, admission.Refused)
 		}
-		if r.phase != Trying {
+		if r.phase != TrialRequests {
 			t.Fatal(r.phase)
 		}
 	}
@@ -197,7 +197,7 @@
 // A trial of which nothing is heard, as the module did not know the server yet or it hangs, does not keep it from being tried again.
 func TestATrialOfWhichNothingIsHeard(t *testing.T) {
 	r := New(options(1, 0), nil)
-	r.Begin(start, known(3, 60, 40, 0.5), "power")
+	r.Start(start, known(3, 60, 40, 0.5), "power")
 	for now := start; now < start+30*second; now += 20 * time.Millisecond {
 		p, _ := r.Arrive(now, ask(form))
 		if p == nil {
@@ -213,101 +213,101 @@
 
 // A server's start is told to the module as its age and the others' want it.
 func TestStartsAsTheModuleIsTold(t *testing.T) {
-	list := func(r *Recovery, now, started time.Duration, ids ...string) {
+	list := func(r *Controller, now, started time.Duration, ids ...string) {
 		for _, id := range ids {
-			r.Listed(now, Server{ID: id, Ready: true, Started: started}, true)
+			r.UpdateServer(now, Server{ID: id, Ready: true, Started: started}, true)
 		}
-		r.Settled(now)
+		r.ListApplied(now)
 	}
 	for _, c := range []struct {
 		name string
-		do   func(r *Recovery)
+		do   func(r *Controller)
 		id   string
 		want time.Duration
 	}{
-		{"in calm the list's", func(r *Recovery) { list(r, 5*second, 4*second, "s-0") }, "s-0", 4 * second},
-		{"of a fleet that is cold as a whole, none", func(r *Recovery) {
-			r.Begin(start, known(3, 1, 1, 0.5), "power")
+		{"in calm the list's", func(r *Controller) { list(r, 5*second, 4*second, "s-0") }, "s-0", 4 * second},
+		{"of a fleet that is cold as a whole, none", func(r *Controller) {
+			r.Start(start, known(3, 1, 1, 0.5), "power")
 			list(r, start+second, start, "s-0", "s-1", "s-2")
 		}, "s-0", 0},
-		{"of one that answers long after the first, its answer", func(r *Recovery) {
-			r.Begin(start, known(3, 1, 1, 0.5), "power")
-			r.Outcome(start+second, "s-0", true, false, -1, -1)
-			r.Outcome(start+5*second, "s-1", true, false, -1, -1)
+		{"of one that answers long after the first, its answer", func(r *Controller) {
+			r.Start(start, known(3, 1, 1, 0.5), "power")
+			r.ObserveAttempt(start+second, "s-0", true, false, -1, -1)
+			r.ObserveAttempt(start+5*second, "s-1", true, false, -1, -1)
 		}, "s-1", start + 5*second},
-		{"of one that answers soon after the first, none", func(r *Recovery) {
-			r.Begin(start, known(3, 1, 1, 0.5), "power")
-			r.Outcome(start+second, "s-0", true, false, -1, -1)
-			r.Outcome(start+2*second, "s-1", true, false, -1, -1)
+		{"of one that answers soon after the first, none", func(r *Controller) {
+			r.Start(start, known(3, 1, 1, 0.5), "power")
+			r.ObserveAttempt(start+second, "s-0", true, false, -1, -1)
+			r.ObserveAttempt(start+2*second, "s-1", true, false, -1, -1)
 		}, "s-1", 0},
-		{"of one that the list has started since it answered, the list's", func(r *Recovery) {
-			r.Begin(start, known(3, 1, 1, 0.5), "power")
-			r.Outcome(start+second, "s-0", true, false, -1, -1)
+		{"of one that the list has started since it answered, the list's", func(r *Controller) {
+			r.Start(start, known(3, 1, 1, 0.5), "power")
+			r.ObserveAttempt(start+second, "s-0", true, false, -1, -1)
 			list(r, start+9*second, start+8*second, "s-0")
 		}, "s-0", start + 8*second},
-		{"of one that the list says has run for long, none", func(r *Recovery) {
-			r.Begin(start, known(3, 1, 1, 0.5), "power")
+		{"of one that the list says has run for long, none", func(r *Controller) {
+			r.Start(start, known(3, 1, 1, 0.5), "power")
 			list(r, start+second, 0, "s-0", "s-1", "s-2")
 		}, "s-0", 0},
-		{"of a few that start in calm, the list's", func(r *Recovery) {
+		{"of a few that start in calm, the list's", func(r *Controller) {
 			list(r, start, 0, "s-0", "s-1", "s-2")
 			list(r, start+second, start+second, "s-1")
 		}, "s-1", start + second},
-		{"of all that start at once in calm, none", func(r *Recovery) {
+		{"of all that start at once in calm, none", func(r *Controller) {
 			list(r, start, 0, "s-0", "s-1", "s-2")
 			list(r, start+second, start+second, "s-0", "s-1", "s-2")
 		}, "s-2", 0},
 	} {
 		r := New(options(1, 0), nil)
-		if c.do(r); r.Started(c.id, r.servers[c.id].started) != c.want {
-			t.Errorf("%s: %v, want %v", c.name, r.Started(c.id, 0), c.want)
+		if c.do(r); r.EffectiveStart(c.id, r.servers[c.id].started) != c.want {
+			t.Errorf("%s: %v, want %v", c.name, r.EffectiveStart(c.id, 0), c.want)
 		}
 	}
 }
 
 // A pod may be asked for its memory only while one of its servers may have run on.
 func TestAPodThatMayHaveForgotten(t *testing.T) {
-	fresh := func() *Recovery {
+	fresh := func() *Controller {
 		r := New(options(1, 0), nil)
 		for i := range 6 {
-			r.Listed(second, Server{ID: fmt.Sprint("s-", i), Cell: i / 3, Ready: true}, true)
+			r.UpdateServer(second, Server{ID: fmt.Sprint("s-", i), Cell: i / 3, Ready: true}, true)
 		}
-		r.Settled(second)
+		r.ListApplied(second)
 		return r
 	}
 	const sent = start
 	for _, c := range []struct {
 		name string
-		do   func(r *Recovery)
+		do   func(r *Controller)
 		want bool
 	}{
-		{"nothing has happened", func(*Recovery) {}, true},
-		{"one broke off", func(r *Recovery) { r.Outcome(sent+1, "s-0", false, true, -1, -1) }, true},
-		{"all three broke off", func(r *Recovery) {
+		{"nothing has happened", func(*Controller) {}, true},
+		{"one broke off", func(r *Controller) { r.ObserveAttempt(sent+1, "s-0", false, true, -1, -1) }, true},
+		{"all three broke off", func(r *Controller) {
 			for i := range 3 {
-				r.Outcome(sent+1, fmt.Sprint("s-", i), false, true, -1, -1)
+				r.ObserveAttempt(sent+1, fmt.Sprint("s-", i), false, true, -1, -1)
 			}
 		}, false},
-		{"two broke off and one has started anew", func(r *Recovery) {
-			r.Outcome(sent+1, "s-0", false, true, -1, -1)
-			r.Outcome(sent+1, "s-1", false, true, -1, -1)
-			r.Listed(sent+2, Server{ID: "s-2", Ready: true, Started: sent + 1}, true)
+		{"two broke off and one has started anew", func(r *Controller) {
+			r.ObserveAttempt(sent+1, "s-0", false, true, -1, -1)
+			r.ObserveAttempt(sent+1, "s-1", false, true, -1, -1)
+			r.UpdateServer(sent+2, Server{ID: "s-2", Ready: true, Started: sent + 1}, true)
 		}, false},
-		{"all three broke off while service returned", func(r *Recovery) {
-			r.Begin(sent-second, known(6, 1, 1, 0.5), "power")
+		{"all three broke off while service returned", func(r *Controller) {
+			r.Start(sent-second, known(6, 1, 1, 0.5), "power")
 			for i := range 3 {
-				r.Outcome(sent+1, fmt.Sprint("s-", i), false, true, -1, -1)
+				r.ObserveAttempt(sent+1, fmt.Sprint("s-", i), false, true, -1, -1)
 			}
 		}, false},
-		{"another pod broke off", func(r *Recovery) {
+		{"another pod broke off", func(r *Controller) {
 			for i := range 3 {
-				r.Outcome(sent+1, fmt.Sprint("s-", 3+i), false, true, -1, -1)
+				r.ObserveAttempt(sent+1, fmt.Sprint("s-", 3+i), false, true, -1, -1)
 			}
 		}, true},
-		{"the agent has lost power since", func(r *Recovery) { r.Begin(sent+second, known(6, 1, 1, 0.5), "power") }, false},
+		{"the agent has lost power since", func(r *Controller) { r.Start(sent+second, known(6, 1, 1, 0.5), "power") }, false},
 	} {
 		r := fresh()
-		if c.do(r); r.MayRepeat(0, sent) != c.want {
+		if c.do(r); r.AllowsRetryIn(0, sent) != c.want {
 			t.Errorf("%s: %v", c.name, !c.want)
 		}
 	}
@@ -318,7 +318,7 @@
 	behind := admission.New(admission.Options{Classes: []admission.Class{{Worth: 2, Aim: second, Safe: true}, {Worth: 10, Aim: second}}, Remember: 8})
 	r := New(options(1, 0), behind)
 	calm, _ := r.Arrive(second, ask(form))
-	r.Begin(start, known(3, 1, 1, 0.5), "power")
+	r.Start(start, known(3, 1, 1, 0.5), "power")
 	r.Done(start, calm, admission.Served)
 	for range 20 {
 		if p, _ := r.Arrive(start, ask(refund)); p != nil {
--- a/internal/fleet/snapshot/golden_test.go
+++ b/internal/fleet/snapshot/golden_test.go
@@ -60,7 +60,7 @@
 	if trust, why := read.Assess(Reader{Agent: read.Agent, BootID: read.BootID, SinceBoot: 62 * time.Second}); trust != TrustEverything || why != "it was written 1s ago" {
 		t.Errorf("it is trusted %v: %s", trust, why)
 	}
-	want := recovery.Before{Use: 0.51, Usual: []float64{0.75, 40}, Servers: []recovery.BeforeServer{
+	want := recovery.Baseline{Utilization: 0.51, ClassRates: []float64{0.75, 40}, Servers: []recovery.BaselineServer{
 		{ID: "s-1", Cell: 2, Ready: true, Capacity: 45}, {ID: "s-2", Cell: 3, Capacity: 46.5}}}
 	if got := read.RecoveryBaseline([]string{"refund-record", "form-check"}); !reflect.DeepEqual(got, want) {
 		t.Errorf("a recovery goes by %+v", got)
--- a/internal/fleet/snapshot/snapshot.go
+++ b/internal/fleet/snapshot/snapshot.go
@@ -145,13 +145,13 @@
 }
 
 // RecoveryBaseline is what a recovery goes by; classes are the names of the platform's, by number.
-func (d Document) RecoveryBaseline(classes []string) recovery.Before {
-	b := recovery.Before{Use: d.Utilization, Usual: make([]float64, len(classes))}
+func (d Document) RecoveryBaseline(classes []string) recovery.Baseline {
+	b := recovery.Baseline{Utilization: d.Utilization, ClassRates: make([]float64, len(classes))}
 	for i, name := range classes {
-		b.Usual[i] = d.ClassRates[name]
+		b.ClassRates[i] = d.ClassRates[name]
 	}
 	for _, e := range d.Servers {
-		b.Servers = append(b.Servers, recovery.BeforeServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.Ready, Capacity: d.Capacity[e.ID]})
+		b.Servers = append(b.Servers, recovery.BaselineServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.Ready, Capacity: d.Capacity[e.ID]})
 	}
 	return b
 }
--- a/internal/fleet/snapshot/snapshot_test.go
+++ b/internal/fleet/snapshot/snapshot_test.go
@@ -51,7 +51,7 @@
 				t.Errorf("%s: a start is lost", c.name)
 			}
 		}
-		if len(l.Servers) != 2 || l.Servers[1].State != "Terminating" || !l.Full || b.Usual[0] != 40 || b.Usual[1] != 0 ||
+		if len(l.Servers) != 2 || l.Servers[1].State != "Terminating" || !l.Full || b.ClassRates[0] != 40 || b.ClassRates[1] != 0 ||
 			!b.Servers[0].Ready || b.Servers[1].Ready || b.Servers[0].Capacity != 45 || d.Servers[0].StartedMS == 0 {
 			t.Errorf("%s: %+v %+v", c.name, l, b)
 		}
--- a/internal/scenario/comeback.go
+++ b/internal/scenario/comeback.go
@@ -12,7 +12,7 @@
 
 // disk is what a simulated agent keeps, as it was written last.
 type disk struct {
-	before  recovery.Before
+	before  recovery.Baseline
 	members []engine.Member
 	lost    bool // the machine has lost power since
 }
@@ -78,22 +78,22 @@
 // comeBack puts a recovery before the agent's engine, by what its disk has.
 func (a *simAgent) comeBack(set balancer.Settings) {
 	w := a.w
-	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdFrom: set.ColdFrom, ColdFor: set.ColdFor, Overload: set.Overload,
-		MaxAfter: set.MaxRetryAfter, Seed: uint64(a.number*1000 + a.life)}
+	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdCapacityRatio: set.ColdFrom, WarmupTime: set.ColdFor, ColdOverloadFactor: set.Overload,
+		MaxRetryAfter: set.MaxRetryAfter, Seed: uint64(a.number*1000 + a.life)}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Worth, LatencyObjective: c.Aim, IsIdempotent: c.Effect == balancer.Safe})
 	}
 	if a.others != nil {
-		o.AskFor = askFor
+		o.PeerPollTime = askFor
 	}
-	var behind recovery.Door
+	var behind recovery.Admitter
 	if a.door != nil {
 		behind = a.door
 	}
 	a.back = recovery.New(o, behind)
 	a.engine.Return(a.back, func() bool { return a.heard }, func() {})
 	if a.disk.lost {
-		a.back.Begin(w.now, a.disk.before, "the machine has started anew")
+		a.back.Start(w.now, a.disk.before, "the machine has started anew")
 	} else {
 		a.back.Resume(a.disk.before)
 	}
@@ -130,7 +130,7 @@
 	if a.back == nil {
 		return
 	}
-	a.disk.before = a.back.Before()
+	a.disk.before = a.back.Baseline()
 	if !a.heard {
 		return
 	}
--- a/internal/scenario/simulate.go
+++ b/internal/scenario/simulate.go
@@ -51,8 +51,8 @@
 	swallow func(*simRequest) bool
 	mute    func(gossip.Message) bool // which datagrams between agents are lost
 
-	datagrams int            // between agents
-	knowing   *overload.Door // of all agents, where they have one that knows all
+	datagrams int                           // between agents
+	knowing   *overload.AdmissionController // of all agents, where they have one that knows all
 }
 
 // way is the time that a message takes.
@@ -205,9 +205,9 @@
 	knows  map[string]known              // of the list, as it was told
 	told   map[string]time.Duration      // when it was told that a server drains or is gone
 	due    time.Duration                 // when the engine is stepped next; 0: not planned
-	back   *recovery.Recovery            // nil where none is switched on
+	back   *recovery.Controller          // nil where none is switched on
 	others *gossip.Core                  // nil where agents know nobody
-	shares *overload.Door                // nil where overload is handled alone
+	shares *overload.AdmissionController // nil where overload is handled alone
 	alive  []bool                        // who lives, as it was told last
 	disk   disk                          // what outlasts its lives
 	heard  bool                          // the list has told it something in this life
--- a/internal/scenario/together.go
+++ b/internal/scenario/together.go
@@ -24,11 +24,11 @@
 	w, life, core := a.w, a.life, a.others
 	seed := uint64(a.number*1000 + a.life)
 	alone := stormOptions(set, seed)
-	d := overload.New(overload.Options{Self: a.number, Agents: w.script.Fleet.Agents, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter,
+	d := overload.New(overload.Options{Self: a.number, Agents: w.script.Fleet.Agents, Classes: alone.Classes, TenantQuotas: set.Shares, MaxRetryAfter: set.MaxRetryAfter,
 		Seed: seed}, admission.New(alone))
 	if w.script.Agents.Door == knowingDoor {
 		if w.knowing == nil {
-			w.knowing = overload.New(overload.Options{Agents: 1, Classes: alone.Classes, Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Seed: seed}, admission.New(alone))
+			w.knowing = overload.New(overload.Options{Agents: 1, Classes: alone.Classes, TenantQuotas: set.Shares, MaxRetryAfter: set.MaxRetryAfter, Seed: seed}, admission.New(alone))
 		}
 		a.door = w.knowing
 		a.engine.Guard(w.knowing)
@@ -44,7 +44,7 @@
 		if a.life != life || !a.up {
 			return
 		}
-		if body, to := d.Tell(w.now, gossip.MaxPayloadBytes); body != nil {
+		if body, to := d.NextPayload(w.now, gossip.MaxPayloadBytes); body != nil {
 			a.pass(core, core.SendPayload(w.now, body, to))
 		}
 		w.after(shareEvery, tell)
@@ -61,6 +61,6 @@
 	}
 	if !slices.Equal(alive, a.alive) {
 		a.alive = alive
-		a.shares.Lives(alive)
+		a.shares.HandleLiveness(alive)
 	}
 }
--- a/internal/scenario/together_test.go
+++ b/internal/scenario/together_test.go
@@ -85,7 +85,7 @@
 		t.Errorf("%.3f of the refunds are in time", part)
 	}
 	for _, a := range w.agents {
-		if rate := float64(a.shares.Status(w.now).Counts.Told) / w.now.Seconds(); rate > 15 {
+		if rate := float64(a.shares.Status(w.now).Counts.PayloadsSent) / w.now.Seconds(); rate > 15 {
 			t.Errorf("agent %d has told others %.1f times a second", a.number, rate)
 		}
 	}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -39,11 +39,11 @@
 }
 
 func goldenShares() *overload.Status {
-	return &overload.Status{Trust: 0.51, Limit: 502, Capacity: 503, Use: 0.54, Gain: 0.55, Chances: []float64{0.56, 0.57}, Refused: 0.58,
-		Asked: overload.Asked{All: 509, LetIn: 510, Open: 511, Extra: 512, Good: 513, Late: 514, Heard: 515, Alive: 516},
-		Held:  []string{"s-1", "s-2", "s-3"},
-		Counts: overload.Counts{Refused: [][2]uint64{{517, 518}, {519, 520}}, Alone: 521, Late: 522, Unsent: 523, Told: 524,
-			Picture: overload.PictureCounts{Bounded: 525, Malformed: 526}}}
+	return &overload.Status{Trust: 0.51, Limit: 502, Capacity: 503, Utilization: 0.54, Gain: 0.55, AdmitProbabilities: []float64{0.56, 0.57}, RejectedRatio: 0.58,
+		Demand:   overload.Demand{Requests: 509, Admitted: 510, InFlight: 511, ExtraAttempts: 512, ServedInTime: 513, LateOrFailed: 514, KnownAgents: 515, AliveAgents: 516},
+		Excluded: []string{"s-1", "s-2", "s-3"},
+		Counts: overload.Counts{Rejected: [][2]uint64{{517, 518}, {519, 520}}, DecidedLocally: 521, PastDeadline: 522, RejectedRetries: 523, PayloadsSent: 524,
+			View: overload.ViewCounts{Capped: 525, Malformed: 526}}}
 }
 
 // Each part of the page from fixed counts, none of which is zero; maps come in any order, so the lines of a part are sorted.
@@ -84,10 +84,10 @@
 	part(func(p page) {
 		s.ties(p, affinity.Counts{Entries: 241, Tied: 242, Lost: 243, Overflowed: 244, Evicted: 245, Unprotected: 246, Undurable: 247, Restored: 248})
 	})
-	for phase := recovery.Full; phase <= recovery.Proving; phase++ {
+	for phase := recovery.FullService; phase <= recovery.Ramping; phase++ {
 		part(func(p page) {
-			s.recovery(p, &recovery.Status{Phase: phase, Why: "why", Since: 261, Rate: 262, Warm: 0.63, Servers: 264, Heard: 265,
-				Counts: recovery.Counts{Recoveries: 266, Trials: 267, Vain: 268, Refused: []uint64{269, 270}, LetIn: []uint64{271, 272}}}, goldenClasses)
+			s.recovery(p, &recovery.Status{Phase: phase, Reason: "why", Since: 261, AdmissionRate: 262, WarmCapacityRatio: 0.63, Servers: 264, RespondingServers: 265,
+				Counts: recovery.Counts{Recoveries: 266, Trials: 267, FailedTrials: 268, Rejected: []uint64{269, 270}, Admitted: []uint64{271, 272}}}, goldenClasses)
 		})
 	}
 	part(s.peers)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -174,17 +174,17 @@
 	if st == nil {
 		return
 	}
-	for phase := recovery.Full; phase <= recovery.Proving; phase++ {
+	for phase := recovery.FullService; phase <= recovery.Ramping; phase++ {
 		p.gauge("appleledge_recovery_phase", fmt.Sprintf("phase=%q", phase), bit(st.Phase == phase))
 	}
-	p.gauge("appleledge_recovery_let_in_per_second", "", st.Rate)
-	p.gauge("appleledge_recovery_warm", "", st.Warm)
+	p.gauge("appleledge_recovery_let_in_per_second", "", st.AdmissionRate)
+	p.gauge("appleledge_recovery_warm", "", st.WarmCapacityRatio)
 	p.gauge("appleledge_recovery_servers", `state="known"`, float64(st.Servers))
-	p.gauge("appleledge_recovery_servers", `state="answered"`, float64(st.Heard))
+	p.gauge("appleledge_recovery_servers", `state="answered"`, float64(st.RespondingServers))
 	p.count("appleledge_recoveries_total", "", st.Counts.Recoveries)
 	p.count("appleledge_recovery_trials_total", "", st.Counts.Trials)
-	p.count("appleledge_recovery_trials_in_vain_total", "", st.Counts.Vain)
-	for class, n := range st.Counts.Refused {
+	p.count("appleledge_recovery_trials_in_vain_total", "", st.Counts.FailedTrials)
+	for class, n := range st.Counts.Rejected {
 		if class < len(classes) {
 			p.count("appleledge_recovery_refused_total", fmt.Sprintf("class=%q", classes[class]), n)
 		}
@@ -228,25 +228,25 @@
 		return
 	}
 	p.gauge("appleledge_overload_trust", "", st.Trust)
-	p.gauge("appleledge_overload_agents_heard_of", "", float64(st.Asked.Heard))
-	p.gauge("appleledge_overload_use", "", st.Use)
-	for name, rate := range map[string]float64{"capacity": st.Capacity, "limit": st.Limit, "asked": st.Asked.All, "let_in": st.Asked.LetIn,
-		"in_time": st.Asked.Good, "late": st.Asked.Late, "further": st.Asked.Extra} {
+	p.gauge("appleledge_overload_agents_heard_of", "", float64(st.Demand.KnownAgents))
+	p.gauge("appleledge_overload_use", "", st.Utilization)
+	for name, rate := range map[string]float64{"capacity": st.Capacity, "limit": st.Limit, "asked": st.Demand.Requests, "let_in": st.Demand.Admitted,
+		"in_time": st.Demand.ServedInTime, "late": st.Demand.LateOrFailed, "further": st.Demand.ExtraAttempts} {
 		p.gauge("appleledge_overload_fleet_per_second", fmt.Sprintf("what=%q", name), rate)
 	}
-	for c, chance := range st.Chances {
+	for c, chance := range st.AdmitProbabilities {
 		if c < len(classes) {
 			p.gauge("appleledge_overload_chance", fmt.Sprintf("class=%q", classes[c]), chance)
-			p.count("appleledge_overload_refused_total", fmt.Sprintf(`class=%q,try="first"`, classes[c]), st.Counts.Refused[c][0])
-			p.count("appleledge_overload_refused_total", fmt.Sprintf(`class=%q,try="again"`, classes[c]), st.Counts.Refused[c][1])
+			p.count("appleledge_overload_refused_total", fmt.Sprintf(`class=%q,try="first"`, classes[c]), st.Counts.Rejected[c][0])
+			p.count("appleledge_overload_refused_total", fmt.Sprintf(`class=%q,try="again"`, classes[c]), st.Counts.Rejected[c][1])
 		}
 	}
-	p.gauge("appleledge_overload_held_out", "", float64(len(st.Held)))
-	p.count("appleledge_overload_decided_alone_total", "", st.Counts.Alone)
-	p.count("appleledge_overload_unsent_total", "", st.Counts.Unsent)
-	p.count("appleledge_overload_told_total", "", st.Counts.Told)
-	p.count("appleledge_overload_claims_bounded_total", "", st.Counts.Picture.Bounded)
-	p.count("appleledge_overload_malformed_total", "", st.Counts.Picture.Malformed)
+	p.gauge("appleledge_overload_held_out", "", float64(len(st.Excluded)))
+	p.count("appleledge_overload_decided_alone_total", "", st.Counts.DecidedLocally)
+	p.count("appleledge_overload_unsent_total", "", st.Counts.RejectedRetries)
+	p.count("appleledge_overload_told_total", "", st.Counts.PayloadsSent)
+	p.count("appleledge_overload_claims_bounded_total", "", st.Counts.View.Capped)
+	p.count("appleledge_overload_malformed_total", "", st.Counts.View.Malformed)
 }
 
 func bit(is bool) float64 {
