--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -13,8 +13,8 @@
 // returningEngine is an engine with ties and a recovery, whose list is of now.
 func returningEngine(t *testing.T, change func(*tiedEngine)) *tiedEngine {
 	return newTied(t, func(x *tiedEngine) {
-		x.SetRecovery(recovery.New(recovery.Options{Agents: 1, ColdFrom: 0.3, ColdFor: time.Second,
-			Classes: []recovery.Class{{Worth: 1, Aim: time.Second, Safe: true}, {Worth: 5, Aim: time.Second}}}, nil), func() bool { return true }, func() {})
+		x.SetRecovery(recovery.New(recovery.Options{Agents: 1, ColdCapacityRatio: 0.3, WarmupTime: time.Second,
+			Classes: []recovery.Class{{Priority: 1, LatencyObjective: time.Second, IsIdempotent: true}, {Priority: 5, LatencyObjective: time.Second}}}, nil), func() bool { return true }, func() {})
 		change(x)
 	})
 }
@@ -31,7 +31,7 @@
 	x.now += 10 * time.Millisecond
 	for i := range 4 {
 		if i/2 == pod {
-			x.returning.Outcome(x.now, "s"+string(rune('0'+i)), false, true, -1, -1)
+			x.returning.ObserveAttempt(x.now, "s"+string(rune('0'+i)), false, true, -1, -1)
 		}
 	}
 	x.now += 10 * time.Millisecond
@@ -72,9 +72,9 @@
 
 // A server that another agent says drains gets nothing while that word is fresh, and what the own list says is told to others.
 func TestWordOfADrain(t *testing.T) {
-	var told []gossip.Fact
+	var told []gossip.Observation
 	x := newTied(t, func(x *tiedEngine) {
-		x.SetGossip(func() bool { return true }, func(f gossip.Fact) { told = append(told, f) })
+		x.SetGossip(func() bool { return true }, func(f gossip.Observation) { told = append(told, f) })
 	})
 	uses := func() (n int) {
 		for range 40 {
@@ -91,7 +91,7 @@
 		t.Fatal("it is not used in calm")
 	}
 	x.now += time.Second
-	x.Handle(GossipReceived(3, gossip.Fact{Kind: corroborate.Drains, ID: corroborate.Server("s1")}))
+	x.Handle(GossipReceived(3, gossip.Observation{Kind: corroborate.Draining, ID: corroborate.ServerID("s1")}))
 	if n := uses(); n != 0 {
 		t.Errorf("%d requests went to a server that drains by word", n)
 	}
@@ -100,7 +100,7 @@
 	if uses() == 0 {
 		t.Error("word holds for ever")
 	}
-	if x.list(EndpointUpdate{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.Server("s2") {
+	if x.list(EndpointUpdate{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.ServerID("s2") {
 		t.Errorf("the others are told %v", told)
 	}
 }
