--- a/cmd/appleledgectl/affinity.go
+++ b/cmd/appleledgectl/affinity.go
@@ -36,7 +36,7 @@
 }
 
 // inspecting is a command on the files of a folder.
-func (c *console) inspecting(use, short string, args int, do func(dir string, files []bindinglog.Report, args []string) error) *cobra.Command {
+func (c *console) inspecting(use, short string, args int, do func(dir string, files []bindinglog.FileReport, args []string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(_ *cobra.Command, args []string) error {
 		files, err := bindinglog.Inspect(atomicfile.OS{}, c.dir)
 		if err != nil {
@@ -47,9 +47,9 @@
 }
 
 // kindNames are the kinds of records.
-var kindNames = map[affinity.Kind]string{affinity.Began: "began", affinity.Cleared: "never ran", affinity.EndedServed: "served", affinity.EndedFailed: "failed"}
+var kindNames = map[affinity.RecordKind]string{affinity.RecordBound: "began", affinity.RecordUnbound: "never ran", affinity.RecordServed: "served", affinity.RecordFailed: "failed"}
 
-func (c *console) stat(_ string, files []bindinglog.Report, _ []string) error {
+func (c *console) stat(_ string, files []bindinglog.FileReport, _ []string) error {
 	if c.json {
 		return c.writeJSON(files)
 	}
@@ -59,16 +59,16 @@
 		for _, r := range f.Records {
 			kinds[kindNames[r.Kind]]++
 		}
-		fmt.Fprintf(w, "%s\t%d bytes\t%d began\t%d never ran\t%d served\t%d damaged\t%s\n", f.Name, f.Bytes, kinds["began"], kinds["never ran"], kinds["served"], f.Damaged, f.Problem)
+		fmt.Fprintf(w, "%s\t%d bytes\t%d began\t%d never ran\t%d served\t%d damaged\t%s\n", f.Name, f.Bytes, kinds["began"], kinds["never ran"], kinds["served"], f.Corrupt, f.Problem)
 	}
 	return w.Flush()
 }
 
-func (c *console) checkFiles(dir string, files []bindinglog.Report, _ []string) error {
+func (c *console) checkFiles(dir string, files []bindinglog.FileReport, _ []string) error {
 	var wrong []error
 	for _, f := range files {
-		if f.Damaged > 0 || f.Problem != "" {
-			wrong = append(wrong, fmt.Errorf("%s: %d damaged records %s", filepath.Join(dir, f.Name), f.Damaged, f.Problem))
+		if f.Corrupt > 0 || f.Problem != "" {
+			wrong = append(wrong, fmt.Errorf("%s: %d damaged records %s", filepath.Join(dir, f.Name), f.Corrupt, f.Problem))
 		}
 	}
 	if len(wrong) == 0 {
@@ -88,11 +88,11 @@
 	Zone int32   `json:"zone"`
 }
 
-func lineOf(f bindinglog.Report, r affinity.Record) line {
-	return line{f.Name, f.Boot, fmt.Sprintf("%016x%016x", r.Key[0], r.Key[1]), kindNames[r.Kind], r.At.Seconds(), r.Pod, r.Zone}
+func lineOf(f bindinglog.FileReport, r affinity.Record) line {
+	return line{f.Name, f.BootID, fmt.Sprintf("%016x%016x", r.Key[0], r.Key[1]), kindNames[r.Kind], r.At.Seconds(), r.Pod, r.Zone}
 }
 
-func (c *console) export(_ string, files []bindinglog.Report, _ []string) error {
+func (c *console) export(_ string, files []bindinglog.FileReport, _ []string) error {
 	e := json.NewEncoder(c.out)
 	for _, f := range files {
 		for _, r := range f.Records {
@@ -104,11 +104,11 @@
 	return nil
 }
 
-func (c *console) lookup(dir string, files []bindinglog.Report, args []string) error {
+func (c *console) lookup(dir string, files []bindinglog.FileReport, args []string) error {
 	if _, err := os.Stat(filepath.Join(dir, "secret")); err != nil {
 		return fmt.Errorf("the secret by which keys are hashed: %w", err) // one is not made by a look
 	}
-	secret, err := bindinglog.Secret(bindinglog.Options{Dir: dir, FS: atomicfile.OS{}})
+	secret, err := bindinglog.LoadOrCreateSecret(bindinglog.Options{Dir: dir, FS: atomicfile.OS{}})
 	if err != nil {
 		return err
 	}
@@ -132,8 +132,8 @@
 
 func (c *console) compact() *cobra.Command {
 	var lasts time.Duration
-	cmd := c.inspecting("compact", "Remove files of which nothing is of use any more", 0, func(dir string, files []bindinglog.Report, _ []string) error {
-		boot, now, err := bindinglog.SinceBoot()
+	cmd := c.inspecting("compact", "Remove files of which nothing is of use any more", 0, func(dir string, files []bindinglog.FileReport, _ []string) error {
+		boot, now, err := bindinglog.BootTime()
 		if err != nil {
 			return err
 		}
--- a/cmd/appleledgectl/golden_texts_test.go
+++ b/cmd/appleledgectl/golden_texts_test.go
@@ -11,7 +11,7 @@
 // The kinds of records, by the numbers that the log of ties has.
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
-	for _, kind := range []affinity.Kind{affinity.Began, affinity.Cleared, affinity.EndedServed, affinity.EndedFailed} {
+	for _, kind := range []affinity.RecordKind{affinity.RecordBound, affinity.RecordUnbound, affinity.RecordServed, affinity.RecordFailed} {
 		out = fmt.Appendf(out, "kind %d %s\n", kind, kindNames[kind])
 	}
 	golden.Equal(t, "texts/appleledgectl.txt", out)
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -220,23 +220,23 @@
 // What a folder of ties holds, with a damaged file and one of an earlier run of the machine among them.
 func TestAffinityCommands(t *testing.T) {
 	dir := t.TempDir()
-	boot, now, err := bindinglog.SinceBoot()
+	boot, now, err := bindinglog.BootTime()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := bindinglog.Options{Dir: dir, FS: atomicfile.OS{}, Lasts: time.Minute, Now: func() time.Duration { return now }, Boot: boot,
-		Stamp: func(t time.Duration) int64 { return int64(t) }, Clock: func(n int64) time.Duration { return time.Duration(n) }}
-	secret, err := bindinglog.Secret(o)
+	o := bindinglog.Options{Dir: dir, FS: atomicfile.OS{}, Retention: time.Minute, Now: func() time.Duration { return now }, BootID: boot,
+		ToBootTime: func(t time.Duration) int64 { return int64(t) }, FromBootTime: func(n int64) time.Duration { return time.Duration(n) }}
+	secret, err := bindinglog.LoadOrCreateSecret(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, b := range []string{boot, "earlier"} {
-		o.Boot = b
+		o.BootID = b
 		l, err := bindinglog.Open(o)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Append(affinity.Record{Kind: affinity.Began, Key: secret.Key("refund-" + b[:3]), At: now, Pod: 3})
+		l.Append(affinity.Record{Kind: affinity.RecordBound, Key: secret.Key("refund-" + b[:3]), At: now, Pod: 3})
 		if err := errors.Join(l.Flush(), l.Close()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/affinity/affinity.go
+++ b/internal/affinity/affinity.go
@@ -27,9 +27,9 @@
 
 // Options bound a Table.
 type Options struct {
-	Most   int           // entries
-	Window time.Duration // for which pods drop repeats; after it a repeat runs again
-	Tail   time.Duration // for which it is remembered after that, so that a late repeat is not taken for a new request
+	MaxEntries      int           // entries
+	DedupWindow     time.Duration // for which pods drop repeats; after it a repeat runs again
+	LateRetryPeriod time.Duration // for which it is remembered after that, so that a late repeat is not taken for a new request
 }
 
 // Outcome is how the requests of a key ended, as far as it is known.
@@ -37,16 +37,16 @@
 
 // The outcomes.
 const (
-	Unknown Outcome = iota
-	Served
-	Failed
+	OutcomeUnknown Outcome = iota
+	OutcomeServed
+	OutcomeFailed
 )
 
-// Tie is where a key has gone.
-type Tie struct {
-	Pod, Zone int
-	Since     time.Duration // when the first attempt was sent that may have run
-	Lost      bool          // that something may have run is all that is known
+// Binding is where a key has gone.
+type Binding struct {
+	Pod, Zone  int
+	Since      time.Duration // when the first attempt was sent that may have run
+	PodUnknown bool          // that something may have run is all that is known
 }
 
 // entry is a tie with what is known of its attempts.
@@ -79,37 +79,37 @@
 // Counts are a Table's figures since it was made.
 type Counts struct {
 	Entries     int    // at present
-	Tied        uint64 // requests whose key was known, and may have run
-	Lost        uint64 // of those, where the pod is not known any more
+	Hits        uint64 // requests whose key was known, and may have run
+	PodUnknown  uint64 // of those, where the pod is not known any more
 	Overflowed  uint64 // keys that found no room within their window
 	Evicted     uint64 // ties that made room, after their window
 	Unprotected uint64 // keys that nothing remembers
-	Undurable   uint64 // ties that a restart would forget
+	NotDurable  uint64 // ties that a restart would forget
 	Restored    uint64 // ties that another process has told of
 }
 
 // New returns an empty table.
 func New(o Options) *Table {
-	return &Table{options: o, entries: map[Key]*entry{}, lost: newFilter(o.Most, o.Window+o.Tail)}
+	return &Table{options: o, entries: map[Key]*entry{}, lost: newFilter(o.MaxEntries, o.DedupWindow+o.LateRetryPeriod)}
 }
 
 // Lookup says where a key that may have run has gone. Without a tie nothing of it is known to have run.
-func (t *Table) Lookup(now time.Duration, k Key) (Tie, bool) {
+func (t *Table) Lookup(now time.Duration, k Key) (Binding, bool) {
 	t.age(now)
 	if e := t.entries[k]; e != nil {
-		t.counts.Tied++
-		return Tie{Pod: int(e.pod), Zone: int(e.zone), Since: e.since}, true
+		t.counts.Hits++
+		return Binding{Pod: int(e.pod), Zone: int(e.zone), Since: e.since}, true
 	}
 	if t.lost.has(now, k) {
-		t.counts.Tied++
-		t.counts.Lost++
-		return Tie{Pod: -1, Zone: -1, Since: now - t.options.Window, Lost: true}, true
+		t.counts.Hits++
+		t.counts.PodUnknown++
+		return Binding{Pod: -1, Zone: -1, Since: now - t.options.DedupWindow, PodUnknown: true}, true
 	}
-	return Tie{}, false
+	return Binding{}, false
 }
 
-// Begin notes an attempt that is about to be sent. It returns what is to be kept, if this makes a tie.
-func (t *Table) Begin(now time.Duration, k Key, pod, zone int) (Record, bool) {
+// Bind notes an attempt that is about to be sent. It returns what is to be kept, if this makes a tie.
+func (t *Table) Bind(now time.Duration, k Key, pod, zone int) (Record, bool) {
 	t.age(now)
 	if e := t.entries[k]; e != nil {
 		e.out++
@@ -121,7 +121,7 @@
 		return Record{}, false
 	}
 	t.put(k, &entry{pod: int32(pod), zone: int32(zone), since: now, out: 1})
-	return Record{Kind: Began, Key: k, At: now, Pod: int32(pod), Zone: int32(zone)}, true
+	return Record{Kind: RecordBound, Key: k, At: now, Pod: int32(pod), Zone: int32(zone)}, true
 }
 
 // put adds an entry. One that another process has told of may be older than the last: the queue stays in order.
@@ -133,8 +133,8 @@
 	}
 }
 
-// NeverRan takes back an attempt that had no effect. Where none has, the tie is gone; what is returned is to be kept then.
-func (t *Table) NeverRan(now time.Duration, k Key) (Record, bool) {
+// Unbind takes back an attempt that had no effect. Where none has, the tie is gone; what is returned is to be kept then.
+func (t *Table) Unbind(now time.Duration, k Key) (Record, bool) {
 	e := t.entries[k]
 	if e == nil {
 		return Record{}, false // of one that found no room: the filter can't take it back, which errs to the safe side
@@ -145,7 +145,7 @@
 	}
 	delete(t.entries, k)
 	t.queue = dequeue(t.queue, k)
-	return Record{Kind: Cleared, Key: k, At: now}, true
+	return Record{Kind: RecordUnbound, Key: k, At: now}, true
 }
 
 // dequeue takes a key out, from the end: what is taken back was begun lately.
@@ -158,26 +158,26 @@
 	return queue
 }
 
-// Ended notes how an attempt ended that may have run. What is returned is to be kept.
-func (t *Table) Ended(now time.Duration, k Key, o Outcome) (Record, bool) {
+// Complete notes how an attempt ended that may have run. What is returned is to be kept.
+func (t *Table) Complete(now time.Duration, k Key, o Outcome) (Record, bool) {
 	e := t.entries[k]
 	if e == nil {
 		return Record{}, false
 	}
 	e.out, e.ran = max(0, e.out-1), true
-	if o == Unknown || e.outcome == Served {
+	if o == OutcomeUnknown || e.outcome == OutcomeServed {
 		return Record{}, false
 	}
 	e.outcome = o
-	kind := EndedFailed
-	if o == Served {
-		kind = EndedServed
+	kind := RecordFailed
+	if o == OutcomeServed {
+		kind = RecordServed
 	}
 	return Record{Kind: kind, Key: k, At: now}, true
 }
 
-// LongAgo is the time of a record of which nobody knows how long ago it was, as the machine has started anew since.
-const LongAgo = time.Duration(math.MinInt64)
+// UnknownTime is the time of a record of which nobody knows how long ago it was, as the machine has started anew since.
+const UnknownTime = time.Duration(math.MinInt64)
 
 // Restore takes what another process has kept, in its order. A tie of which is not known how old it is counts as over its
 // window, and is remembered for the whole tail from now.
@@ -186,12 +186,12 @@
 	for _, r := range records {
 		e := t.entries[r.Key]
 		switch r.Kind {
-		case Began:
+		case RecordBound:
 			since := r.At
-			if since == LongAgo || since > now {
-				since = now - t.options.Window
+			if since == UnknownTime || since > now {
+				since = now - t.options.DedupWindow
 			}
-			if now-since >= t.options.Window+t.options.Tail || e != nil && (e.out > 0 || e.since >= since) {
+			if now-since >= t.options.DedupWindow+t.options.LateRetryPeriod || e != nil && (e.out > 0 || e.since >= since) {
 				continue
 			}
 			if e != nil { // the key was used again, after its tie had ended
@@ -205,25 +205,25 @@
 			}
 			t.counts.Restored++
 			t.put(r.Key, &entry{pod: r.Pod, zone: r.Zone, since: since, ran: true}) // whether it did is not known
-		case Cleared:
+		case RecordUnbound:
 			if e != nil && e.out == 0 {
 				delete(t.entries, r.Key)
 				t.queue = dequeue(t.queue, r.Key)
 			}
-		case EndedServed:
+		case RecordServed:
 			if e != nil {
-				e.outcome = Served
+				e.outcome = OutcomeServed
 			}
-		case EndedFailed:
-			if e != nil && e.outcome == Unknown {
-				e.outcome = Failed
+		case RecordFailed:
+			if e != nil && e.outcome == OutcomeUnknown {
+				e.outcome = OutcomeFailed
 			}
 		}
 	}
 }
 
-// Undurable counts a tie that could not be kept.
-func (t *Table) Undurable() { t.counts.Undurable++ }
+// NotDurable counts a tie that could not be kept.
+func (t *Table) CountNotDurable() { t.counts.NotDurable++ }
 
 // Counts are the figures.
 func (t *Table) Counts() Counts {
@@ -234,9 +234,9 @@
 
 // age forgets what is over its tail.
 func (t *Table) age(now time.Duration) {
-	for len(t.queue) > 0 && now-t.queue[0].since >= t.options.Window+t.options.Tail {
+	for len(t.queue) > 0 && now-t.queue[0].since >= t.options.DedupWindow+t.options.LateRetryPeriod {
 		if e := t.entries[t.queue[0].key]; e != nil && e.out > 0 { // it is under way longer than any deadline: it goes to the end
-			e.since = now - t.options.Window
+			e.since = now - t.options.DedupWindow
 			t.queue = append(t.queue[1:], begun{t.queue[0].key, e.since})
 			continue
 		}
@@ -247,11 +247,11 @@
 
 // room makes room for one more: of what is over its window the oldest goes, and is remembered by the filter.
 func (t *Table) room(now time.Duration) bool {
-	if len(t.entries) < t.options.Most {
+	if len(t.entries) < t.options.MaxEntries {
 		return true
 	}
 	first := t.queue[0]
-	if now-first.since < t.options.Window || t.entries[first.key].out > 0 {
+	if now-first.since < t.options.DedupWindow || t.entries[first.key].out > 0 {
 		return false
 	}
 	delete(t.entries, first.key)
--- a/internal/affinity/affinity_test.go
+++ b/internal/affinity/affinity_test.go
@@ -47,7 +47,7 @@
 	m.compare(t, i, tie, tied)
 	pod := rapid.IntRange(0, 3).Draw(t, "pod")
 	if tied {
-		if tie.Lost || m.now-tie.Since >= window {
+		if tie.PodUnknown || m.now-tie.Since >= window {
 			return // the module sends it nowhere
 		}
 		pod = tie.Pod
@@ -57,12 +57,12 @@
 		m.facts[i] = f
 	}
 	f.out++
-	r, ok := m.table.Begin(m.now, m.key(i), pod, 0)
+	r, ok := m.table.Bind(m.now, m.key(i), pod, 0)
 	m.keep(r, ok)
 }
 
 // compare holds what the table says against the facts.
-func (m *model) compare(t *rapid.T, i int, tie Tie, tied bool) {
+func (m *model) compare(t *rapid.T, i int, tie Binding, tied bool) {
 	f := m.facts[i]
 	over := f != nil && f.out == 0 && m.now-f.since >= window+tail
 	switch {
@@ -75,9 +75,9 @@
 		if m.table.Counts().Unprotected == 0 {
 			t.Fatalf("key %d began at %v in pod %d, and at %v nothing is known of it", i, f.since, f.pod, m.now)
 		}
-	case tie.Lost && m.table.Counts().Overflowed+m.table.Counts().Evicted == 0:
+	case tie.PodUnknown && m.table.Counts().Overflowed+m.table.Counts().Evicted == 0:
 		t.Fatalf("key %d is lost, although all had room", i)
-	case tie.Lost || m.now-tie.Since >= window: // nothing is sent, wherever and whenever it was
+	case tie.PodUnknown || m.now-tie.Since >= window: // nothing is sent, wherever and whenever it was
 	case tie.Pod != f.pod:
 		t.Fatalf("key %d went to pod %d, and %d is told", i, f.pod, tie.Pod)
 	case tie.Since > f.since:
@@ -93,14 +93,14 @@
 	}
 	f.out--
 	if rapid.Bool().Draw(t, "never ran") {
-		m.keep(m.table.NeverRan(m.now, m.key(i)))
+		m.keep(m.table.Unbind(m.now, m.key(i)))
 		if f.out == 0 && !f.ran {
 			delete(m.facts, i)
 		}
 		return
 	}
 	f.ran = true
-	m.keep(m.table.Ended(m.now, m.key(i), Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))))
+	m.keep(m.table.Complete(m.now, m.key(i), Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))))
 }
 
 // restart makes a new table of what was kept: all of it, or as much as was acknowledged.
@@ -108,7 +108,7 @@
 	fresh := New(m.table.options)
 	if rapid.IntRange(0, 4).Draw(t, "reboot") == 0 {
 		for i := range m.records {
-			m.records[i].At = LongAgo
+			m.records[i].At = UnknownTime
 		}
 		for _, f := range m.facts { // it lies back further, but nobody can tell
 			f.since = m.now - window
@@ -136,7 +136,7 @@
 func TestTableModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.SampledFrom([]int{2, 5, 100}).Draw(t, "most")
-		m := &model{table: New(Options{Most: most, Window: window, Tail: tail}), now: time.Minute, facts: map[int]*fact{}, most: most}
+		m := &model{table: New(Options{MaxEntries: most, DedupWindow: window, LateRetryPeriod: tail}), now: time.Minute, facts: map[int]*fact{}, most: most}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": m.begin, "begin too": m.begin, "end": m.end, "restart": m.restart,
 			"pass": func(t *rapid.T) {
@@ -144,7 +144,7 @@
 				for i, f := range m.facts { // no attempt is out for longer than a client waits
 					for ; f.out > 0 && m.now-f.since > window; f.out-- {
 						f.ran = true
-						m.keep(m.table.Ended(m.now, m.key(i), Unknown))
+						m.keep(m.table.Complete(m.now, m.key(i), OutcomeUnknown))
 					}
 				}
 			},
@@ -164,7 +164,7 @@
 // A flood of a million keys in ten seconds leaves memory bounded, holds nothing up, and every key that nothing remembers is
 // counted.
 func TestFlood(t *testing.T) {
-	table, now := New(Options{Most: 4096, Window: window, Tail: tail}), time.Second
+	table, now := New(Options{MaxEntries: 4096, DedupWindow: window, LateRetryPeriod: tail}), time.Second
 	secret := Secret{7}
 	known := uint64(0)
 	for i := range 1_000_000 {
@@ -174,8 +174,8 @@
 			known++
 			continue // by a false hit it fails, as what may have run
 		}
-		if _, ok := table.Begin(now, k, 1, 0); ok {
-			table.Ended(now, k, Served)
+		if _, ok := table.Bind(now, k, 1, 0); ok {
+			table.Complete(now, k, OutcomeServed)
 		}
 	}
 	c := table.Counts()
@@ -195,11 +195,11 @@
 
 // One hot key, tried a thousand times at once and again, is one tie that lasts from the first try on and is let go with the last.
 func TestOneHotKey(t *testing.T) {
-	table, now, k := New(Options{Most: 4, Window: window, Tail: tail}), time.Second, Secret{}.Key("hot")
+	table, now, k := New(Options{MaxEntries: 4, DedupWindow: window, LateRetryPeriod: tail}), time.Second, Secret{}.Key("hot")
 	records := 0
 	for range 1000 {
 		now += time.Millisecond
-		if _, fresh := table.Begin(now, k, 3, 0); fresh {
+		if _, fresh := table.Bind(now, k, 3, 0); fresh {
 			records++
 		}
 	}
@@ -208,7 +208,7 @@
 		t.Errorf("%+v, %v; %d records, %d in the queue", tie, ok, records, len(table.queue))
 	}
 	for i := range 1000 {
-		if _, cleared := table.NeverRan(now, k); cleared != (i == 999) {
+		if _, cleared := table.Unbind(now, k); cleared != (i == 999) {
 			t.Fatalf("end %d: the tie is gone: %v", i, cleared)
 		}
 	}
@@ -221,7 +221,7 @@
 func TestRecords(t *testing.T) {
 	unix := func(d time.Duration) int64 { return int64(d) + 1e18 }
 	clock := func(n int64) time.Duration { return time.Duration(n - 1e18) }
-	for _, r := range []Record{{Began, Key{1, ^uint64(0)}, 5 * time.Second, 3, 2}, {Cleared, Key{}, 0, -1, -1}, {EndedServed, Key{9, 9}, 1, 1 << 30, -5}} {
+	for _, r := range []Record{{RecordBound, Key{1, ^uint64(0)}, 5 * time.Second, 3, 2}, {RecordUnbound, Key{}, 0, -1, -1}, {RecordServed, Key{9, 9}, 1, 1 << 30, -5}} {
 		b := r.Append(nil, unix)
 		if got, err := DecodeRecord(b, clock); err != nil || got != r || len(b) != RecordSize {
 			t.Errorf("%+v is read as %+v, %v", r, got, err)
@@ -237,7 +237,7 @@
 }
 
 func BenchmarkTable(b *testing.B) {
-	table, now, secret := New(Options{Most: 16384, Window: window, Tail: tail}), time.Second, Secret{1}
+	table, now, secret := New(Options{MaxEntries: 16384, DedupWindow: window, LateRetryPeriod: tail}), time.Second, Secret{1}
 	keys := make([]Key, 1<<16)
 	for i := range keys {
 		keys[i] = secret.Key(fmt.Sprint(i))
@@ -247,22 +247,22 @@
 		now += time.Millisecond
 		k := keys[i%len(keys)]
 		table.Lookup(now, k)
-		table.Begin(now, k, 1, 0)
-		table.Ended(now, k, Served)
+		table.Bind(now, k, 1, 0)
+		table.Complete(now, k, OutcomeServed)
 	}
 }
 
 // BenchmarkFlood is a flood of 5,000 new keys a second for ten minutes, and what the table holds of the heap at its end.
 func BenchmarkFlood(b *testing.B) {
 	for b.Loop() {
-		table, now, secret := New(Options{Most: 16384, Window: window, Tail: tail}), time.Second, Secret{7}
+		table, now, secret := New(Options{MaxEntries: 16384, DedupWindow: window, LateRetryPeriod: tail}), time.Second, Secret{7}
 		middle := uint64(0)
 		for i := range 3_000_000 {
 			now += 200 * time.Microsecond
 			k := secret.Key(fmt.Sprint(i))
 			if _, tied := table.Lookup(now, k); !tied {
-				table.Begin(now, k, 1, 0)
-				table.Ended(now, k, Served)
+				table.Bind(now, k, 1, 0)
+				table.Complete(now, k, OutcomeServed)
 			}
 			if i == 1_500_000 {
 				middle = heap()
--- a/internal/affinity/bindinglog/bench_test.go
+++ b/internal/affinity/bindinglog/bench_test.go
@@ -34,7 +34,7 @@
 					select {
 					case <-ended:
 						return
-					case <-l.Wake():
+					case <-l.FlushNeeded():
 						if err := l.Flush(); err != nil {
 							b.Error(err)
 						}
@@ -126,8 +126,8 @@
 		}
 	}
 	for b.Loop() {
-		table := affinity.New(affinity.Options{Most: 1 << 20, Window: 2 * time.Second, Tail: 8 * time.Second})
-		found, err := open(b, o).Read()
+		table := affinity.New(affinity.Options{MaxEntries: 1 << 20, DedupWindow: 2 * time.Second, LateRetryPeriod: 8 * time.Second})
+		found, err := open(b, o).ReadNew()
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/affinity/bindinglog/tielog.go
+++ b/internal/affinity/bindinglog/bindinglog.go
@@ -25,16 +25,16 @@
 
 // Options say where and how ties are kept.
 type Options struct {
-	Dir   string
-	FS    atomicfile.FS
-	Sync  bool                 // to the disk itself; else a machine that stops forgets, and only a process that is killed does not
-	Lasts time.Duration        // for which a record is of use: the window and the tail
-	Now   func() time.Duration // on the engine's clock
-	// Boot names the present run of the machine, in at most 64 bytes. Stamp and Clock turn the engine's times into nanoseconds
+	Dir       string
+	FS        atomicfile.FS
+	Sync      bool                 // to the disk itself; else a machine that stops forgets, and only a process that is killed does not
+	Retention time.Duration        // for which a record is of use: the window and the tail
+	Now       func() time.Duration // on the engine's clock
+	// BootID names the present run of the machine, in at most 64 bytes. Stamp and Clock turn the engine's times into nanoseconds
 	// since it began, and back: setting the wall clock changes nothing then. Times of another run mean nothing.
-	Boot  string
-	Stamp func(time.Duration) int64
-	Clock func(stamp int64) time.Duration
+	BootID       string
+	ToBootTime   func(time.Duration) int64
+	FromBootTime func(stamp int64) time.Duration
 }
 
 // magic begins each file: its last digit is the version. The run of the machine follows, padded to one length.
@@ -42,7 +42,7 @@
 
 const headerSize = len(magic) + 65
 
-func (o Options) header() string { return fmt.Sprintf("%s%-64s\n", magic, o.Boot) }
+func (o Options) header() string { return fmt.Sprintf("%s%-64s\n", magic, o.BootID) }
 
 const (
 	ending       = ".ties"
@@ -56,8 +56,8 @@
 
 // Errors that callers tell apart.
 var (
-	ErrNewer = errors.New("it is of a newer form; it is left as it is")
-	ErrFull  = errors.New("too many ties wait to be kept")
+	ErrNewerFormat = errors.New("it is of a newer form; it is left as it is")
+	ErrNotDurable  = errors.New("too many ties wait to be kept")
 )
 
 // Commit is a batch of records on its way to the disk.
@@ -117,12 +117,12 @@
 	if _, err := rand.Read(id[:]); err != nil {
 		return nil, err
 	}
-	return &Log{options: o, prefix: fmt.Sprintf("%016x-%s", o.Stamp(o.Now()), hex.EncodeToString(id[:])), wake: make(chan struct{}, 1),
+	return &Log{options: o, prefix: fmt.Sprintf("%016x-%s", o.ToBootTime(o.Now()), hex.EncodeToString(id[:])), wake: make(chan struct{}, 1),
 		mine: map[string]time.Duration{}, read: map[string]int{}, boots: map[string]string{}, damaged: map[string]bool{}}, nil
 }
 
-// Secret reads the installation's secret, or makes one.
-func Secret(o Options) (s affinity.Secret, err error) {
+// LoadOrCreateSecret reads the installation's secret, or makes one.
+func LoadOrCreateSecret(o Options) (s affinity.Secret, err error) {
 	f := atomicfile.File{Path: filepath.Join(o.Dir, secretName), FS: o.FS}
 	doc, err := f.Load()
 	if errors.Is(err, atomicfile.ErrNone) {
@@ -155,12 +155,12 @@
 		default:
 		}
 	}
-	l.waiting = r.Append(l.waiting, l.options.Stamp)
+	l.waiting = r.Append(l.waiting, l.options.ToBootTime)
 	return l.batch
 }
 
-// Wake says that there is something to Flush.
-func (l *Log) Wake() <-chan struct{} { return l.wake }
+// FlushNeeded says that there is something to Flush.
+func (l *Log) FlushNeeded() <-chan struct{} { return l.wake }
 
 // Flush writes what waits. One goroutine calls it. After an error the next call begins a file anew.
 func (l *Log) Flush() error {
@@ -185,7 +185,7 @@
 
 func (l *Log) write(data []byte) error {
 	now := l.options.Now()
-	if l.file != nil && (l.size > mostFile || now-l.last > l.options.Lasts) { // one that was idle for so long may be gone by now
+	if l.file != nil && (l.size > mostFile || now-l.last > l.options.Retention) { // one that was idle for so long may be gone by now
 		err := l.file.Close()
 		if l.file = nil; err != nil {
 			return err
@@ -236,17 +236,17 @@
 	return err
 }
 
-// Found is what a look into the folder has brought.
-type Found struct {
-	Records []affinity.Record
-	Damaged int      // records that could not be read, of files that are kept aside
-	Aside   []string // those
+// ReadResult is what a look into the folder has brought.
+type ReadResult struct {
+	Records     []affinity.Record
+	Corrupt     int      // records that could not be read, of files that are kept aside
+	Quarantined []string // those
 }
 
-// Read reads what others have written since the last call. It may run beside Append and Flush, and is called by one goroutine.
+// ReadNew reads what others have written since the last call. It may run beside Append and Flush, and is called by one goroutine.
 // What is damaged is passed over and its file kept under another name; the end of a file may be a record that is still being
 // written, or was when its process was killed, and is no damage.
-func (l *Log) Read() (found Found, err error) {
+func (l *Log) ReadNew() (found ReadResult, err error) {
 	names, err := l.options.FS.Names(l.options.Dir)
 	if err != nil {
 		return found, err
@@ -273,7 +273,7 @@
 	return found, nil
 }
 
-func (l *Log) readFile(name string, found *Found) error {
+func (l *Log) readFile(name string, found *ReadResult) error {
 	path := filepath.Join(l.options.Dir, name)
 	f, err := l.options.FS.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -298,18 +298,18 @@
 	bad := 0
 	for ; len(data) >= affinity.RecordSize; data = data[affinity.RecordSize:] {
 		l.read[name] += affinity.RecordSize
-		r, err := affinity.DecodeRecord(data[:affinity.RecordSize], l.options.Clock)
+		r, err := affinity.DecodeRecord(data[:affinity.RecordSize], l.options.FromBootTime)
 		if err != nil {
 			bad++
 			continue
 		}
-		if l.boots[name] != l.options.Boot {
-			r.At = affinity.LongAgo
+		if l.boots[name] != l.options.BootID {
+			r.At = affinity.UnknownTime
 		}
 		found.Records = append(found.Records, r)
 	}
 	if bad > 0 {
-		found.Damaged += bad
+		found.Corrupt += bad
 		l.setAside(path, found)
 	}
 	return nil
@@ -333,26 +333,26 @@
 	family := magic[:len(magic)-2]
 	switch {
 	case bytes.HasPrefix(data, []byte(family)) && len(data) > len(family) && data[len(family)] > magic[len(family)]:
-		return "", false, ErrNewer
+		return "", false, ErrNewerFormat
 	case !bytes.HasPrefix(data, []byte(magic)) || len(data) < headerSize: // cut, or noise: nothing in it can be read
 		return "", false, nil
 	}
 	return strings.TrimSpace(string(data[len(magic):headerSize])), true, nil
 }
 
-func (l *Log) setAside(path string, found *Found) {
+func (l *Log) setAside(path string, found *ReadResult) {
 	if l.damaged[path] {
 		return
 	}
 	l.damaged[path] = true
 	if l.options.FS.Rename(path, path+damagedName) == nil { // else it is read on under its own name
-		found.Aside = append(found.Aside, path+damagedName)
+		found.Quarantined = append(found.Quarantined, path+damagedName)
 	}
 }
 
-// Remove removes files of which no record is of use any more, own ones and others'. A file is begun by a time, and no process
+// RemoveExpired removes files of which no record is of use any more, own ones and others'. A file is begun by a time, and no process
 // writes to one for longer than Lasts without another record; so one is of no use Lasts after its last.
-func (l *Log) Remove() error {
+func (l *Log) RemoveExpired() error {
 	names, err := l.options.FS.Names(l.options.Dir)
 	if err != nil {
 		return err
@@ -369,13 +369,13 @@
 		last, known := l.mine[name]
 		if !known { // another's, which may have gone on since: it is looked at once more when its time is over
 			last = now
-		} else if now-last > l.options.Lasts+extraLasting {
+		} else if now-last > l.options.Retention+extraLasting {
 			if last, err = l.lastOf(name, last); err != nil {
 				return err
 			}
 		}
 		l.mine[name] = last
-		if now-last <= l.options.Lasts+extraLasting {
+		if now-last <= l.options.Retention+extraLasting {
 			continue
 		}
 		if err := l.options.FS.Remove(filepath.Join(l.options.Dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -400,11 +400,11 @@
 	if err != nil {
 		return 0, err
 	}
-	if boot, whole, _ := checkHeader(data); !whole || boot != l.options.Boot {
+	if boot, whole, _ := checkHeader(data); !whole || boot != l.options.BootID {
 		return last, nil
 	}
 	for data = data[headerSize:]; len(data) >= affinity.RecordSize; data = data[affinity.RecordSize:] {
-		if r, err := affinity.DecodeRecord(data[:affinity.RecordSize], l.options.Clock); err == nil {
+		if r, err := affinity.DecodeRecord(data[:affinity.RecordSize], l.options.FromBootTime); err == nil {
 			last = max(last, r.At)
 		}
 	}
--- a/internal/affinity/bindinglog/tielog_test.go
+++ b/internal/affinity/bindinglog/bindinglog_test.go
@@ -21,8 +21,8 @@
 type clock struct{ now time.Duration }
 
 func (c *clock) options(fs atomicfile.FS, sync bool, boot string) Options {
-	return Options{Dir: "d", FS: fs, Sync: sync, Lasts: 10 * time.Second, Now: func() time.Duration { return c.now }, Boot: boot,
-		Stamp: func(t time.Duration) int64 { return int64(t) }, Clock: func(n int64) time.Duration { return time.Duration(n) }}
+	return Options{Dir: "d", FS: fs, Sync: sync, Retention: 10 * time.Second, Now: func() time.Duration { return c.now }, BootID: boot,
+		ToBootTime: func(t time.Duration) int64 { return int64(t) }, FromBootTime: func(n int64) time.Duration { return time.Duration(n) }}
 }
 
 func open(t testing.TB, o Options) *Log {
@@ -35,12 +35,12 @@
 }
 
 func record(i int, at time.Duration) affinity.Record {
-	return affinity.Record{Kind: affinity.Began, Key: affinity.Key{uint64(i), 7}, At: at, Pod: int32(i % 3)}
+	return affinity.Record{Kind: affinity.RecordBound, Key: affinity.Key{uint64(i), 7}, At: at, Pod: int32(i % 3)}
 }
 
-func read(t testing.TB, o Options) Found {
+func read(t testing.TB, o Options) ReadResult {
 	t.Helper()
-	found, err := open(t, o).Read()
+	found, err := open(t, o).ReadNew()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,8 +79,8 @@
 				for _, r := range found.Records {
 					got = append(got, int(r.Key[0]))
 				}
-				if found.Damaged > 0 || !slices.IsSorted(got) || len(slices.Compact(slices.Clone(got))) != len(got) {
-					t.Fatalf("%v at %d, seed %d: read %v, %d damaged", fault, at, seed, got, found.Damaged)
+				if found.Corrupt > 0 || !slices.IsSorted(got) || len(slices.Compact(slices.Clone(got))) != len(got) {
+					t.Fatalf("%v at %d, seed %d: read %v, %d damaged", fault, at, seed, got, found.Corrupt)
 				}
 				for _, i := range kept {
 					if !slices.Contains(got, i) {
@@ -116,8 +116,8 @@
 			t.Fatal(err)
 		}
 		want := max(0, (n-headerSize)/affinity.RecordSize)
-		if found := read(t, o); len(found.Records) != want || found.Damaged != 0 {
-			t.Fatalf("of %d bytes %d records are read, want %d; %d damaged", n, len(found.Records), want, found.Damaged)
+		if found := read(t, o); len(found.Records) != want || found.Corrupt != 0 {
+			t.Fatalf("of %d bytes %d records are read, want %d; %d damaged", n, len(found.Records), want, found.Corrupt)
 		}
 	}
 	bad := bytes.Clone(whole)
@@ -125,7 +125,7 @@
 	if err := os.WriteFile(path, bad, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if found := read(t, o); len(found.Records) != 4 || found.Damaged != 1 || len(found.Aside) != 1 {
+	if found := read(t, o); len(found.Records) != 4 || found.Corrupt != 1 || len(found.Quarantined) != 1 {
 		t.Errorf("%+v", found)
 	}
 	if _, err := os.Stat(path + damagedName); err != nil {
@@ -135,7 +135,7 @@
 	if err := os.WriteFile(path, newer, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := open(t, o).Read(); !errors.Is(err, ErrNewer) {
+	if _, err := open(t, o).ReadNew(); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("a newer file: %v", err)
 	}
 }
@@ -149,7 +149,7 @@
 	a, b := open(t, o), open(t, o)
 	hear := func(l *Log, want string) {
 		t.Helper()
-		found, err := l.Read()
+		found, err := l.ReadNew()
 		got := []uint64{}
 		for _, r := range found.Records {
 			got = append(got, r.Key[0])
@@ -172,8 +172,8 @@
 	hear(b, "[2]")
 	hear(a, "[3]")
 	hear(a, "[]")
-	o.Boot = "another"
-	if found := read(t, o); len(found.Records) != 3 || found.Records[0].At != affinity.LongAgo {
+	o.BootID = "another"
+	if found := read(t, o); len(found.Records) != 3 || found.Records[0].At != affinity.UnknownTime {
 		t.Errorf("after a start of the machine %+v", found)
 	}
 	files := func() int {
@@ -187,13 +187,13 @@
 		after time.Duration
 		want  int
 	}{{0, 2}, {30 * time.Second, 2}, {41 * time.Second, 1}} { // its own file, which is open, stays
-		if c.now += step.after; a.Remove() != nil || files() != step.want {
+		if c.now += step.after; a.RemoveExpired() != nil || files() != step.want {
 			t.Errorf("at %v there are %d files, want %d", c.now, files(), step.want)
 		}
 	}
 	keep(a, 4)
 	hear(b, "[4]")
-	if err := a.Remove(); err != nil { // its first file, which was open until then
+	if err := a.RemoveExpired(); err != nil { // its first file, which was open until then
 		t.Fatal(err)
 	}
 	hear(b, "[]")
@@ -207,17 +207,17 @@
 	c := &clock{}
 	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = t.TempDir()
-	first, err := Secret(o)
+	first, err := LoadOrCreateSecret(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := Secret(o); err != nil || again != first || first == (affinity.Secret{}) {
+	if again, err := LoadOrCreateSecret(o); err != nil || again != first || first == (affinity.Secret{}) {
 		t.Errorf("%v, then %v, %v", first, again, err)
 	}
 	if err := os.WriteFile(filepath.Join(o.Dir, secretName), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Secret(o); !errors.Is(err, atomicfile.ErrBroken) {
+	if _, err := LoadOrCreateSecret(o); !errors.Is(err, atomicfile.ErrBroken) {
 		t.Errorf("a damaged one: %v", err)
 	}
 }
@@ -247,7 +247,7 @@
 func FuzzReadFile(f *testing.F) {
 	c := &clock{now: time.Minute}
 	o := c.options(nil, false, "boot")
-	whole := append([]byte(o.header()), record(1, 5).Append(nil, o.Stamp)...)
+	whole := append([]byte(o.header()), record(1, 5).Append(nil, o.ToBootTime)...)
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Add([]byte("appleledge-ties 9"))
@@ -257,11 +257,11 @@
 		if err := os.WriteFile(filepath.Join(o.Dir, "x"+ending), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		found, err := open(t, o).Read()
-		if err != nil && !errors.Is(err, ErrNewer) {
+		found, err := open(t, o).ReadNew()
+		if err != nil && !errors.Is(err, ErrNewerFormat) {
 			t.Fatal(err)
 		}
-		if n := len(found.Records) + found.Damaged; n > 0 && (!strings.HasPrefix(string(data), magic) || n != (len(data)-headerSize)/affinity.RecordSize) {
+		if n := len(found.Records) + found.Corrupt; n > 0 && (!strings.HasPrefix(string(data), magic) || n != (len(data)-headerSize)/affinity.RecordSize) {
 			t.Fatalf("%d records of %d bytes", n, len(data))
 		}
 	})
--- a/internal/affinity/bindinglog/golden_test.go
+++ b/internal/affinity/bindinglog/golden_test.go
@@ -24,16 +24,16 @@
 
 // goldenOptions are of a clock that the machine's is ahead of by a second.
 func goldenOptions(dir, boot string) Options {
-	return Options{Dir: dir, FS: atomicfile.OS{}, Sync: true, Lasts: 10 * time.Second, Now: func() time.Duration { return 30 * time.Second }, Boot: boot,
-		Stamp: func(t time.Duration) int64 { return int64(t + time.Second) }, Clock: func(n int64) time.Duration { return time.Duration(n) - time.Second }}
+	return Options{Dir: dir, FS: atomicfile.OS{}, Sync: true, Retention: 10 * time.Second, Now: func() time.Duration { return 30 * time.Second }, BootID: boot,
+		ToBootTime: func(t time.Duration) int64 { return int64(t + time.Second) }, FromBootTime: func(n int64) time.Duration { return time.Duration(n) - time.Second }}
 }
 
 func goldenRecords() []affinity.Record {
 	return []affinity.Record{
-		{Kind: affinity.Began, Key: affinity.Key{1, 2}, At: 3 * time.Second, Pod: 4, Zone: 5},
-		{Kind: affinity.EndedServed, Key: affinity.Key{6, 7}, At: 8 * time.Second, Pod: 9, Zone: 10},
-		{Kind: affinity.EndedFailed, Key: affinity.Key{11, 12}, At: 13 * time.Second, Pod: 14, Zone: 15},
-		{Kind: affinity.Cleared, Key: affinity.Key{16, 17}, At: 18 * time.Second, Pod: 19, Zone: 20},
+		{Kind: affinity.RecordBound, Key: affinity.Key{1, 2}, At: 3 * time.Second, Pod: 4, Zone: 5},
+		{Kind: affinity.RecordServed, Key: affinity.Key{6, 7}, At: 8 * time.Second, Pod: 9, Zone: 10},
+		{Kind: affinity.RecordFailed, Key: affinity.Key{11, 12}, At: 13 * time.Second, Pod: 14, Zone: 15},
+		{Kind: affinity.RecordUnbound, Key: affinity.Key{16, 17}, At: 18 * time.Second, Pod: 19, Zone: 20},
 	}
 }
 
@@ -91,13 +91,13 @@
 		put(t, dir, name, as)
 	}
 	want := append(goldenRecords(), goldenRecords()[0])
-	if got := read(t, goldenOptions(dir, goldenBoot)); !reflect.DeepEqual(got, Found{Records: want}) {
+	if got := read(t, goldenOptions(dir, goldenBoot)); !reflect.DeepEqual(got, ReadResult{Records: want}) {
 		t.Errorf("the committed files read as %+v", got)
 	}
 	for i := range want {
-		want[i].At = affinity.LongAgo
+		want[i].At = affinity.UnknownTime
 	}
-	if got := read(t, goldenOptions(dir, goldenPast)); !reflect.DeepEqual(got, Found{Records: want}) {
+	if got := read(t, goldenOptions(dir, goldenPast)); !reflect.DeepEqual(got, ReadResult{Records: want}) {
 		t.Errorf("in another run of the machine they read as %+v", got)
 	}
 }
@@ -117,8 +117,8 @@
 			t.Fatal(err)
 		}
 	}
-	found, err := open(t, goldenOptions(dir, goldenBoot)).Read()
-	if want := []string{filepath.Join(dir, "b.ties.damaged")}; err == nil || found.Damaged != 1 || !reflect.DeepEqual(found.Aside, want) {
+	found, err := open(t, goldenOptions(dir, goldenBoot)).ReadNew()
+	if want := []string{filepath.Join(dir, "b.ties.damaged")}; err == nil || found.Corrupt != 1 || !reflect.DeepEqual(found.Quarantined, want) {
 		t.Errorf("before the newer file %+v was read, and then %v", found, err)
 	}
 	reports, err := Inspect(atomicfile.OS{}, dir)
@@ -152,7 +152,7 @@
 	}
 	golden.Equal(t, "tielog/secret", save(secret))
 	made := t.TempDir()
-	s, err := Secret(goldenOptions(made, goldenBoot))
+	s, err := LoadOrCreateSecret(goldenOptions(made, goldenBoot))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 	}
 	dir := t.TempDir()
 	put(t, dir, "secret", "tielog/secret")
-	if got, err := Secret(goldenOptions(dir, goldenBoot)); err != nil || got != secret {
+	if got, err := LoadOrCreateSecret(goldenOptions(dir, goldenBoot)); err != nil || got != secret {
 		t.Errorf("the committed secret reads as %x, %v", got, err)
 	}
 	golden.Equal(t, "tielog/key", fmt.Appendf(nil, "%016x\n", secret.Key("a repeat key")))
--- a/internal/affinity/bindinglog/inspect.go
+++ b/internal/affinity/bindinglog/inspect.go
@@ -16,20 +16,20 @@
 	"appleledge/internal/besteffort"
 )
 
-// Report is what a file of ties holds.
-type Report struct {
-	Name    string `json:"name"`
-	Boot    string `json:"boot,omitempty"` // the run of the machine that it is of
-	Bytes   int    `json:"bytes"`
-	Damaged int    `json:"damaged,omitempty"` // records that can't be read
-	Cut     int    `json:"cut,omitempty"`     // bytes at its end that are no whole record
-	Problem string `json:"problem,omitempty"`
+// FileReport is what a file of ties holds.
+type FileReport struct {
+	Name           string `json:"name"`
+	BootID         string `json:"boot,omitempty"` // the run of the machine that it is of
+	Bytes          int    `json:"bytes"`
+	Corrupt        int    `json:"damaged,omitempty"` // records that can't be read
+	TruncatedBytes int    `json:"cut,omitempty"`     // bytes at its end that are no whole record
+	Problem        string `json:"problem,omitempty"`
 
 	Records []affinity.Record `json:"-"` // with times since that run began
 }
 
 // Inspect reads the files of a folder, without a process that serves; those that were kept aside as well.
-func Inspect(f atomicfile.FS, dir string) (reports []Report, err error) {
+func Inspect(f atomicfile.FS, dir string) (reports []FileReport, err error) {
 	names, err := f.Names(dir)
 	if err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 	return reports, nil
 }
 
-func inspect(f atomicfile.FS, dir, name string) (r Report, err error) {
+func inspect(f atomicfile.FS, dir, name string) (r FileReport, err error) {
 	r.Name = name
 	file, err := f.Open(filepath.Join(dir, name))
 	if err != nil {
@@ -71,25 +71,25 @@
 		r.Problem = "its first line is not whole, or not one of ours"
 		return r, nil
 	}
-	r.Boot = boot
+	r.BootID = boot
 	for data = data[headerSize:]; len(data) >= affinity.RecordSize; data = data[affinity.RecordSize:] {
 		record, err := affinity.DecodeRecord(data[:affinity.RecordSize], func(stamp int64) time.Duration { return time.Duration(stamp) })
 		if err != nil {
-			r.Damaged++
+			r.Corrupt++
 			continue
 		}
 		r.Records = append(r.Records, record)
 	}
-	r.Cut = len(data)
+	r.TruncatedBytes = len(data)
 	return r, nil
 }
 
 // bootID names the present run of the machine (proc(5)).
 const bootID = "/proc/sys/kernel/random/boot_id"
 
-// SinceBoot is the present run of the machine, and for how long it has lasted, by clock_gettime(2)'s CLOCK_BOOTTIME: setting the
+// BootTime is the present run of the machine, and for how long it has lasted, by clock_gettime(2)'s CLOCK_BOOTTIME: setting the
 // clock does not change that, and two processes have the same.
-func SinceBoot() (boot string, now time.Duration, err error) {
+func BootTime() (boot string, now time.Duration, err error) {
 	id, err := os.ReadFile(bootID)
 	if err != nil {
 		return "", 0, err
@@ -102,11 +102,11 @@
 }
 
 // Obsolete reports whether nothing in a file is of use any more: of another run of the machine, or older than lasts.
-func (r Report) Obsolete(boot string, now, lasts time.Duration) bool {
+func (r FileReport) Obsolete(boot string, now, lasts time.Duration) bool {
 	if r.Problem != "" {
 		return false // whoever knows its form may want it
 	}
-	if r.Boot != boot {
+	if r.BootID != boot {
 		return true
 	}
 	for _, record := range r.Records {
--- a/internal/affinity/decisions_test.go
+++ b/internal/affinity/decisions_test.go
@@ -14,7 +14,7 @@
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
 	secret := Secret{1, 2, byte(seed)}
-	o := Options{Most: 60, Window: 2 * time.Second, Tail: 3 * time.Second}
+	o := Options{MaxEntries: 60, DedupWindow: 2 * time.Second, LateRetryPeriod: 3 * time.Second}
 	table := New(o)
 	now := time.Hour
 	var kept []Record
@@ -48,12 +48,12 @@
 		switch rnd.Below(8) {
 		case 0, 1, 2:
 			tie, ok := table.Lookup(now, k)
-			tr.Add(now, ok, tie.Pod, tie.Zone, tie.Since, tie.Lost)
-			tr.CountIf(ok && !tie.Lost, "ties")
-			tr.CountIf(tie.Lost, "ties of which the pod is lost")
+			tr.Add(now, ok, tie.Pod, tie.Zone, tie.Since, tie.PodUnknown)
+			tr.CountIf(ok && !tie.PodUnknown, "ties")
+			tr.CountIf(tie.PodUnknown, "ties of which the pod is lost")
 			tr.CountIf(!ok, "no tie")
-			if !tie.Lost {
-				keep(table.Begin(now, k, rnd.Below(12), rnd.Below(3)))
+			if !tie.PodUnknown {
+				keep(table.Bind(now, k, rnd.Below(12), rnd.Below(3)))
 				out = append(out, k)
 			}
 		case 3, 4, 5:
@@ -62,23 +62,23 @@
 			}
 			i := rnd.Below(len(out))
 			if rnd.Chance(0.2) {
-				keep(table.NeverRan(now, out[i]))
+				keep(table.Unbind(now, out[i]))
 			} else {
-				keep(table.Ended(now, out[i], Outcome(rnd.Below(3))))
+				keep(table.Complete(now, out[i], Outcome(rnd.Below(3))))
 			}
 			out = append(out[:i], out[i+1:]...)
 		case 6:
 			if rnd.Chance(0.1) {
-				keep(table.NeverRan(now, k))
-				keep(table.Ended(now, k, Served))
-				table.Undurable()
+				keep(table.Unbind(now, k))
+				keep(table.Complete(now, k, OutcomeServed))
+				table.CountNotDurable()
 			}
 		case 7:
 			if rnd.Chance(0.02) { // another process goes on with what was kept
 				table = New(o)
 				last := kept[max(0, len(kept)-150):]
 				if len(last) > 0 && rnd.Chance(0.5) {
-					last[0].At = LongAgo
+					last[0].At = UnknownTime
 				}
 				table.Restore(now, last[:len(last)/2])
 				table.Restore(now, last)
@@ -91,7 +91,7 @@
 		}
 		if step%20 == 0 {
 			c := table.Counts()
-			tr.Add(c.Entries, c.Tied, c.Lost, c.Overflowed, c.Evicted, c.Unprotected, c.Undurable, c.Restored)
+			tr.Add(c.Entries, c.Hits, c.PodUnknown, c.Overflowed, c.Evicted, c.Unprotected, c.NotDurable, c.Restored)
 			tr.CountIf(c.Overflowed > 0, "looks after no room")
 			tr.CountIf(c.Evicted > 0, "looks after one made room")
 			tr.CountIf(c.Restored > 0, "looks after ties were restored")
@@ -99,7 +99,7 @@
 	}
 	for range 4 * 60 * 16 { // more than all can hold
 		now += time.Microsecond
-		keep(table.Begin(now, secret.Key("flood"+strconv.Itoa(int(now))), 1, 1))
+		keep(table.Bind(now, secret.Key("flood"+strconv.Itoa(int(now))), 1, 1))
 	}
 	c := table.Counts()
 	tr.Add(c.Entries, c.Overflowed, c.Unprotected)
--- a/internal/affinity/golden_test.go
+++ b/internal/affinity/golden_test.go
@@ -15,12 +15,12 @@
 // fixed are records of all kinds. The last two have the greatest and the least numbers that a record can hold.
 func fixed() []Record {
 	return []Record{
-		{Kind: Began, Key: Key{0x0102030405060708, 0x1112131415161718}, At: 21 * time.Second, Pod: 0x31323334, Zone: 0x414243},
-		{Kind: Cleared, Key: Key{0x0203040506070809, 0x1213141516171819}, At: 22 * time.Second, Pod: 2, Zone: 3},
-		{Kind: EndedServed, Key: Key{0x030405060708090a, 0x131415161718191a}, At: 23 * time.Second, Pod: 4, Zone: 5},
-		{Kind: EndedFailed, Key: Key{0x0405060708090a0b, 0x1415161718191a1b}, At: 24 * time.Second, Pod: 6, Zone: 7},
-		{Kind: Began, Key: Key{1<<64 - 1, 1<<64 - 2}, At: 25 * time.Second, Pod: 1<<31 - 1, Zone: 1<<23 - 1},
-		{Kind: Began, Key: Key{0, 1}, At: -26 * time.Second, Pod: -1, Zone: -1},
+		{Kind: RecordBound, Key: Key{0x0102030405060708, 0x1112131415161718}, At: 21 * time.Second, Pod: 0x31323334, Zone: 0x414243},
+		{Kind: RecordUnbound, Key: Key{0x0203040506070809, 0x1213141516171819}, At: 22 * time.Second, Pod: 2, Zone: 3},
+		{Kind: RecordServed, Key: Key{0x030405060708090a, 0x131415161718191a}, At: 23 * time.Second, Pod: 4, Zone: 5},
+		{Kind: RecordFailed, Key: Key{0x0405060708090a0b, 0x1415161718191a1b}, At: 24 * time.Second, Pod: 6, Zone: 7},
+		{Kind: RecordBound, Key: Key{1<<64 - 1, 1<<64 - 2}, At: 25 * time.Second, Pod: 1<<31 - 1, Zone: 1<<23 - 1},
+		{Kind: RecordBound, Key: Key{0, 1}, At: -26 * time.Second, Pod: -1, Zone: -1},
 	}
 }
 
@@ -53,7 +53,7 @@
 // What a table hands over to be kept of each way that an attempt can end, and how another table takes it.
 func TestGoldenRecordsOfATable(t *testing.T) {
 	secret := Secret{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
-	table := New(Options{Most: 10, Window: 10 * time.Second, Tail: time.Minute})
+	table := New(Options{MaxEntries: 10, DedupWindow: 10 * time.Second, LateRetryPeriod: time.Minute})
 	var kept []Record
 	note := func(r Record, ok bool) {
 		if ok {
@@ -62,39 +62,39 @@
 	}
 	for i, key := range []string{"served", "failed", "never ran", "failed, then served", "not known"} {
 		k, at := secret.Key(key), time.Duration(i+1)*time.Second
-		note(table.Begin(at, k, i+11, i+21))
+		note(table.Bind(at, k, i+11, i+21))
 		switch key {
 		case "served":
-			note(table.Ended(at+1, k, Served))
+			note(table.Complete(at+1, k, OutcomeServed))
 		case "failed":
-			note(table.Ended(at+1, k, Failed))
+			note(table.Complete(at+1, k, OutcomeFailed))
 		case "never ran":
-			note(table.NeverRan(at+1, k))
+			note(table.Unbind(at+1, k))
 		case "failed, then served":
-			note(table.Ended(at+1, k, Failed))
-			note(table.Ended(at+2, k, Served))
+			note(table.Complete(at+1, k, OutcomeFailed))
+			note(table.Complete(at+2, k, OutcomeServed))
 		default:
-			note(table.Ended(at+1, k, Unknown))
+			note(table.Complete(at+1, k, OutcomeUnknown))
 		}
 	}
 	golden.Equal(t, "affinity/records-of-a-table", encoded(kept))
 
-	other := New(Options{Most: 10, Window: 10 * time.Second, Tail: time.Minute})
+	other := New(Options{MaxEntries: 10, DedupWindow: 10 * time.Second, LateRetryPeriod: time.Minute})
 	other.Restore(8*time.Second, decoded(t, golden.Read(t, "affinity/records-of-a-table")))
 	type known struct {
-		Tie
+		Binding
 		found   bool
 		outcome Outcome
 	}
 	for key, want := range map[string]known{
-		"served":              {Tie{Pod: 11, Zone: 21, Since: time.Second}, true, Served},
-		"failed":              {Tie{Pod: 12, Zone: 22, Since: 2 * time.Second}, true, Failed},
+		"served":              {Binding{Pod: 11, Zone: 21, Since: time.Second}, true, OutcomeServed},
+		"failed":              {Binding{Pod: 12, Zone: 22, Since: 2 * time.Second}, true, OutcomeFailed},
 		"never ran":           {},
-		"failed, then served": {Tie{Pod: 14, Zone: 24, Since: 4 * time.Second}, true, Served},
-		"not known":           {Tie{Pod: 15, Zone: 25, Since: 5 * time.Second}, true, Unknown},
+		"failed, then served": {Binding{Pod: 14, Zone: 24, Since: 4 * time.Second}, true, OutcomeServed},
+		"not known":           {Binding{Pod: 15, Zone: 25, Since: 5 * time.Second}, true, OutcomeUnknown},
 	} {
 		var got known
-		got.Tie, got.found = other.Lookup(8*time.Second, secret.Key(key))
+		got.Binding, got.found = other.Lookup(8*time.Second, secret.Key(key))
 		if e := other.entries[secret.Key(key)]; e != nil {
 			got.outcome = e.outcome
 		}
--- a/internal/affinity/record.go
+++ b/internal/affinity/record.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Kind says what a Record is.
-type Kind uint8
+// RecordKind says what a Record is.
+type RecordKind uint8
 
 // The kinds of records.
 const (
-	Began       Kind = 1 + iota // a tie: an attempt is about to be sent that may run
-	Cleared                     // nothing of it has run
-	EndedServed                 // and how it ended
-	EndedFailed
+	RecordBound   RecordKind = 1 + iota // a tie: an attempt is about to be sent that may run
+	RecordUnbound                       // nothing of it has run
+	RecordServed                        // and how it ended
+	RecordFailed
 )
 
 // Record is a change of a Table, as it is kept.
 type Record struct {
-	Kind      Kind
+	Kind      RecordKind
 	Key       Key
 	At        time.Duration // on the engine's clock
 	Pod, Zone int32
@@ -29,8 +29,8 @@
 // RecordSize is how many bytes a record has. All have the same, so that what follows a damaged one can be read.
 const RecordSize = 40
 
-// ErrDamaged says that bytes are no record as it was written.
-var ErrDamaged = errors.New("a record is damaged")
+// ErrCorruptRecord says that bytes are no record as it was written.
+var ErrCorruptRecord = errors.New("a record is damaged")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -50,13 +50,13 @@
 // DecodeRecord reads a record of RecordSize bytes.
 func DecodeRecord(b []byte, clock func(stamp int64) time.Duration) (Record, error) {
 	if len(b) != RecordSize || crc32.Checksum(b[:RecordSize-4], castagnoli) != binary.LittleEndian.Uint32(b[RecordSize-4:]) {
-		return Record{}, ErrDamaged
+		return Record{}, ErrCorruptRecord
 	}
 	zone := binary.LittleEndian.Uint32(b[28:])
 	r := Record{Key: Key{binary.LittleEndian.Uint64(b), binary.LittleEndian.Uint64(b[8:])},
-		At: clock(int64(binary.LittleEndian.Uint64(b[16:]))), Pod: int32(binary.LittleEndian.Uint32(b[24:])), Zone: int32(zone) >> 8, Kind: Kind(zone & 255)}
-	if r.Kind < Began || r.Kind > EndedFailed {
-		return Record{}, ErrDamaged
+		At: clock(int64(binary.LittleEndian.Uint64(b[16:]))), Pod: int32(binary.LittleEndian.Uint32(b[24:])), Zone: int32(zone) >> 8, Kind: RecordKind(zone & 255)}
+	if r.Kind < RecordBound || r.Kind > RecordFailed {
+		return Record{}, ErrCorruptRecord
 	}
 	return r, nil
 }
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return ondisk.Now{}, err
 	}
-	_, since, err := bindinglog.SinceBoot()
+	_, since, err := bindinglog.BootTime()
 	return ondisk.Now{Agent: k.agent, Run: run, SinceBoot: since}, err
 }
 
--- a/internal/agent/ties.go
+++ b/internal/agent/ties.go
@@ -53,17 +53,17 @@
 	if window == 0 {
 		log.Warn("no class is keyed: there are no ties to remember")
 	}
-	table := affinity.New(affinity.Options{Most: set.Most, Window: window, Tail: set.Tail})
+	table := affinity.New(affinity.Options{MaxEntries: set.Most, DedupWindow: window, LateRetryPeriod: set.Tail})
 	if set.Dir == "" {
 		var secret affinity.Secret // nobody else's table has to be the same
 		core.Tie(table, secret, nil)
 		return nil, nil
 	}
-	o := bindinglog.Options{Dir: set.Dir, FS: x.disk(), Sync: set.Sync, Lasts: window + set.Tail, Now: clk.Now}
+	o := bindinglog.Options{Dir: set.Dir, FS: x.disk(), Sync: set.Sync, Retention: window + set.Tail, Now: clk.Now}
 	if err := x.sinceBoot(&o, clk); err != nil {
 		return nil, fmt.Errorf("ties: %w", err)
 	}
-	secret, err := bindinglog.Secret(o)
+	secret, err := bindinglog.LoadOrCreateSecret(o)
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 		return nil, fmt.Errorf("ties: %w", err)
 	}
 	began := time.Now()
-	found, err := l.Read()
+	found, err := l.ReadNew()
 	if err != nil {
 		return nil, fmt.Errorf("ties: %w", err)
 	}
@@ -86,7 +86,7 @@
 
 // sinceBoot sets times since the machine has started, which two processes have in common.
 func (x Extras) sinceBoot(o *bindinglog.Options, clk engine.Clock) error {
-	boot, now, err := bindinglog.SinceBoot()
+	boot, now, err := bindinglog.BootTime()
 	if err == nil && x.Recovery != nil {
 		boot, err = x.Recovery.run()
 	}
@@ -94,16 +94,16 @@
 		return err
 	}
 	offset := int64(now - clk.Now())
-	o.Boot = boot
-	o.Stamp = func(t time.Duration) int64 { return int64(t) + offset }
-	o.Clock = func(stamp int64) time.Duration { return time.Duration(stamp - offset) }
+	o.BootID = boot
+	o.ToBootTime = func(t time.Duration) int64 { return int64(t) + offset }
+	o.FromBootTime = func(stamp int64) time.Duration { return time.Duration(stamp - offset) }
 	return nil
 }
 
 // damaged logs what could not be read.
-func (t *tying) damaged(found bindinglog.Found) {
-	if found.Damaged > 0 {
-		t.out.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Damaged, "kept_as", found.Aside)
+func (t *tying) damaged(found bindinglog.ReadResult) {
+	if found.Corrupt > 0 {
+		t.out.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Corrupt, "kept_as", found.Quarantined)
 	}
 }
 
@@ -134,10 +134,10 @@
 		case <-ended:
 			trouble(errors.Join(t.log.Flush(), t.log.Close()))
 			return
-		case <-t.log.Wake():
+		case <-t.log.FlushNeeded():
 			trouble(t.log.Flush())
 		case <-remove.C:
-			trouble(t.log.Remove())
+			trouble(t.log.RemoveExpired())
 		}
 	}
 }
@@ -146,7 +146,7 @@
 func (t *tying) follow(ctx context.Context) {
 	failed := false
 	every(ctx, followEvery, func() {
-		found, err := t.log.Read()
+		found, err := t.log.ReadNew()
 		if err != nil && !failed {
 			t.out.Error("ties of other processes can't be read", "error", err)
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -480,7 +480,7 @@
 	case Restored:
 		e.ties.table.Restore(e.clock.Now(), ev.Records)
 	case undurable:
-		e.ties.table.Undurable()
+		e.ties.table.CountNotDurable()
 	case kept:
 		e.handOver(ev.attempt)
 	case spoken:
--- a/internal/engine/ties.go
+++ b/internal/engine/ties.go
@@ -87,7 +87,7 @@
 		return nil
 	}
 	a.tied = true
-	r, fresh := t.table.Begin(now, c.key, p.cell, p.zone)
+	r, fresh := t.table.Bind(now, c.key, p.cell, p.zone)
 	if !fresh || t.log == nil {
 		return nil
 	}
@@ -103,11 +103,11 @@
 	var keep bool
 	switch result {
 	case balancer.NotSent, balancer.ConnectFailed, balancer.Rejected:
-		r, keep = t.table.NeverRan(now, a.Call.key)
+		r, keep = t.table.Unbind(now, a.Call.key)
 	case balancer.OK:
-		r, keep = t.table.Ended(now, a.Call.key, affinity.Served)
+		r, keep = t.table.Complete(now, a.Call.key, affinity.OutcomeServed)
 	default:
-		r, keep = t.table.Ended(now, a.Call.key, affinity.Unknown)
+		r, keep = t.table.Complete(now, a.Call.key, affinity.OutcomeUnknown)
 	}
 	if keep && t.log != nil {
 		t.log.Append(r)
--- a/internal/engine/ties_test.go
+++ b/internal/engine/ties_test.go
@@ -38,7 +38,7 @@
 	}
 	x := &tiedEngine{now: time.Second, log: &tieLog{}, out: &starter{}, door: &keeper{}}
 	x.Engine = New(b, DrivenClock(&x.now), noFleet{}, slog.New(slog.DiscardHandler))
-	x.Tie(affinity.New(affinity.Options{Most: 100, Window: window, Tail: time.Minute}), affinity.Secret{}, x.log)
+	x.Tie(affinity.New(affinity.Options{MaxEntries: 100, DedupWindow: window, LateRetryPeriod: time.Minute}), affinity.Secret{}, x.log)
 	change(x)
 	x.Begin()
 	x.list(Listed{Full: true, Members: x.members(balancer.Ready)})
@@ -175,18 +175,18 @@
 func TestWhatIsKeptOfTies(t *testing.T) {
 	x := newTied(t, func(*tiedEngine) {})
 	a, _ := x.call("k", nil)
-	if len(x.log.records) != 1 || x.log.records[0].Kind != affinity.Began || int(x.log.records[0].Pod) != cellOf(a) {
+	if len(x.log.records) != 1 || x.log.records[0].Kind != affinity.RecordBound || int(x.log.records[0].Pod) != cellOf(a) {
 		t.Fatalf("%+v", x.log.records)
 	}
 	a.Call.Close()
 	x.end(a, balancer.ConnectFailed)
 	b, _ := x.call("k", nil)
 	x.end(b, balancer.OK)
-	var kinds []affinity.Kind
+	var kinds []affinity.RecordKind
 	for _, r := range x.log.records {
 		kinds = append(kinds, r.Kind)
 	}
-	if fmt.Sprint(kinds) != fmt.Sprint([]affinity.Kind{affinity.Began, affinity.Cleared, affinity.Began, affinity.EndedServed}) {
+	if fmt.Sprint(kinds) != fmt.Sprint([]affinity.RecordKind{affinity.RecordBound, affinity.RecordUnbound, affinity.RecordBound, affinity.RecordServed}) {
 		t.Errorf("kept are %v", kinds)
 	}
 	y := newTied(t, func(*tiedEngine) {})
@@ -194,7 +194,7 @@
 	if again, _ := y.call("k", nil); again == nil || cellOf(again) != cellOf(b) {
 		t.Errorf("after a restart %+v, and it went to %s", again, b.Server)
 	}
-	if c := y.load().Ties; c.Restored != 2 || c.Tied != 1 || c.Entries != 1 { // two have begun, one of which never ran
+	if c := y.load().Ties; c.Restored != 2 || c.Hits != 1 || c.Entries != 1 { // two have begun, one of which never ran
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -82,7 +82,7 @@
 			Counts: map[string]uint64{generation.Applied: 226, generation.Kept: 227, generation.RolledBack: 228, generation.Harmed: 229}})
 	})
 	part(func(p page) {
-		s.ties(p, affinity.Counts{Entries: 241, Tied: 242, Lost: 243, Overflowed: 244, Evicted: 245, Unprotected: 246, Undurable: 247, Restored: 248})
+		s.ties(p, affinity.Counts{Entries: 241, Hits: 242, PodUnknown: 243, Overflowed: 244, Evicted: 245, Unprotected: 246, NotDurable: 247, Restored: 248})
 	})
 	for phase := recovery.Full; phase <= recovery.Proving; phase++ {
 		part(func(p page) {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -164,8 +164,8 @@
 
 func (s *Server) ties(p page, c affinity.Counts) {
 	p.gauge("appleledge_ties", "", float64(c.Entries))
-	for name, n := range map[string]uint64{"tied": c.Tied, "lost": c.Lost, "overflowed": c.Overflowed, "evicted": c.Evicted,
-		"unprotected": c.Unprotected, "undurable": c.Undurable, "restored": c.Restored} {
+	for name, n := range map[string]uint64{"tied": c.Hits, "lost": c.PodUnknown, "overflowed": c.Overflowed, "evicted": c.Evicted,
+		"unprotected": c.Unprotected, "undurable": c.NotDurable, "restored": c.Restored} {
 		p.count("appleledge_ties_"+name+"_total", "", n)
 	}
 }
