--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -43,20 +43,20 @@
 func controlPlane(set settings.XDS) agent.Source {
 	return agent.Source{Name: settings.SourceXDS, Sockets: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
 		return xds.New(xds.Options{
-			Server:       set.Server,
-			Node:         cmp.Or(set.Node, os.Getenv("PROXY_NAME"), "appleledge"),
-			NodeCluster:  set.NodeCluster,
-			Delta:        set.Delta,
-			Clusters:     set.Clusters,
-			Subset:       set.Subset,
-			Me:           site.Logic.Me,
-			Zones:        site.Zones,
-			FirstFetch:   time.Duration(set.FirstFetch),
-			BackoffLeast: time.Duration(set.BackoffLeast),
-			BackoffMost:  time.Duration(set.BackoffMost),
-			Keepalive:    time.Duration(set.Keepalive),
-			MaxMessage:   set.MaxMessage,
-			LogEvery:     time.Duration(set.LogEvery),
+			Server:              set.Server,
+			NodeID:              cmp.Or(set.Node, os.Getenv("PROXY_NAME"), "appleledge"),
+			NodeCluster:         set.NodeCluster,
+			Incremental:         set.Delta,
+			Clusters:            set.Clusters,
+			MaxClusters:         set.Subset,
+			AgentIndex:          site.Logic.Me,
+			Zones:               site.Zones,
+			InitialFetchTimeout: time.Duration(set.FirstFetch),
+			MinBackoff:          time.Duration(set.BackoffLeast),
+			MaxBackoff:          time.Duration(set.BackoffMost),
+			KeepaliveInterval:   time.Duration(set.Keepalive),
+			MaxMessageBytes:     set.MaxMessage,
+			LogInterval:         time.Duration(set.LogEvery),
 		}, c, log)
 	}}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -179,13 +179,13 @@
 	if err != nil {
 		return err
 	}
-	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, Known: keep.known(cfg.known), Wait: keep.wait(),
-		Asked: cfg.Site.Logic.Subscribe}
+	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, CachedList: keep.known(cfg.known), FirstListTimeout: keep.wait(),
+		OnDemand: cfg.Site.Logic.Subscribe}
 	if with.Recovery != nil {
-		seek.Dated, seek.Agents = true, cfg.Site.Logic.Balancers
+		seek.UsesServerClock, seek.AgentCount = true, cfg.Site.Logic.Balancers
 	}
 	disco := platform.New(seek, clk, log)
-	core.OnSubscribe(disco.Ask)
+	core.OnSubscribe(disco.Subscribe)
 	sources, names := with.open(disco, clk, cfg.Site, log)
 	hub := membership.NewHub(with.Membership, names, clk, core.Tell, log)
 	settled, rules := platformconfig.New(cfg.Site), &requesthead.InForce{}
@@ -337,7 +337,7 @@
 	if len(x.Sources) > 0 && x.Sources[0].Name != Platform {
 		return func() bool { return true }
 	}
-	return disco.Heard
+	return disco.HasAnswered
 }
 
 // open opens the sources of members, the platform's list among them.
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -75,7 +75,7 @@
 	add("conns_reused", p.Reused)
 	add("conns_dead", p.Dead)
 	add("conns_no_room", p.NoRoom)
-	add("list_whole", d.Whole)
+	add("list_whole", d.FullLists)
 	add("list_watch", d.Watches)
 	add("list_failed", d.Failed)
 	add("list_unreadable", d.Unreadable)
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -44,11 +44,11 @@
 	d := newFakeDiscovery(t, 1, entries...)
 	var log agenttest.LockedBuffer
 	with := Extras{
-		Membership: membership.Options{FailAfter: 200 * time.Millisecond, Hold: 200 * time.Millisecond},
+		Membership: membership.Options{FailoverDelay: 200 * time.Millisecond, FailbackDelay: 200 * time.Millisecond},
 		Sources: []Source{{Name: "xds", Sockets: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
-			return xds.New(xds.Options{Server: plane.Addr(), Node: "n0", Delta: true, Clusters: []string{"c"}, Zones: site.Zones,
-				FirstFetch: patience, BackoffLeast: 20 * time.Millisecond, BackoffMost: time.Second, Keepalive: 10 * time.Second,
-				MaxMessage: 1 << 20, LogEvery: time.Minute}, c, log)
+			return xds.New(xds.Options{Server: plane.Addr(), NodeID: "n0", Incremental: true, Clusters: []string{"c"}, Zones: site.Zones,
+				InitialFetchTimeout: patience, MinBackoff: 20 * time.Millisecond, MaxBackoff: time.Second, KeepaliveInterval: 10 * time.Second,
+				MaxMessageBytes: 1 << 20, LogInterval: time.Minute}, c, log)
 		}}, {Name: Platform}},
 	}
 	a := startOn(t, d, time.Millisecond, func(*Config) {}, with, slog.New(slog.NewTextHandler(&log, nil)))
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -46,7 +46,7 @@
 type keeping struct {
 	set     Recovery
 	file    atomicfile.File
-	reader  listing.Reader
+	reader  listing.Decoder
 	agent   string
 	log     *slog.Logger
 	trust   ondisk.Trust
@@ -70,7 +70,7 @@
 	if x.Recovery == nil {
 		return nil, nil
 	}
-	k := &keeping{set: *x.Recovery, reader: listing.Reader{Zones: cfg.Site.Zones, Clock: clk}, agent: cfg.Name + " " + cfg.Listen, log: log,
+	k := &keeping{set: *x.Recovery, reader: listing.Decoder{Zones: cfg.Site.Zones, Clock: clk}, agent: cfg.Name + " " + cfg.Listen, log: log,
 		wake: make(chan struct{}, 1)}
 	if err := os.MkdirAll(k.set.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("recovery: the folder for what is kept: %w", err)
@@ -289,7 +289,7 @@
 	d = ondisk.Document{Agent: now.Agent, Run: now.Run, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
 		Usual: map[string]float64{}, Use: rounded(known.Before.Use), Bans: known.Bans}
 	for _, m := range known.Members {
-		d.Servers = append(d.Servers, k.reader.Entry(m))
+		d.Servers = append(d.Servers, k.reader.Encode(m))
 	}
 	for _, s := range known.Before.Servers {
 		if s.Capacity > 0 {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -74,7 +74,7 @@
 	changed, misfit := r.own.tell(engine.Retuned{Retune: tell, Number: rules.Number})
 	r.core.Tell(changed)
 	r.rules.Put(rules)
-	r.disco.Move(c.Discovery)
+	r.disco.SetAddress(c.Discovery)
 	var names []string
 	for _, class := range tell.Classes {
 		if !class.Dropped {
--- a/internal/agent/scale_test.go
+++ b/internal/agent/scale_test.go
@@ -51,7 +51,7 @@
 // tell hands on what has changed, as the hub and the engine do, and notes how long each part took.
 func (l *large) tell() {
 	for {
-		part := l.table.Take(128)
+		part := l.table.TakeChanges(128)
 		if len(part) == 0 {
 			return
 		}
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -102,7 +102,7 @@
 // becomeReady waits until the process could serve all that comes, and takes new connections from then on.
 func (u *upgrade) becomeReady(ctx context.Context, d *platform.Discovery, log *slog.Logger) {
 	began := time.Now()
-	for ctx.Err() == nil && !(u.core.Ready() && (d.Heard() || u.link.Alone() || time.Since(began) > unheardMost)) {
+	for ctx.Err() == nil && !(u.core.Ready() && (d.HasAnswered() || u.link.Alone() || time.Since(began) > unheardMost)) {
 		time.Sleep(readyLook)
 	}
 	if ctx.Err() != nil {
@@ -110,5 +110,5 @@
 	}
 	u.link.Enter(ctx, hotrestart.Serving)
 	u.serving.Store(true)
-	log.Info("ready to serve", "discovery heard", d.Heard(), "alone", u.link.Alone(), "after", time.Since(began).Round(time.Millisecond))
+	log.Info("ready to serve", "discovery heard", d.HasAnswered(), "alone", u.link.Alone(), "after", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/agenttest/testbed.go
+++ b/internal/agenttest/testbed.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Lost keeps the reason, unless an earlier one is there.
-func (s Sink) Lost(err error) {
+// Disconnected keeps the reason, unless an earlier one is there.
+func (s Sink) Disconnected(err error) {
 	select {
 	case s.Losses <- err:
 	default:
--- a/internal/cli/membership.go
+++ b/internal/cli/membership.go
@@ -20,16 +20,16 @@
 	if m == nil {
 		return with, nil
 	}
-	with.Membership = membership.Options{FailAfter: time.Duration(m.FailAfter), Hold: time.Duration(m.Hold),
-		KeepEmpty: time.Duration(m.KeepEmpty)}
+	with.Membership = membership.Options{FailoverDelay: time.Duration(m.FailAfter), FailbackDelay: time.Duration(m.Hold),
+		EmptyListGracePeriod: time.Duration(m.KeepEmpty)}
 	for _, name := range m.Sources {
 		source := agent.Source{Name: name}
 		switch name {
 		case settings.SourcePlatform:
 		case settings.SourceFile:
 			source.Open = func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
-				return &file.Source{Path: m.File.Path, Poll: time.Duration(m.File.Poll), Log: log,
-					Reader: listing.Reader{Zones: site.Zones, Clock: c}}
+				return &file.Source{Path: m.File.Path, PollInterval: time.Duration(m.File.Poll), Log: log,
+					Decoder: listing.Decoder{Zones: site.Zones, Clock: c}}
 			}
 		default:
 			if source, err = others(name); err != nil {
--- a/internal/fleet/snapshot/kept.go
+++ b/internal/fleet/snapshot/kept.go
@@ -151,7 +151,7 @@
 		b.Usual[i] = d.Usual[name]
 	}
 	for _, e := range d.Servers {
-		b.Servers = append(b.Servers, recovery.BeforeServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.Ready, Capacity: d.Capacity[e.ID]})
+		b.Servers = append(b.Servers, recovery.BeforeServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.StateReady, Capacity: d.Capacity[e.ID]})
 	}
 	return b
 }
--- a/internal/harness/fleetgen/fleetgen_test.go
+++ b/internal/harness/fleetgen/fleetgen_test.go
@@ -67,15 +67,15 @@
 	path := filepath.Join(t.TempDir(), "servers.json")
 	f := New(script.Fleet, nil)
 	clock, log := engine.NewClock(), slog.New(slog.DiscardHandler)
-	reader := listing.Reader{Zones: []string{"edinburgh-dc"}, Clock: clock}
+	reader := listing.Decoder{Zones: []string{"edinburgh-dc"}, Clock: clock}
 	sources := map[string]membership.Source{
 		"platform": platform.New(platform.Options{Addr: d.Addr, Zones: reader.Zones}, clock, log),
-		"file":     &file.Source{Path: path, Poll: 5 * time.Millisecond, Reader: reader, Log: log},
+		"file":     &file.Source{Path: path, PollInterval: 5 * time.Millisecond, Decoder: reader, Log: log},
 	}
 	for _, delta := range []bool{false, true} {
-		sources[fmt.Sprint("xds, delta ", delta)] = xds.New(xds.Options{Server: plane.Addr(), Node: "n", Delta: delta, Zones: reader.Zones,
-			FirstFetch: agenttest.Patience, BackoffLeast: 10 * time.Millisecond, BackoffMost: time.Second, Keepalive: 10 * time.Second,
-			MaxMessage: 16 << 20, LogEvery: time.Minute}, clock, log)
+		sources[fmt.Sprint("xds, delta ", delta)] = xds.New(xds.Options{Server: plane.Addr(), NodeID: "n", Incremental: delta, Zones: reader.Zones,
+			InitialFetchTimeout: agenttest.Patience, MinBackoff: 10 * time.Millisecond, MaxBackoff: time.Second, KeepaliveInterval: 10 * time.Second,
+			MaxMessageBytes: 16 << 20, LogInterval: time.Minute}, clock, log)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -23,10 +23,10 @@
 // Source watches a file. It looks at the file every Poll, by its time and size and then by its text, which holds also
 // where a file is replaced by a rename or by way of a link, as configuration maps are.
 type Source struct {
-	Path   string
-	Poll   time.Duration
-	Reader listing.Reader
-	Log    *slog.Logger
+	Path         string
+	PollInterval time.Duration
+	Decoder      listing.Decoder
+	Log          *slog.Logger
 
 	seen     os.FileInfo // as of the last look that read the text
 	sum      uint64      // of the last text
@@ -36,7 +36,7 @@
 
 // Run watches the file until the context ends. What can't be read or used changes nothing: the last list stands.
 func (s *Source) Run(ctx context.Context, to membership.Sink) {
-	t := time.NewTicker(s.Poll)
+	t := time.NewTicker(s.PollInterval)
 	defer t.Stop()
 	for {
 		if err := s.look(to); err != nil {
@@ -44,7 +44,7 @@
 				s.complain = text
 				s.Log.Warn("list of servers not read, keeping the last one", "file", s.Path, "error", err)
 			}
-			to.Lost(err)
+			to.Disconnected(err)
 		} else {
 			s.complain = ""
 		}
@@ -101,7 +101,7 @@
 	if l.Servers == nil {
 		return u, fmt.Errorf("%s: no \"servers\"; an empty list is written as \"servers\": []", s.Path)
 	}
-	members, bad := s.Reader.Members(l)
+	members, bad := s.Decoder.Decode(l)
 	if len(bad) > 0 {
 		return u, fmt.Errorf("%s: server %q: %w", s.Path, bad[0].ID, bad[0].Err)
 	}
--- a/internal/membership/file/file_test.go
+++ b/internal/membership/file/file_test.go
@@ -28,7 +28,7 @@
 	}
 	var log agenttest.LockedBuffer
 	h := agenttest.NewSink()
-	s := &Source{Path: path, Poll: 5 * time.Millisecond, Reader: listing.Reader{Clock: engine.NewClock()}, Log: slog.New(slog.NewTextHandler(&log, nil))}
+	s := &Source{Path: path, PollInterval: 5 * time.Millisecond, Decoder: listing.Decoder{Clock: engine.NewClock()}, Log: slog.New(slog.NewTextHandler(&log, nil))}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); s.Run(ctx, h) }()
--- a/internal/membership/file/golden_test.go
+++ b/internal/membership/file/golden_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	var now time.Duration
-	s := &Source{Path: path, Reader: listing.Reader{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.DrivenClock(&now)}}
+	s := &Source{Path: path, Decoder: listing.Decoder{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.DrivenClock(&now)}}
 	to := agenttest.NewSink()
 	if err := s.look(to); err != nil {
 		t.Fatal(err)
--- a/internal/membership/listing/golden_test.go
+++ b/internal/membership/listing/golden_test.go
@@ -40,9 +40,9 @@
 }
 
 // goldenReader has a clock that starts at 1970, and lists whose clock is 100 ms ahead.
-func goldenReader() Reader {
+func goldenReader() Decoder {
 	var now time.Duration
-	return Reader{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.DrivenClock(&now), Off: 100 * time.Millisecond}
+	return Decoder{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.DrivenClock(&now), ClockOffset: 100 * time.Millisecond}
 }
 
 func TestGoldenMembers(t *testing.T) {
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		members, bad := goldenReader().Members(l)
+		members, bad := goldenReader().Decode(l)
 		if !reflect.DeepEqual(members, want) || len(bad) > 0 {
 			t.Errorf("%s: %v\n got  %+v\n want %+v", name, bad, members, want)
 		}
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	members, bad := goldenReader().Members(l)
+	members, bad := goldenReader().Decode(l)
 	if len(members) != 1 || members[0].ID != "s-2" {
 		t.Errorf("%+v", members)
 	}
@@ -88,13 +88,13 @@
 // Entries are also written, for agents that start with what others knew.
 func TestGoldenEntry(t *testing.T) {
 	r := goldenReader()
-	r.Off = 0
+	r.ClockOffset = 0
 	member := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5,
 		Started: 1764580000456 * time.Millisecond}}
 	var out []byte
 	for _, state := range []balancer.State{balancer.Ready, balancer.Draining, balancer.Gone} {
 		member.State = state
-		text, err := json.Marshal(r.Entry(member))
+		text, err := json.Marshal(r.Encode(member))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/membership/listing/listing.go
+++ b/internal/membership/listing/listing.go
@@ -24,7 +24,7 @@
 	Servers []Entry
 }
 
-// Entry is a server of the list, or what is wrong with it.
+// Encode is a server of the list, or what is wrong with it.
 type Entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"` // host and port
@@ -38,10 +38,10 @@
 	err error
 }
 
-// Ready is the state of a server that takes requests.
-const Ready = "Ready"
+// StateReady is the state of a server that takes requests.
+const StateReady = "Ready"
 
-var states = map[string]balancer.State{Ready: balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone}
+var states = map[string]balancer.State{StateReady: balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone}
 
 // Parse reads a list. Its errors name the line. It goes through the text once and holds nothing of it but the entries: a
 // list of 10,000 servers has over a megabyte, and an agent may have 32.
@@ -122,26 +122,26 @@
 	return err
 }
 
-// Bad is an entry that can't be used.
-type Bad struct {
+// InvalidEntry is an entry that can't be used.
+type InvalidEntry struct {
 	ID  string // as far as it could be read
 	Err error
 }
 
-// Reader turns entries into members.
-type Reader struct {
-	Zones []string // names, in the order of the module's numbers
-	Clock engine.Clock
-	Off   time.Duration // by which the clock of the lists is ahead
+// Decoder turns entries into members.
+type Decoder struct {
+	Zones       []string // names, in the order of the module's numbers
+	Clock       engine.Clock
+	ClockOffset time.Duration // by which the clock of the lists is ahead
 }
 
-// Members reads the entries of a list.
-func (r Reader) Members(l List) (members []engine.Member, bad []Bad) {
+// Decode reads the entries of a list.
+func (r Decoder) Decode(l List) (members []engine.Member, bad []InvalidEntry) {
 	members = make([]engine.Member, 0, len(l.Servers))
 	for _, e := range l.Servers {
 		m, err := r.member(e)
 		if err != nil {
-			bad = append(bad, Bad{e.ID, err})
+			bad = append(bad, InvalidEntry{e.ID, err})
 			continue
 		}
 		members = append(members, m)
@@ -149,7 +149,7 @@
 	return members, bad
 }
 
-func (r Reader) member(e Entry) (m engine.Member, err error) {
+func (r Decoder) member(e Entry) (m engine.Member, err error) {
 	state, ok := states[e.State]
 	switch {
 	case e.err != nil:
@@ -165,15 +165,15 @@
 }
 
 // started is a start on the own clock; 0 stays 0.
-func (r Reader) started(ms int64) time.Duration {
+func (r Decoder) started(ms int64) time.Duration {
 	if ms != 0 {
-		ms -= r.Off.Milliseconds()
+		ms -= r.ClockOffset.Milliseconds()
 	}
 	return r.Clock.FromUnix(ms)
 }
 
-// Entry writes a member as an entry, as Members reads it.
-func (r Reader) Entry(m engine.Member) Entry {
+// Encode writes a member as an entry, as Members reads it.
+func (r Decoder) Encode(m engine.Member) Entry {
 	e := Entry{ID: m.ID, Addr: m.Addr, Kind: m.Kind, Cell: m.Cell, Weight: m.Weight}
 	for name, state := range states {
 		if state == m.State {
--- a/internal/membership/listing/listing_test.go
+++ b/internal/membership/listing/listing_test.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			return
 		}
-		members, bad := Reader{Zones: []string{"a"}, Clock: engine.NewClock()}.Members(l)
+		members, bad := Decoder{Zones: []string{"a"}, Clock: engine.NewClock()}.Decode(l)
 		if len(members)+len(bad) != len(l.Servers) {
 			t.Fatalf("%d entries became %d members and %d faults", len(l.Servers), len(members), len(bad))
 		}
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	members, bad := Reader{Clock: engine.NewClock()}.Members(l)
+	members, bad := Decoder{Clock: engine.NewClock()}.Decode(l)
 	if len(members) != 2 || members[0].ID != "s-1" || members[1].State != balancer.Gone || len(bad) != 2 {
 		t.Errorf("%+v, %+v", members, bad)
 	}
@@ -68,7 +68,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if members, _ := (Reader{Zones: []string{"a"}, Clock: engine.NewClock()}).Members(l); len(members) != 10_000 {
+		if members, _ := (Decoder{Zones: []string{"a"}, Clock: engine.NewClock()}).Decode(l); len(members) != 10_000 {
 			b.Fatal(len(members))
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -18,18 +18,18 @@
 
 // Update is what a source says: the whole list, or the members that changed.
 type Update struct {
-	Full    bool
-	Members []engine.Member // those whose State is Gone in changes only
-	Stand   []string        // ids of members of whom what was said before stands, such as those that could not be read
-	Drop    float64         // the share of requests that the source wants turned away now, from 0 to 1
+	Full      bool
+	Members   []engine.Member // those whose State is Gone in changes only
+	Retained  []string        // ids of members of whom what was said before stands, such as those that could not be read
+	DropRatio float64         // the share of requests that the source wants turned away now, from 0 to 1
 }
 
 // Sink takes what a source says. Its methods may be called from any goroutine and do not block for long.
 type Sink interface {
 	Update(Update)
-	// Lost says that the source can't be reached any more, or not yet. What it said before stands; the next Update
+	// Disconnected says that the source can't be reached any more, or not yet. What it said before stands; the next Update
 	// ends it.
-	Lost(error)
+	Disconnected(error)
 }
 
 // Source is a way to find out who the servers are.
@@ -84,12 +84,12 @@
 	})
 }
 
-func (s sink) Lost(err error) {
+func (s sink) Disconnected(err error) {
 	s.hub.change(func(now time.Duration) {
 		if errors.Is(err, ErrUnsubscribed) {
 			s.hub.lost = true
 		}
-		s.hub.table.Lost(now, s.source)
+		s.hub.table.Disconnected(now, s.source)
 	})
 }
 
@@ -120,7 +120,7 @@
 			}
 		}
 		h.mu.Lock()
-		due, ok := h.table.Due()
+		due, ok := h.table.NextTimer()
 		h.mu.Unlock()
 		if ok {
 			timer.Reset(max(due-h.clock.Now(), leastGap))
@@ -133,8 +133,8 @@
 func (h *Hub) tell() bool {
 	h.mu.Lock()
 	h.table.Tick(h.clock.Now())
-	members := h.table.Take(partMost)
-	heard, lost, drop := h.heard, h.lost, h.table.Drop()
+	members := h.table.TakeChanges(partMost)
+	heard, lost, drop := h.heard, h.lost, h.table.DropRatio()
 	h.heard, h.lost = false, false
 	if active := h.table.Active(); active != h.shown {
 		h.shown = active
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -104,9 +104,9 @@
 		h, events, _ := hub(t, "s")
 		h.Sink(0).Update(Update{Full: true})
 		time.Sleep(time.Second)
-		h.Sink(0).Lost(errors.New("a call failed"))
+		h.Sink(0).Disconnected(errors.New("a call failed"))
 		time.Sleep(time.Second)
-		h.Sink(0).Lost(fmt.Errorf("%w: at a call", ErrUnsubscribed))
+		h.Sink(0).Disconnected(fmt.Errorf("%w: at a call", ErrUnsubscribed))
 		time.Sleep(time.Second)
 		all := events()
 		if len(all) != 2 {
--- a/internal/membership/platform/asked_test.go
+++ b/internal/membership/platform/asked_test.go
@@ -95,7 +95,7 @@
 			if d.known, err = listing.Parse([]byte(agenttest.ListText(41, true, ready("s-old")))); err != nil {
 				t.Fatal(err)
 			}
-			d.Ask()
+			d.Subscribe()
 			follow(t, d, events)
 			ended := make(chan struct{})
 			defer close(ended)
@@ -104,7 +104,7 @@
 					select {
 					case err := <-events.Losses:
 						besteffort.Ignore(err) // the module's part
-						d.Ask()
+						d.Subscribe()
 					case <-ended:
 						return
 					}
@@ -160,7 +160,7 @@
 	d, events := follower(t, l.Addr().String(), io.Discard)
 	d.asked, d.longWait, d.askMost = true, 10*time.Millisecond, time.Hour // so that neither the module nor the time has it asked again
 	d.known, _ = listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:1", "Ready", 0))))
-	d.Ask()
+	d.Subscribe()
 	follow(t, d, events)
 	next(t, events) // the known list
 	if u := next(t, events); len(u.Members) != 1 || u.Members[0].State != balancer.Draining {
@@ -184,7 +184,7 @@
 	d, events := follower(t, l.Addr().String(), io.Discard)
 	d.asked, d.askMost = true, 20*time.Millisecond
 	d.known, _ = listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:1", "Ready", 0))))
-	d.Ask() // once: the module says no more
+	d.Subscribe() // once: the module says no more
 	follow(t, d, events)
 	next(t, events) // the known list
 	if u := next(t, events); len(u.Members) != 1 || u.Members[0].State != balancer.Draining {
@@ -226,11 +226,11 @@
 		d.known, _ = listing.Parse([]byte(list))
 		from.answers[0] = agenttest.ListText(42, false)
 	}
-	d.Ask() // once: the module says no more
+	d.Subscribe() // once: the module says no more
 	follow(t, d, events)
 	next(t, events) // the first list
 	agenttest.Eventually(t, "the first discovery is watched", func() bool { return len(from.called()) == 2 })
-	d.Move(at[1])
+	d.SetAddress(at[1])
 	if u := next(t, events); !u.Full || len(u.Members) != 1 || u.Members[0].State != balancer.Draining {
 		t.Errorf("told %+v, want the drain", u)
 	}
@@ -240,7 +240,7 @@
 func TestAMoveIsHurriedOnce(t *testing.T) {
 	d, _ := follower(t, "127.0.0.1:1", io.Discard)
 	d.to = discard{}
-	d.Move("127.0.0.1:2")
+	d.SetAddress("127.0.0.1:2")
 	if _, end := d.begin(t.Context()); !d.moved {
 		t.Error("a move is not hurried")
 	} else {
@@ -264,7 +264,7 @@
 type discard struct{}
 
 func (discard) Update(membership.Update) {}
-func (discard) Lost(error)               {}
+func (discard) Disconnected(error)               {}
 
 // callMost is left for the call that was under way when discovery came back.
 const callMost = 500 * time.Millisecond
@@ -299,7 +299,7 @@
 						t.Fatalf("asks: %v, after %v", asks, took)
 					}
 					seen[took] = true
-					d.Ask()
+					d.Subscribe()
 					if !d.wanted(t.Context()) {
 						t.Error("the module's wish is not heard")
 					}
--- a/internal/membership/platform/dated_test.go
+++ b/internal/membership/platform/dated_test.go
@@ -30,7 +30,7 @@
 		{"an hour ahead, on the platform's days", time.Hour, true, false, false},
 	} {
 		clk := engine.NewClock().Shifted(c.off)
-		d := New(Options{Addr: "127.0.0.1:1", Dated: c.dated}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		d := New(Options{Addr: "127.0.0.1:1", UsesServerClock: c.dated}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		now := time.Now()
 		if c.date {
 			d.time(now.UTC().Format(http.TimeFormat))
@@ -38,7 +38,7 @@
 		} else {
 			d.time("")
 		}
-		members, _ := d.reader.Members(listing.List{Servers: []listing.Entry{{ID: "s", Addr: "127.0.0.1:2", State: listing.Ready,
+		members, _ := d.reader.Decode(listing.List{Servers: []listing.Entry{{ID: "s", Addr: "127.0.0.1:2", State: listing.StateReady,
 			StartedMS: now.Add(-20 * time.Second).UnixMilli()}}})
 		ago := clk.Now() - members[0].Started
 		if !c.corrected {
@@ -50,10 +50,10 @@
 	}
 }
 
-// Agents that are all without discovery do not call it more often together than it can answer, and none forgets it.
+// AgentCount that are all without discovery do not call it more often together than it can answer, and none forgets it.
 func TestCallsInAnOutageAreSpread(t *testing.T) {
 	for _, agents := range []int{0, 1, 20, 300, 10_000} {
-		d := New(Options{Addr: "127.0.0.1:1", Agents: agents}, engine.NewClock(), slog.New(slog.DiscardHandler))
+		d := New(Options{Addr: "127.0.0.1:1", AgentCount: agents}, engine.NewClock(), slog.New(slog.DiscardHandler))
 		var sum, longest time.Duration
 		const looks = 2000
 		for range looks {
--- a/internal/membership/platform/golden_test.go
+++ b/internal/membership/platform/golden_test.go
@@ -104,7 +104,7 @@
 		{Members: []engine.Member{fourth}},
 		{Members: []engine.Member{drains}},
 		{Members: []engine.Member{{Server: balancer.Server{ID: "s-2", State: balancer.Gone, Zone: -1}}}},
-		{Members: []engine.Member{second}, Stand: []string{"s-5", "s-6", "s-7"}},
+		{Members: []engine.Member{second}, Retained: []string{"s-5", "s-6", "s-7"}},
 	} {
 		if got := next(t, to); !reflect.DeepEqual(got, want) {
 			t.Errorf("update %d:\n got  %+v\n want %+v", i, got, want)
@@ -119,9 +119,9 @@
 func TestGoldenAskedList(t *testing.T) {
 	addr, asked := goldenAnswers(t, map[string]string{"": "full", "41": "nothing"})
 	var now time.Duration
-	d := New(Options{Addr: addr, Asked: true}, engine.DrivenClock(&now), slog.New(slog.DiscardHandler))
+	d := New(Options{Addr: addr, OnDemand: true}, engine.DrivenClock(&now), slog.New(slog.DiscardHandler))
 	follow(t, d, agenttest.NewSink())
-	d.Ask()
+	d.Subscribe()
 	agenttest.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=44") })
 	golden.Equal(t, "platform/asked_requests.txt", []byte(regexp.MustCompile(`timeout_ms=\d+`).ReplaceAllString(asked(), "timeout_ms=N")))
 }
@@ -130,7 +130,7 @@
 func TestGoldenLog(t *testing.T) {
 	var log agenttest.LockedBuffer
 	var now time.Duration
-	d := New(Options{Addr: "127.0.0.1:1", Dated: true, Known: listing.List{Version: 40}}, engine.DrivenClock(&now),
+	d := New(Options{Addr: "127.0.0.1:1", UsesServerClock: true, CachedList: listing.List{Version: 40}}, engine.DrivenClock(&now),
 		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
 	d.to = agenttest.NewSink()
 	d.outOfReach(context.DeadlineExceeded)
--- a/internal/membership/platform/platform.go
+++ b/internal/membership/platform/platform.go
@@ -55,7 +55,7 @@
 // Discovery is the membership source that follows the platform's list of backends.
 type Discovery struct {
 	client    *http.Client
-	reader    listing.Reader
+	reader    listing.Decoder
 	known     listing.List    // of an earlier life of the agent
 	firstWait time.Duration   // for the first list, before that is used
 	asked     bool            // watch only when the module subscribes
@@ -91,15 +91,15 @@
 
 // Options says where discovery is and how its lists are to be read.
 type Options struct {
-	Addr  string        // host and port
-	Zones []string      // names, in the order of the module's numbers
-	Known listing.List  // what an earlier life of the agent had; may be empty
-	Asked bool          // watch only when the module subscribes
-	Wait  time.Duration // for the first list, before the known one is used; 0: firstWait
-	// Agents is how many call the same discovery, so that those that all are without it do not call more together than it can answer
+	Addr             string        // host and port
+	Zones            []string      // names, in the order of the module's numbers
+	CachedList       listing.List  // what an earlier life of the agent had; may be empty
+	OnDemand         bool          // watch only when the module subscribes
+	FirstListTimeout time.Duration // for the first list, before the known one is used; 0: firstWait
+	// AgentCount is how many call the same discovery, so that those that all are without it do not call more together than it can answer
 	// when it is back; 0: each calls as if it were alone.
-	Agents int
-	Dated  bool // go by discovery's clock, as its answers date themselves, where the own wall clock is off
+	AgentCount      int
+	UsesServerClock bool // go by discovery's clock, as its answers date themselves, where the own wall clock is off
 }
 
 // New returns a follower of the list.
@@ -109,12 +109,12 @@
 		drop:      func() {},
 		at:        src.Addr,
 		client:    &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: callTimeout}).DialContext}},
-		reader:    listing.Reader{Zones: src.Zones, Clock: c},
-		known:     src.Known,
-		firstWait: src.Wait,
-		asked:     src.Asked,
-		agents:    src.Agents,
-		dated:     src.Dated,
+		reader:    listing.Decoder{Zones: src.Zones, Clock: c},
+		known:     src.CachedList,
+		firstWait: src.FirstListTimeout,
+		asked:     src.OnDemand,
+		agents:    src.AgentCount,
+		dated:     src.UsesServerClock,
 		longWait:  askedWait,
 		answerIn:  callTimeout,
 		bodyIn:    bodyTime,
@@ -126,19 +126,19 @@
 	}
 }
 
-// Heard reports whether discovery has answered since the start, so that the list is no longer one of an earlier life.
-func (d *Discovery) Heard() bool { return d.heard.Load() }
+// HasAnswered reports whether discovery has answered since the start, so that the list is no longer one of an earlier life.
+func (d *Discovery) HasAnswered() bool { return d.heard.Load() }
 
 // Counts are calls to discovery since the start. Those that are unreadable have failed as well.
-type Counts struct{ Whole, Watches, Failed, Unreadable uint64 }
+type Counts struct{ FullLists, Watches, Failed, Unreadable uint64 }
 
 // Counts says how many calls were made, and how they ended.
 func (d *Discovery) Counts() Counts {
-	return Counts{Whole: d.whole.Load(), Watches: d.watches.Load(), Failed: d.failed.Load(), Unreadable: d.unreadable.Load()}
+	return Counts{FullLists: d.whole.Load(), Watches: d.watches.Load(), Failed: d.failed.Load(), Unreadable: d.unreadable.Load()}
 }
 
-// Ask subscribes to the list. A subscription that waits to begin is enough.
-func (d *Discovery) Ask() {
+// Subscribe subscribes to the list. A subscription that waits to begin is enough.
+func (d *Discovery) Subscribe() {
 	select {
 	case d.subscribe <- struct{}{}:
 	default:
@@ -172,8 +172,8 @@
 	d.restore()
 }
 
-// Move points to another discovery. Calls to the old one end at once, whether or not it still answers.
-func (d *Discovery) Move(addr string) {
+// SetAddress points to another discovery. Calls to the old one end at once, whether or not it still answers.
+func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.addr = addr
@@ -205,7 +205,7 @@
 	if d.at != d.addr {
 		d.at, d.version, d.since, d.down, d.moved, d.timed = d.addr, -1, -1, false, true, false
 		d.client.CloseIdleConnections()
-		d.Ask() // the module's subscription was with the old one
+		d.Subscribe() // the module's subscription was with the old one
 	}
 	return session, end
 }
@@ -230,7 +230,7 @@
 		}
 		d.again = false
 		d.outOfReach(err)
-		d.to.Lost(fmt.Errorf("%w: %w", membership.ErrUnsubscribed, err))
+		d.to.Disconnected(fmt.Errorf("%w: %w", membership.ErrUnsubscribed, err))
 	}
 }
 
@@ -461,7 +461,7 @@
 					return nil
 				}
 				d.outOfReach(err)
-				d.to.Lost(err)
+				d.to.Disconnected(err)
 				next.Reset(min(time.Until(due), d.retry()))
 			case <-next.C:
 				waits = false
@@ -493,10 +493,10 @@
 	if err != nil { // it tells none: the own clock has to do
 		return
 	}
-	d.timed, d.reader.Off = true, 0
+	d.timed, d.reader.ClockOffset = true, 0
 	clk := d.reader.Clock
 	if off := t.Add(time.Second / 2).Sub(clk.At(clk.Now())); off.Abs() > mostOff {
-		d.reader.Off = off
+		d.reader.ClockOffset = off
 		d.log.Warn("the wall clock is off: starts of servers are told by discovery's", "off", -off.Round(time.Second))
 	}
 }
@@ -536,14 +536,14 @@
 // update decodes the entries. A malformed one is passed over, which must not look as if its backend had been taken from
 // the list: what was held of it stands.
 func (d *Discovery) update(l listing.List) membership.Update {
-	members, bad := d.reader.Members(l)
+	members, bad := d.reader.Decode(l)
 	u := membership.Update{Full: l.Full, Members: members}
 	for _, b := range bad {
 		if !d.badOnce {
 			d.badOnce = true
 			d.log.Warn("passing over a malformed list entry; further ones are not logged", "entry", b.ID, "error", b.Err)
 		}
-		u.Stand = append(u.Stand, b.ID)
+		u.Retained = append(u.Retained, b.ID)
 	}
 	return u
 }
--- a/internal/membership/platform/platform_test.go
+++ b/internal/membership/platform/platform_test.go
@@ -190,8 +190,8 @@
 	for _, m := range u.Members {
 		ids = append(ids, m.ID)
 	}
-	if got := strings.Join(ids, " "); got != "s-4" || !slices.Contains(u.Stand, "s-1") {
-		t.Errorf("the list is %q, and %q stand", got, u.Stand)
+	if got := strings.Join(ids, " "); got != "s-4" || !slices.Contains(u.Retained, "s-1") {
+		t.Errorf("the list is %q, and %q stand", got, u.Retained)
 	}
 	if n := log.Count("malformed"); n != 1 {
 		t.Errorf("%d lines in the log", n)
@@ -203,7 +203,7 @@
 	d, events := follower(t, agenttest.Refusing(t), io.Discard)
 	d.asked = true
 	follow(t, d, events)
-	d.Ask()
+	d.Subscribe()
 	select {
 	case err := <-events.Losses:
 		if !errors.Is(err, membership.ErrUnsubscribed) {
@@ -221,7 +221,7 @@
 	d, events := follower(t, agenttest.Refusing(t), &agenttest.LockedBuffer{})
 	d.asked = true
 	follow(t, d, events)
-	d.Move(f.Addr().String())
+	d.SetAddress(f.Addr().String())
 	if l := next(t, events); len(l.Members) != 1 {
 		t.Errorf("%+v", l)
 	}
@@ -299,7 +299,7 @@
 		defer mu.Unlock()
 		return hang == 0
 	})
-	if n := d.Counts(); n.Failed > n.Whole+n.Watches {
+	if n := d.Counts(); n.Failed > n.FullLists+n.Watches {
 		t.Errorf("%+v", n)
 	}
 }
@@ -395,7 +395,7 @@
 			if tt.moved {
 				d.addr, d.at = agenttest.Refusing(t), "" // where it is before
 				follow(t, d, events)
-				d.Move(at)
+				d.SetAddress(at)
 			} else {
 				follow(t, d, events)
 			}
@@ -435,7 +435,7 @@
 	if beside := int(callTimeout/retryPause) + 1; most > beside || most < 2 {
 		t.Errorf("%d calls beside each other, %d at the most", most, beside)
 	}
-	if n, could := d.Counts().Whole, uint64(time.Since(began)/retryPause)+1; n > could {
+	if n, could := d.Counts().FullLists, uint64(time.Since(began)/retryPause)+1; n > could {
 		t.Errorf("%d calls in a time for %d", n, could)
 	}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -11,13 +11,13 @@
 
 // Options say how several sources are made into one list.
 type Options struct {
-	// FailAfter is how long a source that can't be reached goes on counting while another one could.
-	FailAfter time.Duration
-	// Hold is how long a preferred source has to be heard without a break before it counts again.
-	Hold time.Duration
-	// KeepEmpty is for how long the last list is kept when its source takes away all servers at once; 0 believes it.
+	// FailoverDelay is how long a source that can't be reached goes on counting while another one could.
+	FailoverDelay time.Duration
+	// FailbackDelay is how long a preferred source has to be heard without a break before it counts again.
+	FailbackDelay time.Duration
+	// EmptyListGracePeriod is for how long the last list is kept when its source takes away all servers at once; 0 believes it.
 	// Drains that are told meanwhile count.
-	KeepEmpty time.Duration
+	EmptyListGracePeriod time.Duration
 }
 
 const none = -1
@@ -26,7 +26,7 @@
 // calls and the time go in, changes come out by Take.
 //
 // One source counts at a time: the first, in the order of preference, that has told a whole list and is not lost for
-// longer than FailAfter. A better one takes over when it has been heard for Hold, and at once where the present one is
+// longer than FailoverDelay. A better one takes over when it has been heard for Hold, and at once where the present one is
 // lost. With no source left the last list stands. Servers that both sources name go on under the id and the life that the
 // list has for them, so that a change of sources is no gap.
 //
@@ -65,8 +65,8 @@
 // Active is the source that counts, by its place; -1 before any does.
 func (t *Table) Active() int { return t.active }
 
-// Drop is the share of requests that the source which counts wants turned away.
-func (t *Table) Drop() float64 {
+// DropRatio is the share of requests that the source which counts wants turned away.
+func (t *Table) DropRatio() float64 {
 	if t.active == none {
 		return 0
 	}
@@ -84,7 +84,7 @@
 		return // a change of nothing: the whole list is to come
 	}
 	s.listed = true
-	s.drop = min(max(u.Drop, 0), 1)
+	s.drop = min(max(u.DropRatio, 0), 1)
 	t.apply(now, s, u)
 	t.choose(now)
 }
@@ -92,9 +92,9 @@
 // apply brings a source's members up to date and marks what that touches.
 func (t *Table) apply(now time.Duration, s *source, u Update) {
 	gone := t.gone(s, u)
-	if left := len(s.members) - len(gone); t.options.KeepEmpty > 0 && left == 0 && len(gone) > 0 && !s.brings(u) {
+	if left := len(s.members) - len(gone); t.options.EmptyListGracePeriod > 0 && left == 0 && len(gone) > 0 && !s.brings(u) {
 		if s.keep == 0 {
-			s.keep = now + t.options.KeepEmpty
+			s.keep = now + t.options.EmptyListGracePeriod
 		}
 		return
 	}
@@ -128,7 +128,7 @@
 	for _, m := range u.Members {
 		named[m.ID] = m.State != balancer.Gone
 	}
-	for _, id := range u.Stand {
+	for _, id := range u.Retained {
 		named[id] = true
 	}
 	for id := range s.members {
@@ -172,8 +172,8 @@
 	}
 }
 
-// Lost notes that a source can't be reached.
-func (t *Table) Lost(now time.Duration, from int) {
+// Disconnected notes that a source can't be reached.
+func (t *Table) Disconnected(now time.Duration, from int) {
 	if s := t.sources[from]; !s.lost {
 		s.lost, s.since = true, now
 		t.retouchDrains(s)
@@ -200,7 +200,7 @@
 
 // usable reports whether a source may count.
 func (t *Table) usable(now time.Duration, s *source) bool {
-	return s.listed && (!s.lost || now < s.since+t.options.FailAfter)
+	return s.listed && (!s.lost || now < s.since+t.options.FailoverDelay)
 }
 
 // choose settles which source counts.
@@ -210,7 +210,7 @@
 		if i == t.active && t.usable(now, s) {
 			break // none before it may, and it still does
 		}
-		steady := !s.lost && now >= s.since+t.options.Hold
+		steady := !s.lost && now >= s.since+t.options.FailbackDelay
 		if s.listed && !s.lost && (t.active == none || steady || !t.usable(now, t.sources[t.active])) {
 			next = i
 			break
@@ -233,8 +233,8 @@
 	}
 }
 
-// Due is when Tick has something to do, if it has.
-func (t *Table) Due() (at time.Duration, ok bool) {
+// NextTimer is when Tick has something to do, if it has.
+func (t *Table) NextTimer() (at time.Duration, ok bool) {
 	note := func(when time.Duration) {
 		if !ok || when < at {
 			at, ok = when, true
@@ -245,10 +245,10 @@
 			note(s.keep)
 		}
 		if i == t.active && s.lost && slices.ContainsFunc(t.sources, func(s *source) bool { return s.listed && !s.lost }) {
-			note(s.since + t.options.FailAfter)
+			note(s.since + t.options.FailoverDelay)
 		}
 		if i < t.active && s.listed && !s.lost {
-			note(s.since + t.options.Hold)
+			note(s.since + t.options.FailbackDelay)
 		}
 	}
 	return at, ok
@@ -314,8 +314,8 @@
 	return false
 }
 
-// Take returns changes that the engine is to be told of, so many at most: those first that end something.
-func (t *Table) Take(most int) (changes []engine.Member) {
+// TakeChanges returns changes that the engine is to be told of, so many at most: those first that end something.
+func (t *Table) TakeChanges(most int) (changes []engine.Member) {
 	for len(changes) < most {
 		queue, ending := &t.urgent, true
 		if len(*queue) == 0 {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -22,7 +22,7 @@
 func (l listed) take(t interface{ Fatalf(string, ...any) }, table *Table, most int) {
 	ended := true
 	for {
-		part := table.Take(most)
+		part := table.TakeChanges(most)
 		if len(part) > most {
 			t.Fatalf("%d changes at a time, want %d at most", len(part), most)
 		}
@@ -70,10 +70,10 @@
 
 // Whatever the sources say, in whatever order, with losses and times between: the engine ends up with the list of the
 // source that counts, drains come first whoever told them, a better source takes over only when it has held, and the
-// list is empty only where its source said so for KeepEmpty.
+// list is empty only where its source said so for EmptyListGracePeriod.
 func TestTableModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Options{FailAfter: 10, Hold: 30, KeepEmpty: time.Duration(rapid.IntRange(0, 1).Draw(t, "keep")) * 20}
+		o := Options{FailoverDelay: 10, FailbackDelay: 30, EmptyListGracePeriod: time.Duration(rapid.IntRange(0, 1).Draw(t, "keep")) * 20}
 		table := NewTable(o, 2)
 		have := listed{}
 		now := time.Duration(1)
@@ -84,7 +84,7 @@
 			before := table.Active()
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				table.Lost(now, from)
+				table.Disconnected(now, from)
 				heard[from] = -1
 			case 1:
 				now += time.Duration(rapid.IntRange(1, 25).Draw(t, "time"))
@@ -108,7 +108,7 @@
 				}
 			}
 			after := table.Active()
-			if before == 1 && after == 0 && table.usable(now, table.sources[1]) && now-heard[0] < o.Hold {
+			if before == 1 && after == 0 && table.usable(now, table.sources[1]) && now-heard[0] < o.FailbackDelay {
 				t.Fatalf("the better source took over after %v", now-heard[0])
 			}
 			if before != after && after != none && table.sources[after].lost {
@@ -118,7 +118,7 @@
 			if want := table.want(); !maps.Equal(have, want) {
 				t.Fatalf("the engine has %v, want %v", have, want)
 			}
-			if o.KeepEmpty > 0 && before == after && sized > 0 && len(have) == 0 && table.sources[after].keep != 0 {
+			if o.EmptyListGracePeriod > 0 && before == after && sized > 0 && len(have) == 0 && table.sources[after].keep != 0 {
 				t.Fatal("an empty list is believed before its time")
 			}
 			sized = len(have)
@@ -128,7 +128,7 @@
 
 // Sources change over without a gap and do not flap: a step a line, with the ids that are ready after it.
 func TestMigration(t *testing.T) {
-	table := NewTable(Options{FailAfter: 10 * time.Second, Hold: 30 * time.Second, KeepEmpty: time.Minute}, 2)
+	table := NewTable(Options{FailoverDelay: 10 * time.Second, FailbackDelay: 30 * time.Second, EmptyListGracePeriod: time.Minute}, 2)
 	have := listed{}
 	at := time.Duration(0)
 	full := func(from int, members ...engine.Member) { table.Update(at, from, Update{Full: true, Members: members}) }
@@ -160,10 +160,10 @@
 			table.Update(at, 1, Update{Members: []engine.Member{member("s2", "a2", balancer.Draining)}})
 		}, "x3 "},
 		{"and its end too", time.Second, func() { full(1, s1, s2) }, "x2 x3 "},
-		{"lost for a short time it goes on counting", time.Second, func() { table.Lost(at, 0) }, "x2 x3 "},
+		{"lost for a short time it goes on counting", time.Second, func() { table.Disconnected(at, 0) }, "x2 x3 "},
 		{"for longer the other one takes over", 11 * time.Second, func() {}, "s1 s2 "},
-		{"back for a moment it does not", time.Second, func() { full(0, x2, x3); table.Lost(at, 0) }, "s1 s2 "},
-		{"both lost, the last list stands", time.Minute, func() { table.Lost(at, 1) }, "s1 s2 "},
+		{"back for a moment it does not", time.Second, func() { full(0, x2, x3); table.Disconnected(at, 0) }, "s1 s2 "},
+		{"both lost, the last list stands", time.Minute, func() { table.Disconnected(at, 1) }, "s1 s2 "},
 		{"back while the other is lost it counts at once", time.Minute, func() { full(0, x3) }, "x3 "},
 		{"all taken away at once is not believed yet", time.Second, func() { full(0) }, "x3 "},
 		{"but a drain is", time.Second, func() {
@@ -177,7 +177,7 @@
 		{"and for so long only", 61 * time.Second, func() {}, ""},
 		{"an entry that can't be read stands", 0, func() {
 			full(0, x2, x3)
-			table.Update(at, 0, Update{Full: true, Members: []engine.Member{x3}, Stand: []string{"x2"}})
+			table.Update(at, 0, Update{Full: true, Members: []engine.Member{x3}, Retained: []string{"x2"}})
 		}, "x2 x3 "},
 	} {
 		at += step.after
--- a/internal/membership/xds/machine.go
+++ b/internal/membership/xds/machine.go
@@ -297,7 +297,7 @@
 	}
 	clear(m.dirty)
 	for _, a := range m.assignments {
-		u.Drop = max(u.Drop, a.drop)
+		u.DropRatio = max(u.DropRatio, a.drop)
 	}
 	u.Full, m.begun = !m.begun, true
 	for _, id := range slices.Sorted(maps.Keys(touched)) {
--- a/internal/membership/xds/source.go
+++ b/internal/membership/xds/source.go
@@ -30,20 +30,20 @@
 
 // Options of a Source. Times and counts are as in the settings, which have defaults and bounds for all of them.
 type Options struct {
-	Server       string        // host and port of the control plane
-	Node         string        // id by which the control plane knows this agent
-	NodeCluster  string        // and the group that it belongs to; may be empty
-	Delta        bool          // the incremental variant
-	Clusters     []string      // whose endpoints are wanted; empty: those that the control plane names
-	Subset       int           // how many of those that it names are taken, incrementally only; 0: all
-	Me           int           // number of this agent, by which it takes them
-	Zones        []string      // names, in the order of the module's numbers
-	FirstFetch   time.Duration // how long the first endpoints may take until another source may count
-	BackoffLeast time.Duration // before the second try to connect; doubles
-	BackoffMost  time.Duration
-	Keepalive    time.Duration // of silence, after which the connection is pinged
-	MaxMessage   int           // bytes of a response
-	LogEvery     time.Duration // between two lines on what is refused
+	Server              string        // host and port of the control plane
+	NodeID              string        // id by which the control plane knows this agent
+	NodeCluster         string        // and the group that it belongs to; may be empty
+	Incremental         bool          // the incremental variant
+	Clusters            []string      // whose endpoints are wanted; empty: those that the control plane names
+	MaxClusters         int           // how many of those that it names are taken, incrementally only; 0: all
+	AgentIndex          int           // number of this agent, by which it takes them
+	Zones               []string      // names, in the order of the module's numbers
+	InitialFetchTimeout time.Duration // how long the first endpoints may take until another source may count
+	MinBackoff          time.Duration // before the second try to connect; doubles
+	MaxBackoff          time.Duration
+	KeepaliveInterval   time.Duration // of silence, after which the connection is pinged
+	MaxMessageBytes     int           // bytes of a response
+	LogInterval         time.Duration // between two lines on what is refused
 }
 
 // Source follows a control plane.
@@ -58,7 +58,7 @@
 	return &Source{options: o, clock: c, log: log}
 }
 
-// errQuiet is what the source is lost by when nothing has come within FirstFetch.
+// errQuiet is what the source is lost by when nothing has come within InitialFetchTimeout.
 var errQuiet = errors.New("no endpoints within the time for the first ones")
 
 // Run follows the control plane until the context ends, and connects again, later each time and at random, when the
@@ -66,20 +66,20 @@
 func (s *Source) Run(ctx context.Context, to membership.Sink) {
 	conn, err := grpc.NewClient("passthrough:///"+s.options.Server,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: s.options.Keepalive, Timeout: s.options.Keepalive}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: s.options.KeepaliveInterval, Timeout: s.options.KeepaliveInterval}),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: 2 * time.Second, // this package waits itself
 			Backoff: backoff.Config{BaseDelay: time.Millisecond, Multiplier: 1, MaxDelay: time.Millisecond}}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(s.options.MaxMessage)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(s.options.MaxMessageBytes)))
 	if err != nil {
 		s.log.Error("xDS is off", "error", err)
-		to.Lost(err)
+		to.Disconnected(err)
 		return
 	}
 	defer besteffort.Close(conn)
-	m := newMachine(reader{s.options.Zones, s.clock}, s.options.Delta, s.options.Clusters, s.options.Subset, s.options.Me)
+	m := newMachine(reader{s.options.Zones, s.clock}, s.options.Incremental, s.options.Clusters, s.options.MaxClusters, s.options.AgentIndex)
 	refused := map[string]*refusals{}
 	for _, t := range []string{ClusterType, EndpointType} {
-		refused[t] = &refusals{least: s.options.BackoffLeast, most: s.options.BackoffMost}
+		refused[t] = &refusals{least: s.options.MinBackoff, most: s.options.MaxBackoff}
 	}
 	failures := 0
 	for ctx.Err() == nil {
@@ -88,16 +88,16 @@
 		if ctx.Err() != nil {
 			return
 		}
-		to.Lost(err)
+		to.Disconnected(err)
 		if r.answered {
 			failures = 0
 		}
 		if failures == 0 {
 			s.log.Warn("control plane out of reach, keeping the last list", "server", s.options.Server, "error", oneLine(err))
 		}
-		wait := s.options.BackoffLeast << min(failures, 20)
+		wait := s.options.MinBackoff << min(failures, 20)
 		failures++
-		wait = min(wait, s.options.BackoffMost)
+		wait = min(wait, s.options.MaxBackoff)
 		membership.Sleep(ctx, wait/2+rand.N(wait)) // from half to one and a half times
 	}
 }
@@ -148,7 +148,7 @@
 }
 
 func (r *run) loop(ctx context.Context, responses <-chan message, ended <-chan error) error {
-	first := time.NewTimer(r.options.FirstFetch)
+	first := time.NewTimer(r.options.InitialFetchTimeout)
 	defer first.Stop()
 	retry := time.NewTimer(0)
 	defer retry.Stop()
@@ -162,7 +162,7 @@
 			return fmt.Errorf("the stream ended: %w", err)
 		case <-first.C:
 			if !r.answered {
-				r.to.Lost(errQuiet)
+				r.to.Disconnected(errQuiet)
 				r.log.Warn("the control plane says nothing", "server", r.options.Server, "error", errQuiet)
 			}
 		case <-again.C:
@@ -243,7 +243,7 @@
 	if later == nil {
 		later = r.refused[EndpointType]
 	}
-	if skipped, ok := later.logNow(r.clock.Now(), r.options.LogEvery); ok {
+	if skipped, ok := later.logNow(r.clock.Now(), r.options.LogInterval); ok {
 		r.log.Warn("refusing what the control plane sends; the last good one stands", "type", m.typeURL[strings.LastIndex(m.typeURL, ".")+1:],
 			"version", m.version, "error", oneLine(err), "more_since", skipped)
 	}
@@ -262,7 +262,7 @@
 
 // open opens a stream of the variant that is wanted.
 func (r *run) open(ctx context.Context, client discoveryv3.AggregatedDiscoveryServiceClient) (receive func() (message, error), err error) {
-	if r.options.Delta {
+	if r.options.Incremental {
 		stream, err := client.DeltaAggregatedResources(ctx)
 		if err != nil {
 			return nil, err
@@ -282,7 +282,7 @@
 	if !m.first {
 		return nil
 	}
-	return &corev3.Node{Id: r.options.Node, Cluster: r.options.NodeCluster, UserAgentName: "appleledge"}
+	return &corev3.Node{Id: r.options.NodeID, Cluster: r.options.NodeCluster, UserAgentName: "appleledge"}
 }
 
 func detail(err error) *status.Status {
--- a/internal/membership/xds/source_test.go
+++ b/internal/membership/xds/source_test.go
@@ -40,14 +40,14 @@
 	defer l.mu.Unlock()
 	l.updates++
 	l.table.Update(0, 0, u)
-	for _, m := range l.table.Take(1 << 20) {
+	for _, m := range l.table.TakeChanges(1 << 20) {
 		if l.members[m.ID] = m; m.State == balancer.Gone {
 			delete(l.members, m.ID)
 		}
 	}
 }
 
-func (l *list) Lost(err error) {
+func (l *list) Disconnected(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost = append(l.lost, err)
@@ -77,8 +77,8 @@
 // follow runs a source on a control plane until the test ends.
 func follow(t *testing.T, addr string, log *agenttest.LockedBuffer, change func(*Options)) *list {
 	t.Helper()
-	o := Options{Server: addr, Node: "n1", Zones: []string{"edinburgh-dc"}, FirstFetch: agenttest.Patience, BackoffLeast: 20 * time.Millisecond,
-		BackoffMost: 200 * time.Millisecond, Keepalive: 10 * time.Second, MaxMessage: 16 << 20, LogEvery: time.Minute}
+	o := Options{Server: addr, NodeID: "n1", Zones: []string{"edinburgh-dc"}, InitialFetchTimeout: agenttest.Patience, MinBackoff: 20 * time.Millisecond,
+		MaxBackoff: 200 * time.Millisecond, KeepaliveInterval: 10 * time.Second, MaxMessageBytes: 16 << 20, LogInterval: time.Minute}
 	change(&o)
 	l := &list{table: membership.NewTable(membership.Options{}, 1), members: map[string]engine.Member{}}
 	ctx, stop := context.WithCancel(context.Background())
@@ -114,7 +114,7 @@
 // bothVariants runs a test in the state of the world and incrementally.
 func bothVariants(t *testing.T, f func(t *testing.T, variant func(*Options))) {
 	for name, delta := range map[string]bool{"world": false, "delta": true} {
-		t.Run(name, func(t *testing.T) { f(t, func(o *Options) { o.Delta = delta }) })
+		t.Run(name, func(t *testing.T) { f(t, func(o *Options) { o.Incremental = delta }) })
 	}
 }
 
@@ -183,7 +183,7 @@
 		p.Stubborn(true)
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", controlplane.Endpoint{Host: "not.an.address", Port: 1}))
 		var log agenttest.LockedBuffer
-		follow(t, p.Addr(), &log, func(o *Options) { variant(o); o.Clusters = []string{"a"}; o.BackoffMost = time.Hour })
+		follow(t, p.Addr(), &log, func(o *Options) { variant(o); o.Clusters = []string{"a"}; o.MaxBackoff = time.Hour })
 		agenttest.Eventually(t, "five refusals", func() bool { return p.Counts().Nacks >= 5 }) // at 0, 20, 60, 140 and 300 ms
 		time.Sleep(300 * time.Millisecond)
 		if n := p.Counts().Nacks; n > 7 {
@@ -200,7 +200,7 @@
 	p := start(t, "127.0.0.1:0")
 	p.Silence(true)
 	p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", corev3.HealthStatus_UNKNOWN)))
-	l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Clusters = []string{"a"}; o.FirstFetch = 50 * time.Millisecond })
+	l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Clusters = []string{"a"}; o.InitialFetchTimeout = 50 * time.Millisecond })
 	agenttest.Eventually(t, "the loss", func() bool { return l.lostTimes() == 1 })
 	p.Silence(false)
 	eventuallySays(t, "late", l, "a1")
@@ -239,7 +239,7 @@
 	var lists []*list
 	for i := range agents {
 		lists = append(lists, follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) {
-			o.Clusters, o.Me, o.Delta, o.BackoffLeast, o.BackoffMost = []string{"a"}, i, i%2 == 0, 100*time.Millisecond, time.Second
+			o.Clusters, o.AgentIndex, o.Incremental, o.MinBackoff, o.MaxBackoff = []string{"a"}, i, i%2 == 0, 100*time.Millisecond, time.Second
 		}))
 	}
 	all := func(what string, want string) {
@@ -269,7 +269,7 @@
 		name := fmt.Sprint("c", i)
 		p.Set(controlplane.Cluster(name), controlplane.Assignment(name, "edinburgh-dc", controlplane.Endpoint{Host: "127.0.0.1", Port: 1 + i}))
 	}
-	l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Delta, o.Subset, o.Me = true, 4, 7 })
+	l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Incremental, o.MaxClusters, o.AgentIndex = true, 4, 7 })
 	agenttest.Eventually(t, "four servers", func() bool { return len(strings.Fields(l.says())) == 4 })
 	if n := p.Counts().Sent; n != 32+4 {
 		t.Errorf("%d resources were sent, want the 32 clusters and the endpoints of four", n)
