--- a/internal/admission/storm.go
+++ b/internal/admission/admission.go
@@ -20,42 +20,42 @@
 
 // Class describes a class of requests.
 type Class struct {
-	Worth float64
-	Aim   time.Duration // an answer after it comes late
-	Safe  bool          // may be repeated at will
+	Priority         float64
+	LatencyObjective time.Duration // an answer after it comes late
+	Idempotent       bool          // may be repeated at will
 }
 
 // Options are what a Watch goes by.
 type Options struct {
-	Classes  []Class
-	Shares   []float64     // of the service, one for each tenant; may be empty
-	MaxAfter time.Duration // the longest come-back time that clients heed; 0 where they are told none
-	Remember int           // requests that were not served, to know their repeats by
-	Seed     uint64
+	Classes       []Class
+	Quotas        []float64     // of the service, one for each tenant; may be empty
+	MaxRetryAfter time.Duration // the longest come-back time that clients heed; 0 where they are told none
+	MaxRemembered int           // requests that were not served, to know their repeats by
+	Seed          uint64
 }
 
-// Ask is a request that arrives.
-type Ask struct {
+// Request is a request that arrives.
+type Request struct {
 	Class, Tenant int
 	Key           string        // tells the request and its repeats from others; empty where nothing does
-	Again         bool          // it says that it is a repeat
-	Bound         bool          // an earlier try may have run, so that it must not be refused here
+	IsRetry       bool          // it says that it is a repeat
+	MayHaveRun    bool          // an earlier try may have run, so that it must not be refused here
 	Deadline      time.Duration // of its caller
 }
 
-// End is how a request ended that was let in.
-type End int
+// Outcome is how a request ended that was let in.
+type Outcome int
 
 // The ends.
 const (
-	Served  End = iota
-	Refused     // by the module
-	Failed
-	Left // its client left
+	OutcomeServed   Outcome = iota
+	OutcomeRejected         // by the module
+	OutcomeFailed
+	OutcomeCanceled // its client left
 )
 
-// Pass is a request that was let in. It is handed to Done once.
-type Pass struct {
+// Permit is a request that was let in. It is handed to Done once.
+type Permit struct {
 	class   int
 	began   time.Duration
 	key     string
@@ -63,29 +63,29 @@
 	overdue bool // has not ended within the aim
 	ended   bool
 
-	Among  []string // ids of the servers that it may go to, sorted; nil: any
-	Repeat bool     // it is taken for a repeat
-	Bound  bool     // an earlier try may have run, as was said or as is remembered
-	by     By       // whose it is
+	Endpoints  []string // ids of the servers that it may go to, sorted; nil: any
+	IsRetry    bool     // it is taken for a repeat
+	MayHaveRun bool     // an earlier try may have run, as was said or as is remembered
+	by         Issuer   // whose it is
 }
 
-// By says whose a Pass is: of several doors before one another each counts its own.
-type By int
+// Issuer says whose a Pass is: of several doors before one another each counts its own.
+type Issuer int
 
 // The doors.
 const (
-	ByWatch By = iota
-	ByFleet
-	ByRecovery
+	IssuedByController Issuer = iota
+	IssuedByFleet
+	IssuedByRecovery
 )
 
-// NewPass is a pass of another door.
-func NewPass(now time.Duration, a Ask, by By) *Pass {
-	return &Pass{class: a.Class, began: now, key: a.Key, by: by}
+// NewPermit is a pass of another door.
+func NewPermit(now time.Duration, a Request, by Issuer) *Permit {
+	return &Permit{class: a.Class, began: now, key: a.Key, by: by}
 }
 
-// Ended says of a pass its class, how long it took and whose it is.
-func (p *Pass) Ended(now time.Duration) (class int, took time.Duration, by By) {
+// Completion says of a pass its class, how long it took and whose it is.
+func (p *Permit) Completion(now time.Duration) (class int, took time.Duration, by Issuer) {
 	return p.class, now - p.began, p.by
 }
 
@@ -94,9 +94,9 @@
 
 // The states.
 const (
-	Calm       State = iota
-	Suspected        // much is not served in time; everybody is let in still
-	Storm            // and that with many repeats, or with nearly nothing served at all
+	Normal     State = iota
+	Suspect          // much is not served in time; everybody is let in still
+	Overloaded       // and that with many repeats, or with nearly nothing served at all
 	Recovering       // answers come again, and the limit grows
 )
 
@@ -147,8 +147,8 @@
 	askedFor  = 4 * time.Second
 )
 
-// Watch is one agent's view. It is not safe for concurrent use.
-type Watch struct {
+// Controller is one agent's view. It is not safe for concurrent use.
+type Controller struct {
 	set    Options
 	rng    *rand.Rand
 	filled []float64 // part of the limit that a class may fill
@@ -176,7 +176,7 @@
 	budget       float64       // repeats that may be let in
 	inFlight     int           // let in, not ended and not overdue
 	usual        float64       // in flight in calm, mean
-	queue        []*Pass       // in the order of arrival; ended ones go from its front
+	queue        []*Permit     // in the order of arrival; ended ones go from its front
 	quickest     []float64     // mean time of answers in time, by class, in ns; 0 without any
 	unserved     *outcomecache.Table[*owed]
 	ran          *outcomecache.Table[struct{}] // keys that may have run; apart, so that what was turned away pushes none out
@@ -191,41 +191,41 @@
 
 // Counts are what a Watch has done since it was made, and how it stands.
 type Counts struct {
-	State    State
-	Since    time.Duration // of the state, on the clock of the events
-	Why      string
-	Limit    float64 // requests in flight; 0 where none holds
-	InFlight int
-	Refused  [][2]uint64 // by class: first tries, repeats
-	Late     uint64      // refused since their deadline was too near
-	Bound    uint64      // let in over the limit since they must not be refused
-	Storms   uint64
+	State     State
+	Since     time.Duration // of the state, on the clock of the events
+	Reason    string
+	Limit     float64 // requests in flight; 0 where none holds
+	InFlight  int
+	Rejected  [][2]uint64 // by class: first tries, repeats
+	TooLate   uint64      // refused since their deadline was too near
+	OverLimit uint64      // let in over the limit since they must not be refused
+	Overloads uint64
 }
 
 // New returns a calm Watch.
-func New(o Options) *Watch {
-	w := &Watch{set: o, rng: rand.New(rand.NewPCG(o.Seed, 5)), asked: make([]float64, len(o.Shares)),
-		unserved: outcomecache.New[*owed](o.Remember), ran: outcomecache.New[struct{}](o.Remember), why: "start"}
+func New(o Options) *Controller {
+	w := &Controller{set: o, rng: rand.New(rand.NewPCG(o.Seed, 5)), asked: make([]float64, len(o.Quotas)),
+		unserved: outcomecache.New[*owed](o.MaxRemembered), ran: outcomecache.New[struct{}](o.MaxRemembered), why: "start"}
 	w.Retune(o.Classes)
 	return w
 }
 
 // Retune takes the classes as they are from now on; each keeps its number, and what is known of it. One that was dropped has no worth
 // and may fill least.
-func (w *Watch) Retune(classes []Class) {
+func (w *Controller) Retune(classes []Class) {
 	w.set.Classes = classes
 	w.filled = make([]float64, len(classes))
 	for len(w.quickest) < len(classes) {
-		w.quickest, w.counts.Refused = append(w.quickest, 0), append(w.counts.Refused, [2]uint64{})
+		w.quickest, w.counts.Rejected = append(w.quickest, 0), append(w.counts.Rejected, [2]uint64{})
 	}
 	order := make([]int, len(classes))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(classes[b].Worth, classes[a].Worth) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(classes[b].Priority, classes[a].Priority) })
 	part := 1.0
 	for i, class := range order {
-		if i > 0 && classes[class].Worth < classes[order[i-1]].Worth {
+		if i > 0 && classes[class].Priority < classes[order[i-1]].Priority {
 			part *= classStep
 		}
 		w.filled[class] = part
@@ -233,27 +233,27 @@
 }
 
 // Counts returns what the Watch has done, and how it stands.
-func (w *Watch) Counts() Counts {
+func (w *Controller) Counts() Counts {
 	c := w.counts
-	c.Refused = slices.Clone(c.Refused)
-	c.State, c.Since, c.Why, c.InFlight = w.state, w.since, w.why, w.inFlight
+	c.Rejected = slices.Clone(c.Rejected)
+	c.State, c.Since, c.Reason, c.InFlight = w.state, w.since, w.why, w.inFlight
 	if w.limits() {
 		c.Limit = w.limit
 	}
 	return c
 }
 
-func (w *Watch) limits() bool { return w.state == Storm || w.state == Recovering }
+func (w *Controller) limits() bool { return w.state == Overloaded || w.state == Recovering }
 
-// Refusal is what a client is told that is turned away: trying again is harmless.
-type Refusal struct {
-	After  time.Duration // it had better stay away for so long; 0 where clients are told nothing
-	Limit  int           // requests that are let in at a time
-	Repeat bool          // it is taken for a repeat
+// Rejection is what a client is told that is turned away: trying again is harmless.
+type Rejection struct {
+	RetryAfter time.Duration // it had better stay away for so long; 0 where clients are told nothing
+	Limit      int           // requests that are let in at a time
+	IsRetry    bool          // it is taken for a repeat
 }
 
 // Arrive lets a request in, or says with what it is turned away.
-func (w *Watch) Arrive(now time.Duration, a Ask) (*Pass, Refusal) {
+func (w *Controller) Arrive(now time.Duration, a Request) (*Permit, Rejection) {
 	w.look(now)
 	repeat, onTime := w.repeat(now, &a)
 	if repeat {
@@ -263,9 +263,9 @@
 		w.budget = min(w.budget+repeatPart, repeatSaved)
 	}
 	part := w.part(a, repeat, onTime)
-	p := &Pass{class: a.Class, began: now, key: a.Key, Repeat: repeat, Bound: a.Bound}
-	if repeat && w.state != Calm {
-		if w.budget < 1 && !a.Bound {
+	p := &Permit{class: a.Class, began: now, key: a.Key, IsRetry: repeat, MayHaveRun: a.MayHaveRun}
+	if repeat && w.state != Normal {
+		if w.budget < 1 && !a.MayHaveRun {
 			return nil, w.turnAway(now, a, repeat, false)
 		}
 		w.budget = max(0, w.budget-1) // what is let in over it must not be owed by others
@@ -278,8 +278,8 @@
 			full = !w.probes(now, a.Class)
 		}
 		switch {
-		case (late || full) && a.Bound:
-			w.counts.Bound++
+		case (late || full) && a.MayHaveRun:
+			w.counts.OverLimit++
 		case late || full:
 			return nil, w.turnAway(now, a, repeat, late)
 		}
@@ -287,18 +287,20 @@
 	}
 	w.inFlight++
 	w.queue = append(w.queue, p)
-	return p, Refusal{}
+	return p, Rejection{}
 }
 
 // dark reports whether nothing is heard of the fleet.
-func (w *Watch) dark(now time.Duration) bool { return w.state == Storm && now-w.heard > darkAfter }
+func (w *Controller) dark(now time.Duration) bool {
+	return w.state == Overloaded && now-w.heard > darkAfter
+}
 
 // probes reports whether a request may find out whether a fleet of which nothing is heard is back: a part of those that
 // arrive, so that many agents together do not send more than few. One that must not run twice would only get lost there, and
 // goes only if no other has come for long.
-func (w *Watch) probes(now time.Duration, class int) bool {
+func (w *Controller) probes(now time.Duration, class int) bool {
 	w.probe = min(w.probe+probePart, 1)
-	if w.probe < 1 || !w.set.Classes[class].Safe && now-w.probed < 2*w.set.Classes[class].Aim {
+	if w.probe < 1 || !w.set.Classes[class].Idempotent && now-w.probed < 2*w.set.Classes[class].LatencyObjective {
 		return false
 	}
 	w.probe, w.probed = 0, now
@@ -308,22 +310,22 @@
 // repeat reports whether the request is a repeat, as it says or as one is expected, and whether it comes no sooner than it
 // was told to. Of a request that may have run it notes that it is bound. One request explains one repeat, so that the many
 // who ask for the same popular form are not taken for repeats of the few of them that were turned away.
-func (w *Watch) repeat(now time.Duration, a *Ask) (repeat, onTime bool) {
+func (w *Controller) repeat(now time.Duration, a *Request) (repeat, onTime bool) {
 	if a.Key == "" {
-		return a.Again, true
+		return a.IsRetry, true
 	}
 	_, ran := w.ran.Get(now, a.Key)
-	a.Bound = a.Bound || ran
+	a.MayHaveRun = a.MayHaveRun || ran
 	o, known := w.unserved.Get(now, a.Key)
 	if !known || o.times == 0 {
-		return a.Again, true
+		return a.IsRetry, true
 	}
 	o.times--
 	return true, now >= o.from
 }
 
 // expect takes note that a request was not served.
-func (w *Watch) expect(now time.Duration, key string, class int, after time.Duration, mayRun bool) {
+func (w *Controller) expect(now time.Duration, key string, class int, after time.Duration, mayRun bool) {
 	if key == "" {
 		return
 	}
@@ -332,7 +334,7 @@
 		o = &owed{}
 	}
 	o.times, o.from = min(o.times+1, someAsked), now+after
-	until := now + keepTime*max(w.set.MaxAfter, w.set.Classes[class].Aim)
+	until := now + keepTime*max(w.set.MaxRetryAfter, w.set.Classes[class].LatencyObjective)
 	w.unserved.Put(now, key, o, until)
 	if mayRun {
 		w.ran.Put(now, key, struct{}{}, until)
@@ -340,7 +342,7 @@
 }
 
 // part is how much of the limit the request may help to fill.
-func (w *Watch) part(a Ask, repeat, inOrder bool) float64 {
+func (w *Controller) part(a Request, repeat, inOrder bool) float64 {
 	part := w.filled[a.Class]
 	switch {
 	case repeat && inOrder:
@@ -351,57 +353,57 @@
 	if a.Tenant >= 0 && a.Tenant < len(w.asked) {
 		w.asked[a.Tenant]++
 		w.askedAll++
-		if w.asked[a.Tenant] > w.set.Shares[a.Tenant]*w.askedAll*1.5+someAsked {
+		if w.asked[a.Tenant] > w.set.Quotas[a.Tenant]*w.askedAll*1.5+someAsked {
 			part *= overShare
 		}
 	}
 	return part
 }
 
-func (w *Watch) turnAway(now time.Duration, a Ask, repeat, late bool) Refusal {
+func (w *Controller) turnAway(now time.Duration, a Request, repeat, late bool) Rejection {
 	w.refused++
 	kind := 0
 	if repeat {
 		kind = 1
 	}
-	w.counts.Refused[a.Class][kind]++
+	w.counts.Rejected[a.Class][kind]++
 	if late {
-		w.counts.Late++
+		w.counts.TooLate++
 	}
 	after := w.after()
 	w.expect(now, a.Key, a.Class, after, false)
-	return Refusal{After: after, Limit: int(w.limit), Repeat: repeat}
+	return Rejection{RetryAfter: after, Limit: int(w.limit), IsRetry: repeat}
 }
 
-// Withdraw takes back that a request was let in: another door has turned it away.
-func (w *Watch) Withdraw(now time.Duration, p *Pass) {
+// Revoke takes back that a request was let in: another door has turned it away.
+func (w *Controller) Revoke(now time.Duration, p *Permit) {
 	w.expect(now, p.key, p.class, 0, false)
-	w.Done(now, p, Left)
+	w.Done(now, p, OutcomeCanceled)
 }
 
-// Elsewhere takes how a request ended that another door let in: what may have run is remembered, as its repeat must not be refused.
-func (w *Watch) Elsewhere(now time.Duration, p *Pass, end End) {
-	if end == Refused || end == Failed {
-		w.expect(now, p.key, p.class, 0, end == Failed && !w.set.Classes[p.class].Safe)
+// ObserveExternal takes how a request ended that another door let in: what may have run is remembered, as its repeat must not be refused.
+func (w *Controller) ObserveExternal(now time.Duration, p *Permit, end Outcome) {
+	if end == OutcomeRejected || end == OutcomeFailed {
+		w.expect(now, p.key, p.class, 0, end == OutcomeFailed && !w.set.Classes[p.class].Idempotent)
 	}
 }
 
 // TooLate reports whether a request has no time left for what answers to its class take.
-func (w *Watch) TooLate(now time.Duration, a Ask) bool {
+func (w *Controller) TooLate(now time.Duration, a Request) bool {
 	return w.quickest[a.Class] > 0 && now+time.Duration(w.quickest[a.Class]/2) > a.Deadline
 }
 
 // after draws when to come back: in a storm late, and never all at once.
-func (w *Watch) after() time.Duration {
+func (w *Controller) after() time.Duration {
 	least := 0.5
 	if w.state == Recovering {
 		least = 0.25
 	}
-	return time.Duration(float64(w.set.MaxAfter) * (least + (1-least)*w.rng.Float64()))
+	return time.Duration(float64(w.set.MaxRetryAfter) * (least + (1-least)*w.rng.Float64()))
 }
 
 // Done takes note of how a request ended.
-func (w *Watch) Done(now time.Duration, p *Pass, end End) {
+func (w *Controller) Done(now time.Duration, p *Permit, end Outcome) {
 	if p.ended {
 		return
 	}
@@ -411,10 +413,10 @@
 		w.inFlight--
 	}
 	class := &w.set.Classes[p.class]
-	took, aim := now-p.began, float64(class.Aim)
+	took, aim := now-p.began, float64(class.LatencyObjective)
 	switch {
-	case end == Left:
-	case end == Served && took <= class.Aim:
+	case end == OutcomeCanceled:
+	case end == OutcomeServed && took <= class.LatencyObjective:
 		w.inTime++
 		if w.dark(now) { // what hangs takes none of the first places
 			w.limit = 1 + float64(w.inFlight)
@@ -429,21 +431,21 @@
 	default:
 		if !p.overdue { // else it was counted then
 			w.bad++
-			if end == Failed {
+			if end == OutcomeFailed {
 				w.sample(p, &w.lost)
 			}
 		}
-		if end == Served {
+		if end == OutcomeServed {
 			w.sample(p, &w.slow)
 		}
-		if end != Served {
-			w.expect(now, p.key, p.class, 0, end == Failed && !class.Safe)
+		if end != OutcomeServed {
+			w.expect(now, p.key, p.class, 0, end == OutcomeFailed && !class.Idempotent)
 		}
 	}
 }
 
 // told lets the limit grow with an answer in time that was quick, if the limit was what held others back.
-func (w *Watch) told(p *Pass, part float64) {
+func (w *Controller) told(p *Permit, part float64) {
 	switch {
 	case part > slow:
 		w.sample(p, &w.slow)
@@ -457,7 +459,7 @@
 }
 
 // sample counts what speaks for the limit or against it. What was let in before the last cut says nothing of it since.
-func (w *Watch) sample(p *Pass, count *int) {
+func (w *Controller) sample(p *Permit, count *int) {
 	if p.began >= w.cut {
 		*count++
 	}
@@ -465,7 +467,7 @@
 
 // brakeOn cuts the limit where many answers are slow, or hardly any comes. A few that hang, on servers that say nothing, are no
 // reason: the fleet that answers is not the fuller for them.
-func (w *Watch) brakeOn(now time.Duration) {
+func (w *Controller) brakeOn(now time.Duration) {
 	all := w.well + w.slow + w.lost
 	if all < max(1, min(int(w.limit), fewSamples)) || now-w.cut < cutEvery {
 		return
@@ -484,7 +486,7 @@
 }
 
 // look does what is due: counts fade, what is overdue counts, and the state follows.
-func (w *Watch) look(now time.Duration) {
+func (w *Controller) look(now time.Duration) {
 	w.overdue(now)
 	if now-w.looked < tick {
 		return
@@ -500,7 +502,7 @@
 		}
 		w.askedAll, w.aged = w.askedAll/2, now
 	}
-	if w.state == Calm {
+	if w.state == Normal {
 		w.usual += 0.1 * (float64(w.inFlight) - w.usual)
 	}
 	w.judge(now)
@@ -511,11 +513,11 @@
 
 // overdue takes out of the count what has not ended within its aim: in an outage nothing ends, and what hangs must not
 // keep out the one that finds the fleet back.
-func (w *Watch) overdue(now time.Duration) {
+func (w *Controller) overdue(now time.Duration) {
 	kept := 0
 	for kept < len(w.queue) {
 		p := w.queue[kept]
-		if !p.ended && now-p.began <= w.set.Classes[p.class].Aim {
+		if !p.ended && now-p.began <= w.set.Classes[p.class].LatencyObjective {
 			break
 		}
 		if !p.ended {
@@ -531,25 +533,25 @@
 }
 
 // judge moves from state to state.
-func (w *Watch) judge(now time.Duration) {
+func (w *Controller) judge(now time.Duration) {
 	ended := w.inTime + w.bad
 	bad, again := w.bad/max(ended, 1), w.again/max(w.first+w.again, 1)
 	lasted := now - w.since
 	switch w.state {
-	case Calm:
+	case Normal:
 		if ended >= fewEnded && bad > suspect {
-			w.become(now, Suspected, "much is not served in time")
+			w.become(now, Suspect, "much is not served in time")
 		}
-	case Suspected:
+	case Suspect:
 		switch {
 		case ended < fewEnded || bad < calmAgain:
-			w.become(now, Calm, "it passed")
+			w.become(now, Normal, "it passed")
 		case lasted >= repeatsFor && bad > suspect && again > repeats:
 			w.storm(now, "much is not served in time, and many come again")
 		case lasted >= holdFor && bad > suspect && now-w.heard > nothingFor, lasted >= holdFor && 1-bad < nothing:
 			w.storm(now, "hardly anything is served in time")
 		}
-	case Storm:
+	case Overloaded:
 		if lasted >= stormFor && ended > 0 && 1-bad > served {
 			w.good = now
 			w.become(now, Recovering, "answers come again")
@@ -562,20 +564,22 @@
 		case ended >= fewEnded && 1-bad < over:
 			w.storm(now, "answers have stopped coming again")
 		case now-w.good >= steadyFor:
-			w.become(now, Calm, "all is served, and none turned away")
+			w.become(now, Normal, "all is served, and none turned away")
 		}
 	}
 }
 
-func (w *Watch) become(now time.Duration, s State, why string) { w.state, w.since, w.why = s, now, why }
+func (w *Controller) become(now time.Duration, s State, why string) {
+	w.state, w.since, w.why = s, now, why
+}
 
 // storm begins a storm, at what is served in time at present. The brake on the limit's doubling is what is usual.
-func (w *Watch) storm(now time.Duration, why string) {
-	w.counts.Storms++
+func (w *Controller) storm(now time.Duration, why string) {
+	w.counts.Overloads++
 	w.well, w.slow, w.lost = 0, 0, 0 // those of hours of calm say nothing of the limit
-	if w.state == Suspected {
-		w.limit = max(leastLimit, w.inTime*quick*w.set.Classes[0].Aim.Seconds())
+	if w.state == Suspect {
+		w.limit = max(leastLimit, w.inTime*quick*w.set.Classes[0].LatencyObjective.Seconds())
 		w.brake, w.cut = max(leastLimit, w.usual), now
 	}
-	w.become(now, Storm, why)
+	w.become(now, Overloaded, why)
 }
--- a/internal/admission/storm_test.go
+++ b/internal/admission/admission_test.go
@@ -13,15 +13,15 @@
 const ms = time.Millisecond
 
 func options() Options {
-	return Options{Classes: []Class{{Worth: 2, Aim: 600 * ms, Safe: true}, {Worth: 10, Aim: 600 * ms}}, Shares: []float64{0.5, 0.5},
-		MaxAfter: time.Second, Remember: 256, Seed: 1}
+	return Options{Classes: []Class{{Priority: 2, LatencyObjective: 600 * ms, Idempotent: true}, {Priority: 10, LatencyObjective: 600 * ms}}, Quotas: []float64{0.5, 0.5},
+		MaxRetryAfter: time.Second, MaxRemembered: 256, Seed: 1}
 }
 
 // town is clients and a fleet in a few lines, round a Watch: the fleet answers in a time that rises with what it holds over
 // what it can hold, or not at all; clients that are turned away, or not served, come again.
 type town struct {
 	t       testing.TB
-	w       *Watch
+	w       *Controller
 	rng     *rand.Rand
 	now     time.Duration
 	room    int     // requests that the fleet can hold at the usual speed; 0: it is silent
@@ -73,7 +73,7 @@
 func (c *town) ask(class, tenant int, key string, try int) {
 	again := min(try-1, 1)
 	c.asked[class][again]++
-	p, told := c.w.Arrive(c.now, Ask{Class: class, Tenant: tenant, Key: key, Again: try > 1 && c.marked, Deadline: c.now + 2*time.Second})
+	p, told := c.w.Arrive(c.now, Request{Class: class, Tenant: tenant, Key: key, IsRetry: try > 1 && c.marked, Deadline: c.now + 2*time.Second})
 	comeAgain := func(after time.Duration) {
 		if c.pause > 0 {
 			after = c.pause
@@ -83,16 +83,16 @@
 		}
 	}
 	if p == nil {
-		if told.After <= 0 || told.After > time.Second {
-			c.t.Errorf("told to come back after %v", told.After)
+		if told.RetryAfter <= 0 || told.RetryAfter > time.Second {
+			c.t.Errorf("told to come back after %v", told.RetryAfter)
 		}
 		c.turned[class][again]++
 		c.byPlace[tenant]++
-		comeAgain(told.After)
+		comeAgain(told.RetryAfter)
 		return
 	}
 	if c.room == 0 {
-		c.after(2*time.Second, func() { c.w.Done(c.now, p, Failed); comeAgain(100 * ms) })
+		c.after(2*time.Second, func() { c.w.Done(c.now, p, OutcomeFailed); comeAgain(100 * ms) })
 		return
 	}
 	c.holds++
@@ -100,11 +100,11 @@
 	c.after(took, func() {
 		c.holds--
 		if c.rng.Float64() < c.fails {
-			c.w.Done(c.now, p, Failed)
+			c.w.Done(c.now, p, OutcomeFailed)
 			comeAgain(100 * ms)
 			return
 		}
-		c.w.Done(c.now, p, Served)
+		c.w.Done(c.now, p, OutcomeServed)
 		if took <= 600*ms {
 			c.inTime[class]++
 		}
@@ -121,15 +121,15 @@
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w, now := New(options()), time.Second
-		var open []*Pass
+		var open []*Permit
 		rt.Repeat(map[string]func(*rapid.T){
 			"arrive": func(rt *rapid.T) {
-				a := Ask{Class: rapid.IntRange(0, 1).Draw(rt, "class"), Tenant: rapid.IntRange(-1, 2).Draw(rt, "tenant"),
-					Key: rapid.StringMatching(`[a-e]?`).Draw(rt, "key"), Again: rapid.Bool().Draw(rt, "again"),
-					Bound: rapid.Bool().Draw(rt, "bound"), Deadline: now + time.Duration(rapid.IntRange(1, 2000).Draw(rt, "patience"))*ms}
+				a := Request{Class: rapid.IntRange(0, 1).Draw(rt, "class"), Tenant: rapid.IntRange(-1, 2).Draw(rt, "tenant"),
+					Key: rapid.StringMatching(`[a-e]?`).Draw(rt, "key"), IsRetry: rapid.Bool().Draw(rt, "again"),
+					MayHaveRun: rapid.Bool().Draw(rt, "bound"), Deadline: now + time.Duration(rapid.IntRange(1, 2000).Draw(rt, "patience"))*ms}
 				p, told := w.Arrive(now, a)
-				if p == nil && (a.Bound || w.Counts().State == Calm || told.After <= 0 || told.After > time.Second) {
-					rt.Fatalf("%+v is turned away in %v until %v", a, w.Counts().State, told.After)
+				if p == nil && (a.MayHaveRun || w.Counts().State == Normal || told.RetryAfter <= 0 || told.RetryAfter > time.Second) {
+					rt.Fatalf("%+v is turned away in %v until %v", a, w.Counts().State, told.RetryAfter)
 				}
 				if p != nil {
 					open = append(open, p)
@@ -138,8 +138,8 @@
 			"done": func(rt *rapid.T) {
 				if len(open) > 0 {
 					i := rapid.IntRange(0, len(open)-1).Draw(rt, "which")
-					w.Done(now, open[i], End(rapid.IntRange(0, 3).Draw(rt, "end")))
-					w.Done(now, open[i], Failed) // a second word does not count
+					w.Done(now, open[i], Outcome(rapid.IntRange(0, 3).Draw(rt, "end")))
+					w.Done(now, open[i], OutcomeFailed) // a second word does not count
 					open = append(open[:i], open[i+1:]...)
 				}
 			},
@@ -151,7 +151,7 @@
 			},
 		})
 		for _, p := range open {
-			w.Done(now, p, Served)
+			w.Done(now, p, OutcomeServed)
 		}
 		w.look(now + time.Second)
 		if c := w.Counts(); c.InFlight != 0 || len(w.queue) != 0 {
@@ -168,7 +168,7 @@
 			c := newTown(t)
 			c.marked, c.pause = marked, pause
 			c.pass(10 * time.Second)
-			if c.w.counts.Storms > 0 || c.turned != [2][2]int{} {
+			if c.w.counts.Overloads > 0 || c.turned != [2][2]int{} {
 				t.Fatalf("a storm in calm: %+v", c.w.Counts())
 			}
 			room := c.room
@@ -176,7 +176,7 @@
 			c.pass(2 * time.Second)
 			c.begin()
 			c.pass(10 * time.Second)
-			if s := c.w.Counts(); s.State != Storm {
+			if s := c.w.Counts(); s.State != Overloaded {
 				t.Errorf("the outage is taken for %v", s.State)
 			}
 			if in := c.asked[1][0] - c.turned[1][0]; in > 20 { // repeats of what may have run are let in, as they must be
@@ -194,7 +194,7 @@
 			c.pass(10 * time.Second)
 			c.begin()
 			c.pass(5 * time.Second)
-			if s := c.w.Counts(); s.State != Calm || c.inTime[0]+c.inTime[1] < (c.asked[0][0]+c.asked[1][0])*9/10 {
+			if s := c.w.Counts(); s.State != Normal || c.inTime[0]+c.inTime[1] < (c.asked[0][0]+c.asked[1][0])*9/10 {
 				t.Errorf("after it: %+v, %v in time of %v", s, c.inTime, c.asked)
 			}
 		}
@@ -224,7 +224,7 @@
 		c.pass(5 * time.Second)
 		change(c)
 		c.pass(15 * time.Second)
-		if s := c.w.Counts(); s.Storms > 0 || c.turned != [2][2]int{} {
+		if s := c.w.Counts(); s.Overloads > 0 || c.turned != [2][2]int{} {
 			t.Errorf("%s: %+v, turned away %v", name, s, c.turned)
 		}
 	}
@@ -240,7 +240,7 @@
 	c.begin()
 	c.pass(10 * time.Second)
 	busy, quiet := c.byPlace[0], c.byPlace[1]
-	if c.w.counts.Storms == 0 || quiet*9 >= busy {
+	if c.w.counts.Overloads == 0 || quiet*9 >= busy {
 		t.Errorf("turned away: %d of the busy desk, %d of the quiet one with a ninth of the requests; %+v", busy, quiet, c.w.Counts())
 	}
 }
@@ -252,23 +252,23 @@
 	c.pass(3 * time.Second)
 	c.room = 0
 	c.pass(5 * time.Second)
-	p, _ := c.w.Arrive(c.now, Ask{Class: 1, Key: "r", Bound: true, Deadline: c.now + time.Second})
-	if p == nil || c.w.Counts().State == Calm {
+	p, _ := c.w.Arrive(c.now, Request{Class: 1, Key: "r", MayHaveRun: true, Deadline: c.now + time.Second})
+	if p == nil || c.w.Counts().State == Normal {
 		t.Fatalf("in %v what may have run was turned away", c.w.Counts().State)
 	}
-	c.w.Done(c.now, p, Failed)
+	c.w.Done(c.now, p, OutcomeFailed)
 	for i := range 1000 { // what is turned away pushes nothing out that may have run
-		c.w.Arrive(c.now, Ask{Class: 1, Key: fmt.Sprint("flood", i), Deadline: c.now + time.Second})
+		c.w.Arrive(c.now, Request{Class: 1, Key: fmt.Sprint("flood", i), Deadline: c.now + time.Second})
 	}
 	for i, key := range append(slices.Repeat([]string{"r"}, 30), "other") { // so many that no budget for repeats is left
-		if p, _ := c.w.Arrive(c.now, Ask{Class: 1, Key: key, Again: true, Deadline: c.now + time.Second}); (p != nil) != (key == "r") {
+		if p, _ := c.w.Arrive(c.now, Request{Class: 1, Key: key, IsRetry: true, Deadline: c.now + time.Second}); (p != nil) != (key == "r") {
 			t.Errorf("%d: %s is let in: %v", i, key, p != nil)
 		}
 	}
 	c.begin()
 	again := c.w.again
 	for range 20 {
-		c.w.Arrive(c.now, Ask{Class: 0, Key: "popular", Deadline: c.now + time.Second})
+		c.w.Arrive(c.now, Request{Class: 0, Key: "popular", Deadline: c.now + time.Second})
 	}
 	if got := c.w.again - again; got > 19 || got < 1 || c.w.unserved.Len() > 256 {
 		t.Errorf("%v of 20 that ask for one form count as repeats", got)
@@ -283,8 +283,8 @@
 	c.pass(5 * time.Second)
 	in := map[time.Duration]int{}
 	for range 400 {
-		if p, told := c.w.Arrive(c.now, Ask{Class: 1, Deadline: c.now + time.Second}); p == nil {
-			in[told.After.Truncate(50*ms)]++
+		if p, told := c.w.Arrive(c.now, Request{Class: 1, Deadline: c.now + time.Second}); p == nil {
+			in[told.RetryAfter.Truncate(50*ms)]++
 		}
 	}
 	for at, n := range in {
@@ -296,17 +296,17 @@
 
 // A class that comes while the watch runs has its place by its worth, and one that goes gives way to all.
 func TestClassesThatComeAndGo(t *testing.T) {
-	w := New(Options{Classes: []Class{{Worth: 1, Aim: time.Second, Safe: true}, {Worth: 10, Aim: time.Second}}, Remember: 10})
+	w := New(Options{Classes: []Class{{Priority: 1, LatencyObjective: time.Second, Idempotent: true}, {Priority: 10, LatencyObjective: time.Second}}, MaxRemembered: 10})
 	if w.filled[1] != 1 || w.filled[0] >= 1 {
 		t.Fatalf("parts of the limit %v", w.filled)
 	}
-	w.Retune([]Class{{Worth: 0, Aim: time.Second, Safe: true}, {Worth: 10, Aim: time.Second}, {Worth: 100, Aim: time.Second}})
+	w.Retune([]Class{{Priority: 0, LatencyObjective: time.Second, Idempotent: true}, {Priority: 10, LatencyObjective: time.Second}, {Priority: 100, LatencyObjective: time.Second}})
 	if w.filled[2] != 1 || w.filled[1] >= 1 || w.filled[0] >= w.filled[1] {
 		t.Errorf("parts of the limit %v", w.filled)
 	}
-	p, _ := w.Arrive(time.Second, Ask{Class: 2, Deadline: 2 * time.Second})
-	w.Done(time.Second, p, Served)
-	if n := len(w.Counts().Refused); n != 3 {
+	p, _ := w.Arrive(time.Second, Request{Class: 2, Deadline: 2 * time.Second})
+	w.Done(time.Second, p, OutcomeServed)
+	if n := len(w.Counts().Rejected); n != 3 {
 		t.Errorf("%d classes are counted", n)
 	}
 }
--- a/internal/admission/decisions_test.go
+++ b/internal/admission/decisions_test.go
@@ -12,28 +12,28 @@
 )
 
 type traceCaller struct {
-	ask      Ask
+	ask      Request
 	worth    int // tries that it still makes
 	at       time.Duration
 	patience time.Duration
 }
 
 type tracePass struct {
-	p      *Pass
+	p      *Permit
 	caller traceCaller
 	at     time.Duration
-	end    End
+	end    Outcome
 }
 
 // decisionTrace is a toy fleet of so many places behind a Watch, with clients that come again: calm, then asked for more than it
 // can do, then dark, then back.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
-	classes := []Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 10, Aim: 200e6, Safe: true}, {Worth: 4, Aim: 300e6}}
-	w := New(Options{Classes: classes, Shares: []float64{0.3, 0.3, 0.4}, MaxAfter: 500 * time.Millisecond, Remember: 300, Seed: uint64(seed)})
+	classes := []Class{{Priority: 1, LatencyObjective: 300e6, Idempotent: true}, {Priority: 10, LatencyObjective: 400e6}, {Priority: 10, LatencyObjective: 200e6, Idempotent: true}, {Priority: 4, LatencyObjective: 300e6}}
+	w := New(Options{Classes: classes, Quotas: []float64{0.3, 0.3, 0.4}, MaxRetryAfter: 500 * time.Millisecond, MaxRemembered: 300, Seed: uint64(seed)})
 	var out []tracePass
 	var again, due []traceCaller
-	now, was, owed := time.Hour, Calm, 0.0
+	now, was, owed := time.Hour, Normal, 0.0
 	atWork, keys := 0, 0
 	phases := []struct{ rate, speed, lost float64 }{ // 2.5 s each
 		{80, 1, 0.01}, {80, 1, 0.45}, {80, 1, 0}, {900, 1, 0.02}, {300, 0.5, 0.1}, {150, 0.01, 1}, {150, 0.01, 1}, {100, 1, 0.02}, {100, 0.01, 1}, {40, 1, 0},
@@ -42,23 +42,23 @@
 	come := func(c traceCaller) {
 		c.ask.Deadline = now + c.patience
 		p, r := w.Arrive(now, c.ask)
-		tr.Add(now, p == nil, r.After, r.Limit, r.Repeat)
+		tr.Add(now, p == nil, r.RetryAfter, r.Limit, r.IsRetry)
 		if p == nil {
 			tr.Count("turned away")
-			tr.CountIf(r.Repeat, "repeats turned away")
+			tr.CountIf(r.IsRetry, "repeats turned away")
 			if c.worth--; c.worth > 0 {
-				c.at = now + time.Duration(float64(r.After)*(0.8+rnd.Share()*0.5)) + rnd.Millis(0, 20)
-				c.ask.Again = rnd.Chance(0.4)
+				c.at = now + time.Duration(float64(r.RetryAfter)*(0.8+rnd.Share()*0.5)) + rnd.Millis(0, 20)
+				c.ask.IsRetry = rnd.Chance(0.4)
 				again = append(again, c)
 			}
 			return
 		}
-		class, took, by := p.Ended(now + 7)
-		tr.Add(p.Among, p.Repeat, p.Bound, class, took, int(by))
+		class, took, by := p.Completion(now + 7)
+		tr.Add(p.Endpoints, p.IsRetry, p.MayHaveRun, class, took, int(by))
 		tr.Count("let in")
-		tr.CountIf(p.Repeat, "repeats let in")
+		tr.CountIf(p.IsRetry, "repeats let in")
 		if rnd.Chance(0.02) {
-			w.Withdraw(now, p)
+			w.Revoke(now, p)
 			tr.Count("withdrawn")
 			c.worth--
 			c.at = now + rnd.Millis(1, 100)
@@ -66,17 +66,17 @@
 			return
 		}
 		ph := phases[phase()]
-		x := tracePass{p: p, caller: c, end: Served}
+		x := tracePass{p: p, caller: c, end: OutcomeServed}
 		took = time.Duration(float64(rnd.Millis(30, 120)) * (1 + max(0, float64(atWork)-40)/15) / max(ph.speed, 0.01))
 		switch {
 		case rnd.Chance(ph.lost):
-			x.end, took = Failed, rnd.Millis(5, 900)
+			x.end, took = OutcomeFailed, rnd.Millis(5, 900)
 		case rnd.Chance(0.02):
-			x.end, took = Refused, rnd.Millis(1, 20)
+			x.end, took = OutcomeRejected, rnd.Millis(1, 20)
 		case rnd.Chance(0.02):
-			x.end, took = Left, rnd.Millis(1, 200)
+			x.end, took = OutcomeCanceled, rnd.Millis(1, 200)
 		case took > c.patience:
-			x.end, took = Failed, c.patience
+			x.end, took = OutcomeFailed, c.patience
 		}
 		x.at = now + took
 		atWork++
@@ -94,10 +94,10 @@
 			w.Done(now, x.p, x.end)
 			tr.Count("ends of kind " + strconv.Itoa(int(x.end)))
 			if rnd.Chance(0.02) {
-				w.Done(now, x.p, Failed) // the first word counts
+				w.Done(now, x.p, OutcomeFailed) // the first word counts
 			}
-			if x.caller.worth--; (x.end == Refused || x.end == Failed) && x.caller.worth > 0 {
-				x.caller.ask.Bound = x.end == Failed && rnd.Chance(0.2)
+			if x.caller.worth--; (x.end == OutcomeRejected || x.end == OutcomeFailed) && x.caller.worth > 0 {
+				x.caller.ask.MayHaveRun = x.end == OutcomeFailed && rnd.Chance(0.2)
 				x.caller.at = now + rnd.Millis(1, 150)
 				again = append(again, x.caller)
 			}
@@ -116,7 +116,7 @@
 		owed += phases[phase()].rate * 0.005 * 2 * rnd.Share()
 		for ; owed >= 1; owed-- {
 			keys++
-			c := traceCaller{ask: Ask{Class: rnd.Below(4), Tenant: rnd.Below(4) - 1}, worth: 4, patience: rnd.Millis(250, 900)}
+			c := traceCaller{ask: Request{Class: rnd.Below(4), Tenant: rnd.Below(4) - 1}, worth: 4, patience: rnd.Millis(250, 900)}
 			if now-time.Hour > 7*time.Second && now-time.Hour < 45*time.Second && rnd.Chance(0.3) {
 				c.patience = rnd.Millis(20, 200) // less than an answer takes
 			}
@@ -129,13 +129,13 @@
 			come(c)
 		}
 		if rnd.Chance(0.01) {
-			p := NewPass(now, Ask{Class: 1, Key: "e" + strconv.Itoa(step)}, ByFleet)
-			w.Elsewhere(now+1, p, End(rnd.Below(4)))
-			come(traceCaller{ask: Ask{Class: 1, Key: "e" + strconv.Itoa(step)}, worth: 1, patience: time.Second})
+			p := NewPermit(now, Request{Class: 1, Key: "e" + strconv.Itoa(step)}, IssuedByFleet)
+			w.ObserveExternal(now+1, p, Outcome(rnd.Below(4)))
+			come(traceCaller{ask: Request{Class: 1, Key: "e" + strconv.Itoa(step)}, worth: 1, patience: time.Second})
 		}
 		if step == 6500 {
-			next := append(append([]Class{}, classes...), Class{Worth: 2, Aim: 100e6})
-			next[0].Worth = 20
+			next := append(append([]Class{}, classes...), Class{Priority: 2, LatencyObjective: 100e6})
+			next[0].Priority = 20
 			w.Retune(next)
 		}
 		c := w.Counts()
@@ -144,12 +144,12 @@
 			was = c.State
 		}
 		if step%10 == 0 {
-			tr.Add(now, int(c.State), c.Since, c.Limit, c.InFlight, c.Late, c.Bound, c.Storms)
-			for i := range c.Refused {
-				tr.Add(c.Refused[i][0], c.Refused[i][1])
+			tr.Add(now, int(c.State), c.Since, c.Limit, c.InFlight, c.TooLate, c.OverLimit, c.Overloads)
+			for i := range c.Rejected {
+				tr.Add(c.Rejected[i][0], c.Rejected[i][1])
 			}
-			tr.CountIf(c.Late > 0, "looks after a late one")
-			tr.CountIf(c.Bound > 0, "looks after a bound one over the limit")
+			tr.CountIf(c.TooLate > 0, "looks after a late one")
+			tr.CountIf(c.OverLimit > 0, "looks after a bound one over the limit")
 			tr.CountIf(c.Limit > 0 && c.Limit < math.Inf(1), "looks at a limit")
 		}
 	}
--- a/internal/admission/golden_texts_test.go
+++ b/internal/admission/golden_texts_test.go
@@ -11,16 +11,16 @@
 // The states, and the reasons that a watch gives over an outage and the time after it.
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
-	for i, s := range []State{Calm, Suspected, Storm, Recovering} {
+	for i, s := range []State{Normal, Suspect, Overloaded, Recovering} {
 		out = fmt.Appendf(out, "state %d %d %v\n", i, s, s)
 	}
 	c, last := newTown(t), ""
 	pass := func(d time.Duration) {
 		for end := c.now + d; c.now < end; {
 			c.pass(10 * ms)
-			if n := c.w.Counts(); n.State.String()+n.Why != last {
-				last = n.State.String() + n.Why
-				out = fmt.Appendf(out, "%v since %v: %s\n", n.State, n.Since, n.Why)
+			if n := c.w.Counts(); n.State.String()+n.Reason != last {
+				last = n.State.String() + n.Reason
+				out = fmt.Appendf(out, "%v since %v: %s\n", n.State, n.Since, n.Reason)
 			}
 		}
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -252,7 +252,7 @@
 	if cfg.Operator != "" { // the days on which operators call are those on which bodies are large
 		large = downstreamhttp1.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
 		listener = large.Frames(listener)
-		crowd.Patience = silentMost
+		crowd.FirstRequestTimeout = silentMost
 	}
 	clients := connlimit.New(listener, fromClients, crowd)
 	ready := func() bool { return core.Ready() && ctx.Err() == nil }
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -26,13 +26,13 @@
 // stormy is a door that counts what the test says.
 type stormy struct{}
 
-func (stormy) Arrive(time.Duration, admission.Ask) (*admission.Pass, admission.Refusal) {
-	return nil, admission.Refusal{}
+func (stormy) Arrive(time.Duration, admission.Request) (*admission.Permit, admission.Rejection) {
+	return nil, admission.Rejection{}
 }
-func (stormy) Done(time.Duration, *admission.Pass, admission.End) {}
+func (stormy) Done(time.Duration, *admission.Permit, admission.Outcome) {}
 func (stormy) Counts() admission.Counts {
-	return admission.Counts{State: admission.Storm, Since: 1, Why: "hardly anything is served in time", Limit: 2.25, InFlight: 3,
-		Refused: [][2]uint64{{4, 5}, {6, 7}, {8, 9}}, Late: 10, Bound: 11, Storms: 12}
+	return admission.Counts{State: admission.Overloaded, Since: 1, Reason: "hardly anything is served in time", Limit: 2.25, InFlight: 3,
+		Rejected: [][2]uint64{{4, 5}, {6, 7}, {8, 9}}, TooLate: 10, OverLimit: 11, Overloads: 12}
 }
 
 // The line of the storm watch, but for its time and how long the state has lasted.
--- a/internal/agent/join.go
+++ b/internal/agent/join.go
@@ -45,7 +45,7 @@
 func joined(classes []coalesce.Class) *[]bool {
 	out := make([]bool, len(classes))
 	for i, c := range classes {
-		out[i] = c.Joined
+		out[i] = c.Coalesces
 	}
 	return &out
 }
@@ -62,12 +62,12 @@
 	var last coalesce.Counts
 	every(ctx, interval, func() {
 		c := core.Load().Joins
-		if c.Flights == last.Flights && c.Alone == last.Alone {
+		if c.Flights == last.Flights && c.NotCoalesced == last.NotCoalesced {
 			return
 		}
-		log.Info("joined like requests", "flights", c.Flights-last.Flights, "joined", c.Joined-last.Joined,
-			"shared", c.Shared-last.Shared, "parted", c.Parted-last.Parted, "again", c.Again-last.Again,
-			"private", c.Private-last.Private, "alone", c.Alone-last.Alone, "waiting", c.Waiting, "groups", c.Groups)
+		log.Info("joined like requests", "flights", c.Flights-last.Flights, "joined", c.Followers-last.Followers,
+			"shared", c.Shared-last.Shared, "parted", c.LateFlights-last.LateFlights, "again", c.NextFlights-last.NextFlights,
+			"private", c.Private-last.Private, "alone", c.NotCoalesced-last.NotCoalesced, "waiting", c.Waiting, "groups", c.Groups)
 		last = c
 	})
 }
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -22,9 +22,9 @@
 // joinAll is a [join] section for every class, the ones that must not run twice too: the engine has to keep those out.
 func joinAll(apart bool) Extras {
 	return Extras{Join: func(classes []balancer.Class) (Joins, error) {
-		j := Joins{Apart: apart, LogEvery: time.Hour, Options: coalesce.Options{MostGroups: 64, MostWaiting: 64, Pause: time.Hour}}
+		j := Joins{Apart: apart, LogEvery: time.Hour, Options: coalesce.Options{MaxGroups: 64, MaxFollowers: 64, PauseAfterPrivate: time.Hour}}
 		for _, c := range classes {
-			j.Options.Classes = append(j.Options.Classes, coalesce.Class{Joined: true, Aim: c.Aim, Deadline: c.Deadline})
+			j.Options.Classes = append(j.Options.Classes, coalesce.Class{Coalesces: true, LatencyObjective: c.Aim, Deadline: c.Deadline})
 		}
 		return j, nil
 	}}
--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -12,9 +12,9 @@
 )
 
 // newStorm is a watch for storms by the platform's settings.
-func newStorm(cfg Config, set Storm) *admission.Watch {
+func newStorm(cfg Config, set Storm) *admission.Controller {
 	site := cfg.Site.Logic
-	o := admission.Options{Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Remember: set.Remember, Seed: cfg.Seed}
+	o := admission.Options{Quotas: site.Shares, MaxRetryAfter: site.MaxRetryAfter, MaxRemembered: set.Remember, Seed: cfg.Seed}
 	o.Classes = stormClasses(site.Classes)
 	return admission.New(o)
 }
@@ -24,7 +24,7 @@
 		if c.Dropped {
 			c.Worth = 0
 		}
-		out = append(out, admission.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		out = append(out, admission.Class{Priority: c.Worth, LatencyObjective: c.Aim, Idempotent: c.Effect == balancer.Safe})
 	}
 	return out
 }
@@ -37,12 +37,12 @@
 	every(ctx, stormLook, func() {
 		c, now := core.Load().Door, clk.Now()
 		changed := c.State != last.State || c.Since != last.Since
-		if changed && (c.State != admission.Calm || last.State != admission.Calm) || c.State != admission.Calm && now-logged >= interval {
+		if changed && (c.State != admission.Normal || last.State != admission.Normal) || c.State != admission.Normal && now-logged >= interval {
 			logged = now
-			attrs := []any{"state", c.State.String(), "for", (now - c.Since).Round(time.Millisecond), "why", c.Why,
-				"limit", math.Round(c.Limit*10) / 10, "in_flight", c.InFlight, "storms", c.Storms, "too_late", c.Late, "bound", c.Bound}
+			attrs := []any{"state", c.State.String(), "for", (now - c.Since).Round(time.Millisecond), "why", c.Reason,
+				"limit", math.Round(c.Limit*10) / 10, "in_flight", c.InFlight, "storms", c.Overloads, "too_late", c.TooLate, "bound", c.OverLimit}
 			names := core.Tally().Classes // read later than the counts: it has them all
-			for i, class := range c.Refused {
+			for i, class := range c.Rejected {
 				attrs = append(attrs, slog.Group(names[i], "refused_first", class[0], "refused_again", class[1]))
 			}
 			log.Info("storm watch", attrs...)
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -86,7 +86,7 @@
 // Share is for handover.Host.
 func (u *upgrade) Share(part float64) {
 	u.conns.Limit(int(part * float64(u.toBackends)))
-	u.clients.Limit(int(part * float64(u.fromClients)))
+	u.clients.SetLimit(int(part * float64(u.fromClients)))
 	u.large.Share(part)
 	if u.memory != nil {
 		u.memory(part)
--- a/internal/cli/join.go
+++ b/internal/cli/join.go
@@ -21,11 +21,11 @@
 	}
 	return func(classes []balancer.Class) (agent.Joins, error) {
 		with := agent.Joins{Apart: set.Tenants == settings.TenantsApart, LogEvery: time.Duration(set.LogEvery),
-			Options: coalesce.Options{MostGroups: set.MaxGroups, MostWaiting: set.MaxWaiting, Pause: time.Duration(set.Pause)}}
+			Options: coalesce.Options{MaxGroups: set.MaxGroups, MaxFollowers: set.MaxWaiting, PauseAfterPrivate: time.Duration(set.Pause)}}
 		var safe []string
 		for _, c := range classes {
 			joined := !c.Dropped && c.Effect == balancer.Safe && slices.Contains(set.Classes, c.Name)
-			with.Options.Classes = append(with.Options.Classes, coalesce.Class{Joined: joined, Aim: c.Aim, Deadline: c.Deadline})
+			with.Options.Classes = append(with.Options.Classes, coalesce.Class{Coalesces: joined, LatencyObjective: c.Aim, Deadline: c.Deadline})
 			if c.Effect == balancer.Safe {
 				safe = append(safe, c.Name)
 			}
--- a/internal/cli/join_test.go
+++ b/internal/cli/join_test.go
@@ -27,7 +27,7 @@
 			}
 			continue
 		}
-		if err != nil || len(with.Options.Classes) != 3 || !with.Options.Classes[0].Joined || with.Options.Classes[1].Joined {
+		if err != nil || len(with.Options.Classes) != 3 || !with.Options.Classes[0].Coalesces || with.Options.Classes[1].Coalesces {
 			t.Errorf("%+v, %v", with, err)
 		}
 	}
--- a/internal/coalesce/join.go
+++ b/internal/coalesce/coalesce.go
@@ -20,60 +20,60 @@
 
 // Class says of a class of requests whether and how it is joined.
 type Class struct {
-	Joined   bool          // may be; only of a class that may be repeated at will
-	Aim      time.Duration // after its arrival a request wants its answer within this time
-	Deadline time.Duration // for so long a flight may go on, whatever its leader's patience
+	Coalesces        bool          // may be; only of a class that may be repeated at will
+	LatencyObjective time.Duration // after its arrival a request wants its answer within this time
+	Deadline         time.Duration // for so long a flight may go on, whatever its leader's patience
 }
 
 // Options bound a Table. All must be above 0.
 type Options struct {
-	Classes     []Class
-	MostGroups  int           // open at a time
-	MostWaiting int           // members that wait without a flight of their own, in all
-	Pause       time.Duration // no joining of a class after an answer that was for one caller alone
+	Classes           []Class
+	MaxGroups         int           // open at a time
+	MaxFollowers      int           // members that wait without a flight of their own, in all
+	PauseAfterPrivate time.Duration // no joining of a class after an answer that was for one caller alone
 }
 
-// Ask is a request that arrives.
-type Ask[T any] struct {
-	Of       T
-	What     Digest // what it asks; who has the same may get the same answer
+// Request is a request that arrives.
+type Request[T any] struct {
+	Owner    T
+	Digest   Digest // what it asks; who has the same may get the same answer
 	Class    int
 	Tenant   int
 	Deadline time.Duration // when its caller must have the final answer
 }
 
-// Verdict is what becomes of an Ask.
-type Verdict int
+// Role is what becomes of an Ask.
+type Role int
 
 // The verdicts.
 const (
-	Alone Verdict = iota // it is no member, and goes its own way
-	Leads                // it leads a flight, which is to be started
-	Waits                // with the flights of others
+	NotCoalesced Role = iota // it is no member, and goes its own way
+	Leader                   // it leads a flight, which is to be started
+	Follower                 // with the flights of others
 )
 
-// End is how a flight came to its end.
-type End int
+// Outcome is how a flight came to its end.
+type Outcome int
 
 // The ends of flights.
 const (
-	Served  End = iota // with an answer that all may have
-	Private            // with an answer for its leader alone
-	Refused            // trying again is harmless
-	Failed
+	OutcomeServed   Outcome = iota // with an answer that all may have
+	OutcomePrivate                 // with an answer for its leader alone
+	OutcomeRejected                // trying again is harmless
+	OutcomeFailed
 )
 
 // Counts are what a table has done since it was made.
 type Counts struct {
-	Flights uint64 // that were started
-	Joined  uint64 // requests that waited for the flight of another
-	Alone   uint64 // requests of joined classes that found no room, or came in a pause
-	Parted  uint64 // members that led a flight of their own since others were late
-	Again   uint64 // members that led the next flight after one that was not served
-	Private uint64 // answers for one caller alone
-	Shared  uint64 // requests that were served by a flight that they did not lead
-	Waiting int    // members that wait at present
-	Groups  int    // at present
+	Flights      uint64 // that were started
+	Followers    uint64 // requests that waited for the flight of another
+	NotCoalesced uint64 // requests of joined classes that found no room, or came in a pause
+	LateFlights  uint64 // members that led a flight of their own since others were late
+	NextFlights  uint64 // members that led the next flight after one that was not served
+	Private      uint64 // answers for one caller alone
+	Shared       uint64 // requests that were served by a flight that they did not lead
+	Waiting      int    // members that wait at present
+	Groups       int    // at present
 }
 
 // Table is all groups. It is not safe for concurrent use.
@@ -103,7 +103,7 @@
 
 // Member is a caller in a group.
 type Member[T any] struct {
-	Of T
+	Owner T
 
 	group            *group[T]
 	flight           *Flight[T] // that it leads
@@ -118,8 +118,8 @@
 
 // Flight is a request that is out for a group.
 type Flight[T any] struct {
-	Work  T             // for the owner of the table
-	Until time.Duration // when it has to end
+	Payload  T             // for the owner of the table
+	Deadline time.Duration // when it has to end
 
 	began  time.Duration
 	group  *group[T]
@@ -129,16 +129,16 @@
 
 // Changes are what becomes of members and flights. A member that is answered, expired or has left is in no group any more.
 type Changes[T any] struct {
-	Answered []*Member[T] // with what the flight came to
-	Expired  []*Member[T] // whose deadline has come: they have failed
-	Lead     []*Member[T] // lead a flight from now on, which is to be started
-	Drop     []*Flight[T] // for which nobody waits any more
+	Answered   []*Member[T] // with what the flight came to
+	Expired    []*Member[T] // whose deadline has come: they have failed
+	NewLeaders []*Member[T] // lead a flight from now on, which is to be started
+	Abandoned  []*Flight[T] // for which nobody waits any more
 }
 
 // New returns an empty table.
 func New[T any](o Options) *Table[T] {
 	t := &Table[T]{set: o, times: make([]*times, len(o.Classes)), pauses: make([]time.Duration, len(o.Classes)),
-		groups: map[Digest]*group[T]{}, open: newQuota(o.MostGroups), waiting: newQuota(o.MostWaiting)}
+		groups: map[Digest]*group[T]{}, open: newQuota(o.MaxGroups), waiting: newQuota(o.MaxFollowers)}
 	t.set.Classes = nil
 	t.Retune(o.Classes)
 	return t
@@ -153,8 +153,8 @@
 		if i >= len(t.times) {
 			t.times, t.pauses = append(t.times, nil), append(t.pauses, 0)
 		}
-		if c.Joined && (t.times[i] == nil || i >= len(before) || before[i] != c) {
-			t.times[i] = newTimes(c.Aim, c.Deadline)
+		if c.Coalesces && (t.times[i] == nil || i >= len(before) || before[i] != c) {
+			t.times[i] = newTimes(c.LatencyObjective, c.Deadline)
 		}
 	}
 }
@@ -167,37 +167,37 @@
 }
 
 // Arrive says what becomes of a request. The member is nil of one that goes alone.
-func (t *Table[T]) Arrive(now time.Duration, a Ask[T]) (*Member[T], Verdict) {
-	if a.Class < 0 || a.Class >= len(t.set.Classes) || !t.set.Classes[a.Class].Joined {
-		return nil, Alone
+func (t *Table[T]) Arrive(now time.Duration, a Request[T]) (*Member[T], Role) {
+	if a.Class < 0 || a.Class >= len(t.set.Classes) || !t.set.Classes[a.Class].Coalesces {
+		return nil, NotCoalesced
 	}
-	g := t.groups[a.What]
+	g := t.groups[a.Digest]
 	if g != nil && g.class != a.Class || now < t.pauses[a.Class] || now >= a.Deadline {
-		t.counts.Alone++
-		return nil, Alone
+		t.counts.NotCoalesced++
+		return nil, NotCoalesced
 	}
-	m := &Member[T]{Of: a.Of, group: g, tenant: a.Tenant, deadline: a.Deadline, place: -1,
-		wanted: min(a.Deadline, now+t.set.Classes[a.Class].Aim)}
+	m := &Member[T]{Owner: a.Owner, group: g, tenant: a.Tenant, deadline: a.Deadline, place: -1,
+		wanted: min(a.Deadline, now+t.set.Classes[a.Class].LatencyObjective)}
 	if g == nil {
 		if !t.open.take(a.Tenant) {
-			t.counts.Alone++
-			return nil, Alone
+			t.counts.NotCoalesced++
+			return nil, NotCoalesced
 		}
-		g = &group[T]{what: a.What, class: a.Class, opener: a.Tenant, window: 1}
-		t.groups[a.What], m.group = g, g
+		g = &group[T]{what: a.Digest, class: a.Class, opener: a.Tenant, window: 1}
+		t.groups[a.Digest], m.group = g, g
 	} else if at := t.partAt(now, m); at > now { // else what is out is late already
 		if !t.waiting.take(a.Tenant) {
-			t.counts.Alone++
-			return nil, Alone
+			t.counts.NotCoalesced++
+			return nil, NotCoalesced
 		}
-		t.counts.Joined++
+		t.counts.Followers++
 		g.members = append(g.members, m)
 		t.wake(m, min(at, m.deadline))
-		return m, Waits
+		return m, Follower
 	}
 	g.members = append(g.members, m)
 	t.lead(now, m)
-	return m, Leads
+	return m, Leader
 }
 
 // Leave takes out a member whose caller waits no more.
@@ -208,8 +208,8 @@
 	return c
 }
 
-// Ended takes note of how a flight ended. One that was dropped has no say any more.
-func (t *Table[T]) Ended(now time.Duration, f *Flight[T], end End) (c Changes[T]) {
+// Complete takes note of how a flight ended. One that was dropped has no say any more.
+func (t *Table[T]) Complete(now time.Duration, f *Flight[T], end Outcome) (c Changes[T]) {
 	if f.over {
 		return c
 	}
@@ -218,7 +218,7 @@
 	g.flights = slices.DeleteFunc(g.flights, func(other *Flight[T]) bool { return other == f })
 	t.learn(now, f, end)
 	switch end {
-	case Served:
+	case OutcomeServed:
 		t.counts.Shared += uint64(len(g.members))
 		if leader != nil {
 			t.counts.Shared--
@@ -228,16 +228,16 @@
 			t.remove(now, g.members[0], &c)
 		}
 		return c
-	case Private: // as the others' answers will be: each gets its own, with no more waiting
+	case OutcomePrivate: // as the others' answers will be: each gets its own, with no more waiting
 		t.counts.Private++
-		t.pauses[g.class] = now + t.set.Pause
+		t.pauses[g.class] = now + t.set.PauseAfterPrivate
 		g.window = len(g.members)
-	case Failed:
+	case OutcomeFailed:
 		g.window++ // so that each round of failures is followed by one of twice as many
 	}
 	refusedTenant := -1
 	if leader != nil {
-		if end == Refused {
+		if end == OutcomeRejected {
 			refusedTenant = leader.tenant
 		}
 		c.Answered = append(c.Answered, leader)
@@ -248,10 +248,10 @@
 		if next == nil {
 			break
 		}
-		t.counts.Again++
+		t.counts.NextFlights++
 		t.waiting.give(next.tenant)
 		t.lead(now, next)
-		c.Lead = append(c.Lead, next)
+		c.NewLeaders = append(c.NewLeaders, next)
 	}
 	return c
 }
@@ -273,16 +273,16 @@
 	return best
 }
 
-// Due is when Fire is to be called next, if at all.
-func (t *Table[T]) Due() (at time.Duration, ok bool) {
+// NextTimer is when Fire is to be called next, if at all.
+func (t *Table[T]) NextTimer() (at time.Duration, ok bool) {
 	if len(t.alarms) == 0 {
 		return 0, false
 	}
 	return t.alarms[0].alarm, true
 }
 
-// Fire does what is due.
-func (t *Table[T]) Fire(now time.Duration) (c Changes[T]) {
+// HandleTimers does what is due.
+func (t *Table[T]) HandleTimers(now time.Duration) (c Changes[T]) {
 	for len(t.alarms) > 0 && t.alarms[0].alarm <= now {
 		m := t.alarms[0]
 		if now >= m.deadline {
@@ -294,10 +294,10 @@
 			t.wake(m, min(at, m.deadline))
 			continue
 		}
-		t.counts.Parted++
+		t.counts.LateFlights++
 		t.waiting.give(m.tenant)
 		t.lead(now, m)
-		c.Lead = append(c.Lead, m)
+		c.NewLeaders = append(c.NewLeaders, m)
 	}
 	return c
 }
@@ -305,7 +305,7 @@
 // lead lets a member lead a flight.
 func (t *Table[T]) lead(now time.Duration, m *Member[T]) {
 	t.counts.Flights++
-	m.flight = &Flight[T]{Until: now + t.set.Classes[m.group.class].Deadline, began: now, group: m.group, leader: m}
+	m.flight = &Flight[T]{Deadline: now + t.set.Classes[m.group.class].Deadline, began: now, group: m.group, leader: m}
 	m.group.flights = append(m.group.flights, m.flight)
 	t.wake(m, m.deadline)
 }
@@ -325,7 +325,7 @@
 	}
 	for _, f := range g.flights {
 		f.over = true
-		c.Drop = append(c.Drop, f)
+		c.Abandoned = append(c.Abandoned, f)
 		t.times[g.class].atLeast(now, now-f.began)
 	}
 	g.flights = nil
@@ -334,11 +334,11 @@
 }
 
 // learn takes note of how long a flight took. A refusal says nothing of that.
-func (t *Table[T]) learn(now time.Duration, f *Flight[T], end End) {
+func (t *Table[T]) learn(now time.Duration, f *Flight[T], end Outcome) {
 	switch end {
-	case Served, Private:
+	case OutcomeServed, OutcomePrivate:
 		t.times[f.group.class].took(now, now-f.began)
-	case Failed:
+	case OutcomeFailed:
 		t.times[f.group.class].never(now)
 	}
 }
--- a/internal/coalesce/join_test.go
+++ b/internal/coalesce/coalesce_test.go
@@ -24,29 +24,29 @@
 
 func newDesk(t testing.TB, o Options) *desk {
 	if o.Classes == nil {
-		o.Classes = []Class{{Joined: true, Aim: 600 * ms, Deadline: 2 * time.Second}, {Aim: 600 * ms, Deadline: 2 * time.Second}}
+		o.Classes = []Class{{Coalesces: true, LatencyObjective: 600 * ms, Deadline: 2 * time.Second}, {LatencyObjective: 600 * ms, Deadline: 2 * time.Second}}
 	}
-	if o.MostGroups == 0 {
-		o.MostGroups = 100
+	if o.MaxGroups == 0 {
+		o.MaxGroups = 100
 	}
-	if o.MostWaiting == 0 {
-		o.MostWaiting = 100
+	if o.MaxFollowers == 0 {
+		o.MaxFollowers = 100
 	}
 	return &desk{t: t, table: New[int](o), now: time.Second, members: map[int]*Member[int]{}, ends: map[int]string{}}
 }
 
 // arrive brings a request and returns its number.
-func (d *desk) arrive(what byte, tenant int, patience time.Duration) (int, Verdict) {
+func (d *desk) arrive(what byte, tenant int, patience time.Duration) (int, Role) {
 	d.t.Helper()
 	d.last++
-	m, verdict := d.table.Arrive(d.now, Ask[int]{Of: d.last, What: Digest{what}, Tenant: tenant, Deadline: d.now + patience})
-	if (m == nil) != (verdict == Alone) {
+	m, verdict := d.table.Arrive(d.now, Request[int]{Owner: d.last, Digest: Digest{what}, Tenant: tenant, Deadline: d.now + patience})
+	if (m == nil) != (verdict == NotCoalesced) {
 		d.t.Fatalf("verdict %d with member %v", verdict, m)
 	}
 	if m != nil {
 		d.members[d.last] = m
 	}
-	if verdict == Leads {
+	if verdict == Leader {
 		d.flights = append(d.flights, m.Flight())
 	}
 	d.check()
@@ -54,9 +54,9 @@
 }
 
 // end ends a flight, and takes down what becomes of whom.
-func (d *desk) end(f *Flight[int], e End) Changes[int] {
+func (d *desk) end(f *Flight[int], e Outcome) Changes[int] {
 	d.t.Helper()
-	return d.took(d.table.Ended(d.now, f, e), f, fmt.Sprint("ended ", e))
+	return d.took(d.table.Complete(d.now, f, e), f, fmt.Sprint("ended ", e))
 }
 
 func (d *desk) leave(n int) Changes[int] {
@@ -71,30 +71,30 @@
 func (d *desk) pass(by time.Duration) (all Changes[int]) {
 	d.t.Helper()
 	for until := d.now + by; ; {
-		at, ok := d.table.Due()
+		at, ok := d.table.NextTimer()
 		if !ok || at > until {
 			d.now = until
 			return all
 		}
 		d.now = at
-		c := d.took(d.table.Fire(d.now), nil, "")
-		all.Lead, all.Expired, all.Drop = append(all.Lead, c.Lead...), append(all.Expired, c.Expired...), append(all.Drop, c.Drop...)
+		c := d.took(d.table.HandleTimers(d.now), nil, "")
+		all.NewLeaders, all.Expired, all.Abandoned = append(all.NewLeaders, c.NewLeaders...), append(all.Expired, c.Expired...), append(all.Abandoned, c.Abandoned...)
 	}
 }
 
 func (d *desk) took(c Changes[int], ended *Flight[int], how string) Changes[int] {
 	d.t.Helper()
-	d.flights = slices.DeleteFunc(d.flights, func(f *Flight[int]) bool { return f == ended || slices.Contains(c.Drop, f) })
+	d.flights = slices.DeleteFunc(d.flights, func(f *Flight[int]) bool { return f == ended || slices.Contains(c.Abandoned, f) })
 	for _, m := range c.Answered {
 		d.over(m, how)
 	}
 	for _, m := range c.Expired {
 		if d.now < m.deadline {
-			d.t.Fatalf("member %d has expired %v before its deadline", m.Of, m.deadline-d.now)
+			d.t.Fatalf("member %d has expired %v before its deadline", m.Owner, m.deadline-d.now)
 		}
 		d.over(m, "expired")
 	}
-	for _, m := range c.Lead {
+	for _, m := range c.NewLeaders {
 		d.flights = append(d.flights, m.Flight())
 	}
 	d.check()
@@ -103,11 +103,11 @@
 
 func (d *desk) over(m *Member[int], how string) {
 	d.t.Helper()
-	if d.members[m.Of] != m {
-		d.t.Fatalf("member %d has %q, after %q", m.Of, how, d.ends[m.Of])
+	if d.members[m.Owner] != m {
+		d.t.Fatalf("member %d has %q, after %q", m.Owner, how, d.ends[m.Owner])
 	}
-	delete(d.members, m.Of)
-	d.ends[m.Of] = how
+	delete(d.members, m.Owner)
+	d.ends[m.Owner] = how
 }
 
 // check checks the invariants of Table.
@@ -120,14 +120,14 @@
 		}
 		members, flights = members+len(g.members), flights+len(g.flights)
 		for _, m := range g.members {
-			if m.group != g || m.place < 0 || d.table.alarms[m.place] != m || m.alarm > m.deadline || d.members[m.Of] != m {
+			if m.group != g || m.place < 0 || d.table.alarms[m.place] != m || m.alarm > m.deadline || d.members[m.Owner] != m {
 				d.t.Fatalf("member %+v is out of order", m)
 			}
 			if m.flight == nil {
 				waiting++
 				byTenant[m.tenant]++
 			} else if m.flight.over || m.flight.leader != m {
-				d.t.Fatalf("member %d leads %+v", m.Of, m.flight)
+				d.t.Fatalf("member %d leads %+v", m.Owner, m.flight)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 	if members != len(d.members) || flights != len(d.flights) || members != len(d.table.alarms) {
 		d.t.Fatalf("%d members of %d, %d flights of %d, %d alarms", members, len(d.members), flights, len(d.flights), len(d.table.alarms))
 	}
-	if waiting != c.Waiting || waiting > d.table.set.MostWaiting || len(d.table.groups) > d.table.set.MostGroups || c.Groups != len(d.table.groups) {
+	if waiting != c.Waiting || waiting > d.table.set.MaxFollowers || len(d.table.groups) > d.table.set.MaxGroups || c.Groups != len(d.table.groups) {
 		d.t.Fatalf("%d wait, counted %+v", waiting, c)
 	}
 	if fmt.Sprint(byTenant) != fmt.Sprint(d.table.waiting.held) {
@@ -150,7 +150,7 @@
 			d.arrive(255, 9, 2*time.Second)
 			f := d.flights[len(d.flights)-1]
 			d.pass(each)
-			d.end(f, Served)
+			d.end(f, OutcomeServed)
 		}
 	}
 }
@@ -167,8 +167,8 @@
 // is left when all have gone. The table's own invariants are looked at after each step.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := newDesk(t, Options{MostGroups: rapid.IntRange(1, 6).Draw(rt, "groups"), MostWaiting: rapid.IntRange(1, 12).Draw(rt, "waiting"),
-			Pause: 50 * ms})
+		d := newDesk(t, Options{MaxGroups: rapid.IntRange(1, 6).Draw(rt, "groups"), MaxFollowers: rapid.IntRange(1, 12).Draw(rt, "waiting"),
+			PauseAfterPrivate: 50 * ms})
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "which") }
 		rt.Repeat(map[string]func(*rapid.T){
 			"arrive": func(rt *rapid.T) {
@@ -177,7 +177,7 @@
 			},
 			"end": func(rt *rapid.T) {
 				if len(d.flights) > 0 {
-					d.end(d.flights[pick(len(d.flights))], End(pick(4)))
+					d.end(d.flights[pick(len(d.flights))], Outcome(pick(4)))
 				}
 			},
 			"leave": func(rt *rapid.T) {
@@ -198,15 +198,15 @@
 	d := newDesk(t, Options{})
 	d.arrive(1, 0, 2*time.Second)
 	for tenant := range 5 {
-		if _, v := d.arrive(1, tenant, 2*time.Second); v != Waits {
+		if _, v := d.arrive(1, tenant, 2*time.Second); v != Follower {
 			t.Fatalf("verdict %d", v)
 		}
 	}
 	d.arrive(2, 0, 2*time.Second)
-	if c := d.end(d.flights[0], Served); len(c.Answered) != 6 || len(d.flights) != 1 {
+	if c := d.end(d.flights[0], OutcomeServed); len(c.Answered) != 6 || len(d.flights) != 1 {
 		t.Errorf("%d answered, %d flights out", len(c.Answered), len(d.flights))
 	}
-	if c := d.table.Counts(); c.Flights != 2 || c.Joined != 5 || c.Shared != 5 {
+	if c := d.table.Counts(); c.Flights != 2 || c.Followers != 5 || c.Shared != 5 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -215,7 +215,7 @@
 func TestOtherClassesGoAlone(t *testing.T) {
 	d := newDesk(t, Options{})
 	for _, class := range []int{-1, 1, 2} {
-		if m, v := d.table.Arrive(d.now, Ask[int]{Class: class, Deadline: d.now + time.Second}); m != nil || v != Alone {
+		if m, v := d.table.Arrive(d.now, Request[int]{Class: class, Deadline: d.now + time.Second}); m != nil || v != NotCoalesced {
 			t.Errorf("class %d: %d", class, v)
 		}
 	}
@@ -224,7 +224,7 @@
 // An error is its leader's alone. After a refusal one other leads; after a round of failures twice as many, until all have
 // had their own; after a private answer all at once.
 func TestErrorsDoNotSpread(t *testing.T) {
-	for end, rounds := range map[End][]int{Refused: {1, 1, 1, 1, 1, 1, 1, 1}, Failed: {1, 2, 4, 1}, Private: {1, 7}} {
+	for end, rounds := range map[Outcome][]int{OutcomeRejected: {1, 1, 1, 1, 1, 1, 1, 1}, OutcomeFailed: {1, 2, 4, 1}, OutcomePrivate: {1, 7}} {
 		d := newDesk(t, Options{})
 		for range 8 {
 			d.arrive(1, 0, 2*time.Second)
@@ -251,8 +251,8 @@
 	for _, tenant := range []int{1, 1, 1, 2} {
 		d.arrive(1, tenant, 2*time.Second)
 	}
-	if c := d.end(d.flights[0], Refused); len(c.Lead) != 1 || c.Lead[0].tenant != 2 {
-		t.Errorf("led by %+v", c.Lead)
+	if c := d.end(d.flights[0], OutcomeRejected); len(c.NewLeaders) != 1 || c.NewLeaders[0].tenant != 2 {
+		t.Errorf("led by %+v", c.NewLeaders)
 	}
 }
 
@@ -263,8 +263,8 @@
 		leader, _ := d.arrive(1, 0, 80*ms)
 		d.arrive(1, 0, 2*time.Second)
 		f := d.flights[0]
-		if f.Until != d.now+2*time.Second {
-			t.Fatalf("the flight ends at %v", f.Until)
+		if f.Deadline != d.now+2*time.Second {
+			t.Fatalf("the flight ends at %v", f.Deadline)
 		}
 		if how == "leaves" {
 			d.leave(leader)
@@ -272,11 +272,11 @@
 		if d.pass(100 * ms); d.members[leader] != nil || len(d.flights) != 1 {
 			t.Fatalf("%s: members %v, %d flights out", how, d.members, len(d.flights))
 		}
-		if c := d.end(f, Served); len(c.Answered) != 1 {
+		if c := d.end(f, OutcomeServed); len(c.Answered) != 1 {
 			t.Errorf("%s: %d answered", how, len(c.Answered))
 		}
 		d.arrive(3, 0, 80*ms)
-		if c := d.pass(100 * ms); len(c.Drop) != 1 || len(c.Expired) != 1 {
+		if c := d.pass(100 * ms); len(c.Abandoned) != 1 || len(c.Expired) != 1 {
 			t.Errorf("nobody waits: %+v", c)
 		}
 	}
@@ -291,23 +291,23 @@
 	for range 20 {
 		d.arrive(1, 0, 2*time.Second)
 	}
-	if c := d.pass(170 * ms); len(c.Lead) != 0 {
-		t.Fatalf("%d parted in the usual time", len(c.Lead))
+	if c := d.pass(170 * ms); len(c.NewLeaders) != 0 {
+		t.Fatalf("%d parted in the usual time", len(c.NewLeaders))
 	}
 	c := d.pass(100 * ms)
-	if len(c.Lead) != 1 {
-		t.Fatalf("%d parted when it was late", len(c.Lead))
+	if len(c.NewLeaders) != 1 {
+		t.Fatalf("%d parted when it was late", len(c.NewLeaders))
 	}
-	if parted := c.Lead[0].flight.began - start; parted > 450*ms {
+	if parted := c.NewLeaders[0].flight.began - start; parted > 450*ms {
 		t.Errorf("parted after %v, too late for 600 ms", parted)
 	}
-	if c := d.end(c.Lead[0].flight, Served); len(c.Answered) != 20 || len(c.Drop) != 1 {
-		t.Errorf("%d answered, %d dropped", len(c.Answered), len(c.Drop))
+	if c := d.end(c.NewLeaders[0].flight, OutcomeServed); len(c.Answered) != 20 || len(c.Abandoned) != 1 {
+		t.Errorf("%d answered, %d dropped", len(c.Answered), len(c.Abandoned))
 	}
 	// One that comes to a late flight does not wait for it.
 	d.arrive(2, 0, 2*time.Second)
 	d.pass(250 * ms)
-	if _, v := d.arrive(2, 0, 2*time.Second); v != Leads {
+	if _, v := d.arrive(2, 0, 2*time.Second); v != Leader {
 		t.Errorf("verdict %d beside a late flight", v)
 	}
 	// Where all takes longer than the aim, another flight would not help, and none is made.
@@ -315,42 +315,42 @@
 	d.teach(around(900 * ms)...)
 	d.arrive(1, 0, 2*time.Second)
 	d.arrive(1, 0, 2*time.Second)
-	if c := d.pass(1500 * ms); len(c.Lead) != 0 {
-		t.Errorf("%d parted where nothing is gained", len(c.Lead))
+	if c := d.pass(1500 * ms); len(c.NewLeaders) != 0 {
+		t.Errorf("%d parted where nothing is gained", len(c.NewLeaders))
 	}
 }
 
 // After an answer for one caller alone its class is not joined for a while.
 func TestPrivateAnswersPauseTheClass(t *testing.T) {
-	d := newDesk(t, Options{Pause: time.Second})
+	d := newDesk(t, Options{PauseAfterPrivate: time.Second})
 	d.arrive(1, 0, 2*time.Second)
-	d.end(d.flights[0], Private)
-	if _, v := d.arrive(1, 0, 2*time.Second); v != Alone {
+	d.end(d.flights[0], OutcomePrivate)
+	if _, v := d.arrive(1, 0, 2*time.Second); v != NotCoalesced {
 		t.Errorf("verdict %d in the pause", v)
 	}
 	d.pass(time.Second)
-	if _, v := d.arrive(1, 0, 2*time.Second); v != Leads {
+	if _, v := d.arrive(1, 0, 2*time.Second); v != Leader {
 		t.Errorf("verdict %d after the pause", v)
 	}
 }
 
 // A busy desk does not take the places of quiet ones, nor does a full table turn anybody away.
 func TestABusyDeskLeavesRoom(t *testing.T) {
-	d := newDesk(t, Options{MostGroups: 40, MostWaiting: 40})
+	d := newDesk(t, Options{MaxGroups: 40, MaxFollowers: 40})
 	for i := range 200 {
 		d.arrive(byte(i), 0, 2*time.Second)
 	}
 	for range 200 {
 		d.arrive(0, 0, 2*time.Second)
 	}
-	if c := d.table.Counts(); c.Groups > 21 || c.Waiting > 21 || c.Alone < 200 {
+	if c := d.table.Counts(); c.Groups > 21 || c.Waiting > 21 || c.NotCoalesced < 200 {
 		t.Fatalf("one desk has %+v", c)
 	}
-	if _, v := d.arrive(200, 1, 2*time.Second); v != Leads {
+	if _, v := d.arrive(200, 1, 2*time.Second); v != Leader {
 		t.Errorf("verdict %d for a quiet desk's own form", v)
 	}
 	for range 10 {
-		if _, v := d.arrive(0, 1, 2*time.Second); v != Waits {
+		if _, v := d.arrive(0, 1, 2*time.Second); v != Follower {
 			t.Errorf("verdict %d for a quiet desk", v)
 		}
 	}
--- a/internal/coalesce/decisions_test.go
+++ b/internal/coalesce/decisions_test.go
@@ -13,50 +13,50 @@
 // refused, failed, late or never ended, and callers that leave.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
-	classes := []Class{{Joined: true, Aim: 300e6, Deadline: time.Second}, {Aim: 300e6, Deadline: time.Second}, {Joined: true, Aim: 100e6, Deadline: 500e6}}
-	t := New[int](Options{Classes: classes, MostGroups: 20, MostWaiting: 9, Pause: 100 * time.Millisecond})
+	classes := []Class{{Coalesces: true, LatencyObjective: 300e6, Deadline: time.Second}, {LatencyObjective: 300e6, Deadline: time.Second}, {Coalesces: true, LatencyObjective: 100e6, Deadline: 500e6}}
+	t := New[int](Options{Classes: classes, MaxGroups: 20, MaxFollowers: 9, PauseAfterPrivate: 100 * time.Millisecond})
 	type flight struct {
 		f   *Flight[int]
 		at  time.Duration
-		end End
+		end Outcome
 	}
 	var flights []flight
 	var members []*Member[int]
 	now, id := time.Hour, 0
 	start := func(m *Member[int], slow int) {
 		f := m.Flight()
-		f.Work = m.Of
-		x := flight{f: f, at: now + rnd.Millis(20, 90)*time.Duration(slow), end: Served}
+		f.Payload = m.Owner
+		x := flight{f: f, at: now + rnd.Millis(20, 90)*time.Duration(slow), end: OutcomeServed}
 		switch y := rnd.Below(100); {
 		case y < 3:
-			x.end = Private
+			x.end = OutcomePrivate
 		case y < 8:
-			x.end, x.at = Refused, now+rnd.Millis(1, 5)
+			x.end, x.at = OutcomeRejected, now+rnd.Millis(1, 5)
 		case y < 16:
-			x.end = Failed
+			x.end = OutcomeFailed
 		case y < 24:
 			x.at = now + rnd.Millis(300, 1500)
 		case y < 26:
 			x.at = now + time.Hour // it has no end
 		}
-		if x.at > f.Until {
-			x.at, x.end = f.Until, Failed
+		if x.at > f.Deadline {
+			x.at, x.end = f.Deadline, OutcomeFailed
 		}
 		flights = append(flights, x)
 	}
 	changed := func(c Changes[int], slow int) {
-		for i, list := range [][]*Member[int]{c.Answered, c.Expired, c.Lead} {
+		for i, list := range [][]*Member[int]{c.Answered, c.Expired, c.NewLeaders} {
 			for _, m := range list {
-				tr.Add(now, i, m.Of, m.Flight() != nil)
+				tr.Add(now, i, m.Owner, m.Flight() != nil)
 				tr.Count([]string{"answered", "expired", "lead later"}[i])
 				if i == 2 {
-					tr.Add(m.Flight().Until)
+					tr.Add(m.Flight().Deadline)
 					start(m, slow)
 				}
 			}
 		}
-		for _, f := range c.Drop {
-			tr.Add(now, 3, f.Work, f.Until)
+		for _, f := range c.Abandoned {
+			tr.Add(now, 3, f.Payload, f.Deadline)
 			tr.Count("flights dropped")
 		}
 	}
@@ -66,8 +66,8 @@
 		if step/2000%2 == 1 {
 			slow = 4
 		}
-		for at, ok := t.Due(); ok && at <= now; at, ok = t.Due() {
-			changed(t.Fire(now), slow)
+		for at, ok := t.NextTimer(); ok && at <= now; at, ok = t.NextTimer() {
+			changed(t.HandleTimers(now), slow)
 		}
 		ended := []flight{}
 		rest := flights[:0:0]
@@ -80,25 +80,25 @@
 		}
 		flights = rest
 		for _, x := range ended {
-			changed(t.Ended(now, x.f, x.end), slow)
+			changed(t.Complete(now, x.f, x.end), slow)
 			tr.Count("ends of kind " + strconv.Itoa(int(x.end)))
 		}
 		for range rnd.Below(3 + step/3000%2*5) {
 			id++
-			a := Ask[int]{Of: id, Class: rnd.Below(4) - rnd.Below(2), Tenant: min(rnd.Below(4), rnd.Below(4)), Deadline: now + rnd.Millis(0, 700)}
+			a := Request[int]{Owner: id, Class: rnd.Below(4) - rnd.Below(2), Tenant: min(rnd.Below(4), rnd.Below(4)), Deadline: now + rnd.Millis(0, 700)}
 			what := rnd.Below(12)
 			if step/1000%4 == 3 {
 				what = rnd.Below(400) // so many that groups find no room
 			}
-			a.What = Digest{byte(what), byte(what >> 8)}
+			a.Digest = Digest{byte(what), byte(what >> 8)}
 			m, verdict := t.Arrive(now, a)
 			tr.Add(now, id, int(verdict), m == nil)
 			tr.Count("verdict " + strconv.Itoa(int(verdict)))
 			if m != nil {
 				members = append(members, m)
 			}
-			if verdict == Leads {
-				tr.Add(m.Flight().Until)
+			if verdict == Leader {
+				tr.Add(m.Flight().Deadline)
 				start(m, slow)
 			}
 		}
@@ -112,17 +112,17 @@
 		}
 		switch step {
 		case 7000:
-			classes = []Class{{Joined: true, Aim: 200e6, Deadline: time.Second}, {Joined: true, Aim: 300e6, Deadline: time.Second}, {Aim: 100e6, Deadline: 500e6}}
+			classes = []Class{{Coalesces: true, LatencyObjective: 200e6, Deadline: time.Second}, {Coalesces: true, LatencyObjective: 300e6, Deadline: time.Second}, {LatencyObjective: 100e6, Deadline: 500e6}}
 			t.Retune(classes)
 		case 9000:
-			t.Retune(append(classes, Class{Joined: true, Aim: 300e6, Deadline: time.Second}))
+			t.Retune(append(classes, Class{Coalesces: true, LatencyObjective: 300e6, Deadline: time.Second}))
 		}
 		if step%20 == 0 {
 			c := t.Counts()
-			at, ok := t.Due()
-			tr.Add(now, at, ok, c.Flights, c.Joined, c.Alone, c.Parted, c.Again, c.Private, c.Shared, c.Waiting, c.Groups)
-			tr.CountIf(c.Parted > 0, "looks after one has parted")
-			tr.CountIf(c.Again > 0, "looks after one has led again")
+			at, ok := t.NextTimer()
+			tr.Add(now, at, ok, c.Flights, c.Followers, c.NotCoalesced, c.LateFlights, c.NextFlights, c.Private, c.Shared, c.Waiting, c.Groups)
+			tr.CountIf(c.LateFlights > 0, "looks after one has parted")
+			tr.CountIf(c.NextFlights > 0, "looks after one has led again")
 			tr.CountIf(c.Private > 0, "looks after a private answer")
 			tr.CountIf(c.Shared > 0, "looks after a shared answer")
 			tr.CountIf(c.Groups >= 15, "looks at many groups")
--- a/internal/coalesce/identity.go
+++ b/internal/coalesce/identity.go
@@ -36,7 +36,7 @@
 	}}}, nil
 }
 
-// Of is the digest of a list of parts. Each counts with its length, so that no two lists share one by where the parts end.
+// Owner is the digest of a list of parts. Each counts with its length, so that no two lists share one by where the parts end.
 func (id *Identity) Of(parts ...string) (d Digest) {
 	h := id.hashes.Get().(hash.Hash)
 	defer id.hashes.Put(h)
--- a/internal/connlimit/places.go
+++ b/internal/connlimit/connlimit.go
@@ -18,11 +18,11 @@
 
 // Options say whom a Listener closes to make room, and whom not.
 type Options struct {
-	// Settled is how old a connection has to be: what it has to say may be on its way.
-	Settled time.Duration
-	// Patience is how long a connection that has brought no request yet may be silent, also in the midst of one, before it
+	// MinAge is how old a connection has to be: what it has to say may be on its way.
+	MinAge time.Duration
+	// FirstRequestTimeout is how long a connection that has brought no request yet may be silent, also in the midst of one, before it
 	// goes ahead of those between requests. 0: those that have said nothing go first, and those in the midst of a request last.
-	Patience time.Duration
+	FirstRequestTimeout time.Duration
 }
 
 // Listener is a listener that holds at most so many connections.
@@ -60,7 +60,7 @@
 // it must not be served here for an answer that can't be written any more.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.table.Patience > 0 {
+	if n > 0 && c.table.FirstRequestTimeout > 0 {
 		c.heard.Store(time.Now().UnixNano())
 	}
 	c.table.mu.Lock()
@@ -107,7 +107,7 @@
 	if f, ok := raw.(interface{ NetConn() net.Conn }); ok {
 		raw = f.NetConn()
 	}
-	return sockstate.Gone(raw)
+	return sockstate.HasPeerClosed(raw)
 }
 
 // Write notes that there is an answer, which a close must not take back.
@@ -149,8 +149,8 @@
 	return c, nil
 }
 
-// Shut ends each connection as soon as no request has begun on it: at once those that rest, the others behind their answers.
-func (t *Listener) Shut() {
+// Drain ends each connection as soon as no request has begun on it: at once those that rest, the others behind their answers.
+func (t *Listener) Drain() {
 	t.mu.Lock()
 	t.shut = true
 	var resting []*conn
@@ -166,8 +166,8 @@
 	}
 }
 
-// Limit changes how many connections it holds at most. Those that are open stay.
-func (t *Listener) Limit(most int) {
+// SetLimit changes how many connections it holds at most. Those that are open stay.
+func (t *Listener) SetLimit(most int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.most = most
@@ -181,8 +181,8 @@
 	return t.most
 }
 
-// Open is how many connections it holds.
-func (t *Listener) Open() int {
+// OpenCount is how many connections it holds.
+func (t *Listener) OpenCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.open)
@@ -192,8 +192,8 @@
 // for good leave places to others, who could not open any more.
 const crowdedPart = 0.4
 
-// Crowded reports whether answers should close their connections.
-func (t *Listener) Crowded() bool {
+// IsCrowded reports whether answers should close their connections.
+func (t *Listener) IsCrowded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return float64(len(t.open)) > crowdedPart*float64(t.most)
@@ -208,7 +208,7 @@
 			t.room.Wait()
 			continue
 		}
-		if young := t.Settled - time.Since(c.since); young > 0 {
+		if young := t.MinAge - time.Since(c.since); young > 0 {
 			t.mu.Unlock()
 			time.Sleep(young)
 			t.mu.Lock()
@@ -232,7 +232,7 @@
 			continue
 		}
 		silent := now.Sub(c.since)
-		if t.Patience > 0 {
+		if t.FirstRequestTimeout > 0 {
 			silent = min(silent, now.Sub(time.Unix(0, c.heard.Load())))
 		}
 		if rank := t.rank(c, silent); least == nil || rank < lowest || rank == lowest && silent > longest {
@@ -251,7 +251,7 @@
 		return 3
 	case c.use == unused && c.served:
 		return 1
-	case t.Patience > 0 && silent > t.Patience, t.Patience == 0 && c.use == unused:
+	case t.FirstRequestTimeout > 0 && silent > t.FirstRequestTimeout, t.FirstRequestTimeout == 0 && c.use == unused:
 		return 0
 	case c.use == unused:
 		return 2
@@ -323,8 +323,8 @@
 	return err
 }
 
-// Drop closes all connections at once, whatever is open on them.
-func (t *Listener) Drop() {
+// CloseAll closes all connections at once, whatever is open on them.
+func (t *Listener) CloseAll() {
 	t.mu.Lock()
 	left := make([]*conn, 0, len(t.open))
 	for c := range t.open {
@@ -399,9 +399,9 @@
 	return nil
 }
 
-// Ended reports whether the connection of a request has been ended before the request began: it is not to be served then, as
+// IsEnded reports whether the connection of a request has been ended before the request began: it is not to be served then, as
 // no answer can be written, and its client sends it once more.
-func Ended(ctx context.Context) bool {
+func IsEnded(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
 		return false
@@ -411,14 +411,14 @@
 	return c.ended
 }
 
-// Left reports whether the client of a request has closed its connection by now.
-func Left(ctx context.Context) bool {
+// HasClientLeft reports whether the client of a request has closed its connection by now.
+func HasClientLeft(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return ok && c.gone()
 }
 
-// Hold marks the connection of a request as in use. It is given back when net/http has written the answer.
-func Hold(ctx context.Context) {
+// MarkInUse marks the connection of a request as in use. It is given back when net/http has written the answer.
+func MarkInUse(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*conn); ok {
 		c.now(inUse)
 	}
--- a/internal/connlimit/places_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -78,7 +78,7 @@
 // those between requests, and ahead of one that has only just connected.
 func TestASlowClientStays(t *testing.T) {
 	const patience = 50 * time.Millisecond
-	table := listen(t, 4, Options{Patience: patience})
+	table := listen(t, 4, Options{FirstRequestTimeout: patience})
 	slow, far := table.accept()
 	ConnState(slow, http.StateActive)
 	stalled, _ := table.accept()
--- a/internal/connlimit/crossings_test.go
+++ b/internal/connlimit/crossings_test.go
@@ -48,7 +48,7 @@
 // be served, and its answer not be written.
 func TestARequestThatCrossesTheEndIsDropped(t *testing.T) {
 	for name, end := range map[string]func(listener){
-		"drain": func(l listener) { l.Shut() },
+		"drain": func(l listener) { l.Drain() },
 		"room":  func(l listener) { l.accept() },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -82,23 +82,23 @@
 	if n, err := c.Read(make([]byte, 100)); n != 5 || err != nil {
 		t.Fatal(n, err)
 	}
-	l.Shut()
+	l.Drain()
 	ctx := ConnContext(t.Context(), c)
-	if Ended(ctx) {
+	if IsEnded(ctx) {
 		t.Fatal("ended with half a request")
 	}
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Fatal(err)
 	}
 	ConnState(c, http.StateIdle)
-	if !Ended(ctx) || Ended(context.Background()) {
+	if !IsEnded(ctx) || IsEnded(context.Background()) {
 		t.Error("it rests and is not ended")
 	}
 	if all, err := io.ReadAll(far); string(all) != "answer" || err != nil {
 		t.Errorf("the client got %q, %v", all, err)
 	}
 	besteffort.Close(far)
-	agenttest.Eventually(t, "its place is free", func() bool { return l.Open() == 0 })
+	agenttest.Eventually(t, "its place is free", func() bool { return l.OpenCount() == 0 })
 }
 
 // A close over bytes that were not read does not reset the connection: the client reads its answer and a proper end. The place is
@@ -128,7 +128,7 @@
 				t.Errorf("the client got %q, %v", all, err)
 			}
 			client(far)
-			agenttest.Eventually(t, "its place is free", func() bool { return l.Open() == 0 })
+			agenttest.Eventually(t, "its place is free", func() bool { return l.OpenCount() == 0 })
 		})
 	}
 }
@@ -223,7 +223,7 @@
 				ready, began, left := make(chan struct{}), make(chan struct{}), make(chan struct{})
 				srv := &http.Server{ConnState: ConnState, ConnContext: ConnContext, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 					<-ready
-					Hold(r.Context())
+					MarkInUse(r.Context())
 					close(began)
 					<-r.Context().Done()
 					close(left)
@@ -282,11 +282,11 @@
 	if _, err := far.Write(make([]byte, 8<<10)); err != nil {
 		t.Fatal(err)
 	}
-	if Left(ctx) {
+	if HasClientLeft(ctx) {
 		t.Error("it has left while it waits")
 	}
 	besteffort.Close(far)
-	agenttest.Eventually(t, "it has left", func() bool { return Left(ctx) })
+	agenttest.Eventually(t, "it has left", func() bool { return HasClientLeft(ctx) })
 }
 
 // What is done for a connection ends with it, and so does looking whether its client has gone, in either order.
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -100,7 +100,7 @@
 	if !s.drain(limited, s.AcceptFor+max(0, longest-usually)) {
 		s.Log.Warn("drained, but some connections were still open")
 	}
-	s.clients.Drop()
+	s.clients.CloseAll()
 	besteffort.Close(srv)
 	besteffort.Ignore(<-failed)
 	s.Log.Info("drained")
@@ -131,10 +131,10 @@
 // ServeHTTP gives each request its one answer.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := s.Clock.Now()
-	if connlimit.Ended(r.Context()) { // its close and this request have crossed: it was not sent on, and its client sends it once more
+	if connlimit.IsEnded(r.Context()) { // its close and this request have crossed: it was not sent on, and its client sends it once more
 		panic(http.ErrAbortHandler)
 	}
-	if s.closing.Load() || !s.leaving.Load() && s.clients.Crowded() {
+	if s.closing.Load() || !s.leaving.Load() && s.clients.IsCrowded() {
 		w.Header().Set("Connection", "close")
 	}
 	if s.Large != nil {
@@ -166,7 +166,7 @@
 			c.Deadline = min(c.Deadline, until)
 		}
 	}
-	connlimit.Hold(r.Context())
+	connlimit.MarkInUse(r.Context())
 	defer s.held.Add(-1)
 	if s.full(s.held.Add(1)) { // nothing was sent yet, so a refusal's promise holds
 		s.refuse(w, c, up != nil)
@@ -174,7 +174,7 @@
 	}
 	waits := newCaller()
 	c.Caller = waits
-	if connlimit.Left(r.Context()) { // while the request lay unread: nothing begins for who has gone
+	if connlimit.HasClientLeft(r.Context()) { // while the request lay unread: nothing begins for who has gone
 		panic(http.ErrAbortHandler)
 	}
 	s.Engine.Arrive(c)
@@ -292,7 +292,7 @@
 	}
 	var body []byte
 	if s.Large != nil {
-		connlimit.Hold(r.Context()) // as long as it keeps its pace
+		connlimit.MarkInUse(r.Context()) // as long as it keeps its pace
 		if body, up, release, err = s.Large.take(w, r, timeout); err == nil {
 			c.Deadline += s.Clock.Now() - began // a request's time counts from its last byte
 		}
@@ -381,7 +381,7 @@
 	s.await(ctx, func() bool {
 		gone := s.Clock.Now() - began
 		s.closing.Store(s.closing.Load() || gone >= wait-lastAnswers)
-		return gone >= wait || gone >= s.AcceptFor && s.clients.Open() == 0
+		return gone >= wait || gone >= s.AcceptFor && s.clients.OpenCount() == 0
 	})
 }
 
@@ -414,6 +414,6 @@
 	s.lameDuck(ctx, wait)
 	s.closing.Store(true)
 	besteffort.Close(s.clients)
-	s.clients.Shut() // not net/http's Shutdown, which closes what is idle also in the moment in which it brings a request
-	return s.await(ctx, func() bool { return s.clients.Open() == 0 })
+	s.clients.Drain() // not net/http's Shutdown, which closes what is idle also in the moment in which it brings a request
+	return s.await(ctx, func() bool { return s.clients.OpenCount() == 0 })
 }
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Shut()
+	l.Drain()
 	s := New(Options{Clock: engine.NewClock()}, l) // with no engine: one that is asked is a panic of another kind
 	defer func() {
 		if err := recover(); err != http.ErrAbortHandler {
@@ -87,7 +87,7 @@
 	defer besteffort.Close(raw)
 	ctx := connlimit.ConnContext(t.Context(), raw)
 	besteffort.Close(far)
-	agenttest.Eventually(t, "the close has come", func() bool { return connlimit.Left(ctx) })
+	agenttest.Eventually(t, "the close has come", func() bool { return connlimit.HasClientLeft(ctx) })
 	defer func() {
 		if err := recover(); err != http.ErrAbortHandler {
 			t.Errorf("%v", err)
--- a/internal/engine/chooser.go
+++ b/internal/engine/chooser.go
@@ -170,7 +170,7 @@
 	if c.carried == 0 && !c.closed.Load() {
 		c.closed.Store(true)
 		e.cameToNothing(c)
-		e.passed(c, admission.Left)
+		e.passed(c, admission.OutcomeCanceled)
 		e.decide(balancer.ClientGone{Request: c.ID})
 		e.forget(c)
 	}
--- a/internal/engine/door.go
+++ b/internal/engine/door.go
@@ -11,9 +11,9 @@
 // Door says which calls are let in to the module.
 type Door interface {
 	// Arrive lets a call in, or turns it away, which promises that trying again is harmless.
-	Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal)
+	Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection)
 	// Done tells how one ended that was let in.
-	Done(now time.Duration, p *admission.Pass, end admission.End)
+	Done(now time.Duration, p *admission.Permit, end admission.Outcome)
 	Counts() admission.Counts
 }
 
@@ -28,13 +28,13 @@
 	if e.door == nil {
 		return true
 	}
-	a := admission.Ask{Class: c.Class, Tenant: c.Tenant, Key: c.RepeatKey, Again: c.Again, Bound: c.Try > 1 || c.before.May, Deadline: c.Deadline}
+	a := admission.Request{Class: c.Class, Tenant: c.Tenant, Key: c.RepeatKey, IsRetry: c.Again, MayHaveRun: c.Try > 1 || c.before.May, Deadline: c.Deadline}
 	if a.Key == "" && c.Effect == balancer.Safe && c.Key != "" {
 		a.Key = strconv.Itoa(c.Class) + " " + strconv.Itoa(c.Tenant) + " " + c.Key
 	}
 	p, told := e.door.Arrive(e.clock.Now(), a)
 	if p == nil {
-		e.finish(c, Answer{Kind: Refused, RetryAfter: told.After, Limit: told.Limit})
+		e.finish(c, Answer{Kind: Refused, RetryAfter: told.RetryAfter, Limit: told.Limit})
 		return false
 	}
 	c.pass = p
@@ -45,7 +45,7 @@
 }
 
 // passed tells the door how a call ended.
-func (e *Engine) passed(c *Call, end admission.End) {
+func (e *Engine) passed(c *Call, end admission.Outcome) {
 	if c.pass != nil {
 		e.door.Done(e.clock.Now(), c.pass, end)
 		c.pass = nil
@@ -53,4 +53,4 @@
 }
 
 // ends are the door's, by the kinds of answers.
-var ends = [...]admission.End{Served: admission.Served, Refused: admission.Refused, Failed: admission.Failed, Conflict: admission.Left}
+var ends = [...]admission.Outcome{Served: admission.OutcomeServed, Refused: admission.OutcomeRejected, Failed: admission.OutcomeFailed, Conflict: admission.OutcomeCanceled}
--- a/internal/engine/door_test.go
+++ b/internal/engine/door_test.go
@@ -15,18 +15,18 @@
 // keeper is a door that keeps what it is told, and turns away what is not bound when it is shut.
 type keeper struct {
 	shut  bool
-	asked []admission.Ask
-	ends  []admission.End
+	asked []admission.Request
+	ends  []admission.Outcome
 }
 
-func (k *keeper) Arrive(_ time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
+func (k *keeper) Arrive(_ time.Duration, a admission.Request) (*admission.Permit, admission.Rejection) {
 	k.asked = append(k.asked, a)
-	if k.shut && !a.Bound {
-		return nil, admission.Refusal{After: time.Second, Limit: 7}
+	if k.shut && !a.MayHaveRun {
+		return nil, admission.Rejection{RetryAfter: time.Second, Limit: 7}
 	}
-	return &admission.Pass{}, admission.Refusal{}
+	return &admission.Permit{}, admission.Rejection{}
 }
-func (k *keeper) Done(_ time.Duration, _ *admission.Pass, end admission.End) {
+func (k *keeper) Done(_ time.Duration, _ *admission.Permit, end admission.Outcome) {
 	k.ends = append(k.ends, end)
 }
 func (k *keeper) Counts() admission.Counts { return admission.Counts{} }
@@ -66,7 +66,7 @@
 	e.Step(clientLeft{left})
 	failed, _ := call("failed", 0)
 	e.Step(Outcome{Attempt: s.attempts[2], Result: balancer.Reset, Report: balancer.NoReport})
-	if want := []admission.End{admission.Served, admission.Left, admission.Failed}; !slices.Equal(k.ends, want) || len(*heard) != 1 || !served.Closed() || !failed.Closed() {
+	if want := []admission.Outcome{admission.OutcomeServed, admission.OutcomeCanceled, admission.OutcomeFailed}; !slices.Equal(k.ends, want) || len(*heard) != 1 || !served.Closed() || !failed.Closed() {
 		t.Errorf("the door was told %v, want %v", k.ends, want)
 	}
 	k.shut = true
@@ -75,7 +75,7 @@
 		t.Errorf("turned away with %+v after %d attempts", *heard, len(s.attempts))
 	}
 	call("again", 2)
-	if last := k.asked[len(k.asked)-1]; !last.Bound || last.Key != "key-again" || len(s.attempts) != 4 {
+	if last := k.asked[len(k.asked)-1]; !last.MayHaveRun || last.Key != "key-again" || len(s.attempts) != 4 {
 		t.Errorf("a further try: %+v, %d attempts", last, len(s.attempts))
 	}
 	if l := len(e.calls); l != 2 { // the one that left is out still, and the last
@@ -151,8 +151,8 @@
 // Those that wait for one answer together get their last words one by one: their flight goes on for those that are left.
 func TestLastWordOfJoined(t *testing.T) {
 	x := newTied(t, func(x *tiedEngine) {
-		class := coalesce.Class{Joined: true, Aim: deadline, Deadline: deadline}
-		x.Join(coalesce.Options{Classes: []coalesce.Class{class, {}, {}}, MostGroups: 4, MostWaiting: 4, Pause: time.Second}, 0)
+		class := coalesce.Class{Coalesces: true, LatencyObjective: deadline, Deadline: deadline}
+		x.Join(coalesce.Options{Classes: []coalesce.Class{class, {}, {}}, MaxGroups: 4, MaxFollowers: 4, PauseAfterPrivate: time.Second}, 0)
 	})
 	calls, heard := make([]*Call, 3), make([]ear, 3)
 	for i := range calls {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -59,10 +59,10 @@
 	carried    int           // attempts that ended and had been handed over
 	last       *Attempt      // the latest attempt of a chooser's call
 	member     *coalesce.Member[*Call]
-	pass       *admission.Pass // of one that a door let in
-	began      time.Duration   // when the engine was told of it
-	counted    bool            // the tally has it as open
-	flies      bool            // it is a flight of joined calls, and nobody's own
+	pass       *admission.Permit // of one that a door let in
+	began      time.Duration     // when the engine was told of it
+	counted    bool              // the tally has it as open
+	flies      bool              // it is a flight of joined calls, and nobody's own
 	bound      generation.Bound
 	key        affinity.Key    // of a keyed call, where ties are kept
 	before     balancer.Before // what may have run of it under another id
@@ -396,7 +396,7 @@
 		at, ok = e.timers[0].due, true
 	}
 	if e.joins != nil {
-		if due, is := e.joins.table.Due(); is && (!ok || due < at) {
+		if due, is := e.joins.table.NextTimer(); is && (!ok || due < at) {
 			at, ok = due, true
 		}
 	}
@@ -536,7 +536,7 @@
 		e.leave(c)
 		return
 	}
-	e.passed(c, admission.Left)
+	e.passed(c, admission.OutcomeCanceled)
 	e.unbind(c, generation.Left)
 	e.decide(balancer.ClientGone{Request: c.ID})
 	e.forget(c)
--- a/internal/engine/governed.go
+++ b/internal/engine/governed.go
@@ -90,8 +90,8 @@
 func (c *Call) among() []string {
 	pool := c.bound.Servers()
 	switch {
-	case c.pass != nil && c.pass.Among != nil && pool == nil && c.Among == nil && !c.before.May:
-		return c.pass.Among
+	case c.pass != nil && c.pass.Endpoints != nil && pool == nil && c.Among == nil && !c.before.May:
+		return c.pass.Endpoints
 	case pool == nil, c.before.May: // what may have run goes to its pod, whatever the configuration makes of others
 		return c.Among
 	case c.Among == nil:
--- a/internal/engine/joins.go
+++ b/internal/engine/joins.go
@@ -33,14 +33,14 @@
 	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Safe || c.bound.Servers() != nil {
 		return false // what is bound to a pool asks of other servers than what is not
 	}
-	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Ask[*Call]{Of: c, What: *c.Like, Class: c.Class, Tenant: c.Tenant,
+	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Request[*Call]{Owner: c, Digest: *c.Like, Class: c.Class, Tenant: c.Tenant,
 		Deadline: c.Deadline})
-	if verdict == coalesce.Alone {
+	if verdict == coalesce.NotCoalesced {
 		return false
 	}
 	c.member = m
 	e.calls[c.ID] = c // a second one under its id is a conflict, as ever
-	if verdict == coalesce.Leads {
+	if verdict == coalesce.Leader {
 		e.lead(c)
 	}
 	return true
@@ -49,9 +49,9 @@
 // lead starts the flight that a member leads.
 func (e *Engine) lead(c *Call) {
 	f := c.member.Flight()
-	f.Work = &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: f.Until, Again: c.Again,
+	f.Payload = &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: f.Deadline, Again: c.Again,
 		Payload: c.Payload, Carrier: c.Carrier, Settings: c.Settings, Attempts: c.Attempts, Caller: flight{e.joins, f}, flies: true}
-	e.ask(f.Work)
+	e.ask(f.Payload)
 }
 
 // flight is the Caller of a flight. Its answer is settled when the module's actions are carried out: settling asks the
@@ -76,29 +76,29 @@
 		if len(j.landed) > 0 {
 			l := j.landed[0]
 			j.landed = j.landed[1:]
-			e.carryOut(j.table.Ended(e.clock.Now(), l.flight, endOf(l.answer)), l.answer)
+			e.carryOut(j.table.Complete(e.clock.Now(), l.flight, endOf(l.answer)), l.answer)
 			continue
 		}
 		j.landed = nil
-		due, ok := j.table.Due()
+		due, ok := j.table.NextTimer()
 		if now := e.clock.Now(); ok && due <= now {
-			e.carryOut(j.table.Fire(now), Answer{})
+			e.carryOut(j.table.HandleTimers(now), Answer{})
 			continue
 		}
 		return
 	}
 }
 
-func endOf(a Answer) coalesce.End {
+func endOf(a Answer) coalesce.Outcome {
 	switch {
 	case a.Kind == Served && a.Private:
-		return coalesce.Private
+		return coalesce.OutcomePrivate
 	case a.Kind == Served:
-		return coalesce.Served
+		return coalesce.OutcomeServed
 	case a.Kind == Refused:
-		return coalesce.Refused
+		return coalesce.OutcomeRejected
 	}
-	return coalesce.Failed
+	return coalesce.OutcomeFailed
 }
 
 // carryOut does what the table says; answer is that of the flight, if one has landed.
@@ -107,19 +107,19 @@
 		discard(answer.Payload)
 	}
 	for _, m := range c.Answered {
-		e.finish(m.Of, answer)
+		e.finish(m.Owner, answer)
 	}
 	for _, m := range c.Expired { // only calls that may be repeated at will are joined: trying again is harmless
-		e.finish(m.Of, Answer{Kind: Refused, RetryAfter: e.joins.after})
+		e.finish(m.Owner, Answer{Kind: Refused, RetryAfter: e.joins.after})
 	}
-	for _, f := range c.Drop { // nobody waits for it, as if its client had left
-		if !f.Work.closed.Swap(true) {
-			e.passed(f.Work, admission.Left)
-			e.decide(balancer.ClientGone{Request: f.Work.ID})
-			e.forget(f.Work)
+	for _, f := range c.Abandoned { // nobody waits for it, as if its client had left
+		if !f.Payload.closed.Swap(true) {
+			e.passed(f.Payload, admission.OutcomeCanceled)
+			e.decide(balancer.ClientGone{Request: f.Payload.ID})
+			e.forget(f.Payload)
 		}
 	}
-	for _, m := range c.Lead {
-		e.lead(m.Of)
+	for _, m := range c.NewLeaders {
+		e.lead(m.Owner)
 	}
 }
--- a/internal/fleet/overload/decisions_test.go
+++ b/internal/fleet/overload/decisions_test.go
@@ -22,7 +22,7 @@
 
 type traceCall struct {
 	door    int
-	p       *admission.Pass
+	p       *admission.Permit
 	server  *traceServer
 	class   int
 	tenant  int
@@ -43,12 +43,12 @@
 // much asked, then servers that hang or break, an agent that is gone, one that tells nonsense, and calm again.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(2000), golden.Random(seed)
-	classes := []admission.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
+	classes := []admission.Class{{Priority: 1, LatencyObjective: 300e6, Idempotent: true}, {Priority: 10, LatencyObjective: 400e6}, {Priority: 4, LatencyObjective: 300e6, Idempotent: true}}
 	shares := []float64{0.2, 0.3, 0.5}
 	alive := []bool{true, true, true, true}
 	var doors []*Door
 	for i := range 4 {
-		watch := admission.New(admission.Options{Classes: classes, Shares: shares, MaxAfter: time.Second, Remember: 200, Seed: uint64(seed*10 + i)})
+		watch := admission.New(admission.Options{Classes: classes, Quotas: shares, MaxRetryAfter: time.Second, MaxRemembered: 200, Seed: uint64(seed*10 + i)})
 		d := New(Options{Self: 0, Agents: 1, Classes: classes, Shares: shares, MaxAfter: time.Second, Seed: uint64(seed*10 + i)}, watch)
 		d.Among(i, 4)
 		d.Lives(alive)
@@ -87,20 +87,20 @@
 		calls = append(calls, c)
 	}
 	ask := func(c traceCall) {
-		a := admission.Ask{Class: c.class, Tenant: c.tenant, Key: c.key, Again: c.tries > 0 && rnd.Chance(0.3), Bound: rnd.Chance(0.01), Deadline: now + rnd.Millis(50, 900)}
+		a := admission.Request{Class: c.class, Tenant: c.tenant, Key: c.key, IsRetry: c.tries > 0 && rnd.Chance(0.3), MayHaveRun: rnd.Chance(0.01), Deadline: now + rnd.Millis(50, 900)}
 		p, refusal := doors[c.door].Arrive(now, a)
-		tr.Add(now, c.door, p == nil, refusal.After, refusal.Limit, refusal.Repeat)
+		tr.Add(now, c.door, p == nil, refusal.RetryAfter, refusal.Limit, refusal.IsRetry)
 		tr.CountIf(p == nil, "turned away")
 		if p == nil {
 			if c.tries++; c.tries < 3 {
-				c.at = now + refusal.After + rnd.Millis(1, 50)
+				c.at = now + refusal.RetryAfter + rnd.Millis(1, 50)
 				c.door = rnd.Below(4)
 				again = append(again, c)
 			}
 			return
 		}
-		_, _, by := p.Ended(now)
-		tr.Add(p.Repeat, p.Bound, int(by))
+		_, _, by := p.Completion(now)
+		tr.Add(p.IsRetry, p.MayHaveRun, int(by))
 		tr.Count("let in on account " + strconv.Itoa(int(by)))
 		c.p = p
 		send(c)
@@ -139,7 +139,7 @@
 				traceBody{from: 1, to: 1, body: b.append(nil), at: now})
 		case 3700:
 			for _, d := range doors {
-				d.Retune(append(slices.Clone(classes), admission.Class{Worth: 2, Aim: 200e6}))
+				d.Retune(append(slices.Clone(classes), admission.Class{Priority: 2, LatencyObjective: 200e6}))
 			}
 		}
 		rest := bodies[:0:0]
@@ -174,16 +174,16 @@
 			tr.Count("ends of result " + strconv.Itoa(int(c.result)))
 			switch {
 			case c.result == balancer.OK:
-				d.Done(now, c.p, admission.Served)
+				d.Done(now, c.p, admission.OutcomeServed)
 			case !c.further && d.MayRetry(now):
 				tr.Count("further attempts")
 				tr.Add(now, "further")
 				c.further = true
 				send(c)
 			case c.result == balancer.Rejected:
-				d.Done(now, c.p, admission.Refused)
+				d.Done(now, c.p, admission.OutcomeRejected)
 			default:
-				d.Done(now, c.p, admission.Failed)
+				d.Done(now, c.p, admission.OutcomeFailed)
 			}
 		}
 		due := []traceCall{}
--- a/internal/fleet/overload/door.go
+++ b/internal/fleet/overload/door.go
@@ -69,7 +69,7 @@
 type Door struct {
 	set     Options
 	rng     *rand.Rand
-	alone   *admission.Watch
+	alone   *admission.Controller
 	picture *Picture
 	order   []int // classes by worth
 	ids     map[uint32]string
@@ -108,7 +108,7 @@
 }
 
 // New returns a Door before an agent's own watch.
-func New(o Options, alone *admission.Watch) *Door {
+func New(o Options, alone *admission.Controller) *Door {
 	d := &Door{set: o, rng: rand.New(rand.NewPCG(o.Seed, 9)), alone: alone, ids: map[uint32]string{}, ready: map[uint32]bool{}, gain: 1}
 	if n := len(o.Shares); n > MostTenants { // those behind are one, as digests have them
 		d.set.Shares = slices.Clone(o.Shares[:MostTenants])
@@ -144,7 +144,7 @@
 	for i := range min(len(classes), MostClasses) {
 		d.order = append(d.order, i)
 	}
-	slices.SortStableFunc(d.order, func(a, b int) int { return cmp.Compare(classes[b].Worth, classes[a].Worth) })
+	slices.SortStableFunc(d.order, func(a, b int) int { return cmp.Compare(classes[b].Priority, classes[a].Priority) })
 	d.plan = plan{}
 }
 
@@ -152,10 +152,10 @@
 func kind(i, kinds int) int { return min(max(i, 0), kinds-1) }
 
 // Arrive is of engine.Door.
-func (d *Door) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
+func (d *Door) Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection) {
 	pass, refusal := d.alone.Arrive(now, a)
 	// Of a class that may be repeated at will many ask for the same: there the key tells no repeat for certain.
-	repeat := a.Again || !d.set.Classes[a.Class].Safe && (pass != nil && pass.Repeat || refusal.Repeat)
+	repeat := a.IsRetry || !d.set.Classes[a.Class].Idempotent && (pass != nil && pass.IsRetry || refusal.IsRetry)
 	d.look(now)
 	lot := d.lot(now, a)
 	d.own.asked(now, kind(a.Class, d.picture.classes), a.Tenant, repeat, lot, d.plan.chance(kind(a.Class, d.picture.classes), a.Tenant, false))
@@ -165,23 +165,23 @@
 		}
 		return pass, refusal
 	}
-	bound := a.Bound || pass != nil && pass.Bound // its own watch never refuses one of which it knows that it may have run
+	bound := a.MayHaveRun || pass != nil && pass.MayHaveRun // its own watch never refuses one of which it knows that it may have run
 	if !bound && d.refuses(now, a, repeat, lot) {
 		if pass != nil { // it is not the agent's own watch that lets it in
-			d.alone.Withdraw(now, pass)
+			d.alone.Revoke(now, pass)
 		}
 		n := 0
 		if repeat {
 			n = 1
 		}
 		d.counts.Refused[a.Class][n]++
-		return nil, admission.Refusal{After: d.after(), Repeat: repeat} // its limit is the fleet's, and a rate: no header of a client's says that
+		return nil, admission.Rejection{RetryAfter: d.after(), IsRetry: repeat} // its limit is the fleet's, and a rate: no header of a client's says that
 	}
 	d.letIn(now)
 	if pass == nil {
-		pass = admission.NewPass(now, a, admission.ByFleet)
+		pass = admission.NewPermit(now, a, admission.IssuedByFleet)
 	}
-	return pass, admission.Refusal{}
+	return pass, admission.Rejection{}
 }
 
 func (d *Door) digest(now time.Duration) Digest { return d.own.digest(now, d.set.Self, d.open) }
@@ -193,7 +193,7 @@
 
 // lot is what a request draws, from 0 to 1. One that comes again draws the same for a while, so that what was refused is refused again and
 // costs nobody a place in vain, as by then it would be late (after DAGOR's user-level priorities; H. Zhou and others, 2018).
-func (d *Door) lot(now time.Duration, a admission.Ask) float64 {
+func (d *Door) lot(now time.Duration, a admission.Request) float64 {
 	if a.Key == "" {
 		return d.rng.Float64()
 	}
@@ -210,7 +210,7 @@
 }
 
 // refuses reports whether a request is refused: the fleet has no room for its kind, or it can't be answered in time any more.
-func (d *Door) refuses(now time.Duration, a admission.Ask, repeat bool, lot float64) bool {
+func (d *Door) refuses(now time.Duration, a admission.Request, repeat bool, lot float64) bool {
 	chance := d.plan.chance(kind(a.Class, d.picture.classes), a.Tenant, repeat)
 	if chance >= 1 || lot < chance && !d.alone.TooLate(now, a) {
 		return false
@@ -228,21 +228,21 @@
 }
 
 // Done is of engine.Door.
-func (d *Door) Done(now time.Duration, p *admission.Pass, end admission.End) {
-	class, took, by := p.Ended(now)
+func (d *Door) Done(now time.Duration, p *admission.Permit, end admission.Outcome) {
+	class, took, by := p.Completion(now)
 	d.open = max(0, d.open-1)
-	if by == admission.ByWatch {
+	if by == admission.IssuedByController {
 		d.alone.Done(now, p, end)
 	} else {
-		d.alone.Elsewhere(now, p, end)
+		d.alone.ObserveExternal(now, p, end)
 	}
 	fade := math.Exp(-float64(now-d.endedAt) / float64(proofFor))
 	d.inTime, d.late, d.endedAt = d.inTime*fade, d.late*fade, now
 	switch {
-	case end == admission.Served && took <= d.set.Classes[class].Aim:
+	case end == admission.OutcomeServed && took <= d.set.Classes[class].LatencyObjective:
 		d.inTime++
 		d.own.good.add(now, 1)
-	case end == admission.Served || end == admission.Failed:
+	case end == admission.OutcomeServed || end == admission.OutcomeFailed:
 		d.late++
 		d.own.late.add(now, 1)
 	}
--- a/internal/fleet/overload/plan.go
+++ b/internal/fleet/overload/plan.go
@@ -76,7 +76,7 @@
 		all += asked.First[c] + asked.Again[c]
 	}
 	// What waits at servers beyond what is usual is worked off first.
-	waits := max(0, asked.Open-p.limit*openTime*d.set.Classes[d.order[0]].Aim.Seconds())
+	waits := max(0, asked.Open-p.limit*openTime*d.set.Classes[d.order[0]].LatencyObjective.Seconds())
 	left := max(leastPart*p.limit, p.limit-asked.Extra-waits/drainIn.Seconds())
 	if all <= left || capacity == 0 {
 		return p
--- a/internal/fleet/overload/share_test.go
+++ b/internal/fleet/overload/share_test.go
@@ -15,12 +15,12 @@
 	"appleledge/internal/besteffort"
 )
 
-var classes = []admission.Class{{Worth: 2, Aim: 600 * time.Millisecond, Safe: true}, {Worth: 10, Aim: 600 * time.Millisecond}}
+var classes = []admission.Class{{Priority: 2, LatencyObjective: 600 * time.Millisecond, Idempotent: true}, {Priority: 10, LatencyObjective: 600 * time.Millisecond}}
 
 const check, refund = 0, 1
 
-func watch(seed uint64) *admission.Watch {
-	return admission.New(admission.Options{Classes: classes, MaxAfter: time.Second, Remember: 100, Seed: seed})
+func watch(seed uint64) *admission.Controller {
+	return admission.New(admission.Options{Classes: classes, MaxRetryAfter: time.Second, MaxRemembered: 100, Seed: seed})
 }
 
 func door(agents int) *Door {
@@ -162,7 +162,7 @@
 			t.Fatalf("%v are let in, over the limit of %v", letIn, p.limit)
 		}
 		for i := range 50 {
-			a := admission.Ask{Class: check, Tenant: i % 2, Key: fmt.Sprint(i), Deadline: start + 2*time.Second}
+			a := admission.Request{Class: check, Tenant: i % 2, Key: fmt.Sprint(i), Deadline: start + 2*time.Second}
 			if d.refuses(start, a, false, d.lot(start, a)) {
 				if !d.refuses(start+time.Second, a, true, d.lot(start+time.Second, a)) {
 					t.Fatal("what was refused is let in when it comes again")
@@ -293,11 +293,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d, alone := door(10), watch(2)
 		now := start
-		type both struct{ a, b *admission.Pass }
+		type both struct{ a, b *admission.Permit }
 		var open []both
 		for i := range 300 {
 			now += time.Duration(rapid.IntRange(1, 30).Draw(t, "ms")) * time.Millisecond
-			a := admission.Ask{Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Key: fmt.Sprint(i % 90), Again: i%7 == 0, Deadline: now + 2*time.Second}
+			a := admission.Request{Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Key: fmt.Sprint(i % 90), IsRetry: i%7 == 0, Deadline: now + 2*time.Second}
 			p, _ := d.Arrive(now, a)
 			q, _ := alone.Arrive(now, a)
 			if (p == nil) != (q == nil) {
@@ -307,7 +307,7 @@
 				open = append(open, both{p, q})
 			}
 			if len(open) > 5 {
-				end := admission.End(rapid.IntRange(0, 2).Draw(t, "end"))
+				end := admission.Outcome(rapid.IntRange(0, 2).Draw(t, "end"))
 				d.Done(now, open[0].a, end)
 				alone.Done(now, open[0].b, end)
 				open = open[1:]
@@ -475,20 +475,20 @@
 			now := start - 8*time.Second
 			for i := range 400 {
 				now += 20 * time.Millisecond
-				if p, _ := d.alone.Arrive(now, admission.Ask{Class: check, Tenant: -1, Key: fmt.Sprint("other-", i), Deadline: now + time.Second}); p != nil {
-					d.alone.Done(now, p, admission.Failed)
+				if p, _ := d.alone.Arrive(now, admission.Request{Class: check, Tenant: -1, Key: fmt.Sprint("other-", i), Deadline: now + time.Second}); p != nil {
+					d.alone.Done(now, p, admission.OutcomeFailed)
 				}
 			}
 		}
-		ask := admission.Ask{Class: refund, Tenant: 0, Key: "refund", Deadline: start + 2*time.Second}
+		ask := admission.Request{Class: refund, Tenant: 0, Key: "refund", Deadline: start + 2*time.Second}
 		p, _ := d.Arrive(start, ask)
 		if p == nil {
 			t.Fatalf("%s: it is refused at first", c.name)
 		}
-		if _, _, by := p.Ended(start); (by == admission.ByFleet) != c.storm {
+		if _, _, by := p.Completion(start); (by == admission.IssuedByFleet) != c.storm {
 			t.Fatalf("%s: door %d has let it in", c.name, by)
 		}
-		d.Done(start+100*time.Millisecond, p, admission.Failed)
+		d.Done(start+100*time.Millisecond, p, admission.OutcomeFailed)
 		for agent := range 2 { // and now much more is asked than there is room for
 			d.picture.digests[agent+1].at = 0
 			d.picture.take(start, agent+1, Body{Digests: []Digest{digest(agent+1, 4000, 4000)}})
@@ -496,11 +496,11 @@
 		settle(d, start+200*time.Millisecond)
 		refused := 0
 		for i := range 50 {
-			if p, _ := d.Arrive(start+200*time.Millisecond, admission.Ask{Class: refund, Tenant: 0, Key: fmt.Sprint("new-", i), Deadline: start + 2*time.Second}); p == nil {
+			if p, _ := d.Arrive(start+200*time.Millisecond, admission.Request{Class: refund, Tenant: 0, Key: fmt.Sprint("new-", i), Deadline: start + 2*time.Second}); p == nil {
 				refused++
 			}
 		}
-		ask.Again = true
+		ask.IsRetry = true
 		if p, _ := d.Arrive(start+200*time.Millisecond, ask); p == nil || refused == 0 {
 			t.Errorf("%s: a repeat of what may have run is refused, as %d of 50 new ones are", c.name, refused)
 		}
--- a/internal/fleet/recovery/decisions_test.go
+++ b/internal/fleet/recovery/decisions_test.go
@@ -21,10 +21,10 @@
 }
 
 type traceTry struct {
-	p   *admission.Pass
+	p   *admission.Permit
 	pod *tracePod
 	at  time.Duration
-	end admission.End
+	end admission.Outcome
 }
 
 // decisionTrace is a toy fleet of twelve pods that loses its power, comes back pod by pod, restarts as a whole, and is met by an agent
@@ -33,11 +33,11 @@
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
 	classes := []Class{{Name: "a", Worth: 1, Aim: 300e6, Safe: true}, {Name: "b", Worth: 10, Aim: 400e6}, {Name: "c", Worth: 4, Aim: 300e6, Safe: true}}
-	watched := []admission.Class{{Worth: 1, Aim: 300e6, Safe: true}, {Worth: 10, Aim: 400e6}, {Worth: 4, Aim: 300e6, Safe: true}}
+	watched := []admission.Class{{Priority: 1, LatencyObjective: 300e6, Idempotent: true}, {Priority: 10, LatencyObjective: 400e6}, {Priority: 4, LatencyObjective: 300e6, Idempotent: true}}
 	make := func(askFor time.Duration) *Recovery {
 		var behind Door
 		if seed > 1 {
-			behind = admission.New(admission.Options{Classes: watched, MaxAfter: time.Second, Remember: 100, Seed: uint64(seed)})
+			behind = admission.New(admission.Options{Classes: watched, MaxRetryAfter: time.Second, MaxRemembered: 100, Seed: uint64(seed)})
 		}
 		return New(Options{Classes: classes, Agents: 3, Self: 1, ColdFrom: 0.25, ColdFor: 4 * time.Second, Overload: float64(seed % 3 * 2),
 			MaxAfter: time.Second, AskFor: askFor, Seed: uint64(seed)}, behind)
@@ -56,35 +56,35 @@
 	var out []traceTry
 	refused := map[int]bool{}
 	ask := func() {
-		a := admission.Ask{Class: rnd.Below(3), Tenant: -1, Again: rnd.Chance(0.2), Bound: rnd.Chance(0.02), Deadline: now + time.Second}
+		a := admission.Request{Class: rnd.Below(3), Tenant: -1, IsRetry: rnd.Chance(0.2), MayHaveRun: rnd.Chance(0.02), Deadline: now + time.Second}
 		if rnd.Chance(0.5) {
 			a.Key = "k" + strconv.Itoa(rnd.Below(500))
 		}
 		p, refusal := r.Arrive(now, a)
-		tr.Add(now, p == nil, refusal.After, refusal.Limit, refusal.Repeat)
+		tr.Add(now, p == nil, refusal.RetryAfter, refusal.Limit, refusal.IsRetry)
 		if p == nil {
 			refused[a.Class] = true
 			tr.Count("turned away")
 			return
 		}
-		_, _, by := p.Ended(now)
-		tr.Add(p.Among, p.Repeat, p.Bound, int(by))
+		_, _, by := p.Completion(now)
+		tr.Add(p.Endpoints, p.IsRetry, p.MayHaveRun, int(by))
 		tr.Count("let in")
 		pod := pods[rnd.Below(len(pods))]
-		if p.Among != nil {
+		if p.Endpoints != nil {
 			tr.Count("trials")
 			for _, s := range pods {
-				if s.id == p.Among[0] {
+				if s.id == p.Endpoints[0] {
 					pod = s
 				}
 			}
 		}
-		x := traceTry{p: p, pod: pod, at: now + rnd.Millis(10, 90), end: admission.Served}
+		x := traceTry{p: p, pod: pod, at: now + rnd.Millis(10, 90), end: admission.OutcomeServed}
 		switch {
 		case !pod.up && pod.hangs:
-			x.at, x.end = now+rnd.Millis(500, 900), admission.Left
+			x.at, x.end = now+rnd.Millis(500, 900), admission.OutcomeCanceled
 		case !pod.up, rnd.Chance(0.01):
-			x.end = admission.Failed
+			x.end = admission.OutcomeFailed
 		case now-pod.started < time.Second && rnd.Chance(0.3):
 			x.at = now + rnd.Millis(300, 900)
 		}
@@ -148,7 +148,7 @@
 			r.Resume(before)
 			r.Listed(now, Server{ID: "s1", Gone: true}, true)
 			listed(pods[1], 0)
-			r.Retune([]admission.Class{watched[0], {Worth: 0.5, Aim: 400e6}, watched[2], {Worth: 3, Aim: 300e6, Safe: true}})
+			r.Retune([]admission.Class{watched[0], {Priority: 0.5, LatencyObjective: 400e6}, watched[2], {Priority: 3, LatencyObjective: 300e6, Idempotent: true}})
 		case step == 5300:
 			r = make(0)
 			r.Begin(now, Before{}, "restart")
@@ -170,7 +170,7 @@
 				use = []float64{0.5, 0.5, 0.75, 0.25}[step/800%4]
 				rate = use * 64
 			}
-			if x.end != admission.Left {
+			if x.end != admission.OutcomeCanceled {
 				r.Outcome(now, x.pod.id, x.pod.up, !x.pod.up, rate, use)
 			}
 		}
--- a/internal/fleet/recovery/habits.go
+++ b/internal/fleet/recovery/habits.go
@@ -65,8 +65,8 @@
 }
 
 // asked counts an arrival.
-func (h *Habits) asked(now time.Duration, a admission.Ask) {
-	if a.Again {
+func (h *Habits) asked(now time.Duration, a admission.Request) {
+	if a.IsRetry {
 		return
 	}
 	if h.start == 0 {
--- a/internal/fleet/recovery/recovery.go
+++ b/internal/fleet/recovery/recovery.go
@@ -129,8 +129,8 @@
 
 // Door is who lets in behind a Recovery.
 type Door interface {
-	Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal)
-	Done(now time.Duration, p *admission.Pass, end admission.End)
+	Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection)
+	Done(now time.Duration, p *admission.Permit, end admission.Outcome)
 	Counts() admission.Counts
 }
 
@@ -177,7 +177,7 @@
 func (r *Recovery) Retune(classes []admission.Class) {
 	own := make([]Class, len(classes))
 	for i, c := range classes {
-		own[i] = Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Safe}
+		own[i] = Class{Worth: c.Priority, Aim: c.LatencyObjective, Safe: c.Idempotent}
 		if i < len(r.set.Classes) {
 			own[i].Name = r.set.Classes[i].Name
 		}
@@ -398,49 +398,49 @@
 }
 
 // Arrive is of Door.
-func (r *Recovery) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
+func (r *Recovery) Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection) {
 	r.habits.asked(now, a)
 	if r.Look(now); r.phase == Full {
 		if r.behind != nil {
 			return r.behind.Arrive(now, a)
 		}
-		return admission.NewPass(now, a, admission.ByRecovery), admission.Refusal{}
+		return admission.NewPermit(now, a, admission.IssuedByRecovery), admission.Rejection{}
 	}
-	p := admission.NewPass(now, a, admission.ByRecovery)
+	p := admission.NewPermit(now, a, admission.IssuedByRecovery)
 	switch r.phase {
 	case Dark, Asking:
-		if !a.Bound {
+		if !a.MayHaveRun {
 			return nil, r.turnAway(now, a)
 		}
 	case Trying:
 		id, ok := r.trial(now, a)
-		if !ok && !a.Bound {
+		if !ok && !a.MayHaveRun {
 			return nil, r.turnAway(now, a)
 		}
-		if ok && !a.Bound {
-			p.Among = []string{id}
+		if ok && !a.MayHaveRun {
+			p.Endpoints = []string{id}
 		}
 	default:
-		if !r.take(now, a) && !a.Bound {
+		if !r.take(now, a) && !a.MayHaveRun {
 			return nil, r.turnAway(now, a)
 		}
 	}
 	r.counts.LetIn[a.Class]++
-	return p, admission.Refusal{}
+	return p, admission.Rejection{}
 }
 
 // Done is of Door.
-func (r *Recovery) Done(now time.Duration, p *admission.Pass, end admission.End) {
-	class, took, by := p.Ended(now)
-	if by != admission.ByRecovery {
+func (r *Recovery) Done(now time.Duration, p *admission.Permit, end admission.Outcome) {
+	class, took, by := p.Completion(now)
+	if by != admission.IssuedByRecovery {
 		if r.behind != nil {
 			r.behind.Done(now, p, end)
 		}
 		return
 	}
-	if end == admission.Served && took <= r.set.Classes[class].Aim {
+	if end == admission.OutcomeServed && took <= r.set.Classes[class].Aim {
 		r.inTime++
-	} else if end == admission.Served || end == admission.Failed {
+	} else if end == admission.OutcomeServed || end == admission.OutcomeFailed {
 		r.late++
 	}
 }
@@ -456,7 +456,7 @@
 // take takes one token for a request, of its class or of one that is worth less. An agent with few requests has seldom a whole
 // token when one comes, and many such agents must be fair together: a token that is not there yet is lent by chance, the rarer the
 // more is owed.
-func (r *Recovery) take(now time.Duration, a admission.Ask) bool {
+func (r *Recovery) take(now time.Duration, a admission.Request) bool {
 	r.fill(now)
 	at := slices.Index(r.order, a.Class)
 	for _, class := range r.order[at:] {
@@ -589,7 +589,7 @@
 // trial chooses a server that the request may find out about: as long as none has been tried in vain any request may, within the
 // safe rate; then one that may be repeated, at a server whose turn it is, as one that must not run twice would only get lost at a
 // server that hangs.
-func (r *Recovery) trial(now time.Duration, a admission.Ask) (id string, ok bool) {
+func (r *Recovery) trial(now time.Duration, a admission.Request) (id string, ok bool) {
 	if vain := r.counts.Vain > r.vainBefore; vain && !r.set.Classes[a.Class].Safe && r.anySafe() {
 		return "", false
 	}
@@ -656,11 +656,11 @@
 }
 
 // turnAway refuses a request, and says when service is likely there.
-func (r *Recovery) turnAway(now time.Duration, a admission.Ask) admission.Refusal {
+func (r *Recovery) turnAway(now time.Duration, a admission.Request) admission.Rejection {
 	r.counts.Refused[a.Class]++
 	r.refused = now
 	most := float64(r.set.MaxAfter)
-	return admission.Refusal{After: time.Duration(most * (0.4 + 0.6*r.rng.Float64()))}
+	return admission.Rejection{RetryAfter: time.Duration(most * (0.4 + 0.6*r.rng.Float64()))}
 }
 
 // Outcome takes how an attempt ended: whether it shows that the server's process answers, that a connection broke or could not
--- a/internal/fleet/recovery/recovery_test.go
+++ b/internal/fleet/recovery/recovery_test.go
@@ -31,7 +31,7 @@
 	return b
 }
 
-func ask(class int) admission.Ask { return admission.Ask{Class: class, Deadline: 1 << 62} }
+func ask(class int) admission.Request { return admission.Request{Class: class, Deadline: 1 << 62} }
 
 // All agents come back at once to a fleet that is cold, with clients who ask for several times the usual, and nobody hears of
 // anybody: in no 3 s does the sum of what is let in come to what would topple the fleet, whatever it was used to and however the
@@ -75,7 +75,7 @@
 					if random.Float64() < 0.33 {
 						a.Class = refund
 					}
-					a.Again = x > rates[i]*step.Seconds()
+					a.IsRetry = x > rates[i]*step.Seconds()
 					if p, _ := r.Arrive(now, a); p != nil {
 						n++
 					}
@@ -117,8 +117,8 @@
 					let[class]++
 				}
 			}
-			if p == nil && (told.After < 300*time.Millisecond || told.After > second) {
-				t.Fatalf("to come back after %v", told.After)
+			if p == nil && (told.RetryAfter < 300*time.Millisecond || told.RetryAfter > second) {
+				t.Fatalf("to come back after %v", told.RetryAfter)
 			}
 		}
 		if st := r.Status(now); len(phases) == 0 || phases[len(phases)-1] != st.Phase {
@@ -169,14 +169,14 @@
 			} else if now < start+10*second {
 				dials++
 			}
-			if len(p.Among) != 1 {
-				t.Fatalf("a trial may go to %v", p.Among)
+			if len(p.Endpoints) != 1 {
+				t.Fatalf("a trial may go to %v", p.Endpoints)
 			}
 			if now < start+second {
-				first[p.Among[0]]++
+				first[p.Endpoints[0]]++
 			}
-			r.Outcome(now, p.Among[0], false, true, -1, -1)
-			r.Done(now, p, admission.Refused)
+			r.Outcome(now, p.Endpoints[0], false, true, -1, -1)
+			r.Done(now, p, admission.OutcomeRejected)
 		}
 		if r.phase != Trying {
 			t.Fatal(r.phase)
@@ -203,7 +203,7 @@
 		if p == nil {
 			continue
 		}
-		r.Done(now, p, admission.Refused)
+		r.Done(now, p, admission.OutcomeRejected)
 		if now > start+20*second {
 			return
 		}
@@ -315,14 +315,14 @@
 
 // A door behind gets all that comes in calm, and its own passes back.
 func TestTheDoorBehind(t *testing.T) {
-	behind := admission.New(admission.Options{Classes: []admission.Class{{Worth: 2, Aim: second, Safe: true}, {Worth: 10, Aim: second}}, Remember: 8})
+	behind := admission.New(admission.Options{Classes: []admission.Class{{Priority: 2, LatencyObjective: second, Idempotent: true}, {Priority: 10, LatencyObjective: second}}, MaxRemembered: 8})
 	r := New(options(1, 0), behind)
 	calm, _ := r.Arrive(second, ask(form))
 	r.Begin(start, known(3, 1, 1, 0.5), "power")
-	r.Done(start, calm, admission.Served)
+	r.Done(start, calm, admission.OutcomeServed)
 	for range 20 {
 		if p, _ := r.Arrive(start, ask(refund)); p != nil {
-			r.Done(start+second, p, admission.Served)
+			r.Done(start+second, p, admission.OutcomeServed)
 		}
 	}
 	if n := behind.Counts().InFlight; n != 0 {
--- a/internal/harness/admissionvariants/doors.go
+++ b/internal/harness/admissionvariants/doors.go
@@ -16,8 +16,8 @@
 
 // Door is what all of them are.
 type Door interface {
-	Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal)
-	Done(now time.Duration, p *admission.Pass, end admission.End)
+	Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection)
+	Done(now time.Duration, p *admission.Permit, end admission.Outcome)
 	Counts() admission.Counts
 }
 
@@ -26,7 +26,7 @@
 	if name == "storm" {
 		return admission.New(o)
 	}
-	r := &rival{set: o, rng: rand.New(rand.NewPCG(o.Seed, 6)), began: map[*admission.Pass]time.Duration{}}
+	r := &rival{set: o, rng: rand.New(rand.NewPCG(o.Seed, 6)), began: map[*admission.Permit]time.Duration{}}
 	switch name {
 	case "budget":
 		r.letsIn, r.seen = (&budget{}).both()
@@ -44,21 +44,21 @@
 type rival struct {
 	set    admission.Options
 	rng    *rand.Rand
-	began  map[*admission.Pass]time.Duration
-	letsIn func(now time.Duration, a admission.Ask) bool
-	seen   func(now, took time.Duration, end admission.End)
+	began  map[*admission.Permit]time.Duration
+	letsIn func(now time.Duration, a admission.Request) bool
+	seen   func(now, took time.Duration, end admission.Outcome)
 }
 
-func (r *rival) Arrive(now time.Duration, a admission.Ask) (*admission.Pass, admission.Refusal) {
-	if !r.letsIn(now, a) && !a.Bound {
-		return nil, admission.Refusal{After: r.set.MaxAfter * time.Duration(50+r.rng.IntN(51)) / 100}
+func (r *rival) Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection) {
+	if !r.letsIn(now, a) && !a.MayHaveRun {
+		return nil, admission.Rejection{RetryAfter: r.set.MaxRetryAfter * time.Duration(50+r.rng.IntN(51)) / 100}
 	}
-	p := &admission.Pass{}
+	p := &admission.Permit{}
 	r.began[p] = now
-	return p, admission.Refusal{}
+	return p, admission.Rejection{}
 }
 
-func (r *rival) Done(now time.Duration, p *admission.Pass, end admission.End) {
+func (r *rival) Done(now time.Duration, p *admission.Permit, end admission.Outcome) {
 	r.seen(now, now-r.began[p], end)
 	delete(r.began, p)
 }
@@ -81,9 +81,9 @@
 // budget lets in repeats up to a fifth of the first tries of ten seconds, as Finagle and Linkerd do.
 type budget struct{ saved float64 }
 
-func (b *budget) both() (func(time.Duration, admission.Ask) bool, func(time.Duration, time.Duration, admission.End)) {
-	return func(_ time.Duration, a admission.Ask) bool {
-		if !a.Again {
+func (b *budget) both() (func(time.Duration, admission.Request) bool, func(time.Duration, time.Duration, admission.Outcome)) {
+	return func(_ time.Duration, a admission.Request) bool {
+		if !a.IsRetry {
 			b.saved = min(b.saved+0.2, 100)
 			return true
 		}
@@ -92,7 +92,7 @@
 		}
 		b.saved--
 		return true
-	}, func(time.Duration, time.Duration, admission.End) {}
+	}, func(time.Duration, time.Duration, admission.Outcome) {}
 }
 
 // throttle is adaptive throttling: "Site Reliability Engineering", chapter 21, with K = 2 over half a minute there and ten
@@ -102,13 +102,13 @@
 	requests, accepts fading
 }
 
-func (t *throttle) both() (func(time.Duration, admission.Ask) bool, func(time.Duration, time.Duration, admission.End)) {
+func (t *throttle) both() (func(time.Duration, admission.Request) bool, func(time.Duration, time.Duration, admission.Outcome)) {
 	t.requests.over, t.accepts.over = 10*time.Second, 10*time.Second
-	return func(now time.Duration, _ admission.Ask) bool {
+	return func(now time.Duration, _ admission.Request) bool {
 			requests, accepts := t.requests.add(now, 1), t.accepts.add(now, 0)
 			return t.rng.Float64() >= max(0, (requests-2*accepts)/(requests+1))
-		}, func(now, took time.Duration, end admission.End) {
-			if end == admission.Served && took <= 600*time.Millisecond {
+		}, func(now, took time.Duration, end admission.Outcome) {
+			if end == admission.OutcomeServed && took <= 600*time.Millisecond {
 				t.accepts.add(now, 1)
 			}
 		}
@@ -121,14 +121,14 @@
 	all, served fading
 }
 
-func (e *envoy) both() (func(time.Duration, admission.Ask) bool, func(time.Duration, time.Duration, admission.End)) {
+func (e *envoy) both() (func(time.Duration, admission.Request) bool, func(time.Duration, time.Duration, admission.Outcome)) {
 	e.all.over, e.served.over = 10*time.Second, 10*time.Second
-	return func(now time.Duration, _ admission.Ask) bool {
+	return func(now time.Duration, _ admission.Request) bool {
 			all, served := e.all.add(now, 0), e.served.add(now, 0)
 			return e.rng.Float64() >= min(0.8, max(0, (all-served/0.95)/(all+1)))
-		}, func(now, took time.Duration, end admission.End) {
+		}, func(now, took time.Duration, end admission.Outcome) {
 			e.all.add(now, 1)
-			if end == admission.Served && took <= 600*time.Millisecond {
+			if end == admission.OutcomeServed && took <= 600*time.Millisecond {
 				e.served.add(now, 1)
 			}
 		}
@@ -141,17 +141,17 @@
 	out         int
 }
 
-func (g *gradient) both() (func(time.Duration, admission.Ask) bool, func(time.Duration, time.Duration, admission.End)) {
-	return func(time.Duration, admission.Ask) bool {
+func (g *gradient) both() (func(time.Duration, admission.Request) bool, func(time.Duration, time.Duration, admission.Outcome)) {
+	return func(time.Duration, admission.Request) bool {
 			if float64(g.out) >= g.limit {
 				return false
 			}
 			g.out++
 			return true
-		}, func(_, took time.Duration, end admission.End) {
+		}, func(_, took time.Duration, end admission.Outcome) {
 			g.out--
 			short := took.Seconds()
-			if end != admission.Served {
+			if end != admission.OutcomeServed {
 				short = max(short, 0.6)
 			}
 			if g.long == 0 {
--- a/internal/membership/platform/asked_test.go
+++ b/internal/membership/platform/asked_test.go
@@ -264,7 +264,7 @@
 type discard struct{}
 
 func (discard) Update(membership.Update) {}
-func (discard) Disconnected(error)               {}
+func (discard) Disconnected(error)       {}
 
 // callMost is left for the call that was under way when discovery came back.
 const callMost = 500 * time.Millisecond
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -71,7 +71,7 @@
 		}
 	})()
 	s.Log.Info("listening for operators", "addr", l.Addr().String())
-	if err := srv.Serve(connlimit.New(l, mostAtOnce, connlimit.Options{Settled: settled})); !errors.Is(err, http.ErrServerClosed) {
+	if err := srv.Serve(connlimit.New(l, mostAtOnce, connlimit.Options{MinAge: settled})); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving operators: %w", err)
 	}
 	return nil
@@ -88,7 +88,7 @@
 	mux.HandleFunc("PUT /ops/backends/down/{id}", s.hold(true))
 	mux.HandleFunc("PUT /ops/backends/up/{id}", s.hold(false))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		connlimit.Hold(r.Context())
+		connlimit.MarkInUse(r.Context())
 		if r.ContentLength > mostBody {
 			http.Error(w, "no call has a body that long", http.StatusRequestEntityTooLarge)
 			return
--- a/internal/scenario/simulate.go
+++ b/internal/scenario/simulate.go
@@ -262,18 +262,18 @@
 // joinOptions are those that an agent's own settings have by default.
 func joinOptions(classes []balancer.Class) coalesce.Options {
 	set := settings.DefaultJoin()
-	o := coalesce.Options{MostGroups: set.MaxGroups, MostWaiting: set.MaxWaiting, Pause: time.Duration(set.Pause)}
+	o := coalesce.Options{MaxGroups: set.MaxGroups, MaxFollowers: set.MaxWaiting, PauseAfterPrivate: time.Duration(set.Pause)}
 	for _, c := range classes {
-		o.Classes = append(o.Classes, coalesce.Class{Joined: c.Name == safeClass, Aim: c.Aim, Deadline: c.Deadline})
+		o.Classes = append(o.Classes, coalesce.Class{Coalesces: c.Name == safeClass, LatencyObjective: c.Aim, Deadline: c.Deadline})
 	}
 	return o
 }
 
 // stormOptions are those that an agent's own settings have by default.
 func stormOptions(set balancer.Settings, seed uint64) admission.Options {
-	o := admission.Options{Shares: set.Shares, MaxAfter: set.MaxRetryAfter, Remember: 4096, Seed: seed}
+	o := admission.Options{Quotas: set.Shares, MaxRetryAfter: set.MaxRetryAfter, MaxRemembered: 4096, Seed: seed}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, admission.Class{Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, admission.Class{Priority: c.Worth, LatencyObjective: c.Aim, Idempotent: c.Effect == balancer.Safe})
 	}
 	return o
 }
@@ -281,7 +281,7 @@
 // noticed counts the storms that the agent's door has noticed in this life.
 func (a *simAgent) noticed() {
 	if a.door != nil {
-		a.w.day.Storms += int(a.door.Counts().Storms)
+		a.w.day.Storms += int(a.door.Counts().Overloads)
 	}
 }
 
--- a/internal/sockstate/peek.go
+++ b/internal/sockstate/sockstate.go
@@ -13,14 +13,14 @@
 
 // The states of a connection.
 const (
-	Nothing State = iota // it is open, and nothing has come
-	Bytes                // something has come
-	Ended                // the far end has ended its side, or the connection is broken
-	Unknown              // it can't be looked at
+	Idle       State = iota // it is open, and nothing has come
+	Readable                // something has come
+	PeerClosed              // the far end has ended its side, or the connection is broken
+	Unknown                 // it can't be looked at
 )
 
-// Look looks at a connection. It may be called while another goroutine reads.
-func Look(c net.Conn) State {
+// Peek looks at a connection. It may be called while another goroutine reads.
+func Peek(c net.Conn) State {
 	var n int
 	var peeked error
 	if !control(c, func(fd int) { // not Read, which waits for who reads already
@@ -31,18 +31,18 @@
 	}
 	switch {
 	case peeked == syscall.EAGAIN || peeked == syscall.EWOULDBLOCK:
-		return Nothing
+		return Idle
 	case peeked == syscall.EINTR:
 		return Unknown
 	case peeked == nil && n > 0:
-		return Bytes
+		return Readable
 	}
-	return Ended
+	return PeerClosed
 }
 
-// Gone reports whether the far end has ended its side, or the connection is broken, also behind bytes that nobody has taken yet. Like Look
+// HasPeerClosed reports whether the far end has ended its side, or the connection is broken, also behind bytes that nobody has taken yet. Like Look
 // it may be called while another goroutine reads.
-func Gone(c net.Conn) bool {
+func HasPeerClosed(c net.Conn) bool {
 	var events int16
 	control(c, func(fd int) {
 		one := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -50,7 +50,7 @@
 			events = one[0].Revents
 		}
 	})
-	return events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 || Look(c) == Ended
+	return events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 || Peek(c) == PeerClosed
 }
 
 // control runs f on a connection's descriptor, if it has one.
--- a/internal/sockstate/peek_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -26,7 +26,7 @@
 // A look tells silence, bytes and the end apart, takes nothing, and does not wait for a goroutine that reads.
 func TestLook(t *testing.T) {
 	c, far := pair(t)
-	if s := Look(c); s != Nothing {
+	if s := Peek(c); s != Idle {
 		t.Errorf("at first %v", s)
 	}
 	got := make(chan byte)
@@ -40,27 +40,27 @@
 			got <- one[0]
 		}
 	}()
-	if s := Look(c); s != Nothing {
+	if s := Peek(c); s != Idle {
 		t.Errorf("while it is read %v", s)
 	}
 	if _, err := far.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
-	agenttest.Eventually(t, "bytes wait", func() bool { return Look(c) == Bytes }) // one is read, the other waits behind it
+	agenttest.Eventually(t, "bytes wait", func() bool { return Peek(c) == Readable }) // one is read, the other waits behind it
 	if a, b := <-got, <-got; a != 'a' || b != 'b' {
 		t.Errorf("read %c%c", a, b)
 	}
 	besteffort.Close(far)
-	agenttest.Eventually(t, "it has ended", func() bool { return Look(c) == Ended })
+	agenttest.Eventually(t, "it has ended", func() bool { return Peek(c) == PeerClosed })
 	if _, more := <-got; more {
 		t.Error("something was read behind the end")
 	}
 	besteffort.Close(c)
-	if s := Look(c); s != Unknown {
+	if s := Peek(c); s != Unknown {
 		t.Errorf("closed here: %v", s)
 	}
 	near, _ := net.Pipe()
-	if s := Look(near); s != Unknown {
+	if s := Peek(near); s != Unknown {
 		t.Errorf("of a pipe: %v", s)
 	}
 }
@@ -74,22 +74,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, far := pair(t)
-			if Gone(c) {
+			if HasPeerClosed(c) {
 				t.Error("gone at first")
 			}
 			if _, err := far.Write(make([]byte, 8<<10)); err != nil {
 				t.Fatal(err)
 			}
-			agenttest.Eventually(t, "bytes wait", func() bool { return Look(c) == Bytes })
-			if Gone(c) {
+			agenttest.Eventually(t, "bytes wait", func() bool { return Peek(c) == Readable })
+			if HasPeerClosed(c) {
 				t.Error("gone with bytes")
 			}
 			end(far.(*net.TCPConn))
-			agenttest.Eventually(t, "it has gone", func() bool { return Gone(c) })
+			agenttest.Eventually(t, "it has gone", func() bool { return HasPeerClosed(c) })
 		})
 	}
 	near, _ := net.Pipe()
-	if Gone(near) {
+	if HasPeerClosed(near) {
 		t.Error("a pipe is gone")
 	}
 }
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -68,13 +68,13 @@
 			GivenUp: [5]uint64{151, 152, 153, 154, 155}, Times: []engine.Times{times(161), times(171)}})
 	})
 	part(func(p page) {
-		s.joins(p, engine.Load{Joins: coalesce.Counts{Flights: 181, Joined: 182, Alone: 183, Parted: 184, Again: 185, Private: 186, Shared: 187,
+		s.joins(p, engine.Load{Joins: coalesce.Counts{Flights: 181, Followers: 182, NotCoalesced: 183, LateFlights: 184, NextFlights: 185, Private: 186, Shared: 187,
 			Waiting: 188, Groups: 189}})
 	})
-	for state := admission.Calm; state <= admission.Recovering; state++ {
+	for state := admission.Normal; state <= admission.Recovering; state++ {
 		part(func(p page) {
-			s.door(p, admission.Counts{State: state, Since: 201, Why: "why", Limit: 202, InFlight: 203, Refused: [][2]uint64{{204, 205}, {206, 207}},
-				Late: 208, Bound: 209, Storms: 210}, goldenClasses)
+			s.door(p, admission.Counts{State: state, Since: 201, Reason: "why", Limit: 202, InFlight: 203, Rejected: [][2]uint64{{204, 205}, {206, 207}},
+				TooLate: 208, OverLimit: 209, Overloads: 210}, goldenClasses)
 		})
 	}
 	part(func(p page) {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -128,8 +128,8 @@
 
 func (s *Server) joins(p page, l engine.Load) {
 	c := l.Joins
-	for name, n := range map[string]uint64{"flights": c.Flights, "joined": c.Joined, "alone": c.Alone, "parted": c.Parted,
-		"again": c.Again, "private": c.Private, "shared": c.Shared} {
+	for name, n := range map[string]uint64{"flights": c.Flights, "joined": c.Followers, "alone": c.NotCoalesced, "parted": c.LateFlights,
+		"again": c.NextFlights, "private": c.Private, "shared": c.Shared} {
 		p.count("appleledge_join_"+name+"_total", "", n)
 	}
 	p.gauge("appleledge_join_waiting", "", float64(c.Waiting))
@@ -137,15 +137,15 @@
 }
 
 func (s *Server) door(p page, c admission.Counts, classes []string) {
-	for state := admission.Calm; state <= admission.Recovering; state++ {
+	for state := admission.Normal; state <= admission.Recovering; state++ {
 		p.gauge("appleledge_storm_state", fmt.Sprintf("state=%q", state), bit(c.State == state))
 	}
-	p.count("appleledge_storms_total", "", c.Storms)
+	p.count("appleledge_storms_total", "", c.Overloads)
 	p.gauge("appleledge_storm_limit", "", c.Limit)
 	p.gauge("appleledge_storm_in_flight", "", float64(c.InFlight))
-	p.count("appleledge_storm_too_late_total", "", c.Late)
-	p.count("appleledge_storm_bound_total", "", c.Bound)
-	for class, n := range c.Refused {
+	p.count("appleledge_storm_too_late_total", "", c.TooLate)
+	p.count("appleledge_storm_bound_total", "", c.OverLimit)
+	for class, n := range c.Rejected {
 		p.count("appleledge_storm_refused_total", fmt.Sprintf(`class=%q,try="first"`, classes[class]), n[0])
 		p.count("appleledge_storm_refused_total", fmt.Sprintf(`class=%q,try="again"`, classes[class]), n[1])
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -84,7 +84,7 @@
 	conns = connpool.New(time.Second, time.Minute, 10)
 	core = engine.New(policy, engine.NewClock(), conns, slog.New(slog.DiscardHandler))
 	core.Count(site.Logic.Classes)
-	behind := admission.New(admission.Options{Classes: make([]admission.Class, len(site.Logic.Classes)), Remember: 1})
+	behind := admission.New(admission.Options{Classes: make([]admission.Class, len(site.Logic.Classes)), MaxRemembered: 1})
 	core.Return(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Logic.Classes))}, behind), func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -388,4 +388,4 @@
 
 // quiet reports whether an idle connection is open and nothing has come on it. A backend that died or closed
 // it shows here, before a request is risked on it.
-func (c *Conn) quiet() bool { return sockstate.Look(c.Conn) == sockstate.Nothing }
+func (c *Conn) quiet() bool { return sockstate.Peek(c.Conn) == sockstate.Idle }
