--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -49,7 +49,7 @@
 			Incremental:         set.Delta,
 			Clusters:            set.Clusters,
 			MaxClusters:         set.Subset,
-			AgentIndex:          site.Logic.Me,
+			AgentIndex:          site.Logic.Index,
 			Zones:               site.Zones,
 			InitialFetchTimeout: time.Duration(set.FirstFetch),
 			MinBackoff:          time.Duration(set.BackoffLeast),
--- a/internal/agent/golden_kept_test.go
+++ b/internal/agent/golden_kept_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	// The document was written 61 s into its run: where this machine has run for less its starts are not believed.
-	if k.trust == ondisk.None || len(k.before.Servers) != 2 || k.before.Writes != 7 || k.bans().Out["s-3"] != 1_790_000_000_003 {
+	if k.trust == ondisk.None || len(k.before.Servers) != 2 || k.before.Writes != 7 || k.bans().DeniedSince["s-3"] != 1_790_000_000_003 {
 		t.Errorf("trusted %v: %+v", k.trust, k.before)
 	}
 }
@@ -67,12 +67,12 @@
 		t.Fatal(err)
 	}
 	m := generation.New(generation.Options{Names: generation.Names{Classes: []generation.Class{{Name: "form-check"}, {Name: "refund-record"}},
-		Tenants: []string{"glasgow", "lerwick", "wick"}, Zones: []string{"a", "b"}, Headers: []string{"X-Attrs"}}, MaxAfter: time.Second})
+		Tenants: []string{"glasgow", "lerwick", "wick"}, Zones: []string{"a", "b"}, RoutableHeaders: []string{"X-Attrs"}}, MaxRetryAfter: time.Second})
 	if err := restore(m, f, engine.NewClock(), slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	st := m.Status(time.Minute)
-	if n := len(st.History); st.Number != 12 || n != 9 || st.History[7].What != generation.Dropped || st.History[8].What != generation.Restarted || !st.Watched {
+	if n := len(st.History); st.Number != 12 || n != 9 || st.History[7].Event != generation.EventDiscarded || st.History[8].Event != generation.EventRestored || !st.IsWatched {
 		t.Errorf("it stands at %+v", st)
 	}
 }
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -36,8 +36,8 @@
 	}
 	site := cfg.Site.Logic
 	alone := newStorm(cfg, Storm{Remember: x.Overload.Remember})
-	s := &sharing{set: *x.Overload, core: core, log: log, door: overload.New(overload.Options{Self: site.Me, Agents: site.Balancers,
-		Classes: stormClasses(site.Classes), Shares: site.Shares, MaxAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
+	s := &sharing{set: *x.Overload, core: core, log: log, door: overload.New(overload.Options{Self: site.Index, Agents: site.Balancers,
+		Classes: stormClasses(site.Classes), Shares: site.Quotas, MaxAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
 	core.Guard(s.door)
 	return s
 }
@@ -90,7 +90,7 @@
 			return
 		}
 		is, now := st.Refused > 0, clk.Now()
-		if is == refused && !(is && now-logged >= s.set.LogEvery) {
+		if is == refused && (!is || now-logged < s.set.LogEvery) {
 			return
 		}
 		if is != refused && now-logged < time.Second { // what goes to and fro is one line
--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -14,17 +14,17 @@
 // newStorm is a watch for storms by the platform's settings.
 func newStorm(cfg Config, set Storm) *admission.Controller {
 	site := cfg.Site.Logic
-	o := admission.Options{Quotas: site.Shares, MaxRetryAfter: site.MaxRetryAfter, MaxRemembered: set.Remember, Seed: cfg.Seed}
+	o := admission.Options{Quotas: site.Quotas, MaxRetryAfter: site.MaxRetryAfter, MaxRemembered: set.Remember, Seed: cfg.Seed}
 	o.Classes = stormClasses(site.Classes)
 	return admission.New(o)
 }
 
 func stormClasses(classes []balancer.Class) (out []admission.Class) {
 	for _, c := range classes {
-		if c.Dropped {
-			c.Worth = 0
+		if c.Retired {
+			c.Priority = 0
 		}
-		out = append(out, admission.Class{Priority: c.Worth, LatencyObjective: c.Aim, Idempotent: c.Effect == balancer.Safe})
+		out = append(out, admission.Class{Priority: c.Priority, LatencyObjective: c.LatencyObjective, Idempotent: c.Effect == balancer.Idempotent})
 	}
 	return out
 }
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -57,7 +57,7 @@
 		out.WriteString(exchange(t, srv.Listener.Addr().String(), "GET /form-check HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 		srv.Close()
 	}
-	for _, err := range []error{errors.New("any"), requesthead.BadRequest{Status: http.StatusNotFound, Text: "unknown class"}} {
+	for _, err := range []error{errors.New("any"), requesthead.BadRequestError{Status: http.StatusNotFound, Text: "unknown class"}} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { turnAway(w, err) }))
 		out.WriteString(exchange(t, srv.Listener.Addr().String(), "GET /form-check HTTP/1.1\r\nHost: h\r\n\r\n"))
 		srv.Close()
@@ -67,8 +67,8 @@
 
 // Answers to requests that are not begun: bad ones, too many, and the question whether the agent is ready.
 func TestGoldenTurnedAway(t *testing.T) {
-	classes := []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second},
-		{Name: "refund-record", Effect: balancer.Keyed, Window: time.Second, Aim: time.Second, Deadline: 2 * time.Second}}
+	classes := []balancer.Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second},
+		{Name: "refund-record", Effect: balancer.IdempotentByKey, DedupWindow: time.Second, LatencyObjective: time.Second, Deadline: 2 * time.Second}}
 	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: classes}, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scenario/live.go
+++ b/internal/scenario/live.go
@@ -103,7 +103,7 @@
 
 // Run plays the script. A context that ends early ends the day in order, with the report of what ran.
 func (lv Live) Run(ctx context.Context) (Day, error) {
-	dir, err := os.MkdirTemp("", "rehearse")
+	dir, err := os.MkdirTemp("", "scenario")
 	if err != nil {
 		return Day{}, fmt.Errorf("a folder for the agents' configurations: %w", err)
 	}
@@ -314,8 +314,8 @@
 func (l *live) changed() {
 	var entries []emulator.Entry
 	for _, s := range l.servers {
-		state := map[balancer.State]string{balancer.Ready: "Ready", balancer.Draining: "Terminating", balancer.Gone: "Gone"}[s.state]
-		if l.current[s.id] != s.member || s.entry.State == state || s.state == balancer.Gone && s.entry.State == "" {
+		state := map[balancer.State]string{balancer.Ready: "Ready", balancer.Draining: "Terminating", balancer.Removed: "Gone"}[s.state]
+		if l.current[s.id] != s.member || s.entry.State == state || s.state == balancer.Removed && s.entry.State == "" {
 			continue
 		}
 		s.entry.State = state
