--- a/internal/fleet/recovery/baseline.go
+++ b/internal/fleet/recovery/baseline.go
@@ -65,8 +65,8 @@
 }
 
 // asked counts an arrival.
-func (h *trafficProfile) asked(now time.Duration, a admission.Ask) {
-	if a.Again {
+func (h *trafficProfile) asked(now time.Duration, a admission.Request) {
+	if a.IsRetry {
 		return
 	}
 	if h.start == 0 {
