--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -59,10 +59,10 @@
 	carried    int            // attempts that ended and had been handed over
 	last       *Attempt       // the latest attempt of a chooser's call
 	member     *coalesce.Member[*Call]
-	pass       *admission.Pass // of one that a door let in
-	began      time.Duration   // when the engine was told of it
-	counted    bool            // the tally has it as open
-	flies      bool            // it is a flight of joined calls, and nobody's own
+	pass       *admission.Permit // of one that a door let in
+	began      time.Duration     // when the engine was told of it
+	counted    bool              // the tally has it as open
+	flies      bool              // it is a flight of joined calls, and nobody's own
 	bound      generation.Binding
 	key        affinity.Key            // of a keyed call, where ties are kept
 	before     balancer.EarlierAttempt // what may have run of it under another id
@@ -400,7 +400,7 @@
 		at, ok = e.timers[0].due, true
 	}
 	if e.joins != nil {
-		if due, is := e.joins.table.Due(); is && (!ok || due < at) {
+		if due, is := e.joins.table.NextTimer(); is && (!ok || due < at) {
 			at, ok = due, true
 		}
 	}
@@ -484,7 +484,7 @@
 	case BindingsRestored:
 		e.ties.table.Restore(e.clock.Now(), ev.Records)
 	case undurable:
-		e.ties.table.Undurable()
+		e.ties.table.CountNotDurable()
 	case kept:
 		e.handOver(ev.attempt)
 	case spoken:
@@ -540,7 +540,7 @@
 		e.leave(c)
 		return
 	}
-	e.passed(c, admission.Left)
+	e.passed(c, admission.OutcomeCanceled)
 	e.unbind(c, generation.ClientCanceled)
 	e.decide(balancer.ClientDisconnected{Request: c.ID})
 	e.forget(c)
--- a/internal/engine/governed.go
+++ b/internal/engine/governed.go
@@ -90,8 +90,8 @@
 func (c *Call) among() []string {
 	pool := c.bound.ServerIDs()
 	switch {
-	case c.pass != nil && c.pass.Among != nil && pool == nil && c.Candidates == nil && !c.before.MayHaveRun:
-		return c.pass.Among
+	case c.pass != nil && c.pass.Endpoints != nil && pool == nil && c.Candidates == nil && !c.before.MayHaveRun:
+		return c.pass.Endpoints
 	case pool == nil, c.before.MayHaveRun: // what may have run goes to its pod, whatever the configuration makes of others
 		return c.Candidates
 	case c.Candidates == nil:
--- a/internal/fleet/snapshot/snapshot.go
+++ b/internal/fleet/snapshot/snapshot.go
@@ -151,7 +151,7 @@
 		b.ClassRates[i] = d.ClassRates[name]
 	}
 	for _, e := range d.Servers {
-		b.Servers = append(b.Servers, recovery.BaselineServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.Ready, Capacity: d.Capacity[e.ID]})
+		b.Servers = append(b.Servers, recovery.BaselineServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.StateReady, Capacity: d.Capacity[e.ID]})
 	}
 	return b
 }
