--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -35,13 +35,13 @@
 func logStorms(ctx context.Context, core *engine.Engine, clk engine.Clock, interval time.Duration, log *slog.Logger) {
 	last, logged := admission.Counts{}, time.Duration(0)
 	every(ctx, stormLook, func() {
-		c, now := core.Load().Door, clk.Now()
+		c, now := core.Stats().Admission, clk.Now()
 		changed := c.State != last.State || c.Since != last.Since
 		if changed && (c.State != admission.Normal || last.State != admission.Normal) || c.State != admission.Normal && now-logged >= interval {
 			logged = now
 			attrs := []any{"state", c.State.String(), "for", (now - c.Since).Round(time.Millisecond), "why", c.Reason,
 				"limit", math.Round(c.Limit*10) / 10, "in_flight", c.InFlight, "storms", c.Overloads, "too_late", c.TooLate, "bound", c.OverLimit}
-			names := core.Tally().Classes // read later than the counts: it has them all
+			names := core.Counters().Classes // read later than the counts: it has them all
 			for i, class := range c.Rejected {
 				attrs = append(attrs, slog.Group(names[i], "refused_first", class[0], "refused_again", class[1]))
 			}
