--- a/internal/engine/door.go
+++ b/internal/engine/admission.go
@@ -21,24 +21,24 @@
 type retuner interface{ Retune([]admission.Class) }
 
 // SetAdmission puts a door before the module. It is called before Run.
-func (e *Engine) SetAdmission(d AdmissionController) { e.door = d }
+func (e *Engine) SetAdmission(d AdmissionController) { e.admission = d }
 
 // admit lets a call in, or answers it.
 func (e *Engine) admit(c *Call) bool {
-	if e.door == nil {
+	if e.admission == nil {
 		return true
 	}
-	a := admission.Request{Class: c.Class, Tenant: c.Tenant, Key: c.IdempotencyKey, IsRetry: c.ClientRetry, MayHaveRun: c.CallerAttempt > 1 || c.before.MayHaveRun, Deadline: c.Deadline}
+	a := admission.Request{Class: c.Class, Tenant: c.Tenant, Key: c.IdempotencyKey, IsRetry: c.ClientRetry, MayHaveRun: c.CallerAttempt > 1 || c.earlier.MayHaveRun, Deadline: c.Deadline}
 	if a.Key == "" && c.Effect == balancer.Idempotent && c.Key != "" {
 		a.Key = strconv.Itoa(c.Class) + " " + strconv.Itoa(c.Tenant) + " " + c.Key
 	}
-	p, told := e.door.Arrive(e.clock.Now(), a)
+	p, told := e.admission.Arrive(e.clock.Now(), a)
 	if p == nil {
 		e.finish(c, Answer{Kind: Rejected, RetryAfter: told.RetryAfter, Limit: told.Limit})
 		return false
 	}
-	c.pass = p
-	if e.returning != nil {
+	c.permit = p
+	if e.recovery != nil {
 		e.remask()
 	}
 	return true
@@ -46,9 +46,9 @@
 
 // passed tells the door how a call ended.
 func (e *Engine) passed(c *Call, end admission.Outcome) {
-	if c.pass != nil {
-		e.door.Done(e.clock.Now(), c.pass, end)
-		c.pass = nil
+	if c.permit != nil {
+		e.admission.Done(e.clock.Now(), c.permit, end)
+		c.permit = nil
 	}
 }
 
--- a/internal/engine/door_test.go
+++ b/internal/engine/admission_test.go
@@ -13,48 +13,50 @@
 )
 
 // keeper is a door that keeps what it is told, and turns away what is not bound when it is shut.
-type keeper struct {
-	shut  bool
-	asked []admission.Request
-	ends  []admission.Outcome
+type fakeAdmission struct {
+	closed   bool
+	requests []admission.Request
+	outcomes []admission.Outcome
 }
 
-func (k *keeper) Arrive(_ time.Duration, a admission.Request) (*admission.Permit, admission.Rejection) {
-	k.asked = append(k.asked, a)
-	if k.shut && !a.MayHaveRun {
+func (k *fakeAdmission) Arrive(_ time.Duration, a admission.Request) (*admission.Permit, admission.Rejection) {
+	k.requests = append(k.requests, a)
+	if k.closed && !a.MayHaveRun {
 		return nil, admission.Rejection{RetryAfter: time.Second, Limit: 7}
 	}
 	return &admission.Permit{}, admission.Rejection{}
 }
-func (k *keeper) Done(_ time.Duration, _ *admission.Permit, end admission.Outcome) {
-	k.ends = append(k.ends, end)
+func (k *fakeAdmission) Done(_ time.Duration, _ *admission.Permit, end admission.Outcome) {
+	k.outcomes = append(k.outcomes, end)
 }
-func (k *keeper) Counts() admission.Counts { return admission.Counts{} }
+func (k *fakeAdmission) Counts() admission.Counts { return admission.Counts{} }
 
 // starter is a carrier that keeps the attempts; ear keeps the answers.
-type starter struct{ attempts []*Attempt }
+type recordingTransport struct{ attempts []*Attempt }
 
-func (s *starter) Start(a *Attempt)                                { s.attempts = append(s.attempts, a) }
-func (s *starter) RoundTrip(_ context.Context, a *Attempt) Outcome { return Outcome{Attempt: a} }
+func (s *recordingTransport) Start(a *Attempt) { s.attempts = append(s.attempts, a) }
+func (s *recordingTransport) RoundTrip(_ context.Context, a *Attempt) Outcome {
+	return Outcome{Attempt: a}
+}
 
-type ear []Answer
+type recordingResponder []Answer
 
-func (e *ear) Answer(a Answer) { *e = append(*e, a) }
+func (e *recordingResponder) Answer(a Answer) { *e = append(*e, a) }
 
 // What a door turns away is answered at once with when to come back, and the module never hears of it; it is told of each
 // end of what it let in, once; and a further try that a proxy makes of a request is bound, as an earlier one may have run.
-func TestDoor(t *testing.T) {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 1, Classes: classes()}, 1)
+func TestAdmissionRejectsAndLearnsEachOutcomeOnce(t *testing.T) {
+	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 1, Classes: testClasses()}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, k, s := time.Second, &keeper{}, &starter{}
-	e := New(b, ManualClock(&now), noFleet{}, slog.New(slog.DiscardHandler))
+	now, k, s := time.Second, &fakeAdmission{}, &recordingTransport{}
+	e := New(b, ManualClock(&now), noPool{}, slog.New(slog.DiscardHandler))
 	e.SetAdmission(k)
 	e.Start()
 	e.Handle(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
-	call := func(id string, try int) (*Call, *ear) {
-		heard := &ear{}
+	call := func(id string, try int) (*Call, *recordingResponder) {
+		heard := &recordingResponder{}
 		c := &Call{ID: id, Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: now + deadline, IdempotencyKey: "key-" + id, Transport: s, Responder: heard, CallerAttempt: try}
 		e.Handle(CallArrived(c))
 		return c, heard
@@ -66,16 +68,16 @@
 	e.Handle(clientLeft{left})
 	failed, _ := call("failed", 0)
 	e.Handle(Outcome{Attempt: s.attempts[2], Result: balancer.Reset, Report: balancer.NoReport})
-	if want := []admission.Outcome{admission.OutcomeServed, admission.OutcomeCanceled, admission.OutcomeFailed}; !slices.Equal(k.ends, want) || len(*heard) != 1 || !served.Closed() || !failed.Closed() {
-		t.Errorf("the door was told %v, want %v", k.ends, want)
+	if want := []admission.Outcome{admission.OutcomeServed, admission.OutcomeCanceled, admission.OutcomeFailed}; !slices.Equal(k.outcomes, want) || len(*heard) != 1 || !served.Closed() || !failed.Closed() {
+		t.Errorf("the door was told %v, want %v", k.outcomes, want)
 	}
-	k.shut = true
+	k.closed = true
 	_, heard = call("new", 0)
 	if len(*heard) != 1 || (*heard)[0] != (Answer{Kind: Rejected, RetryAfter: time.Second, Limit: 7}) || len(s.attempts) != 3 {
 		t.Errorf("turned away with %+v after %d attempts", *heard, len(s.attempts))
 	}
 	call("again", 2)
-	if last := k.asked[len(k.asked)-1]; !last.MayHaveRun || last.Key != "key-again" || len(s.attempts) != 4 {
+	if last := k.requests[len(k.requests)-1]; !last.MayHaveRun || last.Key != "key-again" || len(s.attempts) != 4 {
 		t.Errorf("a further try: %+v, %d attempts", last, len(s.attempts))
 	}
 	if l := len(e.calls); l != 2 { // the one that left is out still, and the last
@@ -85,18 +87,18 @@
 
 // A request of which no try could have run, and whose next try did, is not taken for one that never ran once its end is
 // forgotten: it must not run twice.
-func TestNeverRanIsNoLongerSo(t *testing.T) {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 1, Classes: classes()}, 1)
+func TestRetryIsFailedAfterOutcomeIsEvicted(t *testing.T) {
+	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 1, Classes: testClasses()}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Second
-	e := New(b, ManualClock(&now), noFleet{}, slog.New(slog.DiscardHandler))
-	e.SetOutcomeCache(1, keep)
+	e := New(b, ManualClock(&now), noPool{}, slog.New(slog.DiscardHandler))
+	e.SetOutcomeCache(1, retention)
 	e.Start()
 	e.Handle(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "s"}}}})
-	try := func(id string, number int, full bool) *proxied {
-		p := &proxied{m: &machine{ran: map[string][]*run{}, class: map[string]int{}}, id: id}
+	try := func(id string, number int, full bool) *fakeProxy {
+		p := &fakeProxy{model: &lifecycleModel{mayHaveRun: map[string][]*possibleRun{}, class: map[string]int{}}, id: id}
 		e.Handle(CallArrived(&Call{ID: id, Class: 2, Effect: balancer.NonIdempotent, Deadline: now + deadline, Responder: p, CallerAttempt: number, AtCapacity: full}))
 		return p
 	}
@@ -118,7 +120,7 @@
 
 // When the process ends each call gets its final answer at once: refused where no attempt can have run, else failed. Nothing
 // is sent for it any more, and how its attempt ends then is heard by nobody.
-func TestLastWord(t *testing.T) {
+func TestForceAnswerFailsWhatMayHaveRun(t *testing.T) {
 	for name, tt := range map[string]struct {
 		first balancer.Result // how the first attempt ended before; -1: it is still out
 		want  AnswerKind
@@ -127,50 +129,50 @@
 		"turned away, in flight": {balancer.Rejected, Failed}, // sent once more
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newTied(t, func(*tiedEngine) {})
+			x := newBindingFixture(t, func(*bindingFixture) {})
 			a, heard := x.call("k", nil)
 			if tt.first >= 0 {
-				x.end(a, tt.first)
+				x.endAttempt(a, tt.first)
 			}
-			sent := len(x.out.attempts)
-			x.Handle(lastWord{a.Call})
-			x.Handle(lastWord{a.Call})
+			sent := len(x.transport.attempts)
+			x.Handle(answerForced{a.Call})
+			x.Handle(answerForced{a.Call})
 			if len(*heard) != 1 || (*heard)[0].Kind != tt.want {
 				t.Fatalf("answers %+v", *heard)
 			}
-			x.end(x.out.attempts[sent-1], balancer.Reset)
+			x.endAttempt(x.transport.attempts[sent-1], balancer.Reset)
 			x.now += deadline
 			x.Handle(nil)
-			if len(*heard) != 1 || len(x.out.attempts) != sent || len(x.calls) != 0 {
-				t.Errorf("%+v, %d attempts after %d, %d calls held", *heard, len(x.out.attempts), sent, len(x.calls))
+			if len(*heard) != 1 || len(x.transport.attempts) != sent || len(x.calls) != 0 {
+				t.Errorf("%+v, %d attempts after %d, %d calls held", *heard, len(x.transport.attempts), sent, len(x.calls))
 			}
 		})
 	}
 }
 
 // Those that wait for one answer together get their last words one by one: their flight goes on for those that are left.
-func TestLastWordOfJoined(t *testing.T) {
-	x := newTied(t, func(x *tiedEngine) {
+func TestForceAnswerOfCoalescedCalls(t *testing.T) {
+	x := newBindingFixture(t, func(x *bindingFixture) {
 		class := coalesce.Class{Coalesces: true, LatencyObjective: deadline, Deadline: deadline}
 		x.SetCoalescing(coalesce.Options{Classes: []coalesce.Class{class, {}, {}}, MaxGroups: 4, MaxFollowers: 4, PauseAfterPrivate: time.Second}, 0)
 	})
-	calls, heard := make([]*Call, 3), make([]ear, 3)
+	calls, heard := make([]*Call, 3), make([]recordingResponder, 3)
 	for i := range calls {
-		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Idempotent, Deadline: x.now + deadline, Transport: x.out, Responder: &heard[i], CoalesceDigest: &coalesce.Digest{}}
+		calls[i] = &Call{ID: string(rune('a' + i)), Effect: balancer.Idempotent, Deadline: x.now + deadline, Transport: x.transport, Responder: &heard[i], CoalesceDigest: &coalesce.Digest{}}
 		x.Handle(CallArrived(calls[i]))
 	}
-	if len(x.out.attempts) != 1 {
-		t.Fatalf("%d attempts for one flight", len(x.out.attempts))
+	if len(x.transport.attempts) != 1 {
+		t.Fatalf("%d attempts for one flight", len(x.transport.attempts))
 	}
-	x.Handle(lastWord{calls[0]})
-	x.Handle(lastWord{calls[1]})
-	x.end(x.out.attempts[0], balancer.OK)
+	x.Handle(answerForced{calls[0]})
+	x.Handle(answerForced{calls[1]})
+	x.endAttempt(x.transport.attempts[0], balancer.OK)
 	for i, want := range []AnswerKind{Rejected, Rejected, Served} {
 		if len(heard[i]) != 1 || heard[i][0].Kind != want {
 			t.Errorf("%d heard %+v, want one of kind %v", i, heard[i], want)
 		}
 	}
-	if len(x.calls) != 0 || len(x.out.attempts) != 1 {
-		t.Errorf("%d calls are held, %d attempts", len(x.calls), len(x.out.attempts))
+	if len(x.calls) != 0 || len(x.transport.attempts) != 1 {
+		t.Errorf("%d calls are held, %d attempts", len(x.calls), len(x.transport.attempts))
 	}
 }
--- a/internal/engine/ties.go
+++ b/internal/engine/affinity.go
@@ -21,7 +21,7 @@
 
 // ties are what the engine keeps of keyed requests: where they went, so that a repeat under another id goes to the same pod, or
 // nowhere.
-type ties struct {
+type affinityBinder struct {
 	table  *affinity.Table
 	secret affinity.Secret
 	log    BindingLog     // nil: nothing lasts
@@ -32,7 +32,7 @@
 
 // SetAffinity makes the engine remember where keyed requests go. It is called before Run.
 func (e *Engine) SetAffinity(t *affinity.Table, s affinity.Secret, l BindingLog) {
-	e.ties = &ties{table: t, secret: s, log: l, pods: map[string]pod{}}
+	e.affinity = &affinityBinder{table: t, secret: s, log: l, pods: map[string]pod{}}
 }
 
 // BindingsRestored brings records that another process has kept.
@@ -41,16 +41,16 @@
 func (BindingsRestored) event() {}
 
 // undurable says that a tie could not be kept in time.
-type undurable struct{}
+type bindingNotDurable struct{}
 
-func (undurable) event() {}
+func (bindingNotDurable) event() {}
 
 // kept says that a chooser's attempt may be handed over, as its tie is kept, or was not in time.
-type kept struct{ attempt *Attempt }
+type bindingCommitted struct{ attempt *Attempt }
 
-func (kept) event() {}
+func (bindingCommitted) event() {}
 
-func (t *ties) listed(l EndpointUpdate) {
+func (t *affinityBinder) listed(l EndpointUpdate) {
 	if l.Full {
 		clear(t.pods)
 	}
@@ -66,28 +66,28 @@
 // tied looks up what may have run of a new call under another id. It is asked before any door: what may have run is never
 // refused.
 func (e *Engine) tied(c *Call) {
-	if r := e.returning; r != nil && c.Effect == balancer.IdempotentByKey && r.unremembered(e.clock.Now(), c) {
-		c.before = balancer.EarlierAttempt{MayHaveRun: true, SentAt: e.clock.Now() - c.IdempotencyWindow, Zone: -1, Cell: -1}
-		c.ranSince = max(c.before.SentAt, 1)
+	if r := e.recovery; r != nil && c.Effect == balancer.IdempotentByKey && r.unremembered(e.clock.Now(), c) {
+		c.earlier = balancer.EarlierAttempt{MayHaveRun: true, SentAt: e.clock.Now() - c.IdempotencyWindow, Zone: -1, Cell: -1}
+		c.mayHaveRunSince = max(c.earlier.SentAt, 1)
 	}
-	if e.ties == nil || c.Effect != balancer.IdempotentByKey || c.IdempotencyKey == "" {
+	if e.affinity == nil || c.Effect != balancer.IdempotentByKey || c.IdempotencyKey == "" {
 		return
 	}
-	c.key = e.ties.secret.Key(c.IdempotencyKey)
-	if tie, ok := e.ties.table.Lookup(e.clock.Now(), c.key); ok {
-		c.before = balancer.EarlierAttempt{MayHaveRun: true, SentAt: tie.Since, Zone: tie.Zone, Cell: tie.Pod}
-		c.ranSince = max(tie.Since, 1) // 0 stands for never
+	c.affinityKey = e.affinity.secret.Key(c.IdempotencyKey)
+	if tie, ok := e.affinity.table.Lookup(e.clock.Now(), c.affinityKey); ok {
+		c.earlier = balancer.EarlierAttempt{MayHaveRun: true, SentAt: tie.Since, Zone: tie.Zone, Cell: tie.Pod}
+		c.mayHaveRunSince = max(tie.Since, 1) // 0 stands for never
 	}
 }
 
 // begin notes an attempt that is about to be sent. What it returns is to be waited for before the first byte goes out.
-func (t *ties) begin(now time.Duration, c *Call, a *Attempt) BindingCommit {
+func (t *affinityBinder) begin(now time.Duration, c *Call, a *Attempt) BindingCommit {
 	p, there := t.pods[a.Server]
 	if !there || c.Effect != balancer.IdempotentByKey || c.IdempotencyKey == "" {
 		return nil
 	}
-	a.tied = true
-	r, fresh := t.table.Bind(now, c.key, p.cell, p.zone)
+	a.isBound = true
+	r, fresh := t.table.Bind(now, c.affinityKey, p.cell, p.zone)
 	if !fresh || t.log == nil {
 		return nil
 	}
@@ -95,19 +95,19 @@
 }
 
 // ended notes how an attempt ended.
-func (t *ties) ended(now time.Duration, a *Attempt, result balancer.Result) {
-	if !a.tied {
+func (t *affinityBinder) ended(now time.Duration, a *Attempt, result balancer.Result) {
+	if !a.isBound {
 		return
 	}
 	var r affinity.Record
 	var keep bool
 	switch result {
 	case balancer.NotSent, balancer.ConnectFailed, balancer.Rejected:
-		r, keep = t.table.Unbind(now, a.Call.key)
+		r, keep = t.table.Unbind(now, a.Call.affinityKey)
 	case balancer.OK:
-		r, keep = t.table.Complete(now, a.Call.key, affinity.OutcomeServed)
+		r, keep = t.table.Complete(now, a.Call.affinityKey, affinity.OutcomeServed)
 	default:
-		r, keep = t.table.Complete(now, a.Call.key, affinity.OutcomeUnknown)
+		r, keep = t.table.Complete(now, a.Call.affinityKey, affinity.OutcomeUnknown)
 	}
 	if keep && t.log != nil {
 		t.log.Append(r)
@@ -117,6 +117,6 @@
 // wait waits for a tie to be kept, and counts one that is not in time. It runs in the attempt's goroutine.
 func (e *Engine) wait(c BindingCommit) {
 	if c != nil && !c.Wait() {
-		e.Post(undurable{})
+		e.Post(bindingNotDurable{})
 	}
 }
--- a/internal/engine/tally.go
+++ b/internal/engine/counters.go
@@ -9,11 +9,11 @@
 	"appleledge/internal/latency"
 )
 
-// tallyTurn is how far back the times of a Tally reach, to twice that.
-const tallyTurn = 30 * time.Second
+// latencyWindow is how far back the times of a Tally reach, to twice that.
+const latencyWindow = 30 * time.Second
 
-// quantilesOf are the shares of which a Tally tells the times.
-var quantilesOf = [...]float64{0.5, 0.9, 0.99}
+// latencyQuantiles are the shares of which a Tally tells the times.
+var latencyQuantiles = [...]float64{0.5, 0.9, 0.99}
 
 // SendKinds and AnswerKinds are the names of what is counted by kind, for logs and figures.
 var (
@@ -43,23 +43,23 @@
 }
 
 // tally is the one place that counts. Its lock makes a reading one moment, which does not wait for the engine's queue.
-type tally struct {
+type counters struct {
 	mu      sync.Mutex
-	counts  Counters
+	totals  Counters
 	windows []*latency.Window // none where no times are kept
 }
 
 // SetClassNames states the classes by number, as they come and go; what was counted of an earlier one stands.
 func (e *Engine) SetClassNames(classes []balancer.Class) {
-	t := e.tally
+	t := e.counters
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.counts.Classes = nil
+	t.totals.Classes = nil
 	for i, c := range classes {
-		t.counts.Classes = append(t.counts.Classes, c.Name)
-		t.room(i)
+		t.totals.Classes = append(t.totals.Classes, c.Name)
+		t.grow(i)
 		if len(t.windows) > 0 && i == len(t.windows) {
-			t.windows = append(t.windows, latency.New(c.Deadline, tallyTurn, 0))
+			t.windows = append(t.windows, latency.New(c.Deadline, latencyWindow, 0))
 		}
 	}
 }
@@ -67,128 +67,128 @@
 // TrackLatency makes the engine keep the times of calls of these classes, for Load. It is called before Run.
 func (e *Engine) TrackLatency(classes []balancer.Class) {
 	e.SetClassNames(classes)
-	if len(e.tally.windows) > 0 {
+	if len(e.counters.windows) > 0 {
 		return
 	}
 	for _, c := range classes {
-		e.tally.windows = append(e.tally.windows, latency.New(c.Deadline, tallyTurn, 0))
+		e.counters.windows = append(e.counters.windows, latency.New(c.Deadline, latencyWindow, 0))
 	}
 }
 
 // Counters returns what is counted. It waits for nothing that the engine does.
-func (e *Engine) Counters() Counters { return e.tally.view() }
+func (e *Engine) Counters() Counters { return e.counters.snapshot() }
 
 // CountRejected counts a call that its front has refused, which the engine has not seen.
 func (e *Engine) CountRejected(c *Call) {
-	e.tally.arrived(c)
-	e.tally.answered(e.clock.Now(), c, Rejected)
+	e.counters.arrived(c)
+	e.counters.answered(e.clock.Now(), c, Rejected)
 }
 
 // room makes room for a class.
-func (t *tally) room(class int) {
-	for len(t.counts.Answers) <= class {
-		t.counts.Answers = append(t.counts.Answers, [4]uint64{})
-		t.counts.Left = append(t.counts.Left, 0)
+func (t *counters) grow(class int) {
+	for len(t.totals.Answers) <= class {
+		t.totals.Answers = append(t.totals.Answers, [4]uint64{})
+		t.totals.Left = append(t.totals.Left, 0)
 	}
 }
 
 // arrived counts a call as open.
-func (t *tally) arrived(c *Call) {
+func (t *counters) arrived(c *Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c.counted = true
-	t.counts.Open++
+	c.isCountedOpen = true
+	t.totals.Open++
 }
 
 // over counts a call as open no more, if it was; the lock is held.
-func (t *tally) over(c *Call) {
-	if c.counted {
-		c.counted = false
-		t.counts.Open--
+func (t *counters) closeOpen(c *Call) {
+	if c.isCountedOpen {
+		c.isCountedOpen = false
+		t.totals.Open--
 	}
 }
 
 // forgotten counts a call as over that was closed from outside.
-func (t *tally) forgotten(c *Call) {
+func (t *counters) forgotten(c *Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.over(c)
+	t.closeOpen(c)
 }
 
 // wrote counts an attempt that was written whole; it is called from any goroutine.
-func (t *tally) wrote() {
+func (t *counters) written() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.counts.Written++
+	t.totals.Written++
 }
 
-func (t *tally) answered(now time.Duration, c *Call, kind AnswerKind) {
+func (t *counters) answered(now time.Duration, c *Call, kind AnswerKind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.room(c.Class)
-	t.counts.Answers[c.Class][kind]++
-	t.over(c)
+	t.grow(c.Class)
+	t.totals.Answers[c.Class][kind]++
+	t.closeOpen(c)
 	if kind == Served && c.Class < len(t.windows) {
-		for len(t.counts.Latencies) <= c.Class {
-			t.counts.Latencies = append(t.counts.Latencies, LatencyStats{})
+		for len(t.totals.Latencies) <= c.Class {
+			t.totals.Latencies = append(t.totals.Latencies, LatencyStats{})
 		}
-		took := now - c.began
-		t.counts.Latencies[c.Class].Count++
-		t.counts.Latencies[c.Class].Sum += took
+		took := now - c.arrivedAt
+		t.totals.Latencies[c.Class].Count++
+		t.totals.Latencies[c.Class].Sum += took
 		t.windows[c.Class].Add(now, took)
 	}
 }
 
-func (t *tally) left(c *Call) {
+func (t *counters) clientLeft(c *Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.room(c.Class)
-	t.counts.Left[c.Class]++
-	t.over(c)
+	t.grow(c.Class)
+	t.totals.Left[c.Class]++
+	t.closeOpen(c)
 }
 
 // sent counts an attempt, before it counts as one of the call's.
-func (t *tally) sent(c *Call, cold bool) {
+func (t *counters) attemptSent(c *Call, cold bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case c.sends == 0:
-		t.counts.Sends[0]++
-	case c.out == 0:
-		t.counts.Sends[1]++
+	case c.attemptsMade == 0:
+		t.totals.Sends[0]++
+	case c.inFlight == 0:
+		t.totals.Sends[1]++
 	default:
-		t.counts.Sends[2]++
+		t.totals.Sends[2]++
 	}
 	if cold {
-		t.counts.SlowStart++
+		t.totals.SlowStart++
 	}
 }
 
-func (t *tally) givenUp(why balancer.Reason) {
+func (t *counters) givenUp(why balancer.Reason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.counts.GivenUp[why]++
+	t.totals.GivenUp[why]++
 }
 
-func (t *tally) attempt(r balancer.Result) {
+func (t *counters) attemptEnded(r balancer.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.counts.Attempts[r]++
+	t.totals.Attempts[r]++
 }
 
 // view is a copy of what is counted.
-func (t *tally) view() Counters {
+func (t *counters) snapshot() Counters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := t.counts
+	v := t.totals
 	v.Classes, v.Answers, v.Left = slices.Clone(v.Classes), slices.Clone(v.Answers), slices.Clone(v.Left)
 	v.Latencies = nil
 	for i, w := range t.windows {
 		x := LatencyStats{Quantiles: map[float64]time.Duration{}}
-		if i < len(t.counts.Latencies) {
-			x.Count, x.Sum = t.counts.Latencies[i].Count, t.counts.Latencies[i].Sum
+		if i < len(t.totals.Latencies) {
+			x.Count, x.Sum = t.totals.Latencies[i].Count, t.totals.Latencies[i].Sum
 		}
-		for _, q := range quantilesOf {
+		for _, q := range latencyQuantiles {
 			x.Quantiles[q] = w.Quantile(q)
 		}
 		v.Latencies = append(v.Latencies, x)
--- a/internal/engine/held.go
+++ b/internal/engine/denylist.go
@@ -10,22 +10,24 @@
 
 // held is what the engine keeps of servers that operators hold out: the set, and the list as it was told, since bans lie
 // over it and are taken off again.
-type held struct {
+type denylistOverlay struct {
 	set  *denylist.Set
 	told map[string]Member
 	drop float64 // as the list said last
 }
 
 // SetDenylist lets operators hold servers out. It is called before Run.
-func (e *Engine) SetDenylist(set *denylist.Set) { e.held = &held{set: set, told: map[string]Member{}} }
+func (e *Engine) SetDenylist(set *denylist.Set) {
+	e.denylist = &denylistOverlay{set: set, told: map[string]Member{}}
+}
 
 // WithDenylist runs do with the set on the engine's goroutine and waits until what it has changed holds: by then a server that is
 // held out gets nothing new.
 func (e *Engine) WithDenylist(ctx context.Context, do func(now time.Duration, s *denylist.Set) error) error {
 	var told error
 	err := e.execute(ctx, func(now time.Duration) {
-		before := e.held.overlaid()
-		told = do(now, e.held.set)
+		before := e.denylist.overlaid()
+		told = do(now, e.denylist.set)
 		e.tellHeld(before)
 	})
 	if err != nil {
@@ -35,7 +37,7 @@
 }
 
 // listed takes a list over and returns it with the bans.
-func (h *held) listed(l EndpointUpdate) EndpointUpdate {
+func (h *denylistOverlay) listed(l EndpointUpdate) EndpointUpdate {
 	if l.Full {
 		before := h.told
 		h.told = make(map[string]Member, len(l.Members))
@@ -63,7 +65,7 @@
 }
 
 // overlay is a member as the fleet and the module are to see it.
-func (h *held) overlay(m Member) Member {
+func (h *denylistOverlay) overlay(m Member) Member {
 	m.Started = h.set.EffectiveStart(m.ID, m.Started)
 	if m.State == balancer.Ready && h.set.IsDenied(m.ID) {
 		m.State = balancer.Draining
@@ -72,7 +74,7 @@
 }
 
 // overlaid are the members that differ from what the list says.
-func (h *held) overlaid() map[string]Member {
+func (h *denylistOverlay) overlaid() map[string]Member {
 	out := map[string]Member{}
 	for id, m := range h.told {
 		if o := h.overlay(m); o != m {
@@ -84,13 +86,13 @@
 
 // tellHeld tells the fleet and the module of servers that are seen otherwise than before.
 func (e *Engine) tellHeld(before map[string]Member) {
-	l := EndpointUpdate{Drop: e.held.drop}
-	for id, m := range e.held.told {
+	l := EndpointUpdate{Drop: e.denylist.drop}
+	for id, m := range e.denylist.told {
 		was, overlaid := before[id]
 		if !overlaid {
 			was = m
 		}
-		if now := e.held.overlay(m); now != was {
+		if now := e.denylist.overlay(m); now != was {
 			l.Members = append(l.Members, m)
 		}
 	}
@@ -108,10 +110,10 @@
 // EndpointCounts counts the servers of the list. It waits for the engine.
 func (e *Engine) EndpointCounts(ctx context.Context) (n EndpointCounts, err error) {
 	err = e.execute(ctx, func(time.Duration) {
-		n.Listed = len(e.held.told)
+		n.Listed = len(e.denylist.told)
 		ill := e.balancer.Ejected()
-		for id := range e.held.told {
-			if e.held.set.IsDenied(id) || ill[id] {
+		for id := range e.denylist.told {
+			if e.denylist.set.IsDenied(id) || ill[id] {
 				n.Avoided++
 			}
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -49,27 +49,27 @@
 	CallerAttempt int      // which of the caller's own tries this is, from 1; 0 where it does not say
 	AtCapacity    bool     // there is no room for a new request: it is taken only as a try of one that is known
 
-	closed atomic.Bool // has its answer, or the client left; set by the engine only
-	gone   atomic.Bool // the client left, of which the engine may not have heard yet
+	closed     atomic.Bool // has its answer, or the client left; set by the engine only
+	clientGone atomic.Bool // the client left, of which the engine may not have heard yet
 
 	// The engine's own:
-	sends, out int            // attempts made and in flight
-	ranSince   time.Duration  // when the first attempt was sent that may have run; 0 without one
-	chooser    ExternalCaller // the Caller, where it is one
-	carried    int            // attempts that ended and had been handed over
-	last       *Attempt       // the latest attempt of a chooser's call
-	member     *coalesce.Member[*Call]
-	pass       *admission.Permit // of one that a door let in
-	began      time.Duration     // when the engine was told of it
-	counted    bool              // the tally has it as open
-	flies      bool              // it is a flight of joined calls, and nobody's own
-	bound      generation.Binding
-	key        affinity.Key            // of a keyed call, where ties are kept
-	before     balancer.EarlierAttempt // what may have run of it under another id
+	attemptsMade, inFlight int            // attempts made and in flight
+	mayHaveRunSince        time.Duration  // when the first attempt was sent that may have run; 0 without one
+	external               ExternalCaller // the Caller, where it is one
+	attemptsEnded          int            // attempts that ended and had been handed over
+	lastAttempt            *Attempt       // the latest attempt of a chooser's call
+	member                 *coalesce.Member[*Call]
+	permit                 *admission.Permit // of one that a door let in
+	arrivedAt              time.Duration     // when the engine was told of it
+	isCountedOpen          bool              // the tally has it as open
+	isFlight               bool              // it is a flight of joined calls, and nobody's own
+	binding                generation.Binding
+	affinityKey            affinity.Key            // of a keyed call, where ties are kept
+	earlier                balancer.EarlierAttempt // what may have run of it under another id
 }
 
 // Closed reports whether the call needs no answer any more. It may be asked from any goroutine.
-func (c *Call) Closed() bool { return c.closed.Load() || c.gone.Load() }
+func (c *Call) Closed() bool { return c.closed.Load() || c.clientGone.Load() }
 
 // Close marks a call as over, so that no attempt of it begins any more.
 func (c *Call) Close() { c.closed.Store(true) }
@@ -143,25 +143,25 @@
 	Forbidden      bool          // it must not be sent: nobody may be left who would drop it as a repeat
 	ConnectedSince time.Duration // only over a connection that was there then already; 0: over any
 
-	over   bool        // its outcome is known
-	tied   bool        // the table of ties counts it
-	expiry *time.Timer // of a chooser's: tells that Until has come
-	tally  *tally
-	begun  time.Duration // when the server had it whole
-	tell   func(Event)   // the engine; nil of an attempt that none made
+	ended      bool        // its outcome is known
+	isBound    bool        // the table of ties counts it
+	expiry     *time.Timer // of a chooser's: tells that Until has come
+	tally      *counters
+	bodySentAt time.Duration // when the server had it whole
+	tell       func(Event)   // the engine; nil of an attempt that none made
 }
 
 // MarkWritten says that the attempt was written whole. It may be called from any goroutine, once.
 func (a *Attempt) MarkWritten() {
 	if a.tally != nil {
-		a.tally.wrote()
+		a.tally.written()
 	}
 }
 
 // UploadFinished says that the last byte of an Upload was written, and when the client will have given up its answer.
 func (a *Attempt) UploadFinished(deadline time.Duration) {
 	if a.tell != nil {
-		a.tell(uploaded{a, deadline})
+		a.tell(bodySent{a, deadline})
 	}
 }
 
@@ -206,20 +206,20 @@
 
 type (
 	// arrived brings a new request.
-	arrived struct{ call *Call }
+	callArrived struct{ call *Call }
 	// unusable says that an attempt was not handed over to a chooser that still waits.
-	unusable struct{ attempt *Attempt }
-	// gaveUp says that a chooser ended with no attempt in its hands.
-	gaveUp struct {
+	attemptRejected struct{ attempt *Attempt }
+	// abandoned says that a chooser ended with no attempt in its hands.
+	abandoned struct {
 		id string
 		by ExternalCaller
 	}
-	// lastWord asks for the final answer of a call now.
-	lastWord struct{ call *Call }
+	// forceAnswer asks for the final answer of a call now.
+	answerForced struct{ call *Call }
 	// clientLeft says that nobody waits for the answer any more.
 	clientLeft struct{ call *Call }
 	// counted asks what is open.
-	counted struct{ reply chan<- Stats }
+	statsRequested struct{ reply chan<- Stats }
 	// EndpointUpdate brings the list of servers or a change of it.
 	EndpointUpdate struct {
 		Full    bool
@@ -238,26 +238,26 @@
 		Names      generation.Names
 	}
 	// uploaded says that the last byte of an attempt was written.
-	uploaded struct {
+	bodySent struct {
 		attempt  *Attempt
 		deadline time.Duration
 	}
 	// commanded is work for the engine's goroutine.
-	commanded struct {
+	execution struct {
 		do   func(time.Duration)
 		done chan<- struct{}
 	}
 )
 
-func (arrived) event()              {}
-func (unusable) event()             {}
-func (gaveUp) event()               {}
+func (callArrived) event()          {}
+func (attemptRejected) event()      {}
+func (abandoned) event()            {}
 func (clientLeft) event()           {}
-func (lastWord) event()             {}
-func (counted) event()              {}
-func (commanded) event()            {}
+func (answerForced) event()         {}
+func (statsRequested) event()       {}
+func (execution) event()            {}
 func (SettingsChanged) event()      {}
-func (uploaded) event()             {}
+func (bodySent) event()             {}
 func (Outcome) event()              {}
 func (EndpointUpdate) event()       {}
 func (EndpointsUnavailable) event() {}
@@ -267,38 +267,38 @@
 type Engine struct {
 	balancer  *balancer.Balancer
 	clock     Clock
-	fleet     ServerPool
+	pool      ServerPool
 	subscribe func()
 	log       *slog.Logger
 	events    chan Event
 	done      chan struct{} // closed when the engine has ended
 	ready     atomic.Bool   // there is a server to send to
 
-	ctx       context.Context // of the attempts
-	attempts  sync.WaitGroup
-	calls     map[string]*Call // open, or with attempts in flight
-	timers    timers
-	ended     *outcomecache.Table[AnswerKind] // how choosers' calls ended that may have run; nil where there are no choosers
-	neverRan  *outcomecache.Table[struct{}]   // those that ended, and of which no try can have run
-	keep      time.Duration                   // for how long they are remembered
-	joins     *joins                          // nil where nothing is joined
-	door      AdmissionController             // nil where all are let in
-	tally     *tally                          // what is counted
-	governed  *governed                       // nil where no configuration is in force
-	ties      *ties                           // nil where none are kept
-	held      *held                           // nil where operators hold out nothing
-	settings  int                             // the number of those in force
-	returning *returning                      // nil where no recovery is switched on
-	worded    *worded                         // nil where no word of others is heeded
-	drop      float64                         // the share of requests that the list wants turned away
+	ctx             context.Context // of the attempts
+	attempts        sync.WaitGroup
+	calls           map[string]*Call // open, or with attempts in flight
+	timers          timers
+	ended           *outcomecache.Table[AnswerKind] // how choosers' calls ended that may have run; nil where there are no choosers
+	neverRan        *outcomecache.Table[struct{}]   // those that ended, and of which no try can have run
+	keep            time.Duration                   // for how long they are remembered
+	coalescer       *coalescer                      // nil where nothing is joined
+	admission       AdmissionController             // nil where all are let in
+	counters        *counters                       // what is counted
+	generations     *generationOverlay              // nil where no configuration is in force
+	affinity        *affinityBinder                 // nil where none are kept
+	denylist        *denylistOverlay                // nil where operators hold out nothing
+	settingsVersion int                             // the number of those in force
+	recovery        *recoveryOverlay                // nil where no recovery is switched on
+	gossip          *gossipOverlay                  // nil where no word of others is heeded
+	dropRatio       float64                         // the share of requests that the list wants turned away
 }
 
 const eventQueue = 1024
 
 // New returns an engine round the module. It does nothing before Run.
 func New(b *balancer.Balancer, c Clock, f ServerPool, log *slog.Logger) *Engine {
-	return &Engine{balancer: b, clock: c, fleet: f, log: log, subscribe: func() {},
-		events: make(chan Event, eventQueue), done: make(chan struct{}), calls: map[string]*Call{}, tally: &tally{}}
+	return &Engine{balancer: b, clock: c, pool: f, log: log, subscribe: func() {},
+		events: make(chan Event, eventQueue), done: make(chan struct{}), calls: map[string]*Call{}, counters: &counters{}}
 }
 
 // OnSubscribe sets what asks for the list of servers when the module wants it. It is called before Run, if at all.
@@ -311,16 +311,16 @@
 func (e *Engine) Ready() bool { return e.ready.Load() }
 
 // Arrive hands over a call.
-func (e *Engine) Arrive(c *Call) { e.Post(arrived{c}) }
+func (e *Engine) Arrive(c *Call) { e.Post(callArrived{c}) }
 
 // ClientLeft says that nobody waits for the call's answer any more.
 func (e *Engine) ClientLeft(c *Call) {
-	c.gone.Store(true) // no attempt begins from here on, whatever the engine has to do first
+	c.clientGone.Store(true) // no attempt begins from here on, whatever the engine has to do first
 	e.Post(clientLeft{c})
 }
 
 // ForceAnswer asks for a call's final answer now, whatever time it has left: the process ends. What may have run has failed.
-func (e *Engine) ForceAnswer(c *Call) { e.Post(lastWord{c}) }
+func (e *Engine) ForceAnswer(c *Call) { e.Post(answerForced{c}) }
 
 // Stats says what an engine holds.
 type Stats struct {
@@ -340,7 +340,7 @@
 // Stats returns what the engine holds; it is empty once the engine has ended.
 func (e *Engine) Stats() Stats {
 	reply := make(chan Stats, 1)
-	e.Post(counted{reply})
+	e.Post(statsRequested{reply})
 	select {
 	case l := <-reply:
 		return l
@@ -349,24 +349,24 @@
 	}
 }
 
-func (e *Engine) load() Stats {
+func (e *Engine) stats() Stats {
 	l := Stats{Calls: len(e.calls), InFlight: e.balancer.InFlight(), Balancer: e.balancer.Stats()}
 	if e.ended != nil {
 		l.ForgottenEarly = e.ended.Evicted()
 	}
-	if e.door != nil {
-		l.Admission = e.door.Counts()
+	if e.admission != nil {
+		l.Admission = e.admission.Counts()
 	}
-	l.Counters = e.tally.view()
-	if e.joins != nil {
-		l.Coalescing = e.joins.table.Counts()
+	l.Counters = e.counters.snapshot()
+	if e.coalescer != nil {
+		l.Coalescing = e.coalescer.table.Counts()
 	}
-	if e.ties != nil {
-		l.Affinity = e.ties.table.Counts()
+	if e.affinity != nil {
+		l.Affinity = e.affinity.table.Counts()
 	}
-	l.Recovery = e.recovery()
-	if e.governed != nil {
-		l.Generation = e.governed.manager.Status(e.clock.Now())
+	l.Recovery = e.recoveryStatus()
+	if e.generations != nil {
+		l.Generation = e.generations.manager.Status(e.clock.Now())
 	}
 	return l
 }
@@ -381,31 +381,31 @@
 
 // Start starts an engine that has no goroutine of its own: the caller brings each event by Step, and calls Step with nil
 // when the time of Due has come. It is for simulations, in place of Run.
-func (e *Engine) Start() { e.do(e.balancer.Start(e.clock.Now())) }
+func (e *Engine) Start() { e.perform(e.balancer.Start(e.clock.Now())) }
 
 // Handle handles an event, if there is one, and what is due.
 func (e *Engine) Handle(ev Event) {
 	if ev != nil {
-		e.handle(ev)
+		e.dispatch(ev)
 	}
-	e.fire()
+	e.fireTimers()
 }
 
 // CallArrived is a call as an event, for Step.
-func CallArrived(c *Call) Event { return arrived{c} }
+func CallArrived(c *Call) Event { return callArrived{c} }
 
 // NextTimer is the time of the next timer, if there is one.
 func (e *Engine) NextTimer() (at time.Duration, ok bool) {
 	if len(e.timers) > 0 {
 		at, ok = e.timers[0].due, true
 	}
-	if e.joins != nil {
-		if due, is := e.joins.table.NextTimer(); is && (!ok || due < at) {
+	if e.coalescer != nil {
+		if due, is := e.coalescer.table.NextTimer(); is && (!ok || due < at) {
 			at, ok = due, true
 		}
 	}
-	if e.governed != nil {
-		if due, is := e.governed.manager.NextTick(); is && (!ok || due < at) {
+	if e.generations != nil {
+		if due, is := e.generations.manager.NextTick(); is && (!ok || due < at) {
 			at, ok = due, true
 		}
 	}
@@ -415,10 +415,10 @@
 // Run handles events until the context ends, and returns when all attempts have.
 func (e *Engine) Run(ctx context.Context) {
 	defer e.attempts.Wait()
-	defer e.fleet.Close()
+	defer e.pool.Close()
 	defer close(e.done)
 	e.ctx = ctx
-	e.do(e.balancer.Start(e.clock.Now()))
+	e.perform(e.balancer.Start(e.clock.Now()))
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	var armed time.Duration // when the timer is set to wake
@@ -427,12 +427,12 @@
 		case <-ctx.Done():
 			return
 		case ev := <-e.events:
-			e.handle(ev)
-			e.fire()
-			e.handleWaiting()
+			e.dispatch(ev)
+			e.fireTimers()
+			e.dispatchQueued()
 		case <-wake.C:
 			armed = 0
-			e.fire()
+			e.fireTimers()
 		}
 		if due, ok := e.NextTimer(); ok && due != armed {
 			armed = due
@@ -441,62 +441,62 @@
 	}
 }
 
-// handleWaiting handles events that wait already, as many as the queue holds at most: then a look at the context is due.
-func (e *Engine) handleWaiting() {
+// dispatchQueued handles events that wait already, as many as the queue holds at most: then a look at the context is due.
+func (e *Engine) dispatchQueued() {
 	for range cap(e.events) {
 		select {
 		case ev := <-e.events:
-			e.handle(ev)
-			e.fire()
+			e.dispatch(ev)
+			e.fireTimers()
 		default:
 			return
 		}
 	}
 }
 
-func (e *Engine) handle(ev Event) {
+func (e *Engine) dispatch(ev Event) {
 	switch ev := ev.(type) {
-	case arrived:
+	case callArrived:
 		e.arrive(ev.call)
 	case Outcome:
-		e.outcome(ev)
-	case unusable:
-		e.rechoose(ev.attempt)
-	case counted:
-		ev.reply <- e.load()
-	case gaveUp:
-		e.abandon(ev)
+		e.attemptEnded(ev)
+	case attemptRejected:
+		e.attemptRejected(ev.attempt)
+	case statsRequested:
+		ev.reply <- e.stats()
+	case abandoned:
+		e.callAbandoned(ev)
 	case clientLeft:
 		e.clientLeft(ev.call)
-	case lastWord:
-		e.lastWord(ev.call)
+	case answerForced:
+		e.forceAnswer(ev.call)
 	case EndpointUpdate:
-		e.list(ev)
+		e.setEndpoints(ev)
 	case EndpointsUnavailable:
 		e.decide(balancer.ListUnavailable{})
 	case SettingsChanged:
-		e.retuned(ev)
-	case uploaded:
-		e.uploaded(ev)
-	case commanded:
+		e.settingsChanged(ev)
+	case bodySent:
+		e.bodySent(ev)
+	case execution:
 		ev.do(e.clock.Now())
 		close(ev.done)
 	case BindingsRestored:
-		e.ties.table.Restore(e.clock.Now(), ev.Records)
-	case undurable:
-		e.ties.table.CountNotDurable()
-	case kept:
+		e.affinity.table.Restore(e.clock.Now(), ev.Records)
+	case bindingNotDurable:
+		e.affinity.table.CountNotDurable()
+	case bindingCommitted:
 		e.handOver(ev.attempt)
-	case spoken:
-		e.hear(ev)
-	case living:
-		if e.returning != nil {
-			e.returning.SetLiveAgents(ev.alive)
+	case gossipReceived:
+		e.handleGossip(ev)
+	case livenessChanged:
+		if e.recovery != nil {
+			e.recovery.SetLiveAgents(ev.alive)
 		}
 		if s := e.sharer(); s != nil {
 			s.HandleLiveness(ev.alive)
 		}
-	case shared:
+	case overloadReported:
 		if s := e.sharer(); s != nil {
 			besteffort.Ignore(s.HandlePayload(e.clock.Now(), ev.from, ev.body)) // what can't be read is counted there
 		}
@@ -504,30 +504,30 @@
 }
 
 // decide asks the module and carries out what it says.
-func (e *Engine) decide(ev balancer.Event) { e.do(e.balancer.Handle(e.clock.Now(), ev)) }
+func (e *Engine) decide(ev balancer.Event) { e.perform(e.balancer.Handle(e.clock.Now(), ev)) }
 
 // arrive takes a new call. A second one under the id of one that is not over could not be told from it.
 func (e *Engine) arrive(c *Call) {
-	c.began = e.clock.Now()
-	if c.chooser, _ = c.Responder.(ExternalCaller); c.chooser != nil && e.resume(c) {
+	c.arrivedAt = e.clock.Now()
+	if c.external, _ = c.Responder.(ExternalCaller); c.external != nil && e.resume(c) {
 		return
 	}
-	e.tally.arrived(c)
+	e.counters.arrived(c)
 	if e.calls[c.ID] != nil {
 		e.reject(c, Answer{Kind: Conflict})
 		return
 	}
 	e.tied(c)
-	if c.chooser != nil && !e.takesNew(c) {
+	if c.external != nil && !e.takesNew(c) {
 		return
 	}
-	if e.governed != nil && !e.bind(c) {
+	if e.generations != nil && !e.bind(c) {
 		return
 	}
-	if e.joins != nil && c.CoalesceDigest != nil && e.join(c) {
+	if e.coalescer != nil && c.CoalesceDigest != nil && e.join(c) {
 		return
 	}
-	e.ask(c)
+	e.submit(c)
 }
 
 // clientLeft ends a call for whose answer nobody waits.
@@ -535,7 +535,7 @@
 	if c.closed.Swap(true) {
 		return
 	}
-	e.tally.left(c)
+	e.counters.clientLeft(c)
 	if c.member != nil {
 		e.leave(c)
 		return
@@ -546,13 +546,13 @@
 	e.forget(c)
 }
 
-// lastWord answers a call whose process ends.
-func (e *Engine) lastWord(c *Call) {
+// forceAnswer answers a call whose process ends.
+func (e *Engine) forceAnswer(c *Call) {
 	if c.closed.Load() {
 		return
 	}
 	end := Answer{Kind: Rejected}
-	if c.ranSince != 0 || c.before.MayHaveRun {
+	if c.mayHaveRunSince != 0 || c.earlier.MayHaveRun {
 		end.Kind = Failed
 	}
 	e.finish(c, end)
@@ -564,18 +564,18 @@
 }
 
 // ask brings a call to the module, past the door.
-func (e *Engine) ask(c *Call) {
+func (e *Engine) submit(c *Call) {
 	e.calls[c.ID] = c
-	if c.SettingsVersion < e.settings-1 { // what its class was then is not known any more; it was never sent
+	if c.SettingsVersion < e.settingsVersion-1 { // what its class was then is not known any more; it was never sent
 		e.finish(c, Answer{Kind: Rejected})
 		return
 	}
 	if !e.admit(c) {
 		return
 	}
-	e.decide(balancer.Request{UsesPreviousClasses: c.SettingsVersion < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, IsClientRetry: c.ClientRetry,
-		AllowedServers: c.among(), ManualRetry: c.chooser != nil || c.Upload != nil, StreamsBody: c.Upload != nil,
-		MaxAttempts: fewest(c.MaxAttempts, c.bound.MaxAttempts), Earlier: c.before})
+	e.decide(balancer.Request{UsesPreviousClasses: c.SettingsVersion < e.settingsVersion, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, IsClientRetry: c.ClientRetry,
+		AllowedServers: c.candidates(), ManualRetry: c.external != nil || c.Upload != nil, StreamsBody: c.Upload != nil,
+		MaxAttempts: fewest(c.MaxAttempts, c.binding.MaxAttempts), Earlier: c.earlier})
 }
 
 // fewest is the lower of two numbers of which 0 states none.
@@ -587,39 +587,39 @@
 }
 
 // retuned puts settings in force for what comes from now on.
-func (e *Engine) retuned(r SettingsChanged) {
-	e.settings = r.Version
+func (e *Engine) settingsChanged(r SettingsChanged) {
+	e.settingsVersion = r.Version
 	e.decide(r.ClassUpdate)
-	if e.joins != nil {
-		e.joins.table.Retune(r.Coalescing)
+	if e.coalescer != nil {
+		e.coalescer.table.Retune(r.Coalescing)
 	}
-	if d, ok := e.door.(retuner); ok {
+	if d, ok := e.admission.(retuner); ok {
 		d.Retune(r.Admission)
 	}
-	if e.governed != nil {
-		e.governed.manager.SetNames(r.Names)
+	if e.generations != nil {
+		e.generations.manager.SetNames(r.Names)
 	}
 }
 
 // reject answers a call that the module never sees.
 func (e *Engine) reject(c *Call, a Answer) {
 	c.closed.Store(true)
-	e.tally.answered(e.clock.Now(), c, a.Kind)
+	e.counters.answered(e.clock.Now(), c, a.Kind)
 	c.Responder.Answer(a)
 	c.release()
 }
 
-func (e *Engine) outcome(o Outcome) {
+func (e *Engine) attemptEnded(o Outcome) {
 	a, c := o.Attempt, o.Attempt.Call
-	if a.over { // a chooser's own word and the end of its time may cross
+	if a.ended { // a chooser's own word and the end of its time may cross
 		return
 	}
-	a.over = true
+	a.ended = true
 	if a.expiry != nil {
 		a.expiry.Stop()
 	}
-	e.tally.attempt(o.Result)
-	if e.returning != nil {
+	e.counters.attemptEnded(o.Result)
+	if e.recovery != nil {
 		e.returned(o)
 	}
 	if s := e.sharer(); s != nil && !a.Forbidden {
@@ -629,16 +629,16 @@
 	if o.FromOtherServer {
 		o.Result, o.Report = balancer.Cancelled, balancer.NoReport
 	}
-	c.ended(o)
-	if e.ties != nil {
-		e.ties.ended(e.clock.Now(), a, o.Result)
+	c.attemptEnded(o)
+	if e.affinity != nil {
+		e.affinity.ended(e.clock.Now(), a, o.Result)
 	}
-	c.carried++
+	c.attemptsEnded++
 	spent := c.Upload != nil && c.Upload.Consumed()
 	switch {
 	case served:
 		e.finish(c, Answer{Kind: Served, Payload: o.Payload, Private: o.Private})
-	case spent && (c.ranSince == 0 || c.Effect == balancer.Idempotent): // what it would need is gone
+	case spent && (c.mayHaveRunSince == 0 || c.Effect == balancer.Idempotent): // what it would need is gone
 		e.finish(c, Answer{Kind: Rejected})
 	case spent:
 		e.finish(c, Answer{Kind: Failed})
@@ -646,54 +646,54 @@
 		e.finish(c, Answer{Kind: Failed})
 	}
 	e.decide(balancer.Outcome{Request: c.ID, Attempt: a.Number, Server: a.Server, Result: o.Result,
-		Latency: e.clock.Now() - max(a.Sent, a.begun), RequestClosed: c.closed.Load(), Report: o.Report})
+		Latency: e.clock.Now() - max(a.Sent, a.bodySentAt), RequestClosed: c.closed.Load(), Report: o.Report})
 	if c.Upload != nil && !c.closed.Load() {
-		e.decide(balancer.Retry{Request: c.ID, AllowedServers: c.among()})
+		e.decide(balancer.Retry{Request: c.ID, AllowedServers: c.candidates()})
 	}
 	e.forget(c)
 }
 
 // uploaded notes that a server has an attempt whole, which it owes the answer to from now on.
-func (e *Engine) uploaded(u uploaded) {
-	if a := u.attempt; !a.over {
-		a.begun = e.clock.Now()
+func (e *Engine) bodySent(u bodySent) {
+	if a := u.attempt; !a.ended {
+		a.bodySentAt = e.clock.Now()
 		e.decide(balancer.BodySent{Request: a.Call.ID, Attempt: a.Number, Deadline: u.deadline})
 	}
 }
 
-func (e *Engine) list(l EndpointUpdate) {
-	if e.governed != nil {
-		l = e.governed.listed(l)
+func (e *Engine) setEndpoints(l EndpointUpdate) {
+	if e.generations != nil {
+		l = e.generations.listed(l)
 	}
 	e.update(l)
 }
 
 // update brings the list of servers to the fleet and to the module.
 func (e *Engine) update(l EndpointUpdate) {
-	if e.held != nil {
-		l = e.held.listed(l)
+	if e.denylist != nil {
+		l = e.denylist.listed(l)
 	}
-	if e.worded != nil {
-		l = e.worded.listed(e.clock.Now(), l)
+	if e.gossip != nil {
+		l = e.gossip.listed(e.clock.Now(), l)
 	}
 	e.bring(l)
 }
 
 // bring brings what is to be seen of a list to the fleet and to the module.
 func (e *Engine) bring(l EndpointUpdate) {
-	if e.ties != nil {
-		e.ties.listed(l)
+	if e.affinity != nil {
+		e.affinity.listed(l)
 	}
-	ready := e.fleet.Update(l.Full, l.Members)
-	if e.drop = l.Drop; e.returning != nil {
-		l = e.returning.listed(e.clock.Now(), l)
+	ready := e.pool.Update(l.Full, l.Members)
+	if e.dropRatio = l.Drop; e.recovery != nil {
+		l = e.recovery.listed(e.clock.Now(), l)
 	}
 	servers := make([]balancer.Server, len(l.Members))
 	for i, m := range l.Members {
 		servers[i] = m.Server
 	}
 	e.decide(balancer.ServerList{Full: l.Full, Servers: servers, DropRatio: l.Drop})
-	if e.returning != nil {
+	if e.recovery != nil {
 		e.remask()
 	}
 	if is := ready > 0; e.ready.Swap(is) != is {
@@ -702,16 +702,16 @@
 }
 
 // do carries out the module's actions. It makes no use of Cancel, Probe and Tell so far.
-func (e *Engine) do(actions []balancer.Action) {
+func (e *Engine) perform(actions []balancer.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case balancer.Send:
 			e.send(a)
 		case balancer.Reject:
-			e.tally.givenUp(a.Reason)
+			e.counters.givenUp(a.Reason)
 			e.finish(e.calls[a.Request], Answer{Kind: Rejected, RetryAfter: a.After})
 		case balancer.Fail:
-			e.tally.givenUp(a.Reason)
+			e.counters.givenUp(a.Reason)
 			e.finish(e.calls[a.Request], Answer{Kind: Failed})
 		case balancer.SetTimer:
 			heap.Push(&e.timers, timer{due: e.clock.Now() + a.After, token: a.Token})
@@ -724,23 +724,23 @@
 // send starts an attempt in a goroutine of its own, so that a dead dial holds up nothing else.
 func (e *Engine) send(act balancer.Action) {
 	c := e.calls[act.Request]
-	e.tally.sent(c, act.WarmingUp)
-	before := c.ranSince
-	a := c.attempt(act, e.clock.Now())
-	if e.returning != nil {
-		e.returning.repeats(c, a, before)
+	e.counters.attemptSent(c, act.WarmingUp)
+	before := c.mayHaveRunSince
+	a := c.newAttempt(act, e.clock.Now())
+	if e.recovery != nil {
+		e.recovery.repeats(c, a, before)
 	}
 	if s := e.sharer(); s != nil {
 		if a.Forbidden = a.Forbidden || a.Number > 0 && !s.AllowsRetry(a.Sent); !a.Forbidden {
 			s.AttemptSent(a.Sent, act.Server, a.Number > 0)
 		}
 	}
-	a.Incarnation, a.tally, a.tell = e.fleet.Incarnation(act.Server), e.tally, e.Post
+	a.Incarnation, a.tally, a.tell = e.pool.Incarnation(act.Server), e.counters, e.Post
 	var tie BindingCommit
-	if e.ties != nil {
-		tie = e.ties.begin(e.clock.Now(), c, a)
+	if e.affinity != nil {
+		tie = e.affinity.begin(e.clock.Now(), c, a)
 	}
-	if c.chooser != nil {
+	if c.external != nil {
 		e.choose(c, a, tie)
 		return
 	}
@@ -755,29 +755,29 @@
 }
 
 // attempt is the next attempt of the request.
-func (c *Call) attempt(act balancer.Action, now time.Duration) *Attempt {
-	a := &Attempt{Call: c, Number: c.sends, Server: act.Server, Sent: now, Deadline: c.Deadline}
+func (c *Call) newAttempt(act balancer.Action, now time.Duration) *Attempt {
+	a := &Attempt{Call: c, Number: c.attemptsMade, Server: act.Server, Sent: now, Deadline: c.Deadline}
 	if act.After > 0 {
 		a.Deadline = min(a.Deadline, now+act.After)
 	}
 	a.WriteDeadline = a.Deadline
-	if c.ranSince == 0 {
-		c.ranSince = now
+	if c.mayHaveRunSince == 0 {
+		c.mayHaveRunSince = now
 	} else if c.IdempotencyWindow > 0 { // the module decides by the time now, but the dial may take until after the window
-		a.WriteDeadline = min(a.Deadline, c.ranSince+c.IdempotencyWindow)
+		a.WriteDeadline = min(a.Deadline, c.mayHaveRunSince+c.IdempotencyWindow)
 	}
-	c.sends++
-	c.out++
+	c.attemptsMade++
+	c.inFlight++
 	return a
 }
 
 // ended counts an attempt as over.
-func (c *Call) ended(o Outcome) {
-	c.out--
+func (c *Call) attemptEnded(o Outcome) {
+	c.inFlight--
 	switch o.Result {
 	case balancer.NotSent, balancer.ConnectFailed, balancer.Rejected:
-		if c.ranSince == o.Attempt.Sent {
-			c.ranSince = 0
+		if c.mayHaveRunSince == o.Attempt.Sent {
+			c.mayHaveRunSince = 0
 		}
 	}
 }
@@ -791,8 +791,8 @@
 	c.closed.Store(true)
 	e.passed(c, ends[a.Kind])
 	e.unbind(c, boundEnds[a.Kind])
-	if !c.flies {
-		e.tally.answered(e.clock.Now(), c, a.Kind)
+	if !c.isFlight {
+		e.counters.answered(e.clock.Now(), c, a.Kind)
 	}
 	c.Responder.Answer(a)
 	e.remember(c, a.Kind)
@@ -801,28 +801,28 @@
 
 // forget drops a call that is over. While attempts are in flight it is kept: their outcomes still teach.
 func (e *Engine) forget(c *Call) {
-	if c.closed.Load() && c.out == 0 && e.calls[c.ID] == c {
+	if c.closed.Load() && c.inFlight == 0 && e.calls[c.ID] == c {
 		e.unbind(c, generation.ClientCanceled) // one that was closed from outside has told nobody
-		e.tally.forgotten(c)
+		e.counters.forgotten(c)
 		delete(e.calls, c.ID)
 		c.release()
 	}
 }
 
 // fire tells the module of the timers that are due, and lets joined calls go on.
-func (e *Engine) fire() {
+func (e *Engine) fireTimers() {
 	for len(e.timers) > 0 && e.timers[0].due <= e.clock.Now() {
 		e.decide(balancer.TimerFired{Token: heap.Pop(&e.timers).(timer).token})
 	}
-	if e.joins != nil {
+	if e.coalescer != nil {
 		e.settle()
 	}
-	if now := e.clock.Now(); e.worded != nil && now-e.worded.looked >= wordEvery {
+	if now := e.clock.Now(); e.gossip != nil && now-e.gossip.looked >= wordEvery {
 		e.settleWord(now)
 	}
-	if e.governed != nil {
-		e.governed.manager.Tick(e.clock.Now())
-		e.tellMoved()
+	if e.generations != nil {
+		e.generations.manager.Tick(e.clock.Now())
+		e.applyDrainChanges()
 	}
 }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,7 +10,7 @@
 
 // Backends drop a keyed request's repeats for its window only, counted from the first attempt that may have run:
 // a later one whose dial outlasts the window must not be written any more.
-func TestRepeatsOfAKeyedRequestStayInItsWindow(t *testing.T) {
+func TestRetryWriteDeadlineEndsWithIdempotencyWindow(t *testing.T) {
 	const deadline, window = 9 * time.Second, 2 * time.Second
 	for name, c := range map[string]struct {
 		window time.Duration
@@ -23,30 +23,30 @@
 		"not keyed":    {0, balancer.Reset, deadline},
 	} {
 		r := &Call{Deadline: deadline, IdempotencyWindow: c.window}
-		first := r.attempt(balancer.Action{Server: "b"}, time.Second)
+		first := r.newAttempt(balancer.Action{Server: "b"}, time.Second)
 		if first.WriteDeadline != deadline {
 			t.Errorf("%s: the first may begin until %v", name, first.WriteDeadline)
 		}
-		r.ended(Outcome{Attempt: first, Result: c.first})
-		second := r.attempt(balancer.Action{Server: "b"}, 2*time.Second)
-		if second.WriteDeadline != c.want || second.Number != 1 || second.Deadline != deadline || r.out != 1 {
-			t.Errorf("%s: %+v with %d out", name, second, r.out)
+		r.attemptEnded(Outcome{Attempt: first, Result: c.first})
+		second := r.newAttempt(balancer.Action{Server: "b"}, 2*time.Second)
+		if second.WriteDeadline != c.want || second.Number != 1 || second.Deadline != deadline || r.inFlight != 1 {
+			t.Errorf("%s: %+v with %d out", name, second, r.inFlight)
 		}
 	}
 }
 
-func TestAttemptEndsWithItsOwnTimeout(t *testing.T) {
+func TestAttemptDeadlineIsItsOwnTimeout(t *testing.T) {
 	r := &Call{Deadline: 9 * time.Second}
-	if a := r.attempt(balancer.Action{After: time.Second}, time.Second); a.Deadline != 2*time.Second || a.WriteDeadline != a.Deadline {
+	if a := r.newAttempt(balancer.Action{After: time.Second}, time.Second); a.Deadline != 2*time.Second || a.WriteDeadline != a.Deadline {
 		t.Errorf("%+v", a)
 	}
 }
 
 // Timers fire in the order of their times, whatever the order in which they were set.
-func TestTimersInOrder(t *testing.T) {
+func TestTimersFireInOrder(t *testing.T) {
 	l := &Engine{clock: NewClock()}
 	for _, after := range []time.Duration{5 * time.Second, time.Second, 3 * time.Second} {
-		l.do([]balancer.Action{{Kind: balancer.SetTimer, After: after, Token: uint64(after / time.Second)}})
+		l.perform([]balancer.Action{{Kind: balancer.SetTimer, After: after, Token: uint64(after / time.Second)}})
 	}
 	for _, want := range []uint64{1, 3, 5} {
 		if got := heap.Pop(&l.timers).(timer); got.token != want {
@@ -56,7 +56,7 @@
 }
 
 // Started times come from another machine's clock: 0 means long ago, and nothing else may become 0.
-func TestClock(t *testing.T) {
+func TestClockConvertsUnixTimes(t *testing.T) {
 	c := NewClock()
 	if c.FromUnix(0) != 0 {
 		t.Error("0 does not stay 0")
--- a/internal/engine/chooser.go
+++ b/internal/engine/external.go
@@ -34,11 +34,11 @@
 
 // RejectAttempt says that an attempt was not handed over, because its server takes nothing new any more or its time is over,
 // while the chooser's side still waits: it gets another attempt or the final answer.
-func (e *Engine) RejectAttempt(a *Attempt) { e.Post(unusable{a}) }
+func (e *Engine) RejectAttempt(a *Attempt) { e.Post(attemptRejected{a}) }
 
 // Abandon says that a chooser's side is gone and holds no attempt of the call under that id: one that was made for it
 // meanwhile was never handed over. Another try may have taken the call over since, which goes on.
-func (e *Engine) Abandon(id string, by ExternalCaller) { e.Post(gaveUp{id, by}) }
+func (e *Engine) Abandon(id string, by ExternalCaller) { e.Post(abandoned{id, by}) }
 
 // resume takes a call that is a further try of a request which is known. It reports whether the call was one.
 func (e *Engine) resume(c *Call) bool {
@@ -53,22 +53,22 @@
 		}
 	}
 	old := e.calls[c.ID]
-	if old == nil || old.chooser == nil || old.closed.Load() || !old.sameAs(c) {
+	if old == nil || old.external == nil || old.closed.Load() || !old.sameAs(c) {
 		return false
 	}
-	if old.out > 0 {
+	if old.inFlight > 0 {
 		if c.CallerAttempt <= old.CallerAttempt || old.CallerAttempt == 0 {
 			return false // nothing says that the earlier try is over
 		}
-		e.outcome(Outcome{Attempt: old.last, Result: balancer.Cancelled, Report: balancer.NoReport})
+		e.attemptEnded(Outcome{Attempt: old.lastAttempt, Result: balancer.Cancelled, Report: balancer.NoReport})
 		if old.closed.Load() {
 			e.reject(c, Answer{Kind: Conflict})
 			return true
 		}
 	}
 	old.release()
-	old.Responder, old.chooser, old.CallerAttempt, old.Candidates = c.Responder, c.chooser, c.CallerAttempt, c.Candidates
-	e.decide(balancer.Retry{Request: c.ID, AllowedServers: old.among()})
+	old.Responder, old.external, old.CallerAttempt, old.Candidates = c.Responder, c.external, c.CallerAttempt, c.Candidates
+	e.decide(balancer.Retry{Request: c.ID, AllowedServers: old.candidates()})
 	return true
 }
 
@@ -91,7 +91,7 @@
 			e.neverRan.Put(now, c.ID, struct{}{}, now)
 		}
 	}
-	if c.AtCapacity && c.before.MayHaveRun {
+	if c.AtCapacity && c.earlier.MayHaveRun {
 		e.reject(c, Answer{Kind: Failed})
 		return false
 	}
@@ -105,7 +105,7 @@
 
 // cameToNothing remembers that no try of a chooser's call can have run, so that a further one is as good as the first.
 func (e *Engine) cameToNothing(c *Call) {
-	if e.neverRan != nil && c.chooser != nil && c.Effect != balancer.Idempotent {
+	if e.neverRan != nil && c.external != nil && c.Effect != balancer.Idempotent {
 		now := e.clock.Now()
 		e.neverRan.Put(now, c.ID, struct{}{}, now+e.keep)
 	}
@@ -118,56 +118,56 @@
 
 // choose hands an attempt to its chooser. What a proxy never ends is ended when its time is over.
 func (e *Engine) choose(c *Call, a *Attempt, tie BindingCommit) {
-	c.last = a
+	c.lastAttempt = a
 	a.expiry = time.AfterFunc(a.Deadline-a.Sent, func() {
 		e.Post(Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport})
 	})
 	if tie == nil {
-		c.chooser.HandOver(a)
+		c.external.HandOver(a)
 		return
 	}
 	e.attempts.Go(func() {
 		e.wait(tie)
-		e.Post(kept{a})
+		e.Post(bindingCommitted{a})
 	})
 }
 
 // handOver hands an attempt to its chooser, unless it was ended while its tie was being kept: its proxy has left then, or
 // another try has taken the call over.
 func (e *Engine) handOver(a *Attempt) {
-	if !a.over && !a.Call.closed.Load() {
-		a.Call.chooser.HandOver(a)
+	if !a.ended && !a.Call.closed.Load() {
+		a.Call.external.HandOver(a)
 	}
 }
 
 // rechoose ends an attempt that was not handed over and asks for another.
-func (e *Engine) rechoose(a *Attempt) {
-	if a.over {
+func (e *Engine) attemptRejected(a *Attempt) {
+	if a.ended {
 		return
 	}
-	e.withdraw(a)
+	e.withdrawAttempt(a)
 	if c := a.Call; !c.closed.Load() {
-		e.decide(balancer.Retry{Request: c.ID, AllowedServers: c.among()})
+		e.decide(balancer.Retry{Request: c.ID, AllowedServers: c.candidates()})
 	}
 }
 
 // withdraw ends an attempt that no proxy has seen.
-func (e *Engine) withdraw(a *Attempt) {
-	e.outcome(Outcome{Attempt: a, Result: balancer.NotSent, Report: balancer.NoReport})
-	a.Call.carried--
+func (e *Engine) withdrawAttempt(a *Attempt) {
+	e.attemptEnded(Outcome{Attempt: a, Result: balancer.NotSent, Report: balancer.NoReport})
+	a.Call.attemptsEnded--
 }
 
 // abandon ends what a chooser has left. As long as no attempt was handed over nothing is gained by keeping the request;
 // else a further try may come, and is to be told from a new request.
-func (e *Engine) abandon(left gaveUp) {
+func (e *Engine) callAbandoned(left abandoned) {
 	c := e.calls[left.id]
-	if c == nil || c.chooser != left.by {
+	if c == nil || c.external != left.by {
 		return // another try took over, or it is over
 	}
-	if c.out > 0 {
-		e.withdraw(c.last)
+	if c.inFlight > 0 {
+		e.withdrawAttempt(c.lastAttempt)
 	}
-	if c.carried == 0 && !c.closed.Load() {
+	if c.attemptsEnded == 0 && !c.closed.Load() {
 		c.closed.Store(true)
 		e.cameToNothing(c)
 		e.passed(c, admission.OutcomeCanceled)
@@ -178,11 +178,11 @@
 
 // remember keeps how a call ended whose effect must not be repeated by a later try.
 func (e *Engine) remember(c *Call, kind AnswerKind) {
-	if e.ended == nil || c.chooser == nil || c.Effect == balancer.Idempotent {
+	if e.ended == nil || c.external == nil || c.Effect == balancer.Idempotent {
 		return
 	}
 	if kind == Rejected {
-		if c.ranSince == 0 {
+		if c.mayHaveRunSince == 0 {
 			e.cameToNothing(c)
 		}
 		return
@@ -196,7 +196,7 @@
 
 // release tells the chooser that the engine holds it no more.
 func (c *Call) release() {
-	if c.chooser != nil {
-		c.chooser.Released()
+	if c.external != nil {
+		c.external.Released()
 	}
 }
--- a/internal/engine/chooser_test.go
+++ b/internal/engine/external_test.go
@@ -23,62 +23,62 @@
 
 func (incarnation) IsIncarnation() {}
 
-// noFleet is a fleet that needs no connections.
-type noFleet struct{}
+// noPool is a fleet that needs no connections.
+type noPool struct{}
 
-func (noFleet) Update(_ bool, members []Member) int   { return len(members) }
-func (noFleet) Incarnation(server string) Incarnation { return incarnation(server) }
-func (noFleet) Close()                                {}
+func (noPool) Update(_ bool, members []Member) int   { return len(members) }
+func (noPool) Incarnation(server string) Incarnation { return incarnation(server) }
+func (noPool) Close()                                {}
 
 // proxied is a chooser that keeps what it is told.
-type proxied struct {
-	m        *machine
+type fakeProxy struct {
+	model    *lifecycleModel
 	id       string
 	attempt  *Attempt // out with it
 	answers  []Answer
 	released int
 }
 
-func (p *proxied) HandOver(a *Attempt) {
-	if p.attempt != nil && !p.attempt.over {
-		p.m.t.Fatalf("%s: a second attempt while one is out", p.id)
+func (p *fakeProxy) HandOver(a *Attempt) {
+	if p.attempt != nil && !p.attempt.ended {
+		p.model.t.Fatalf("%s: a second attempt while one is out", p.id)
 	}
 	if len(p.answers) > 0 {
-		p.m.t.Fatalf("%s: an attempt after the final answer", p.id)
+		p.model.t.Fatalf("%s: an attempt after the final answer", p.id)
 	}
 	p.attempt = a
-	p.m.sent(p, a)
+	p.model.checkAttempt(p, a)
 }
 
-func (p *proxied) Answer(a Answer) { p.answers = append(p.answers, a) }
-func (p *proxied) Released()       { p.released++ }
+func (p *fakeProxy) Answer(a Answer) { p.answers = append(p.answers, a) }
+func (p *fakeProxy) Released()       { p.released++ }
 
 // run is an attempt that may have had its effect. An attempt counts as one from when it was made until it is known not to
 // have been sent or not to have run.
-type run struct {
-	attempt *Attempt
-	stray   bool // at another server, nobody knows which
+type possibleRun struct {
+	attempt       *Attempt
+	serverUnknown bool // at another server, nobody knows which
 }
 
 // machine drives an engine by hand, without its goroutine, and checks the rules as it goes.
-type machine struct {
-	t     *rapid.T
-	e     *Engine
-	tries []*proxied
-	ran   map[string][]*run // by id
-	class map[string]int
-
-	pools map[uint64][]int // cells that requests may go to, by generation; without an entry all
-	bound map[*Call]uint64 // generations
+type lifecycleModel struct {
+	t          *rapid.T
+	engine     *Engine
+	proxies    []*fakeProxy
+	mayHaveRun map[string][]*possibleRun // by id
+	class      map[string]int
+
+	pools   map[uint64][]int // cells that requests may go to, by generation; without an entry all
+	boundTo map[*Call]uint64 // generations
 }
 
 const (
-	window   = time.Second
-	deadline = 2 * time.Second
-	keep     = time.Hour
+	window    = time.Second
+	deadline  = 2 * time.Second
+	retention = time.Hour
 )
 
-func classes() []balancer.Class {
+func testClasses() []balancer.Class {
 	return []balancer.Class{
 		{Name: "safe", Effect: balancer.Idempotent, LatencyObjective: 600e6, Deadline: deadline, Priority: 1},
 		{Name: "keyed", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: window, LatencyObjective: 600e6, Deadline: deadline, Priority: 3},
@@ -86,47 +86,47 @@
 	}
 }
 
-func newMachine(t *rapid.T) *machine {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 4, Classes: classes()}, 1)
+func newLifecycleModel(t *rapid.T) *lifecycleModel {
+	b, err := balancer.New(balancer.Settings{Balancers: 1, Tick: 5e6, MaxAttempts: 4, Classes: testClasses()}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := New(b, NewClock(), noFleet{}, slog.New(slog.DiscardHandler))
-	e.SetOutcomeCache(1000, keep)
-	e.do(b.Start(e.clock.Now()))
-	m := &machine{t: t, e: e, ran: map[string][]*run{}, class: map[string]int{}, pools: map[uint64][]int{}, bound: map[*Call]uint64{}}
+	e := New(b, NewClock(), noPool{}, slog.New(slog.DiscardHandler))
+	e.SetOutcomeCache(1000, retention)
+	e.perform(b.Start(e.clock.Now()))
+	m := &lifecycleModel{t: t, engine: e, mayHaveRun: map[string][]*possibleRun{}, class: map[string]int{}, pools: map[uint64][]int{}, boundTo: map[*Call]uint64{}}
 	if rapid.Bool().Draw(t, "governed") {
 		names := generation.Names{}
-		for _, c := range classes() {
+		for _, c := range testClasses() {
 			names.Classes = append(names.Classes, generation.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
 		}
 		e.SetGenerations(generation.New(generation.Options{Names: names}), nil)
 	}
-	m.list()
+	m.sendEndpoints()
 	return m
 }
 
-func (m *machine) list() {
+func (m *lifecycleModel) sendEndpoints() {
 	l := EndpointUpdate{Full: true}
 	for i := range 6 {
 		state := balancer.State(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(m.t, "state"))
 		l.Members = append(l.Members, Member{Server: balancer.Server{ID: fmt.Sprint(i), Cell: i / 2, State: state}})
 	}
-	m.e.handle(l)
+	m.engine.dispatch(l)
 }
 
 // configure puts another configuration in force, or goes back to the one before.
-func (m *machine) configure() {
-	if m.e.governed == nil {
+func (m *lifecycleModel) configure() {
+	if m.engine.generations == nil {
 		return
 	}
-	manager, now := m.e.governed.manager, m.e.clock.Now()
+	manager, now := m.engine.generations.manager, m.engine.clock.Now()
 	if rapid.IntRange(0, 3).Draw(m.t, "back") == 0 {
-		before := m.pools[m.number()-1]
+		before := m.pools[m.generation()-1]
 		if manager.Rollback(now, "", "") == nil {
-			m.pools[m.number()] = before
+			m.pools[m.generation()] = before
 		}
-		m.e.tellMoved()
+		m.engine.applyDrainChanges()
 		return
 	}
 	c, cells := &fleetconfig.Config{}, rapid.SliceOfN(rapid.IntRange(0, 3), 0, 2).Draw(m.t, "pool")
@@ -153,68 +153,68 @@
 		m.t.Fatal(err)
 	}
 	if len(cells) > 0 {
-		m.pools[m.number()] = c.Pools[0].Pods
+		m.pools[m.generation()] = c.Pools[0].Pods
 	}
-	m.e.tellMoved()
+	m.engine.applyDrainChanges()
 }
 
-func (m *machine) number() uint64 {
-	_, number, _ := m.e.governed.manager.Config()
+func (m *lifecycleModel) generation() uint64 {
+	_, number, _ := m.engine.generations.manager.Config()
 	return number
 }
 
-// sentBound checks an attempt against the configuration that its request was taken under, and the drains of the one in force.
-func (m *machine) sentBound(a *Attempt) {
-	if m.e == nil || m.e.governed == nil {
+// checkBinding checks an attempt against the configuration that its request was taken under, and the drains of the one in force.
+func (m *lifecycleModel) checkBinding(a *Attempt) {
+	if m.engine == nil || m.engine.generations == nil {
 		return
 	}
-	number := a.Call.bound.Generation()
-	if before, again := m.bound[a.Call]; again && before != number {
+	number := a.Call.binding.Generation()
+	if before, again := m.boundTo[a.Call]; again && before != number {
 		m.t.Fatalf("%s was taken under generation %d and is sent under %d", a.Call.ID, before, number)
 	}
-	m.bound[a.Call] = number
+	m.boundTo[a.Call] = number
 	if cells := m.pools[number]; cells != nil && !slices.Contains(cells, int(a.Server[0]-'0')/2) {
 		m.t.Fatalf("%s is sent to %s, and generation %d keeps it to the pods %v", a.Call.ID, a.Server, number, cells)
 	}
-	if m.e.governed.manager.IsDraining(a.Server) {
+	if m.engine.generations.manager.IsDraining(a.Server) {
 		m.t.Fatalf("%s is sent to %s, which the configuration drains", a.Call.ID, a.Server)
 	}
 }
 
 // sent checks an attempt against what may have run before.
-func (m *machine) sent(p *proxied, a *Attempt) {
-	m.sentBound(a)
-	for _, before := range m.ran[p.id] {
-		switch class := classes()[m.class[p.id]]; class.Effect {
+func (m *lifecycleModel) checkAttempt(p *fakeProxy, a *Attempt) {
+	m.checkBinding(a)
+	for _, before := range m.mayHaveRun[p.id] {
+		switch class := testClasses()[m.class[p.id]]; class.Effect {
 		case balancer.NonIdempotent:
 			m.t.Fatalf("%s is sent to %s and may have run at %s", p.id, a.Server, before.attempt.Server)
 		case balancer.IdempotentByKey:
-			if first := before.attempt; before.stray || first.Server[0]/2 != a.Server[0]/2 || a.Sent-first.Sent >= class.DedupWindow {
+			if first := before.attempt; before.serverUnknown || first.Server[0]/2 != a.Server[0]/2 || a.Sent-first.Sent >= class.DedupWindow {
 				m.t.Fatalf("%s is sent to %s at %v and may have run at %s at %v", p.id, a.Server, a.Sent, first.Server, first.Sent)
 			}
 		}
 	}
-	m.ran[p.id] = append(m.ran[p.id], &run{attempt: a})
+	m.mayHaveRun[p.id] = append(m.mayHaveRun[p.id], &possibleRun{attempt: a})
 }
 
-// neverRan takes an attempt back, unless its end was told before.
-func (m *machine) neverRan(p *proxied) {
-	if a := p.attempt; a != nil && !a.over {
-		m.ran[p.id] = slices.DeleteFunc(m.ran[p.id], func(r *run) bool { return r.attempt == a })
+// forgetAttempt takes an attempt back, unless its end was told before.
+func (m *lifecycleModel) forgetAttempt(p *fakeProxy) {
+	if a := p.attempt; a != nil && !a.ended {
+		m.mayHaveRun[p.id] = slices.DeleteFunc(m.mayHaveRun[p.id], func(r *possibleRun) bool { return r.attempt == a })
 	}
 }
 
 // settle lets what is due come in.
-func (m *machine) settle() {
+func (m *lifecycleModel) settle() {
 	synctest.Wait()
-	for len(m.e.events) > 0 {
-		m.e.handle(<-m.e.events)
+	for len(m.engine.events) > 0 {
+		m.engine.dispatch(<-m.engine.events)
 	}
-	m.e.fire()
+	m.engine.fireTimers()
 }
 
 // pass lets time go by, in steps as the engine would wake.
-func (m *machine) pass(d time.Duration) {
+func (m *lifecycleModel) advance(d time.Duration) {
 	for ; d > 0; d -= 25 * time.Millisecond {
 		time.Sleep(min(d, 25*time.Millisecond))
 		m.settle()
@@ -222,35 +222,35 @@
 }
 
 // arrive brings a try under an id: a new one, or one that was there.
-func (m *machine) arrive() {
+func (m *lifecycleModel) arrive() {
 	id := fmt.Sprint(rapid.IntRange(0, 5).Draw(m.t, "id"))
 	class, known := m.class[id]
 	if !known {
 		class = rapid.IntRange(0, 2).Draw(m.t, "class")
 		m.class[id] = class
 	}
-	c := classes()[class]
-	p := &proxied{m: m, id: id}
-	call := &Call{ID: id, Class: class, Deadline: m.e.clock.Now() + c.Deadline, Effect: c.Effect, Responder: p,
+	c := testClasses()[class]
+	p := &fakeProxy{model: m, id: id}
+	call := &Call{ID: id, Class: class, Deadline: m.engine.clock.Now() + c.Deadline, Effect: c.Effect, Responder: p,
 		CallerAttempt: rapid.IntRange(0, 3).Draw(m.t, "try")}
 	if c.Effect == balancer.IdempotentByKey {
 		call.IdempotencyWindow = c.DedupWindow
 	}
-	m.tries = append(m.tries, p)
-	m.e.handle(arrived{call})
+	m.proxies = append(m.proxies, p)
+	m.engine.dispatch(callArrived{call})
 }
 
 // any returns a try that was there, or nil.
-func (m *machine) any() *proxied {
-	if len(m.tries) == 0 {
+func (m *lifecycleModel) anyProxy() *fakeProxy {
+	if len(m.proxies) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(m.tries).Draw(m.t, "which")
+	return rapid.SampledFrom(m.proxies).Draw(m.t, "which")
 }
 
 // end ends the attempt that a try has, in any way.
-func (m *machine) end() {
-	p := m.any()
+func (m *lifecycleModel) endAttempt() {
+	p := m.anyProxy()
 	if p == nil || p.attempt == nil {
 		return
 	}
@@ -258,26 +258,26 @@
 		balancer.Cancelled, balancer.TimedOut}).Draw(m.t, "result")
 	elsewhere := rapid.IntRange(0, 9).Draw(m.t, "elsewhere") == 0
 	switch {
-	case p.attempt.over:
+	case p.attempt.ended:
 	case elsewhere:
-		for _, r := range m.ran[p.id] {
-			r.stray = r.stray || r.attempt == p.attempt
+		for _, r := range m.mayHaveRun[p.id] {
+			r.serverUnknown = r.serverUnknown || r.attempt == p.attempt
 		}
 	case result == balancer.Rejected, result == balancer.ConnectFailed:
-		m.neverRan(p)
+		m.forgetAttempt(p)
 	}
-	m.e.handle(Outcome{Attempt: p.attempt, Result: result, Report: balancer.NoReport, FromOtherServer: elsewhere})
+	m.engine.dispatch(Outcome{Attempt: p.attempt, Result: result, Report: balancer.NoReport, FromOtherServer: elsewhere})
 }
 
-func (m *machine) check() {
-	for _, p := range m.tries {
+func (m *lifecycleModel) check() {
+	for _, p := range m.proxies {
 		if p.released > 1 || len(p.answers) > 1 {
 			m.t.Fatalf("%s: released %d times, answered %d times", p.id, p.released, len(p.answers))
 		}
 	}
-	for id, c := range m.e.calls {
-		if c.out > 1 {
-			m.t.Fatalf("%s has %d attempts out", id, c.out)
+	for id, c := range m.engine.calls {
+		if c.inFlight > 1 {
+			m.t.Fatalf("%s has %d attempts out", id, c.inFlight)
 		}
 	}
 }
@@ -285,47 +285,47 @@
 // However tries, ends, give-ups, lists and time follow each other: one attempt at a time; what may have run is sent again
 // only within its class, group and window, also when it comes again after its final answer; each chooser is answered at
 // most once and released exactly once; and when the time of all is over nothing is held any more.
-func TestChoosersKeepTheRules(t *testing.T) {
+func TestExternalCallsNeverRunTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			m := newMachine(rt)
+			m := newLifecycleModel(rt)
 			rt.Repeat(map[string]func(*rapid.T){
 				"arrive": func(rt *rapid.T) { m.t = rt; m.arrive() },
-				"end":    func(rt *rapid.T) { m.t = rt; m.end() },
+				"end":    func(rt *rapid.T) { m.t = rt; m.endAttempt() },
 				"unusable": func(rt *rapid.T) {
-					if m.t = rt; len(m.tries) > 0 {
-						if p := m.any(); p.attempt != nil && !p.attempt.over {
-							m.neverRan(p)
-							m.e.handle(unusable{p.attempt})
+					if m.t = rt; len(m.proxies) > 0 {
+						if p := m.anyProxy(); p.attempt != nil && !p.attempt.ended {
+							m.forgetAttempt(p)
+							m.engine.dispatch(attemptRejected{p.attempt})
 						}
 					}
 				},
 				"give up": func(rt *rapid.T) {
-					if m.t = rt; len(m.tries) > 0 {
-						p := m.any()
-						if c := m.e.calls[p.id]; c != nil && c.chooser == p {
-							m.neverRan(p) // else another try has taken over, and what it has goes on
+					if m.t = rt; len(m.proxies) > 0 {
+						p := m.anyProxy()
+						if c := m.engine.calls[p.id]; c != nil && c.external == p {
+							m.forgetAttempt(p) // else another try has taken over, and what it has goes on
 						}
-						m.e.handle(gaveUp{p.id, p})
+						m.engine.dispatch(abandoned{p.id, p})
 					}
 				},
-				"list":      func(rt *rapid.T) { m.t = rt; m.list() },
+				"list":      func(rt *rapid.T) { m.t = rt; m.sendEndpoints() },
 				"configure": func(rt *rapid.T) { m.t = rt; m.configure() },
 				"pass": func(rt *rapid.T) {
 					m.t = rt
-					m.pass(time.Duration(rapid.IntRange(1, 700).Draw(rt, "ms")) * time.Millisecond)
+					m.advance(time.Duration(rapid.IntRange(1, 700).Draw(rt, "ms")) * time.Millisecond)
 				},
 				"": func(rt *rapid.T) { m.t = rt; m.settle(); m.check() },
 			})
 			m.t = rt
-			m.pass(deadline + 100*time.Millisecond)
-			if n := len(m.e.calls); n != 0 || len(m.e.balancer.InFlight()) != 0 {
-				rt.Fatalf("%d calls are held, %v in flight", n, m.e.balancer.InFlight())
+			m.advance(deadline + 100*time.Millisecond)
+			if n := len(m.engine.calls); n != 0 || len(m.engine.balancer.InFlight()) != 0 {
+				rt.Fatalf("%d calls are held, %v in flight", n, m.engine.balancer.InFlight())
 			}
-			if g := m.e.governed; g != nil && len(g.manager.Status(m.e.clock.Now()).OpenRequests) > 0 {
-				rt.Fatalf("requests are bound that have ended: %+v", g.manager.Status(m.e.clock.Now()))
+			if g := m.engine.generations; g != nil && len(g.manager.Status(m.engine.clock.Now()).OpenRequests) > 0 {
+				rt.Fatalf("requests are bound that have ended: %+v", g.manager.Status(m.engine.clock.Now()))
 			}
-			for _, p := range m.tries {
+			for _, p := range m.proxies {
 				if p.released != 1 {
 					rt.Fatalf("%s was released %d times", p.id, p.released)
 				}
@@ -336,34 +336,34 @@
 
 // A request of which one try may have run stays known when the next try gives up before it holds an attempt: as a new
 // request it could run again anywhere.
-func TestGivenUpTryKeepsWhatRanBefore(t *testing.T) {
+func TestAbandonedRetryKeepsEarlierAttempt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newMachine(rt)
+		m := newLifecycleModel(rt)
 		m.class["0"] = 1
-		call := func(p *proxied, try int) *Call {
-			return &Call{ID: "0", Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: m.e.clock.Now() + deadline, Responder: p, CallerAttempt: try}
+		call := func(p *fakeProxy, try int) *Call {
+			return &Call{ID: "0", Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: m.engine.clock.Now() + deadline, Responder: p, CallerAttempt: try}
 		}
-		first, second, third := &proxied{m: m, id: "0"}, &proxied{m: m, id: "0"}, &proxied{m: m, id: "0"}
-		m.e.handle(arrived{call(first, 1)})
+		first, second, third := &fakeProxy{model: m, id: "0"}, &fakeProxy{model: m, id: "0"}, &fakeProxy{model: m, id: "0"}
+		m.engine.dispatch(callArrived{call(first, 1)})
 		if first.attempt == nil {
 			return // no server was ready
 		}
-		m.e.handle(arrived{call(second, 2)}) // the first is overtaken, and may have run
-		m.neverRan(second)
-		m.e.handle(gaveUp{"0", second})
-		m.e.handle(arrived{call(third, 3)})
+		m.engine.dispatch(callArrived{call(second, 2)}) // the first is overtaken, and may have run
+		m.forgetAttempt(second)
+		m.engine.dispatch(abandoned{"0", second})
+		m.engine.dispatch(callArrived{call(third, 3)})
 	})
 }
 
 // What another server did teaches nothing of the chosen one: a proxy that goes its own way must not get a server shunned.
-func TestElsewhereTeachesNothing(t *testing.T) {
+func TestOutcomeOfOtherServerIsNotCountedForChosenServer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newMachine(rt)
-		m.e.handle(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "0"}}, {Server: balancer.Server{ID: "1"}}}})
+		m := newLifecycleModel(rt)
+		m.engine.dispatch(EndpointUpdate{Full: true, Members: []Member{{Server: balancer.Server{ID: "0"}}, {Server: balancer.Server{ID: "1"}}}})
 		got := map[string]int{}
 		for i := range 100 {
-			p := &proxied{m: m, id: fmt.Sprint(i)}
-			m.e.handle(arrived{&Call{ID: p.id, Deadline: m.e.clock.Now() + deadline, Responder: p}})
+			p := &fakeProxy{model: m, id: fmt.Sprint(i)}
+			m.engine.dispatch(callArrived{&Call{ID: p.id, Deadline: m.engine.clock.Now() + deadline, Responder: p}})
 			if p.attempt == nil {
 				rt.Fatalf("request %d got %v", i, p.answers)
 			}
@@ -372,8 +372,8 @@
 			if p.attempt.Server == "0" {
 				out.Result, out.FromOtherServer = balancer.Failed, true
 			}
-			m.e.handle(out)
-			m.e.handle(gaveUp{p.id, p})
+			m.engine.dispatch(out)
+			m.engine.dispatch(abandoned{p.id, p})
 		}
 		if got["0"] < 20 {
 			rt.Fatalf("%v", got)
--- a/internal/engine/governed.go
+++ b/internal/engine/generation.go
@@ -13,7 +13,7 @@
 
 // governed is what the engine keeps for a configuration in force: its manager, and the list as it was told, since drains of
 // the configuration lie over it and are taken off again.
-type governed struct {
+type generationOverlay struct {
 	manager *generation.Manager
 	zones   []string
 	clock   Clock
@@ -24,7 +24,7 @@
 // SetGenerations puts a configuration in force. zones are the names of the zones, in the order of the module's numbers. It is called
 // before Run.
 func (e *Engine) SetGenerations(m *generation.Manager, zones []string) {
-	e.governed = &governed{manager: m, zones: zones, clock: e.clock, told: map[string]Member{}}
+	e.generations = &generationOverlay{manager: m, zones: zones, clock: e.clock, told: map[string]Member{}}
 }
 
 // ErrEnded says that the engine has ended.
@@ -33,8 +33,8 @@
 // WithGenerations runs do on the engine's goroutine, with the manager of the configuration in force. It waits until that is done.
 func (e *Engine) WithGenerations(ctx context.Context, do func(now time.Duration, m *generation.Manager)) error {
 	return e.execute(ctx, func(now time.Duration) {
-		do(now, e.governed.manager)
-		e.tellMoved()
+		do(now, e.generations.manager)
+		e.applyDrainChanges()
 	})
 }
 
@@ -42,7 +42,7 @@
 func (e *Engine) execute(ctx context.Context, do func(now time.Duration)) error {
 	done := make(chan struct{})
 	select {
-	case e.events <- commanded{do, done}:
+	case e.events <- execution{do, done}:
 	case <-e.done:
 		return ErrEnded
 	case <-ctx.Done():
@@ -61,8 +61,8 @@
 func (e *Engine) bind(c *Call) bool {
 	a := generation.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Path: c.Path, Header: c.Header, AffinityKey: c.Key,
 		IdempotencyKey: c.IdempotencyKey, Deadline: c.Deadline}
-	told, ok := e.governed.manager.Bind(e.clock.Now(), &a, &c.bound)
-	if !ok && c.before.MayHaveRun { // a refusal would promise that trying again is harmless
+	told, ok := e.generations.manager.Bind(e.clock.Now(), &a, &c.binding)
+	if !ok && c.earlier.MayHaveRun { // a refusal would promise that trying again is harmless
 		e.reject(c, Answer{Kind: Failed})
 		return false
 	}
@@ -71,14 +71,14 @@
 		e.reject(c, Answer{Kind: Rejected, RetryAfter: told.RetryAfter, Limit: told.MaxInFlight})
 		return false
 	}
-	c.Deadline = c.bound.Deadline
+	c.Deadline = c.binding.Deadline
 	return true
 }
 
 // unbind ends a call's tie, if it has one.
 func (e *Engine) unbind(c *Call, end generation.Outcome) {
-	if e.governed != nil {
-		e.governed.manager.Release(e.clock.Now(), &c.bound, end)
+	if e.generations != nil {
+		e.generations.manager.Release(e.clock.Now(), &c.binding, end)
 	}
 }
 
@@ -87,12 +87,12 @@
 
 // among are the servers that a call may go to: those of its pool and of its caller's choice, where there are such. The pool
 // is that of the configuration that the call is bound to, for all of its attempts.
-func (c *Call) among() []string {
-	pool := c.bound.ServerIDs()
+func (c *Call) candidates() []string {
+	pool := c.binding.ServerIDs()
 	switch {
-	case c.pass != nil && c.pass.Endpoints != nil && pool == nil && c.Candidates == nil && !c.before.MayHaveRun:
-		return c.pass.Endpoints
-	case pool == nil, c.before.MayHaveRun: // what may have run goes to its pod, whatever the configuration makes of others
+	case c.permit != nil && c.permit.Endpoints != nil && pool == nil && c.Candidates == nil && !c.earlier.MayHaveRun:
+		return c.permit.Endpoints
+	case pool == nil, c.earlier.MayHaveRun: // what may have run goes to its pod, whatever the configuration makes of others
 		return c.Candidates
 	case c.Candidates == nil:
 		return pool
@@ -107,7 +107,7 @@
 }
 
 // listed takes a list over and returns it with the configuration's drains.
-func (g *governed) listed(l EndpointUpdate) EndpointUpdate {
+func (g *generationOverlay) listed(l EndpointUpdate) EndpointUpdate {
 	changed := generation.Servers{}
 	if l.Full {
 		for id := range g.told {
@@ -133,7 +133,7 @@
 	return out
 }
 
-func (g *governed) server(m Member) *fleetconfig.Server {
+func (g *generationOverlay) server(m Member) *fleetconfig.Server {
 	s := &fleetconfig.Server{ID: m.ID, Addr: m.Addr, Kind: m.Kind, Pod: m.Cell, Weight: m.Weight, Draining: m.State == balancer.Draining}
 	if m.Zone >= 0 && m.Zone < len(g.zones) {
 		s.Zone = g.zones[m.Zone]
@@ -144,23 +144,23 @@
 	return s
 }
 
-func (g *governed) drained(m Member) Member {
+func (g *generationOverlay) drained(m Member) Member {
 	if m.State == balancer.Ready && g.manager.IsDraining(m.ID) {
 		m.State = balancer.Draining
 	}
 	return m
 }
 
-// tellMoved tells the fleet and the module of servers whose drain by the configuration has begun or ended.
-func (e *Engine) tellMoved() {
-	ids := e.governed.manager.TakeDrainChanges()
+// applyDrainChanges tells the fleet and the module of servers whose drain by the configuration has begun or ended.
+func (e *Engine) applyDrainChanges() {
+	ids := e.generations.manager.TakeDrainChanges()
 	if len(ids) == 0 {
 		return
 	}
-	l := EndpointUpdate{Drop: e.governed.drop}
+	l := EndpointUpdate{Drop: e.generations.drop}
 	for _, id := range ids {
-		if m, there := e.governed.told[id]; there {
-			l.Members = append(l.Members, e.governed.drained(m))
+		if m, there := e.generations.told[id]; there {
+			l.Members = append(l.Members, e.generations.drained(m))
 		}
 	}
 	e.update(l)
--- a/internal/engine/golden_texts_test.go
+++ b/internal/engine/golden_texts_test.go
@@ -13,6 +13,6 @@
 	for i, kind := range []AnswerKind{Served, Rejected, Failed, Conflict} {
 		out = fmt.Appendf(out, "answer %d %d %s\n", i, kind, AnswerKinds[kind])
 	}
-	out = fmt.Appendf(out, "%d answers\nsends %q\nquantiles %v\n", len(AnswerKinds), SendKinds, quantilesOf)
+	out = fmt.Appendf(out, "%d answers\nsends %q\nquantiles %v\n", len(AnswerKinds), SendKinds, latencyQuantiles)
 	golden.Equal(t, "texts/engine.txt", out)
 }
--- a/internal/engine/worded.go
+++ b/internal/engine/gossip.go
@@ -13,7 +13,7 @@
 
 // worded is what the engine keeps for the word of other agents: what they hold servers for, and the list as it was told, since what is
 // held out on their word lies over it.
-type worded struct {
+type gossipOverlay struct {
 	holds  *corroborate.Exclusions
 	heard  func() bool              // the list is of now, and not from before
 	tell   func(gossip.Observation) // to the others; must not block
@@ -26,40 +26,40 @@
 
 // SetGossip makes the engine heed the word of others, and tell them what it knows. It is called before Run.
 func (e *Engine) SetGossip(heard func() bool, tell func(gossip.Observation)) {
-	e.worded = &worded{holds: corroborate.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
+	e.gossip = &gossipOverlay{holds: corroborate.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
 }
 
 // told is word of another agent; living is which agents live.
 type (
-	spoken struct {
+	gossipReceived struct {
 		from int
 		fact gossip.Observation
 	}
-	living struct{ alive []bool }
+	livenessChanged struct{ alive []bool }
 )
 
-func (spoken) event() {}
-func (living) event() {}
+func (gossipReceived) event()  {}
+func (livenessChanged) event() {}
 
 // HandleGossip takes word of another agent.
 func (e *Engine) HandleGossip(from int, f gossip.Observation) { e.Post(GossipReceived(from, f)) }
 
 // HandleLiveness takes which agents live, by number.
-func (e *Engine) HandleLiveness(alive []bool) { e.Post(living{alive}) }
+func (e *Engine) HandleLiveness(alive []bool) { e.Post(livenessChanged{alive}) }
 
 // GossipReceived is word of another agent as an event, for Step.
-func GossipReceived(from int, f gossip.Observation) Event { return spoken{from, f} }
+func GossipReceived(from int, f gossip.Observation) Event { return gossipReceived{from, f} }
 
 // hear takes word of another agent.
-func (e *Engine) hear(s spoken) {
+func (e *Engine) handleGossip(s gossipReceived) {
 	switch now := e.clock.Now(); s.fact.Kind {
 	case corroborate.Draining:
-		if e.worded.holds.Observe(now, s.from, s.fact) {
+		if e.gossip.holds.Observe(now, s.from, s.fact) {
 			e.settleWord(now)
 		}
 	case corroborate.Responding:
-		if name, known := e.worded.names[s.fact.ID]; known && e.returning != nil {
-			e.returning.PeerReportsResponding(now, name)
+		if name, known := e.gossip.names[s.fact.ID]; known && e.recovery != nil {
+			e.recovery.PeerReportsResponding(now, name)
 		}
 	}
 }
@@ -69,14 +69,14 @@
 
 // settleWord lets what is held out on the word of others be so, and what is not any more.
 func (e *Engine) settleWord(now time.Duration) {
-	w := e.worded
+	w := e.gossip
 	w.looked = now
 	before := w.held
 	held, changed := w.heldWith(now)
 	if w.held = held; !changed {
 		return
 	}
-	l := EndpointUpdate{Drop: e.drop}
+	l := EndpointUpdate{Drop: e.dropRatio}
 	for id, name := range w.names {
 		if m, there := w.told[name]; there && before[id] != held[id] {
 			l.Members = append(l.Members, w.overlay(m))
@@ -88,7 +88,7 @@
 	}
 }
 
-func (w *worded) overlay(m Member) Member {
+func (w *gossipOverlay) overlay(m Member) Member {
 	if m.State == balancer.Ready && w.held[corroborate.ServerID(m.ID)] {
 		m.State = balancer.Draining
 	}
@@ -96,7 +96,7 @@
 }
 
 // listed takes a list over, tells the others of what has begun to drain or is gone, and returns the list with what is held out.
-func (w *worded) listed(now time.Duration, l EndpointUpdate) EndpointUpdate {
+func (w *gossipOverlay) listed(now time.Duration, l EndpointUpdate) EndpointUpdate {
 	heard := w.heard()
 	if l.Full {
 		named := make(map[string]bool, len(l.Members))
@@ -140,7 +140,7 @@
 }
 
 // gone forgets a server that the list names no more, and tells the others.
-func (w *worded) gone(name string) {
+func (w *gossipOverlay) gone(name string) {
 	if _, there := w.told[name]; !there {
 		return
 	}
@@ -157,9 +157,9 @@
 // HeldByGossip returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
 func (e *Engine) HeldByGossip(ctx context.Context) (ids []string, n corroborate.Counts, err error) {
 	err = e.execute(ctx, func(time.Duration) {
-		ids, n = []string{}, e.worded.holds.Counts()
-		for id := range e.worded.held {
-			if name, known := e.worded.names[id]; known {
+		ids, n = []string{}, e.gossip.holds.Counts()
+		for id := range e.gossip.held {
+			if name, known := e.gossip.names[id]; known {
 				ids = append(ids, name)
 			}
 		}
@@ -170,9 +170,9 @@
 
 // found tells the others of servers that have answered for the first time since a loss of power.
 func (e *Engine) found() {
-	for _, id := range e.returning.TakeResponding() {
-		if e.worded != nil {
-			e.worded.tell(gossip.Observation{Kind: corroborate.Responding, ID: corroborate.ServerID(id)})
+	for _, id := range e.recovery.TakeResponding() {
+		if e.gossip != nil {
+			e.gossip.tell(gossip.Observation{Kind: corroborate.Responding, ID: corroborate.ServerID(id)})
 		}
 	}
 }
--- a/internal/engine/shared.go
+++ b/internal/engine/overload.go
@@ -24,28 +24,28 @@
 }
 
 // SetOverload makes the agent one of many that handle overload together. It is called before Run, after Heed.
-func (e *Engine) SetOverload(s OverloadHandler) { e.worded.sharer = s }
+func (e *Engine) SetOverload(s OverloadHandler) { e.gossip.sharer = s }
 
 func (e *Engine) sharer() OverloadHandler {
-	if e.worded == nil {
+	if e.gossip == nil {
 		return nil
 	}
-	return e.worded.sharer
+	return e.gossip.sharer
 }
 
 // shared is what another agent tells of overload.
-type shared struct {
+type overloadReported struct {
 	from int
 	body []byte
 }
 
-func (shared) event() {}
+func (overloadReported) event() {}
 
 // HandleOverloadReport takes what another agent tells of overload.
 func (e *Engine) HandleOverloadReport(from int, body []byte) { e.Post(OverloadReported(from, body)) }
 
 // OverloadReported is what another agent tells, as an event.
-func OverloadReported(from int, body []byte) Event { return shared{from, body} }
+func OverloadReported(from int, body []byte) Event { return overloadReported{from, body} }
 
 // WithOverload runs do on the engine's goroutine, beside the Sharer. It waits until that is done.
 func (e *Engine) WithOverload(ctx context.Context, do func(now time.Duration)) error {
@@ -53,7 +53,7 @@
 }
 
 // heldWith are the servers that are held out on others' word of a drain, and those on their word that they are ill.
-func (w *worded) heldWith(now time.Duration) (held map[uint64]bool, changed bool) {
+func (w *gossipOverlay) heldWith(now time.Duration) (held map[uint64]bool, changed bool) {
 	held, changed = w.holds.Recompute(now)
 	if w.sharer == nil {
 		return held, changed
--- a/internal/engine/returning_test.go
+++ b/internal/engine/recovery_test.go
@@ -10,9 +10,9 @@
 	"appleledge/internal/fleet/recovery"
 )
 
-// returningEngine is an engine with ties and a recovery, whose list is of now.
-func returningEngine(t *testing.T, change func(*tiedEngine)) *tiedEngine {
-	return newTied(t, func(x *tiedEngine) {
+// newRecoveryFixture is an engine with ties and a recovery, whose list is of now.
+func newRecoveryFixture(t *testing.T, change func(*bindingFixture)) *bindingFixture {
+	return newBindingFixture(t, func(x *bindingFixture) {
 		x.SetRecovery(recovery.New(recovery.Options{Agents: 1, ColdCapacityRatio: 0.3, WarmupTime: time.Second,
 			Classes: []recovery.Class{{Priority: 1, LatencyObjective: time.Second, IsIdempotent: true}, {Priority: 5, LatencyObjective: time.Second}}}, nil), func() bool { return true }, func() {})
 		change(x)
@@ -20,18 +20,18 @@
 }
 
 // A repeat of what may have run goes only over a connection from before it, and nowhere once all servers of its pod broke off.
-func TestARepeatNeedsWhoRemembers(t *testing.T) {
-	x := returningEngine(t, func(*tiedEngine) {})
+func TestRetryAfterRecoveryNeedsEarlierConnection(t *testing.T) {
+	x := newRecoveryFixture(t, func(*bindingFixture) {})
 	first, _ := x.call("k", nil)
 	pod := cellOf(first)
-	x.end(first, balancer.Failed)
-	if again := x.out.attempts[len(x.out.attempts)-1]; again == first || cellOf(again) != pod || again.ConnectedSince != first.Sent || again.Forbidden {
+	x.endAttempt(first, balancer.Failed)
+	if again := x.transport.attempts[len(x.transport.attempts)-1]; again == first || cellOf(again) != pod || again.ConnectedSince != first.Sent || again.Forbidden {
 		t.Fatalf("%+v after %+v", again, first)
 	}
 	x.now += 10 * time.Millisecond
 	for i := range 4 {
 		if i/2 == pod {
-			x.returning.ObserveAttempt(x.now, "s"+string(rune('0'+i)), false, true, -1, -1)
+			x.recovery.ObserveAttempt(x.now, "s"+string(rune('0'+i)), false, true, -1, -1)
 		}
 	}
 	x.now += 10 * time.Millisecond
@@ -44,23 +44,23 @@
 }
 
 // For a while after a loss of power a client's repeat whose first try did not come since has failed, whatever the disk says.
-func TestARepeatFromBeforeTheStart(t *testing.T) {
-	again := func(x *tiedEngine, key string, marked bool) (sent bool, heard *ear) {
-		heard = &ear{}
-		x.ids++
-		before := len(x.out.attempts)
-		x.Handle(CallArrived(&Call{ID: "r" + string(rune('a'+x.ids)), Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: x.now + deadline, IdempotencyKey: key,
-			ClientRetry: marked, Transport: x.out, Responder: heard}))
-		return len(x.out.attempts) > before, heard
+func TestUnknownRepeatAfterRestartFails(t *testing.T) {
+	again := func(x *bindingFixture, key string, marked bool) (sent bool, heard *recordingResponder) {
+		heard = &recordingResponder{}
+		x.lastID++
+		before := len(x.transport.attempts)
+		x.Handle(CallArrived(&Call{ID: "r" + string(rune('a'+x.lastID)), Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: x.now + deadline, IdempotencyKey: key,
+			ClientRetry: marked, Transport: x.transport, Responder: heard}))
+		return len(x.transport.attempts) > before, heard
 	}
-	x := returningEngine(t, func(x *tiedEngine) { x.FailUnknownRepeatsUntil(x.now + time.Minute) })
+	x := newRecoveryFixture(t, func(x *bindingFixture) { x.FailUnknownRepeatsUntil(x.now + time.Minute) })
 	if sent, heard := again(x, "from before", true); sent || len(*heard) != 1 || (*heard)[0].Kind != Failed {
 		t.Errorf("sent %v, %+v", sent, heard)
 	}
 	if sent, _ := again(x, "of now", false); !sent {
 		t.Error("a first try is not sent")
 	}
-	x.end(x.out.attempts[len(x.out.attempts)-1], balancer.ConnectFailed) // it never ran
+	x.endAttempt(x.transport.attempts[len(x.transport.attempts)-1], balancer.ConnectFailed) // it never ran
 	if sent, _ := again(x, "of now", true); !sent {
 		t.Error("the repeat of a try that came since is not sent")
 	}
@@ -71,9 +71,9 @@
 }
 
 // A server that another agent says drains gets nothing while that word is fresh, and what the own list says is told to others.
-func TestWordOfADrain(t *testing.T) {
+func TestGossipOfDrainExcludesServerForAWhile(t *testing.T) {
 	var told []gossip.Observation
-	x := newTied(t, func(x *tiedEngine) {
+	x := newBindingFixture(t, func(x *bindingFixture) {
 		x.SetGossip(func() bool { return true }, func(f gossip.Observation) { told = append(told, f) })
 	})
 	uses := func() (n int) {
@@ -82,7 +82,7 @@
 				if a.Server == "s1" {
 					n++
 				}
-				x.end(a, balancer.OK)
+				x.endAttempt(a, balancer.OK)
 			}
 		}
 		return n
@@ -100,7 +100,7 @@
 	if uses() == 0 {
 		t.Error("word holds for ever")
 	}
-	if x.list(EndpointUpdate{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.ServerID("s2") {
+	if x.setEndpoints(EndpointUpdate{Members: []Member{{Server: balancer.Server{ID: "s2", Cell: 1, State: balancer.Draining}}}}); len(told) != 1 || told[0].ID != corroborate.ServerID("s2") {
 		t.Errorf("the others are told %v", told)
 	}
 }
