--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -44,7 +44,7 @@
 	}
 	if v.peers != nil {
 		st := v.peers.Status()
-		held, counts, err := v.core.HeldByGossip(ctx)
+		held, counts, err := v.core.ExcludedByGossip(ctx)
 		if err != nil {
 			return f, err
 		}
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -8,49 +8,53 @@
 	"appleledge/internal/balancer"
 )
 
-// AdmissionController says which calls are let in to the module.
+// AdmissionController decides which calls are let in to the balancer. Its methods are called on the engine's goroutine and must
+// not block.
 type AdmissionController interface {
-	// Arrive lets a call in, or turns it away, which promises that trying again is harmless.
-	Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection)
-	// Done tells how one ended that was let in.
+	// Arrive lets a call in, with a permit, or rejects it with nil, which promises that trying again is harmless.
+	Arrive(now time.Duration, r admission.Request) (*admission.Permit, admission.Rejection)
+	// Done is called once for each permit, with how its call ended.
 	Done(now time.Duration, p *admission.Permit, end admission.Outcome)
+	// Counts returns what it has counted.
 	Counts() admission.Counts
 }
 
-// retuner is a Door that takes the classes as they are from now on, by their numbers.
-type retuner interface{ Retune([]admission.Class) }
+// classRetuner is an AdmissionController that takes the classes, by number, when they change.
+type classRetuner interface{ Retune([]admission.Class) }
 
-// SetAdmission puts a door before the module. It is called before Run.
-func (e *Engine) SetAdmission(d AdmissionController) { e.admission = d }
+// SetAdmission sets what is asked before the balancer. It is called before Run.
+func (e *Engine) SetAdmission(a AdmissionController) { e.admission = a }
 
-// admit lets a call in, or answers it.
+// admit lets a call in and reports true, or answers it.
 func (e *Engine) admit(c *Call) bool {
 	if e.admission == nil {
 		return true
 	}
-	a := admission.Request{Class: c.Class, Tenant: c.Tenant, Key: c.IdempotencyKey, IsRetry: c.ClientRetry, MayHaveRun: c.CallerAttempt > 1 || c.earlier.MayHaveRun, Deadline: c.Deadline}
-	if a.Key == "" && c.Effect == balancer.Idempotent && c.Key != "" {
-		a.Key = strconv.Itoa(c.Class) + " " + strconv.Itoa(c.Tenant) + " " + c.Key
+	r := admission.Request{Class: c.Class, Tenant: c.Tenant, Key: c.IdempotencyKey, IsRetry: c.ClientRetry,
+		MayHaveRun: c.CallerAttempt > 1 || c.earlier.MayHaveRun, Deadline: c.Deadline}
+	if r.Key == "" && c.Effect == balancer.Idempotent && c.Key != "" {
+		r.Key = strconv.Itoa(c.Class) + " " + strconv.Itoa(c.Tenant) + " " + c.Key
 	}
-	p, told := e.admission.Arrive(e.clock.Now(), a)
-	if p == nil {
-		e.finish(c, Answer{Kind: Rejected, RetryAfter: told.RetryAfter, Limit: told.Limit})
+	permit, rejection := e.admission.Arrive(e.clock.Now(), r)
+	if permit == nil {
+		e.finish(c, Answer{Kind: Rejected, RetryAfter: rejection.RetryAfter, Limit: rejection.Limit})
 		return false
 	}
-	c.permit = p
+	c.permit = permit
 	if e.recovery != nil {
-		e.remask()
+		e.recovery.applyStartChanges()
 	}
 	return true
 }
 
-// passed tells the door how a call ended.
-func (e *Engine) passed(c *Call, end admission.Outcome) {
+// releasePermit tells admission how a call ended, if that holds a permit.
+func (e *Engine) releasePermit(c *Call, end admission.Outcome) {
 	if c.permit != nil {
 		e.admission.Done(e.clock.Now(), c.permit, end)
 		c.permit = nil
 	}
 }
 
-// ends are the door's, by the kinds of answers.
-var ends = [...]admission.Outcome{Served: admission.OutcomeServed, Rejected: admission.OutcomeRejected, Failed: admission.OutcomeFailed, Conflict: admission.OutcomeCanceled}
+// admissionOutcomes are the outcomes for admission, by kind of answer.
+var admissionOutcomes = [...]admission.Outcome{Served: admission.OutcomeServed, Rejected: admission.OutcomeRejected,
+	Failed: admission.OutcomeFailed, Conflict: admission.OutcomeCanceled}
--- a/internal/engine/affinity.go
+++ b/internal/engine/affinity.go
@@ -7,116 +7,106 @@
 	"appleledge/internal/balancer"
 )
 
-// BindingLog keeps ties over a restart.
+// BindingLog keeps bindings over a restart.
 type BindingLog interface {
-	// Append hands a record over, and must not block. What it returns may be waited for from any goroutine.
+	// Append hands a record over. It is called on the engine's goroutine and must not block.
 	Append(affinity.Record) BindingCommit
 }
 
-// BindingCommit is a record on its way to where it lasts.
+// BindingCommit is a record that is being made durable.
 type BindingCommit interface {
-	// Wait reports whether it lasts, and waits no longer than a stated budget for that.
+	// Wait reports whether the record is durable, and blocks no longer than a stated budget for that. It is called from an
+	// attempt's goroutine.
 	Wait() bool
 }
 
-// ties are what the engine keeps of keyed requests: where they went, so that a repeat under another id goes to the same pod, or
-// nowhere.
+// affinityBinder binds idempotency keys to pods: a repeat under another id goes to the pod of the first attempt, whose servers
+// recognize it, or nowhere.
 type affinityBinder struct {
+	engine *Engine
 	table  *affinity.Table
 	secret affinity.Secret
-	log    BindingLog     // nil: nothing lasts
+	log    BindingLog     // nil: nothing is durable
 	pods   map[string]pod // of servers, by id
 }
 
 type pod struct{ cell, zone int }
 
-// SetAffinity makes the engine remember where keyed requests go. It is called before Run.
+// SetAffinity makes the engine remember where calls with an idempotency key went. l may be nil. It is called before Run.
 func (e *Engine) SetAffinity(t *affinity.Table, s affinity.Secret, l BindingLog) {
-	e.affinity = &affinityBinder{table: t, secret: s, log: l, pods: map[string]pod{}}
+	e.affinity = &affinityBinder{engine: e, table: t, secret: s, log: l, pods: map[string]pod{}}
+	e.overlays[overlayAffinity] = e.affinity
+	e.callHooks[callAffinity] = e.affinity
+	e.attemptHooks[attemptAffinity] = e.affinity
 }
 
-// BindingsRestored brings records that another process has kept.
-type BindingsRestored struct{ Records []affinity.Record }
-
-func (BindingsRestored) event() {}
-
-// undurable says that a tie could not be kept in time.
-type bindingNotDurable struct{}
-
-func (bindingNotDurable) event() {}
-
-// kept says that a chooser's attempt may be handed over, as its tie is kept, or was not in time.
-type bindingCommitted struct{ attempt *Attempt }
-
-func (bindingCommitted) event() {}
-
-func (t *affinityBinder) listed(l EndpointUpdate) {
-	if l.Full {
-		clear(t.pods)
+// overlayEndpoints notes the servers' pods. It changes nothing.
+func (b *affinityBinder) overlayEndpoints(_ time.Duration, u EndpointUpdate) EndpointUpdate {
+	if u.Full {
+		clear(b.pods)
 	}
-	for _, m := range l.Members {
+	for _, m := range u.Members {
 		if m.State == balancer.Removed {
-			delete(t.pods, m.ID)
+			delete(b.pods, m.ID)
 		} else {
-			t.pods[m.ID] = pod{m.Cell, m.Zone}
+			b.pods[m.ID] = pod{m.Cell, m.Zone}
 		}
 	}
+	return u
 }
 
-// tied looks up what may have run of a new call under another id. It is asked before any door: what may have run is never
-// refused.
-func (e *Engine) tied(c *Call) {
-	if r := e.recovery; r != nil && c.Effect == balancer.IdempotentByKey && r.unremembered(e.clock.Now(), c) {
-		c.earlier = balancer.EarlierAttempt{MayHaveRun: true, SentAt: e.clock.Now() - c.IdempotencyWindow, Zone: -1, Cell: -1}
-		c.mayHaveRunSince = max(c.earlier.SentAt, 1)
-	}
-	if e.affinity == nil || c.Effect != balancer.IdempotentByKey || c.IdempotencyKey == "" {
-		return
+// callArrived looks up what may have run of a new call under another id.
+func (b *affinityBinder) callArrived(c *Call) (goesOn bool) {
+	if c.Effect != balancer.IdempotentByKey || c.IdempotencyKey == "" {
+		return true
 	}
-	c.affinityKey = e.affinity.secret.Key(c.IdempotencyKey)
-	if tie, ok := e.affinity.table.Lookup(e.clock.Now(), c.affinityKey); ok {
-		c.earlier = balancer.EarlierAttempt{MayHaveRun: true, SentAt: tie.Since, Zone: tie.Zone, Cell: tie.Pod}
-		c.mayHaveRunSince = max(tie.Since, 1) // 0 stands for never
+	c.affinityKey = b.secret.Key(c.IdempotencyKey)
+	if bound, ok := b.table.Lookup(b.engine.clock.Now(), c.affinityKey); ok {
+		c.earlier = balancer.EarlierAttempt{MayHaveRun: true, SentAt: bound.Since, Zone: bound.Zone, Cell: bound.Pod}
+		c.mayHaveRunSince = max(bound.Since, 1) // 0 stands for never
 	}
+	return true
 }
 
-// begin notes an attempt that is about to be sent. What it returns is to be waited for before the first byte goes out.
-func (t *affinityBinder) begin(now time.Duration, c *Call, a *Attempt) BindingCommit {
-	p, there := t.pods[a.Server]
-	if !there || c.Effect != balancer.IdempotentByKey || c.IdempotencyKey == "" {
-		return nil
+// attemptStarting binds the key of a call to the pod of its attempt, and logs a new binding.
+func (b *affinityBinder) attemptStarting(a *Attempt, _ time.Duration) {
+	p, listed := b.pods[a.Server]
+	if c := a.Call; !listed || c.Effect != balancer.IdempotentByKey || c.IdempotencyKey == "" {
+		return
 	}
 	a.isBound = true
-	r, fresh := t.table.Bind(now, c.affinityKey, p.cell, p.zone)
-	if !fresh || t.log == nil {
-		return nil
+	r, isNew := b.table.Bind(b.engine.clock.Now(), a.Call.affinityKey, p.cell, p.zone)
+	if isNew && b.log != nil {
+		a.commit = b.log.Append(r)
 	}
-	return t.log.Append(r)
 }
 
-// ended notes how an attempt ended.
-func (t *affinityBinder) ended(now time.Duration, a *Attempt, result balancer.Result) {
+// attemptEnded notes how a bound attempt ended: one that can't have run no longer binds its key.
+func (b *affinityBinder) attemptEnded(o Outcome, result balancer.Result) {
+	a := o.Attempt
 	if !a.isBound {
 		return
 	}
+	now := b.engine.clock.Now()
 	var r affinity.Record
-	var keep bool
+	var mustLog bool
 	switch result {
 	case balancer.NotSent, balancer.ConnectFailed, balancer.Rejected:
-		r, keep = t.table.Unbind(now, a.Call.affinityKey)
+		r, mustLog = b.table.Unbind(now, a.Call.affinityKey)
 	case balancer.OK:
-		r, keep = t.table.Complete(now, a.Call.affinityKey, affinity.OutcomeServed)
+		r, mustLog = b.table.Complete(now, a.Call.affinityKey, affinity.OutcomeServed)
 	default:
-		r, keep = t.table.Complete(now, a.Call.affinityKey, affinity.OutcomeUnknown)
+		r, mustLog = b.table.Complete(now, a.Call.affinityKey, affinity.OutcomeUnknown)
 	}
-	if keep && t.log != nil {
-		t.log.Append(r)
+	if mustLog && b.log != nil {
+		b.log.Append(r)
 	}
 }
 
-// wait waits for a tie to be kept, and counts one that is not in time. It runs in the attempt's goroutine.
-func (e *Engine) wait(c BindingCommit) {
-	if c != nil && !c.Wait() {
+// awaitBinding waits until an attempt's binding is durable, and counts one that is not in time. It runs in the attempt's
+// goroutine.
+func (e *Engine) awaitBinding(a *Attempt) {
+	if a.commit != nil && !a.commit.Wait() {
 		e.Post(bindingNotDurable{})
 	}
 }
--- a/internal/engine/affinity_test.go
+++ b/internal/engine/affinity_test.go
@@ -72,6 +72,9 @@
 	return x.transport.attempts[before], heard
 }
 
+// setEndpoints brings the list, as an EndpointUpdate event does, without firing timers.
+func (x *bindingFixture) setEndpoints(u EndpointUpdate) { x.applyEndpoints(u, overlayGenerations) }
+
 func (x *bindingFixture) endAttempt(a *Attempt, result balancer.Result) {
 	x.Handle(Outcome{Attempt: a, Result: result, Report: balancer.NoReport})
 }
--- /dev/null
+++ b/internal/engine/answers.go
@@ -0,0 +1,77 @@
+package engine
+
+import (
+	"time"
+
+	"appleledge/internal/generation"
+)
+
+// Responder takes the final answer of a call.
+type Responder interface {
+	// Answer is called at most once, on the engine's goroutine, and must not block.
+	Answer(Answer)
+}
+
+// AnswerKind says how a call ended.
+type AnswerKind int
+
+// The kinds of final answers.
+const (
+	Served   AnswerKind = iota // Payload is what a server made for it
+	Rejected                   // nothing ran: trying again is harmless
+	Failed                     // it may have run: no promise about its effect
+	Conflict                   // another call is open under the same id; this one was never looked at
+)
+
+// Answer is the final answer to a call.
+type Answer struct {
+	Kind       AnswerKind
+	Payload    any           // of a Served one, from the transport
+	Private    bool          // of a Served one: it was made for this client alone
+	RetryAfter time.Duration // when to come back; 0 where nothing is said
+	Limit      int           // of a Rejected one: so many are admitted at a time; 0 where nothing is said
+}
+
+// Discarder is a payload that holds a resource until it is used or discarded.
+type Discarder interface{ Discard() }
+
+func discard(payload any) {
+	if d, ok := payload.(Discarder); ok {
+		d.Discard()
+	}
+}
+
+// reject answers a call that the balancer never sees.
+func (e *Engine) reject(c *Call, a Answer) {
+	c.closed.Store(true)
+	e.counters.answered(e.clock.Now(), c, a.Kind)
+	c.Responder.Answer(a)
+	c.release()
+}
+
+// finish gives a call its answer, unless it has one; then the answer is discarded. c may be nil.
+func (e *Engine) finish(c *Call, a Answer) {
+	if c == nil || c.closed.Load() {
+		discard(a.Payload)
+		return
+	}
+	c.closed.Store(true)
+	e.releasePermit(c, admissionOutcomes[a.Kind])
+	e.releaseGeneration(c, generationOutcomes[a.Kind])
+	if !c.isFlight {
+		e.counters.answered(e.clock.Now(), c, a.Kind)
+	}
+	c.Responder.Answer(a)
+	e.external.rememberAnswer(c, a.Kind)
+	e.forget(c)
+}
+
+// forget drops a call that is closed. While attempts are in flight it is kept: the balancer still learns from their outcomes.
+func (e *Engine) forget(c *Call) {
+	if c.closed.Load() && c.inFlight == 0 && e.calls[c.ID] == c {
+		e.releaseGeneration(c, generation.ClientCanceled) // one that was closed by Call.Close has told nobody
+		e.counters.forgotten(c)
+		delete(e.calls, c.ID)
+		c.release()
+	}
+}
--- /dev/null
+++ b/internal/engine/attempts.go
@@ -0,0 +1,183 @@
+package engine
+
+import (
+	"context"
+	"time"
+
+	"appleledge/internal/balancer"
+)
+
+// Transport makes attempts.
+type Transport interface {
+	// RoundTrip makes one attempt and returns how it ended, exactly: one that may have run is never said not to have. It runs in a
+	// goroutine of its own, may block, and ends with the context or at the attempt's Deadline.
+	RoundTrip(ctx context.Context, a *Attempt) Outcome
+}
+
+// AsyncTransport is a Transport that does not block: it starts an attempt, and Engine.Handle with an Outcome ends it.
+// Simulations use it.
+type AsyncTransport interface {
+	Transport
+	// Start is called on the engine's goroutine in place of RoundTrip, and must not block.
+	Start(*Attempt)
+}
+
+// Attempt is one sending of a call to one server.
+type Attempt struct {
+	Call          *Call
+	Number        int // from 0
+	Server        string
+	Incarnation   Incarnation   // of the server, when the attempt was made
+	Sent          time.Duration // when the attempt was made
+	Deadline      time.Duration // when to stop waiting
+	WriteDeadline time.Duration // when it is too late to begin: Deadline, or earlier for a retry under an idempotency key
+
+	ConnectedSince time.Duration // only a connection that was open then already may be used; 0: any
+	Forbidden      bool          // it must not be sent: nobody may be left who would drop it as a repeat
+
+	ended      bool          // its outcome is known
+	isBound    bool          // the table of bindings counts it
+	expiry     *time.Timer   // of an external caller's: ends it at Deadline
+	bodySentAt time.Duration // when the server had it complete, where its body was read meanwhile; else 0
+	engine     *Engine       // nil of an attempt that none made
+	commit     BindingCommit // to be waited for before the first byte goes out; nil: nothing
+}
+
+// MarkWritten says that the attempt was written completely. It may be called from any goroutine, once.
+func (a *Attempt) MarkWritten() {
+	if a.engine != nil {
+		a.engine.counters.written()
+	}
+}
+
+// UploadFinished says that the last byte of an Upload was written, and when the client will have given up its answer. It may
+// be called from any goroutine but the engine's.
+func (a *Attempt) UploadFinished(deadline time.Duration) {
+	if a.engine != nil {
+		a.engine.Post(bodySent{a, deadline})
+	}
+}
+
+// Outcome is how an attempt ended. Every attempt gets exactly one.
+type Outcome struct {
+	Attempt *Attempt
+	Result  balancer.Result
+	Report  balancer.Report
+	Payload any  // of an OK: what the client gets
+	Private bool // of an OK: the server says that it is for this client alone
+	// FromOtherServer says that the result is that of a server which the balancer did not choose. What the chosen one did is
+	// not known then, nor where the request may have run.
+	FromOtherServer bool
+}
+
+// send makes an attempt and starts it.
+func (e *Engine) send(act balancer.Action) {
+	c := e.calls[act.Request]
+	e.counters.attemptSent(c, act.WarmingUp)
+	earlierSent := c.mayHaveRunSince
+	a := c.newAttempt(act, e.clock.Now())
+	a.Incarnation, a.engine = e.pool.Incarnation(act.Server), e
+	for _, h := range e.attemptHooks {
+		if h != nil {
+			h.attemptStarting(a, earlierSent)
+		}
+	}
+	if c.external != nil {
+		e.external.handOver(a)
+		return
+	}
+	if t, ok := c.Transport.(AsyncTransport); ok {
+		t.Start(a)
+		return
+	}
+	e.attempts.Go(func() { // of its own: a server that doesn't answer must hold up nothing else
+		e.awaitBinding(a)
+		e.Post(c.Transport.RoundTrip(e.ctx, a))
+	})
+}
+
+// newAttempt makes the next attempt of the call.
+func (c *Call) newAttempt(act balancer.Action, now time.Duration) *Attempt {
+	a := &Attempt{Call: c, Number: c.attemptsMade, Server: act.Server, Sent: now, Deadline: c.Deadline}
+	if act.After > 0 {
+		a.Deadline = min(a.Deadline, now+act.After)
+	}
+	a.WriteDeadline = a.Deadline
+	if c.mayHaveRunSince == 0 {
+		c.mayHaveRunSince = now
+	} else if c.IdempotencyWindow > 0 { // the balancer judges by the time now, but the dial may outlast the window
+		a.WriteDeadline = min(a.Deadline, c.mayHaveRunSince+c.IdempotencyWindow)
+	}
+	c.attemptsMade++
+	c.inFlight++
+	return a
+}
+
+// attemptEnded takes the outcome of an attempt: it answers the call if this decides it, and tells the balancer, which may
+// retry.
+func (e *Engine) attemptEnded(o Outcome) {
+	a, c := o.Attempt, o.Attempt.Call
+	if a.ended { // an external caller's outcome and the expiry of the attempt may cross
+		return
+	}
+	a.ended = true
+	if a.expiry != nil {
+		a.expiry.Stop()
+	}
+	e.counters.attemptEnded(o.Result)
+	result, report := o.Result, o.Report
+	if o.FromOtherServer { // it must not count for or against the chosen server
+		result, report = balancer.Cancelled, balancer.NoReport
+	}
+	for _, h := range e.attemptHooks {
+		if h != nil {
+			h.attemptEnded(o, result)
+		}
+	}
+	c.attemptEnded(a, result)
+	if answer, final := c.answerTo(o); final {
+		e.finish(c, answer)
+	}
+	e.decide(balancer.Outcome{Request: c.ID, Attempt: a.Number, Server: a.Server, Result: result,
+		Latency: e.clock.Now() - max(a.Sent, a.bodySentAt), RequestClosed: c.closed.Load(), Report: report})
+	if c.Upload != nil && !c.closed.Load() {
+		e.decide(balancer.Retry{Request: c.ID, AllowedServers: c.allowedServers()})
+	}
+	e.forget(c)
+}
+
+// attemptEnded counts an attempt as over.
+func (c *Call) attemptEnded(a *Attempt, result balancer.Result) {
+	c.inFlight--
+	c.attemptsEnded++
+	switch result {
+	case balancer.NotSent, balancer.ConnectFailed, balancer.Rejected:
+		if c.mayHaveRunSince == a.Sent {
+			c.mayHaveRunSince = 0
+		}
+	}
+}
+
+// answerTo is the final answer to a call of which an attempt has ended so, if the outcome decides it without the balancer.
+func (c *Call) answerTo(o Outcome) (answer Answer, final bool) {
+	consumed := c.Upload != nil && c.Upload.Consumed() // a further attempt would need what is gone
+	switch {
+	case o.Result == balancer.OK:
+		return Answer{Kind: Served, Payload: o.Payload, Private: o.Private}, true
+	case consumed && (c.mayHaveRunSince == 0 || c.Effect == balancer.Idempotent):
+		return Answer{Kind: Rejected}, true
+	case consumed:
+		return Answer{Kind: Failed}, true
+	case o.FromOtherServer && c.Effect != balancer.Idempotent: // where it may be repeated is not known
+		return Answer{Kind: Failed}, true
+	}
+	return Answer{}, false
+}
+
+// bodySent notes that a server has an attempt complete: from now on it owes the answer.
+func (e *Engine) bodySent(b bodySent) {
+	if a := b.attempt; !a.ended {
+		a.bodySentAt = e.clock.Now()
+		e.decide(balancer.BodySent{Request: a.Call.ID, Attempt: a.Number, Deadline: b.deadline})
+	}
+}
--- a/internal/engine/coalescing.go
+++ b/internal/engine/coalescing.go
@@ -3,93 +3,101 @@
 import (
 	"time"
 
-	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
 )
 
-// joins is what the engine keeps of calls that are answered together. A member of the table is a call as it came; the
-// flight that one leads is a call of its own, under the id of the leader, and the only one of them that the module sees.
+// coalescer answers equal calls together. A member of its table is a call as it came; the flight that one leads is a call of its
+// own, under the id of the leader, and the only one of them that admission and the balancer see.
 type coalescer struct {
-	table  *coalesce.Table[*Call]
-	after  time.Duration // when to come back whose time has run out; 0 where nothing is said
-	landed []landing     // flights that have their answer and were not settled yet
+	engine     *Engine
+	table      *coalesce.Table[*Call]
+	retryAfter time.Duration  // for a member whose time runs out; 0: nothing is said
+	answered   []flightAnswer // flights that have their answer, which the table has not been told
 }
 
-// landing is the final answer to a flight.
-type landing struct {
+// flightAnswer is the final answer to a flight.
+type flightAnswer struct {
 	flight *coalesce.Flight[*Call]
 	answer Answer
 }
 
-// SetCoalescing makes the engine join calls that ask the same, where their front says what they ask. Whose time runs out while it
-// waits is told to come back after that long, or nothing where that is 0. It is called before Run.
-func (e *Engine) SetCoalescing(o coalesce.Options, after time.Duration) {
-	e.coalescer = &coalescer{table: coalesce.New[*Call](o), after: after}
+// SetCoalescing makes the engine answer calls together that ask the same, where their downstream server gives them a
+// CoalesceDigest. A call whose time runs out while it waits is told to come back after retryAfter, or nothing where that is 0. It
+// is called before Run.
+func (e *Engine) SetCoalescing(o coalesce.Options, retryAfter time.Duration) {
+	e.coalescer = &coalescer{engine: e, table: coalesce.New[*Call](o), retryAfter: retryAfter}
+	e.callHooks[callCoalescing] = e.coalescer
+	e.timed[timedCoalescing] = e.coalescer
 }
 
-// join reports whether the call has become a member. Whatever its front says, one that must not run twice never does.
-func (e *Engine) join(c *Call) bool {
-	if c.external != nil || c.Upload != nil || c.Effect != balancer.Idempotent || c.binding.ServerIDs() != nil {
-		return false // what is bound to a pool asks of other servers than what is not
+// callArrived takes a call over as a member, if it may be. Whatever its downstream server says, one that must not run twice
+// never is; and one that is bound to a pool asks other servers than one that isn't.
+func (j *coalescer) callArrived(c *Call) (goesOn bool) {
+	if c.CoalesceDigest == nil || c.external != nil || c.Upload != nil || c.Effect != balancer.Idempotent || c.binding.ServerIDs() != nil {
+		return true
 	}
-	m, verdict := e.coalescer.table.Arrive(e.clock.Now(), coalesce.Request[*Call]{Owner: c, Digest: *c.CoalesceDigest, Class: c.Class, Tenant: c.Tenant,
-		Deadline: c.Deadline})
+	m, verdict := j.table.Arrive(j.engine.clock.Now(), coalesce.Request[*Call]{Owner: c, Digest: *c.CoalesceDigest, Class: c.Class,
+		Tenant: c.Tenant, Deadline: c.Deadline})
 	if verdict == coalesce.NotCoalesced {
-		return false
+		return true
 	}
 	c.member = m
-	e.calls[c.ID] = c // a second one under its id is a conflict, as ever
+	j.engine.calls[c.ID] = c // a second call under its id is a conflict, as ever
 	if verdict == coalesce.Leader {
-		e.lead(c)
+		j.startFlight(c)
 	}
-	return true
+	return false
 }
 
-// lead starts the flight that a member leads.
-func (e *Engine) lead(c *Call) {
+// startFlight submits the flight that a member leads.
+func (j *coalescer) startFlight(c *Call) {
 	f := c.member.Flight()
 	f.Payload = &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: f.Deadline, ClientRetry: c.ClientRetry,
-		Payload: c.Payload, Transport: c.Transport, SettingsVersion: c.SettingsVersion, MaxAttempts: c.MaxAttempts, Responder: flight{e.coalescer, f}, isFlight: true}
-	e.submit(f.Payload)
+		Payload: c.Payload, Transport: c.Transport, SettingsVersion: c.SettingsVersion, MaxAttempts: c.MaxAttempts,
+		Responder: flightResponder{j, f}, isFlight: true}
+	j.engine.submit(f.Payload)
 }
 
-// flight is the Caller of a flight. Its answer is settled when the module's actions are carried out: settling asks the
-// module anew, whose actions hold until it is asked.
-type flight struct {
-	joins *coalescer
-	of    *coalesce.Flight[*Call]
+// flightResponder is the Responder of a flight. It only notes the answer, which fireTimers hands to the members: that asks the
+// balancer anew, and the balancer's actions, which are being carried out here, hold only until it is asked again.
+type flightResponder struct {
+	coalescer *coalescer
+	flight    *coalesce.Flight[*Call]
 }
 
-func (f flight) Answer(a Answer) { f.joins.landed = append(f.joins.landed, landing{f.of, a}) }
+func (f flightResponder) Answer(a Answer) {
+	f.coalescer.answered = append(f.coalescer.answered, flightAnswer{f.flight, a})
+}
 
-// leave takes a call out whose client left.
-func (e *Engine) leave(c *Call) {
-	e.carryOut(e.coalescer.table.Leave(e.clock.Now(), c.member), Answer{})
-	e.forget(c)
+// leave takes a call out that needs no answer any more.
+func (j *coalescer) leave(c *Call) {
+	j.apply(j.table.Leave(j.engine.clock.Now(), c.member), Answer{})
+	j.engine.forget(c)
 }
 
-// settle does what flights that have landed and times that have come ask for, until there is no more of it.
-func (e *Engine) settle() {
-	j := e.coalescer
+func (j *coalescer) nextTimer() (time.Duration, bool) { return j.table.NextTimer() }
+
+// fireTimers handles answers to flights and times that have come, until there are no more: each may bring about others.
+func (j *coalescer) fireTimers() {
 	for {
-		if len(j.landed) > 0 {
-			l := j.landed[0]
-			j.landed = j.landed[1:]
-			e.carryOut(j.table.Complete(e.clock.Now(), l.flight, endOf(l.answer)), l.answer)
+		if len(j.answered) > 0 {
+			first := j.answered[0]
+			j.answered = j.answered[1:]
+			j.apply(j.table.Complete(j.engine.clock.Now(), first.flight, coalesceOutcome(first.answer)), first.answer)
 			continue
 		}
-		j.landed = nil
+		j.answered = nil
 		due, ok := j.table.NextTimer()
-		if now := e.clock.Now(); ok && due <= now {
-			e.carryOut(j.table.HandleTimers(now), Answer{})
+		if now := j.engine.clock.Now(); ok && due <= now {
+			j.apply(j.table.HandleTimers(now), Answer{})
 			continue
 		}
 		return
 	}
 }
 
-func endOf(a Answer) coalesce.Outcome {
+func coalesceOutcome(a Answer) coalesce.Outcome {
 	switch {
 	case a.Kind == Served && a.Private:
 		return coalesce.OutcomePrivate
@@ -101,25 +109,23 @@
 	return coalesce.OutcomeFailed
 }
 
-// carryOut does what the table says; answer is that of the flight, if one has landed.
-func (e *Engine) carryOut(c coalesce.Changes[*Call], answer Answer) {
-	if len(c.Answered) == 0 { // whose answer it was has left
+// apply does what the table decided. answer is that of the flight, if one was answered.
+func (j *coalescer) apply(c coalesce.Changes[*Call], answer Answer) {
+	if len(c.Answered) == 0 { // those whose answer it was have left
 		discard(answer.Payload)
 	}
 	for _, m := range c.Answered {
-		e.finish(m.Owner, answer)
+		j.engine.finish(m.Owner, answer)
 	}
-	for _, m := range c.Expired { // only calls that may be repeated at will are joined: trying again is harmless
-		e.finish(m.Owner, Answer{Kind: Rejected, RetryAfter: e.coalescer.after})
+	for _, m := range c.Expired { // only idempotent calls are coalesced: trying again is harmless
+		j.engine.finish(m.Owner, Answer{Kind: Rejected, RetryAfter: j.retryAfter})
 	}
-	for _, f := range c.Abandoned { // nobody waits for it, as if its client had left
+	for _, f := range c.Abandoned { // nobody waits for it
 		if !f.Payload.closed.Swap(true) {
-			e.passed(f.Payload, admission.OutcomeCanceled)
-			e.decide(balancer.ClientDisconnected{Request: f.Payload.ID})
-			e.forget(f.Payload)
+			j.engine.cancel(f.Payload)
 		}
 	}
 	for _, m := range c.NewLeaders {
-		e.lead(m.Owner)
+		j.startFlight(m.Owner)
 	}
 }
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -9,47 +9,55 @@
 	"appleledge/internal/latency"
 )
 
-// latencyWindow is how far back the times of a Tally reach, to twice that.
+// latencyWindow is how long the latency quantiles reach back, at least; at most twice that.
 const latencyWindow = 30 * time.Second
 
-// latencyQuantiles are the shares of which a Tally tells the times.
+// latencyQuantiles are the quantiles of LatencyStats.
 var latencyQuantiles = [...]float64{0.5, 0.9, 0.99}
 
-// SendKinds and AnswerKinds are the names of what is counted by kind, for logs and figures.
+// SendKinds and AnswerKinds are the names of what is counted by kind, as logs and metrics show them.
 var (
-	SendKinds   = [...]string{"first", "further", "copy"}
+	SendKinds   = [...]string{"first", "further", "copy"} // first attempt, retry, hedged attempt
 	AnswerKinds = [...]string{Served: "served", Rejected: "refused", Failed: "failed", Conflict: "conflict"}
 )
 
-// Counters is what became of calls and attempts since the engine was made, at one moment.
+// The indexes of SendKinds.
+const (
+	sendFirst = iota
+	sendRetry
+	sendHedged
+)
+
+// Counters says what became of calls and attempts since the engine was made, at one moment.
 type Counters struct {
 	Classes   []string                          // names, by number
-	Answers   [][4]uint64                       // by class and AnswerKind; calls that are joined count one by one
+	Answers   [][4]uint64                       // by class and AnswerKind; calls that are coalesced count one by one
 	Left      []uint64                          // by class: calls whose client left first
 	Open      int                               // calls that have not ended
-	Written   uint64                            // attempts that were written whole to a server
-	Attempts  [len(balancer.ResultNames)]uint64 // by logic.Result
+	Written   uint64                            // attempts that were written completely to a server
+	Attempts  [len(balancer.ResultNames)]uint64 // by balancer.Result
 	Sends     [len(SendKinds)]uint64            // by kind
-	SlowStart uint64                            // of all these, to servers that had started lately
-	GivenUp   [len(balancer.ReasonNames)]uint64
-	Latencies []LatencyStats // of served calls, by class, where they are kept
+	SlowStart uint64                            // of all these, to servers that were warming up
+	GivenUp   [len(balancer.ReasonNames)]uint64 // calls that the balancer rejected or failed, by balancer.Reason
+	Latencies []LatencyStats                    // of served calls, by class, where they are kept
 }
 
-// LatencyStats are how long calls took of late, from when the engine was told of them.
+// LatencyStats says how long calls took, from when the engine was told of them.
 type LatencyStats struct {
 	Count     uint64 // since the engine was made
 	Sum       time.Duration
-	Quantiles map[float64]time.Duration // by share; of the last 30 s to a minute
+	Quantiles map[float64]time.Duration // by quantile; of the last 30 s to a minute
 }
 
-// tally is the one place that counts. Its lock makes a reading one moment, which does not wait for the engine's queue.
+// counters is the one place that counts. Its lock makes a reading one moment, which doesn't wait for the engine's queue.
 type counters struct {
 	mu      sync.Mutex
 	totals  Counters
-	windows []*latency.Window // none where no times are kept
+	windows []*latency.Window // by class; none where no latencies are kept
 }
 
-// SetClassNames states the classes by number, as they come and go; what was counted of an earlier one stands.
+// SetClassNames states the classes by number, as they come and go; what was counted of an earlier one stands. It may be called
+// from any goroutine.
 func (e *Engine) SetClassNames(classes []balancer.Class) {
 	t := e.counters
 	t.mu.Lock()
@@ -64,7 +72,7 @@
 	}
 }
 
-// TrackLatency makes the engine keep the times of calls of these classes, for Load. It is called before Run.
+// TrackLatency makes the engine keep the latencies of calls of these classes, for Stats. It is called before Run.
 func (e *Engine) TrackLatency(classes []balancer.Class) {
 	e.SetClassNames(classes)
 	if len(e.counters.windows) > 0 {
@@ -75,16 +83,16 @@
 	}
 }
 
-// Counters returns what is counted. It waits for nothing that the engine does.
+// Counters returns what is counted. It may be called from any goroutine, and waits for nothing that the engine does.
 func (e *Engine) Counters() Counters { return e.counters.snapshot() }
 
-// CountRejected counts a call that its front has refused, which the engine has not seen.
+// CountRejected counts a call that its downstream server has rejected and the engine has not seen.
 func (e *Engine) CountRejected(c *Call) {
 	e.counters.arrived(c)
 	e.counters.answered(e.clock.Now(), c, Rejected)
 }
 
-// room makes room for a class.
+// grow makes room for a class; the lock is held.
 func (t *counters) grow(class int) {
 	for len(t.totals.Answers) <= class {
 		t.totals.Answers = append(t.totals.Answers, [4]uint64{})
@@ -100,7 +108,7 @@
 	t.totals.Open++
 }
 
-// over counts a call as open no more, if it was; the lock is held.
+// closeOpen counts a call as open no more, if it was; the lock is held.
 func (t *counters) closeOpen(c *Call) {
 	if c.isCountedOpen {
 		c.isCountedOpen = false
@@ -108,20 +116,21 @@
 	}
 }
 
-// forgotten counts a call as over that was closed from outside.
+// forgotten counts a call as over that was closed by Call.Close.
 func (t *counters) forgotten(c *Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closeOpen(c)
 }
 
-// wrote counts an attempt that was written whole; it is called from any goroutine.
+// written counts an attempt that was written completely. It may be called from any goroutine.
 func (t *counters) written() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.totals.Written++
 }
 
+// answered counts the final answer of a call, and its latency.
 func (t *counters) answered(now time.Duration, c *Call, kind AnswerKind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,6 +148,7 @@
 	}
 }
 
+// clientLeft counts a call whose client left first.
 func (t *counters) clientLeft(c *Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,36 +157,38 @@
 	t.closeOpen(c)
 }
 
-// sent counts an attempt, before it counts as one of the call's.
-func (t *counters) attemptSent(c *Call, cold bool) {
+// attemptSent counts an attempt. It is called before the call's own counts include it.
+func (t *counters) attemptSent(c *Call, warmingUp bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case c.attemptsMade == 0:
-		t.totals.Sends[0]++
+		t.totals.Sends[sendFirst]++
 	case c.inFlight == 0:
-		t.totals.Sends[1]++
+		t.totals.Sends[sendRetry]++
 	default:
-		t.totals.Sends[2]++
+		t.totals.Sends[sendHedged]++
 	}
-	if cold {
+	if warmingUp {
 		t.totals.SlowStart++
 	}
 }
 
-func (t *counters) givenUp(why balancer.Reason) {
+// givenUp counts a call that the balancer rejected or failed.
+func (t *counters) givenUp(reason balancer.Reason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.totals.GivenUp[why]++
+	t.totals.GivenUp[reason]++
 }
 
+// attemptEnded counts the result of an attempt.
 func (t *counters) attemptEnded(r balancer.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.totals.Attempts[r]++
 }
 
-// view is a copy of what is counted.
+// snapshot is a copy of what is counted.
 func (t *counters) snapshot() Counters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -27,7 +27,7 @@
 		if first.WriteDeadline != deadline {
 			t.Errorf("%s: the first may begin until %v", name, first.WriteDeadline)
 		}
-		r.attemptEnded(Outcome{Attempt: first, Result: c.first})
+		r.attemptEnded(first, c.first)
 		second := r.newAttempt(balancer.Action{Server: "b"}, 2*time.Second)
 		if second.WriteDeadline != c.want || second.Number != 1 || second.Deadline != deadline || r.inFlight != 1 {
 			t.Errorf("%s: %+v with %d out", name, second, r.inFlight)
--- a/internal/engine/external_test.go
+++ b/internal/engine/external_test.go
@@ -93,7 +93,7 @@
 	}
 	e := New(b, NewClock(), noPool{}, slog.New(slog.DiscardHandler))
 	e.SetOutcomeCache(1000, retention)
-	e.perform(b.Start(e.clock.Now()))
+	e.Start()
 	m := &lifecycleModel{t: t, engine: e, mayHaveRun: map[string][]*possibleRun{}, class: map[string]int{}, pools: map[uint64][]int{}, boundTo: map[*Call]uint64{}}
 	if rapid.Bool().Draw(t, "governed") {
 		names := generation.Names{}
@@ -126,7 +126,7 @@
 		if manager.Rollback(now, "", "") == nil {
 			m.pools[m.generation()] = before
 		}
-		m.engine.applyDrainChanges()
+		m.engine.generations.applyDrainChanges()
 		return
 	}
 	c, cells := &fleetconfig.Config{}, rapid.SliceOfN(rapid.IntRange(0, 3), 0, 2).Draw(m.t, "pool")
@@ -155,7 +155,7 @@
 	if len(cells) > 0 {
 		m.pools[m.generation()] = c.Pools[0].Pods
 	}
-	m.engine.applyDrainChanges()
+	m.engine.generations.applyDrainChanges()
 }
 
 func (m *lifecycleModel) generation() uint64 {
--- a/internal/engine/generation.go
+++ b/internal/engine/generation.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"slices"
 	"time"
 
 	"appleledge/internal/balancer"
@@ -11,157 +9,123 @@
 	"appleledge/internal/generation"
 )
 
-// governed is what the engine keeps for a configuration in force: its manager, and the list as it was told, since drains of
-// the configuration lie over it and are taken off again.
+// generationOverlay calls servers draining that the configuration in force drains, and binds calls to that configuration.
 type generationOverlay struct {
+	engine  *Engine
 	manager *generation.Manager
 	zones   []string
-	clock   Clock
-	told    map[string]Member
-	drop    float64 // as the list said last
+	members map[string]Member // as the list has them: drains of the configuration can be taken off again
+	drop    float64           // as the list said last
 }
 
-// SetGenerations puts a configuration in force. zones are the names of the zones, in the order of the module's numbers. It is called
-// before Run.
+// SetGenerations puts configuration generations in force. zones are the names of the zones, in the order of the balancer's
+// numbers. It is called before Run.
 func (e *Engine) SetGenerations(m *generation.Manager, zones []string) {
-	e.generations = &generationOverlay{manager: m, zones: zones, clock: e.clock, told: map[string]Member{}}
+	e.generations = &generationOverlay{engine: e, manager: m, zones: zones, members: map[string]Member{}}
+	e.overlays[overlayGenerations] = e.generations
+	e.callHooks[callGenerations] = e.generations
+	e.timed[timedGenerations] = e.generations
 }
 
-// ErrEnded says that the engine has ended.
-var ErrEnded = errors.New("the agent is ending")
-
-// WithGenerations runs do on the engine's goroutine, with the manager of the configuration in force. It waits until that is done.
+// WithGenerations runs do on the engine's goroutine with the manager of the generations, and waits until what it changed is in
+// force. Its errors are those of a command that was not queued, or ErrEnded.
 func (e *Engine) WithGenerations(ctx context.Context, do func(now time.Duration, m *generation.Manager)) error {
 	return e.execute(ctx, func(now time.Duration) {
 		do(now, e.generations.manager)
-		e.applyDrainChanges()
+		e.generations.applyDrainChanges()
 	})
 }
 
-// command runs do on the engine's goroutine and waits until that is done.
-func (e *Engine) execute(ctx context.Context, do func(now time.Duration)) error {
-	done := make(chan struct{})
-	select {
-	case e.events <- execution{do, done}:
-	case <-e.done:
-		return ErrEnded
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-	select { // it is in the queue: a caller that stopped waiting could not tell whether it was done
-	case <-done:
-		return nil
-	case <-e.done:
-		return ErrEnded
-	}
-}
-
-// bind ties a new call to the configuration in force, or answers it where a limit turns it away. Nothing of the call was
-// sent, and a chooser's call comes here only as a new request, so that trying again is harmless.
-func (e *Engine) bind(c *Call) bool {
-	a := generation.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Path: c.Path, Header: c.Header, AffinityKey: c.Key,
+// callArrived binds a new call to the configuration in force, or answers it where one of its limits rejects it. Nothing of the
+// call was sent yet, so that trying again is harmless, unless it may have run under another id.
+func (g *generationOverlay) callArrived(c *Call) (goesOn bool) {
+	r := generation.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Path: c.Path, Header: c.Header, AffinityKey: c.Key,
 		IdempotencyKey: c.IdempotencyKey, Deadline: c.Deadline}
-	told, ok := e.generations.manager.Bind(e.clock.Now(), &a, &c.binding)
-	if !ok && c.earlier.MayHaveRun { // a refusal would promise that trying again is harmless
-		e.reject(c, Answer{Kind: Failed})
+	rejection, ok := g.manager.Bind(g.engine.clock.Now(), &r, &c.binding)
+	if !ok && c.earlier.MayHaveRun {
+		g.engine.reject(c, Answer{Kind: Failed})
 		return false
 	}
 	if !ok {
-		e.cameToNothing(c)
-		e.reject(c, Answer{Kind: Rejected, RetryAfter: told.RetryAfter, Limit: told.MaxInFlight})
+		g.engine.external.rememberNeverRan(c)
+		g.engine.reject(c, Answer{Kind: Rejected, RetryAfter: rejection.RetryAfter, Limit: rejection.MaxInFlight})
 		return false
 	}
 	c.Deadline = c.binding.Deadline
 	return true
 }
 
-// unbind ends a call's tie, if it has one.
-func (e *Engine) unbind(c *Call, end generation.Outcome) {
+// releaseGeneration ends a call's binding to its configuration, if it has one.
+func (e *Engine) releaseGeneration(c *Call, end generation.Outcome) {
 	if e.generations != nil {
 		e.generations.manager.Release(e.clock.Now(), &c.binding, end)
 	}
 }
 
-// boundEnds are the manager's, by the kinds of answers.
-var boundEnds = [...]generation.Outcome{Served: generation.Served, Rejected: generation.Rejected, Failed: generation.Failed, Conflict: generation.ClientCanceled}
-
-// among are the servers that a call may go to: those of its pool and of its caller's choice, where there are such. The pool
-// is that of the configuration that the call is bound to, for all of its attempts.
-func (c *Call) candidates() []string {
-	pool := c.binding.ServerIDs()
-	switch {
-	case c.permit != nil && c.permit.Endpoints != nil && pool == nil && c.Candidates == nil && !c.earlier.MayHaveRun:
-		return c.permit.Endpoints
-	case pool == nil, c.earlier.MayHaveRun: // what may have run goes to its pod, whatever the configuration makes of others
-		return c.Candidates
-	case c.Candidates == nil:
-		return pool
-	}
-	both := []string{}
-	for _, id := range c.Candidates {
-		if _, in := slices.BinarySearch(pool, id); in {
-			both = append(both, id)
-		}
-	}
-	return both
-}
+// generationOutcomes are the outcomes for the generations, by kind of answer.
+var generationOutcomes = [...]generation.Outcome{Served: generation.Served, Rejected: generation.Rejected,
+	Failed: generation.Failed, Conflict: generation.ClientCanceled}
 
-// listed takes a list over and returns it with the configuration's drains.
-func (g *generationOverlay) listed(l EndpointUpdate) EndpointUpdate {
+func (g *generationOverlay) overlayEndpoints(_ time.Duration, u EndpointUpdate) EndpointUpdate {
 	changed := generation.Servers{}
-	if l.Full {
-		for id := range g.told {
+	if u.Full {
+		for id := range g.members {
 			changed[id] = nil
 		}
-		clear(g.told)
+		clear(g.members)
 	}
-	for _, m := range l.Members {
+	for _, m := range u.Members {
 		if m.State == balancer.Removed {
-			delete(g.told, m.ID)
+			delete(g.members, m.ID)
 			changed[m.ID] = nil
 			continue
 		}
-		g.told[m.ID] = m
+		g.members[m.ID] = m
 		changed[m.ID] = g.server(m)
 	}
 	g.manager.UpdateServers(changed)
-	g.drop = l.Drop
-	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
-	for _, m := range l.Members {
-		out.Members = append(out.Members, g.drained(m))
-	}
-	return out
+	g.drop = u.Drop
+	return overlayMembers(u, g.overlay)
 }
 
+// server is a member as the configuration's selectors see it.
 func (g *generationOverlay) server(m Member) *fleetconfig.Server {
 	s := &fleetconfig.Server{ID: m.ID, Addr: m.Addr, Kind: m.Kind, Pod: m.Cell, Weight: m.Weight, Draining: m.State == balancer.Draining}
 	if m.Zone >= 0 && m.Zone < len(g.zones) {
 		s.Zone = g.zones[m.Zone]
 	}
 	if m.Started != 0 {
-		s.StartedMS = g.clock.At(m.Started).UnixMilli()
+		s.StartedMS = g.engine.clock.At(m.Started).UnixMilli()
 	}
 	return s
 }
 
-func (g *generationOverlay) drained(m Member) Member {
+// overlay is a member as those behind this overlay see it.
+func (g *generationOverlay) overlay(m Member) Member {
 	if m.State == balancer.Ready && g.manager.IsDraining(m.ID) {
 		m.State = balancer.Draining
 	}
 	return m
 }
 
-// applyDrainChanges tells the fleet and the module of servers whose drain by the configuration has begun or ended.
-func (e *Engine) applyDrainChanges() {
-	ids := e.generations.manager.TakeDrainChanges()
+// applyDrainChanges brings on the servers whose drain by the configuration has begun or ended.
+func (g *generationOverlay) applyDrainChanges() {
+	ids := g.manager.TakeDrainChanges()
 	if len(ids) == 0 {
 		return
 	}
-	l := EndpointUpdate{Drop: e.generations.drop}
+	u := EndpointUpdate{Drop: g.drop}
 	for _, id := range ids {
-		if m, there := e.generations.told[id]; there {
-			l.Members = append(l.Members, e.generations.drained(m))
+		if m, listed := g.members[id]; listed {
+			u.Members = append(u.Members, g.overlay(m))
 		}
 	}
-	e.update(l)
+	g.engine.applyEndpoints(u, overlayGenerations+1)
+}
+
+func (g *generationOverlay) nextTimer() (time.Duration, bool) { return g.manager.NextTick() }
+
+func (g *generationOverlay) fireTimers() {
+	g.manager.Tick(g.engine.clock.Now())
+	g.applyDrainChanges()
 }
--- a/internal/engine/gossip.go
+++ b/internal/engine/gossip.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -11,168 +12,177 @@
 	"appleledge/internal/fleet/gossip"
 )
 
-// worded is what the engine keeps for the word of other agents: what they hold servers for, and the list as it was told, since what is
-// held out on their word lies over it.
+// gossipCheckInterval is how often is looked whether an observation of other agents has expired.
+const gossipCheckInterval = 250 * time.Millisecond
+
+// gossipOverlay calls servers draining that other agents observe to drain or to be faulty, and tells other agents what this
+// one's list says.
 type gossipOverlay struct {
-	holds  *corroborate.Exclusions
-	heard  func() bool              // the list is of now, and not from before
-	tell   func(gossip.Observation) // to the others; must not block
-	told   map[string]Member
-	names  map[uint64]string
-	held   map[uint64]bool
-	sharer OverloadHandler // nil: overload is handled alone
-	looked time.Duration
+	engine      *Engine
+	exclusions  *corroborate.Exclusions
+	isConfirmed func() bool              // the endpoint list was confirmed since the start
+	tell        func(gossip.Observation) // to the other agents; must not block
+	members     map[string]Member        // as it got them: an observation expires
+	names       map[uint64]string        // of the members, by their id in gossip
+	excluded    map[uint64]bool          // by id in gossip
+	checked     time.Duration            // when expiry was looked for last
 }
 
-// SetGossip makes the engine heed the word of others, and tell them what it knows. It is called before Run.
-func (e *Engine) SetGossip(heard func() bool, tell func(gossip.Observation)) {
-	e.gossip = &gossipOverlay{holds: corroborate.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
+// SetGossip makes the engine heed observations of other agents, and tell them its own. isConfirmed says whether the endpoint
+// list has been confirmed since the start. Both functions are called on the engine's goroutine and must not block. SetGossip is
+// called before Run.
+func (e *Engine) SetGossip(isConfirmed func() bool, tell func(gossip.Observation)) {
+	e.gossip = &gossipOverlay{engine: e, exclusions: corroborate.New(), isConfirmed: isConfirmed, tell: tell,
+		members: map[string]Member{}, names: map[uint64]string{}}
+	e.overlays[overlayGossip] = e.gossip
+	e.timed[timedGossip] = e.gossip
 }
 
-// told is word of another agent; living is which agents live.
-type (
-	gossipReceived struct {
-		from int
-		fact gossip.Observation
-	}
-	livenessChanged struct{ alive []bool }
-)
-
-func (gossipReceived) event()  {}
-func (livenessChanged) event() {}
-
-// HandleGossip takes word of another agent.
-func (e *Engine) HandleGossip(from int, f gossip.Observation) { e.Post(GossipReceived(from, f)) }
+// HandleGossip takes an observation of another agent.
+func (e *Engine) HandleGossip(from int, o gossip.Observation) { e.Post(GossipReceived(from, o)) }
 
-// HandleLiveness takes which agents live, by number.
+// HandleLiveness takes which agents are alive, by number.
 func (e *Engine) HandleLiveness(alive []bool) { e.Post(livenessChanged{alive}) }
 
-// GossipReceived is word of another agent as an event, for Step.
-func GossipReceived(from int, f gossip.Observation) Event { return gossipReceived{from, f} }
+// ExcludedByGossip returns the servers that are kept away from because of other agents' observations, sorted, and what was made
+// of these. It waits for the engine.
+func (e *Engine) ExcludedByGossip(ctx context.Context) (ids []string, n corroborate.Counts, err error) {
+	err = e.execute(ctx, func(time.Duration) {
+		ids, n = []string{}, e.gossip.exclusions.Counts()
+		for id := range e.gossip.excluded {
+			if name, listed := e.gossip.names[id]; listed {
+				ids = append(ids, name)
+			}
+		}
+		slices.Sort(ids)
+	})
+	return ids, n, err
+}
+
+// applyLiveness tells the extensions which agents are alive.
+func (e *Engine) applyLiveness(alive []bool) {
+	if e.recovery != nil {
+		e.recovery.controller.SetLiveAgents(alive)
+	}
+	if e.overload != nil {
+		e.overload.handler.HandleLiveness(alive)
+	}
+}
 
-// hear takes word of another agent.
-func (e *Engine) handleGossip(s gossipReceived) {
-	switch now := e.clock.Now(); s.fact.Kind {
+// handleObservation takes an observation of another agent.
+func (g *gossipOverlay) handleObservation(r gossipReceived) {
+	switch now := g.engine.clock.Now(); r.observation.Kind {
 	case corroborate.Draining:
-		if e.gossip.holds.Observe(now, s.from, s.fact) {
-			e.settleWord(now)
+		if g.exclusions.Observe(now, r.from, r.observation) {
+			g.refresh(now)
 		}
 	case corroborate.Responding:
-		if name, known := e.gossip.names[s.fact.ID]; known && e.recovery != nil {
-			e.recovery.PeerReportsResponding(now, name)
+		if name, listed := g.names[r.observation.ID]; listed && g.engine.recovery != nil {
+			g.engine.recovery.controller.PeerReportsResponding(now, name)
 		}
 	}
 }
 
-// wordEvery is between two looks at what of the word of others has run out.
-const wordEvery = 250 * time.Millisecond
-
-// settleWord lets what is held out on the word of others be so, and what is not any more.
-func (e *Engine) settleWord(now time.Duration) {
-	w := e.gossip
-	w.looked = now
-	before := w.held
-	held, changed := w.heldWith(now)
-	if w.held = held; !changed {
+// refresh works out anew which servers are excluded, and brings on those of which that has changed.
+func (g *gossipOverlay) refresh(now time.Duration) {
+	g.checked = now
+	before := g.excluded
+	excluded, changed := g.recompute(now)
+	if g.excluded = excluded; !changed {
 		return
 	}
-	l := EndpointUpdate{Drop: e.dropRatio}
-	for id, name := range w.names {
-		if m, there := w.told[name]; there && before[id] != held[id] {
-			l.Members = append(l.Members, w.overlay(m))
+	u := EndpointUpdate{Drop: g.engine.dropRatio}
+	for id, name := range g.names {
+		if m, listed := g.members[name]; listed && before[id] != excluded[id] {
+			u.Members = append(u.Members, g.overlay(m))
 		}
 	}
-	if len(l.Members) > 0 { // in one order: the module's view hangs on it
-		slices.SortFunc(l.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
-		e.bring(l)
+	if len(u.Members) > 0 { // in one order: the balancer's subset depends on it
+		slices.SortFunc(u.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
+		g.engine.applyEndpoints(u, overlayGossip+1)
 	}
 }
 
-func (w *gossipOverlay) overlay(m Member) Member {
-	if m.State == balancer.Ready && w.held[corroborate.ServerID(m.ID)] {
-		m.State = balancer.Draining
+// recompute returns the servers that other agents observe to drain, and those that they observe to be faulty where overload is
+// handled by the fleet.
+func (g *gossipOverlay) recompute(now time.Duration) (excluded map[uint64]bool, changed bool) {
+	excluded, changed = g.exclusions.Recompute(now)
+	if g.engine.overload == nil {
+		return excluded, changed
 	}
-	return m
+	excluded = maps.Clone(excluded)
+	for _, id := range g.engine.overload.handler.ExcludedServers(now) {
+		excluded[corroborate.ServerID(id)] = true
+	}
+	return excluded, !maps.Equal(excluded, g.excluded)
 }
 
-// listed takes a list over, tells the others of what has begun to drain or is gone, and returns the list with what is held out.
-func (w *gossipOverlay) listed(now time.Duration, l EndpointUpdate) EndpointUpdate {
-	heard := w.heard()
-	if l.Full {
-		named := make(map[string]bool, len(l.Members))
-		for _, m := range l.Members {
-			named[m.ID] = true
-		}
-		for id := range w.told {
-			if !named[id] {
-				w.gone(id)
-			}
-		}
+// nextTimer asks for no wake-up: an exclusion that lasts until the next event harms nobody.
+func (g *gossipOverlay) nextTimer() (time.Duration, bool) { return 0, false }
+
+func (g *gossipOverlay) fireTimers() {
+	if now := g.engine.clock.Now(); now-g.checked >= gossipCheckInterval {
+		g.refresh(now)
 	}
-	for _, m := range l.Members {
-		id := corroborate.ServerID(m.ID)
-		was, there := w.told[m.ID]
-		switch {
-		case m.State == balancer.Removed:
-			w.gone(m.ID)
-			continue
-		case m.State == balancer.Draining && (!there || was.State != balancer.Draining):
-			w.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
-		case m.State == balancer.Ready && heard && (!there || was != m):
-			w.holds.MarkReady(now, id)
-		}
-		w.told[m.ID], w.names[id] = m, m.ID
-		if w.sharer != nil {
-			w.sharer.UpdateServer(m.ID, true, m.State == balancer.Ready)
+}
+
+// overlayEndpoints also tells the other agents of servers that have begun to drain or are gone.
+func (g *gossipOverlay) overlayEndpoints(now time.Duration, u EndpointUpdate) EndpointUpdate {
+	confirmed := g.isConfirmed()
+	for _, name := range missingFrom(u, g.members) {
+		g.remove(name)
+	}
+	for _, m := range u.Members {
+		if m.State == balancer.Removed {
+			g.remove(m.ID)
+		} else {
+			g.update(now, m, confirmed)
 		}
 	}
-	if heard {
-		w.holds.SetConfirmedListSize(len(w.told))
+	if confirmed {
+		g.exclusions.SetConfirmedListSize(len(g.members))
 	} else {
-		w.holds.SetCachedListSize(len(w.told))
-	}
-	w.held, _ = w.heldWith(now)
-	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
-	for _, m := range l.Members {
-		out.Members = append(out.Members, w.overlay(m))
+		g.exclusions.SetCachedListSize(len(g.members))
 	}
-	return out
+	g.excluded, _ = g.recompute(now)
+	return overlayMembers(u, g.overlay)
 }
 
-// gone forgets a server that the list names no more, and tells the others.
-func (w *gossipOverlay) gone(name string) {
-	if _, there := w.told[name]; !there {
-		return
-	}
-	id := corroborate.ServerID(name)
-	delete(w.told, name)
-	delete(w.names, id)
-	w.holds.Forget(id)
-	if w.sharer != nil {
-		w.sharer.UpdateServer(name, false, false)
+// overlay is a member as those behind this overlay see it.
+func (g *gossipOverlay) overlay(m Member) Member {
+	if m.State == balancer.Ready && g.excluded[corroborate.ServerID(m.ID)] {
+		m.State = balancer.Draining
 	}
-	w.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
+	return m
 }
 
-// HeldByGossip returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
-func (e *Engine) HeldByGossip(ctx context.Context) (ids []string, n corroborate.Counts, err error) {
-	err = e.execute(ctx, func(time.Duration) {
-		ids, n = []string{}, e.gossip.holds.Counts()
-		for id := range e.gossip.held {
-			if name, known := e.gossip.names[id]; known {
-				ids = append(ids, name)
-			}
-		}
-		slices.Sort(ids)
-	})
-	return ids, n, err
+// update takes what the list says of a server.
+func (g *gossipOverlay) update(now time.Duration, m Member, confirmed bool) {
+	id := corroborate.ServerID(m.ID)
+	was, listed := g.members[m.ID]
+	switch {
+	case m.State == balancer.Draining && (!listed || was.State != balancer.Draining):
+		g.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
+	case m.State == balancer.Ready && confirmed && (!listed || was != m):
+		g.exclusions.MarkReady(now, id)
+	}
+	g.members[m.ID], g.names[id] = m, m.ID
+	if g.engine.overload != nil {
+		g.engine.overload.handler.UpdateServer(m.ID, true, m.State == balancer.Ready)
+	}
 }
 
-// found tells the others of servers that have answered for the first time since a loss of power.
-func (e *Engine) found() {
-	for _, id := range e.recovery.TakeResponding() {
-		if e.gossip != nil {
-			e.gossip.tell(gossip.Observation{Kind: corroborate.Responding, ID: corroborate.ServerID(id)})
-		}
+// remove forgets a server that the list names no more, and tells the other agents.
+func (g *gossipOverlay) remove(name string) {
+	if _, listed := g.members[name]; !listed {
+		return
+	}
+	id := corroborate.ServerID(name)
+	delete(g.members, name)
+	delete(g.names, id)
+	g.exclusions.Forget(id)
+	if g.engine.overload != nil {
+		g.engine.overload.handler.UpdateServer(name, false, false)
 	}
+	g.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
 }
--- a/internal/engine/overload.go
+++ b/internal/engine/overload.go
@@ -2,65 +2,60 @@
 
 import (
 	"context"
-	"maps"
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/fleet/corroborate"
 )
 
-// OverloadHandler is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package overload.
+// OverloadHandler is an agent's part in a fleet that handles overload together; see package overload. Its methods are called on
+// the engine's goroutine and must not block.
 type OverloadHandler interface {
 	// AllowsRetry reports whether an attempt beyond a call's first may go out.
 	AllowsRetry(now time.Duration) bool
-	AttemptSent(now time.Duration, server string, further bool)
+	// AttemptSent is called for each attempt that is not forbidden; retry: it is not its call's first.
+	AttemptSent(now time.Duration, server string, retry bool)
+	// AttemptEnded is called once for each attempt that AttemptSent was called for.
 	AttemptEnded(now time.Duration, server string, r balancer.Result, rep balancer.Report)
-	UpdateServer(id string, there, ready bool)
+	// UpdateServer takes whether the endpoint list names a server, and whether it is ready.
+	UpdateServer(id string, listed, ready bool)
+	// HandleLiveness takes which agents are alive, by number.
 	HandleLiveness(alive []bool)
-	// HandlePayload takes what another agent tells. An error is a body that can't be read.
+	// HandlePayload takes another agent's report. The engine ignores its error, a body that can't be read, which the handler
+	// counts.
 	HandlePayload(now time.Duration, from int, body []byte) error
-	// ExcludedServers are the servers that are held out on the word of others.
+	// ExcludedServers are the servers that other agents observe to be faulty.
 	ExcludedServers(now time.Duration) []string
 }
 
-// SetOverload makes the agent one of many that handle overload together. It is called before Run, after Heed.
-func (e *Engine) SetOverload(s OverloadHandler) { e.gossip.sharer = s }
-
-func (e *Engine) sharer() OverloadHandler {
-	if e.gossip == nil {
-		return nil
-	}
-	return e.gossip.sharer
+// overloadHook tells the OverloadHandler of attempts, and forbids the retries that it doesn't allow.
+type overloadHook struct {
+	clock   Clock
+	handler OverloadHandler
 }
 
-// shared is what another agent tells of overload.
-type overloadReported struct {
-	from int
-	body []byte
+// SetOverload makes the agent one of a fleet that handles overload together. It is called before Run, after SetGossip.
+func (e *Engine) SetOverload(h OverloadHandler) {
+	e.overload = &overloadHook{e.clock, h}
+	e.attemptHooks[attemptOverload] = e.overload
 }
 
-func (overloadReported) event() {}
-
-// HandleOverloadReport takes what another agent tells of overload.
+// HandleOverloadReport takes another agent's report on overload.
 func (e *Engine) HandleOverloadReport(from int, body []byte) { e.Post(OverloadReported(from, body)) }
 
-// OverloadReported is what another agent tells, as an event.
-func OverloadReported(from int, body []byte) Event { return overloadReported{from, body} }
-
-// WithOverload runs do on the engine's goroutine, beside the Sharer. It waits until that is done.
+// WithOverload runs do on the engine's goroutine, which owns the OverloadHandler, and waits until that is done.
 func (e *Engine) WithOverload(ctx context.Context, do func(now time.Duration)) error {
 	return e.execute(ctx, do)
 }
 
-// heldWith are the servers that are held out on others' word of a drain, and those on their word that they are ill.
-func (w *gossipOverlay) heldWith(now time.Duration) (held map[uint64]bool, changed bool) {
-	held, changed = w.holds.Recompute(now)
-	if w.sharer == nil {
-		return held, changed
+func (o *overloadHook) attemptStarting(a *Attempt, _ time.Duration) {
+	retry := a.Number > 0
+	if a.Forbidden = a.Forbidden || retry && !o.handler.AllowsRetry(a.Sent); !a.Forbidden {
+		o.handler.AttemptSent(a.Sent, a.Server, retry)
 	}
-	held = maps.Clone(held)
-	for _, id := range w.sharer.ExcludedServers(now) {
-		held[corroborate.ServerID(id)] = true
+}
+
+func (o *overloadHook) attemptEnded(out Outcome, _ balancer.Result) {
+	if a := out.Attempt; !a.Forbidden {
+		o.handler.AttemptEnded(o.clock.Now(), a.Server, out.Result, out.Report)
 	}
-	return held, !maps.Equal(held, w.held)
 }
--- a/internal/engine/recovery.go
+++ b/internal/engine/recovery.go
@@ -1,169 +1,141 @@
 package engine
 
 import (
-	"context"
-	"maps"
-	"slices"
 	"time"
 
 	"appleledge/internal/balancer"
-	"appleledge/internal/denylist"
+	"appleledge/internal/fleet/corroborate"
+	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
 )
 
-// returning is what the engine keeps for a recovery: the list as it was told, since starts that the recovery sees otherwise lie over
-// it.
+// maxKeysSinceStart is how many keys are known whose first attempt came since the start; a retry of any other counts as one
+// from before.
+const maxKeysSinceStart = 1 << 14
+
+// recoveryOverlay moves the start times of servers after an outage, so that the balancer warms them up again, and fails or
+// restricts retries of what servers may have forgotten with their power.
 type recoveryOverlay struct {
-	*recovery.Controller
-	heard func() bool // the list is of now, and not from before
-	moved func()      // is told of what has to be kept at once; never nil
-	told  map[string]Member
+	engine      *Engine
+	controller  *recovery.Controller
+	isConfirmed func() bool       // the endpoint list was confirmed since the start
+	changed     func()            // is told that the list has changed in a way that has to be stored at once; never nil
+	members     map[string]Member // as it got them: start times change again
+
+	failRepeatsUntil time.Duration       // until when a client's retry may have run before the start, unremembered
+	keysSinceStart   map[string]struct{} // idempotency keys whose first attempt came since the start; only until then
+}
+
+// SetRecovery makes the engine ramp up after an outage, and puts the controller in the place of SetAdmission. isConfirmed says
+// whether the endpoint list has been confirmed since the start; changed is called when the list tells of another server, or of
+// one that drains or is gone. Both are called on the engine's goroutine and must not block. SetRecovery is called before Run.
+func (e *Engine) SetRecovery(c *recovery.Controller, isConfirmed func() bool, changed func()) {
+	e.recovery = &recoveryOverlay{engine: e, controller: c, isConfirmed: isConfirmed, changed: changed, members: map[string]Member{}}
+	e.overlays[overlayRecovery] = e.recovery
+	e.callHooks[callRecovery] = e.recovery
+	e.attemptHooks[attemptRecovery] = e.recovery
+	e.SetAdmission(c)
+}
 
-	forgot time.Duration       // until when a client's repeat of a keyed request may have run before the start, unremembered
-	first  map[string]struct{} // keys whose first try came since the start; only until then
+// FailUnknownRepeatsUntil says that bindings from before the start may be lost: until then a call with an idempotency key that
+// its client marks as a retry, and whose first attempt did not come since the start, is not sent and has failed. It is called
+// before Run, after SetRecovery.
+func (e *Engine) FailUnknownRepeatsUntil(until time.Duration) {
+	e.recovery.failRepeatsUntil, e.recovery.keysSinceStart = until, map[string]struct{}{}
 }
 
-// mostFirst is how many keys are known to have come first since the start; a repeat of any other counts as one from before.
-const mostFirst = 1 << 14
+// callArrived marks a call that may have run before the start as one that can be sent nowhere any more.
+func (r *recoveryOverlay) callArrived(c *Call) (goesOn bool) {
+	if c.Effect == balancer.IdempotentByKey && r.mayHaveRunBeforeStart(r.engine.clock.Now(), c) {
+		c.earlier = balancer.EarlierAttempt{MayHaveRun: true, SentAt: r.engine.clock.Now() - c.IdempotencyWindow, Zone: -1, Cell: -1}
+		c.mayHaveRunSince = max(c.earlier.SentAt, 1) // 0 stands for never
+	}
+	return true
+}
 
-// unremembered reports whether a keyed request is the client's repeat of one that may have run before the start: whatever is on the
-// disk, it may be of before that.
-func (r *recoveryOverlay) unremembered(now time.Duration, c *Call) bool {
-	if now >= r.forgot {
-		r.first = nil
+// mayHaveRunBeforeStart reports whether a call is the client's retry of one that may have run before the start. What the disk
+// holds is not asked: it may be older than the last attempt that was sent.
+func (r *recoveryOverlay) mayHaveRunBeforeStart(now time.Duration, c *Call) bool {
+	if now >= r.failRepeatsUntil {
+		r.keysSinceStart = nil
 		return false
 	}
-	if _, since := r.first[c.IdempotencyKey]; since || c.IdempotencyKey == "" {
+	if _, since := r.keysSinceStart[c.IdempotencyKey]; since || c.IdempotencyKey == "" {
 		return false
 	}
 	if c.ClientRetry {
 		return true
 	}
-	if len(r.first) < mostFirst {
-		r.first[c.IdempotencyKey] = struct{}{}
+	if len(r.keysSinceStart) < maxKeysSinceStart {
+		r.keysSinceStart[c.IdempotencyKey] = struct{}{}
 	}
 	return false
 }
 
-// SetRecovery puts a recovery at the door. heard says whether the list has been confirmed since the start; moved is called on the engine's
-// goroutine when the list tells of another server, or of one that drains or is gone. It is called before Run, and in place of Guard.
-func (e *Engine) SetRecovery(r *recovery.Controller, heard func() bool, moved func()) {
-	e.recovery = &recoveryOverlay{Controller: r, heard: heard, moved: moved, told: map[string]Member{}}
-	e.SetAdmission(r)
-}
-
-// FailUnknownRepeatsUntil says that what may have run before the start may not be remembered: until then a repeat of a keyed request, which its client
-// marks as one and whose first try did not come since, is not sent anywhere and has failed. It is called before Run, after Return.
-func (e *Engine) FailUnknownRepeatsUntil(until time.Duration) {
-	e.recovery.forgot, e.recovery.first = until, map[string]struct{}{}
-}
-
-// Snapshot is what an agent has to remember over a loss of power.
-type Snapshot struct {
-	Members  []Member // as the list has them, by id
-	Recovery recovery.Baseline
-	Denylist denylist.Snapshot
+// attemptStarting restricts a retry of what may have run: it may only use a connection from before the earlier attempt, whose
+// server has run on since and recognizes the repeat, and is forbidden where no server of the pod may be left that does.
+func (r *recoveryOverlay) attemptStarting(a *Attempt, earlierSent time.Duration) {
+	if a.Call.Effect != balancer.IdempotentByKey || earlierSent == 0 {
+		return
+	}
+	a.ConnectedSince = earlierSent
+	if m, listed := r.members[a.Server]; listed {
+		a.Forbidden = a.Forbidden || !r.controller.AllowsRetryIn(m.Cell, earlierSent)
+	}
 }
 
-// Snapshot returns what the engine knows. It waits for the engine, and is for one that has a recovery.
-func (e *Engine) Snapshot(ctx context.Context) (k Snapshot, err error) {
-	err = e.execute(ctx, func(time.Duration) {
-		told := e.recovery.told
-		switch { // as the list has them: what lies over it is kept for itself
-		case e.generations != nil:
-			told = e.generations.told
-		case e.denylist != nil:
-			told = e.denylist.told
-		}
-		for _, id := range slices.Sorted(maps.Keys(told)) {
-			k.Members = append(k.Members, told[id])
-		}
-		k.Recovery = e.recovery.Baseline()
-		if e.denylist != nil {
-			k.Denylist = e.denylist.set.Snapshot(func(t time.Duration) int64 { return e.clock.At(t).UnixMilli() })
+// attemptEnded tells the controller, and the other agents of servers that have answered for the first time since an outage.
+func (r *recoveryOverlay) attemptEnded(o Outcome, _ balancer.Result) {
+	broke := o.Result == balancer.ConnectFailed || o.Result == balancer.Reset
+	answered := o.Result == balancer.OK || o.Result == balancer.Failed || o.Result == balancer.Rejected
+	r.controller.ObserveAttempt(r.engine.clock.Now(), o.Attempt.Server, answered, broke, o.Report.ServedRate, o.Report.Utilization)
+	for _, id := range r.controller.TakeResponding() {
+		if r.engine.gossip != nil {
+			r.engine.gossip.tell(gossip.Observation{Kind: corroborate.Responding, ID: corroborate.ServerID(id)})
 		}
-	})
-	return k, err
+	}
+	r.applyStartChanges()
 }
 
-// listed takes a list over and returns it as the module is to see it.
-func (r *recoveryOverlay) listed(now time.Duration, l EndpointUpdate) EndpointUpdate {
-	heard, changed := r.heard(), false
-	if l.Full {
-		named := make(map[string]bool, len(l.Members))
-		for _, m := range l.Members {
-			named[m.ID] = true
-		}
-		for id := range r.told {
-			if !named[id] {
-				delete(r.told, id)
-				changed = true
-				r.Controller.UpdateServer(now, recovery.Server{ID: id, Gone: true}, heard)
-			}
-		}
+func (r *recoveryOverlay) overlayEndpoints(now time.Duration, u EndpointUpdate) EndpointUpdate {
+	confirmed, changed := r.isConfirmed(), false
+	for _, id := range missingFrom(u, r.members) {
+		delete(r.members, id)
+		changed = true
+		r.controller.UpdateServer(now, recovery.Server{ID: id, Gone: true}, confirmed)
 	}
-	for _, m := range l.Members {
-		was, there := r.told[m.ID]
-		changed = changed || !there && m.State != balancer.Removed || there && was.State != m.State
+	for _, m := range u.Members {
+		was, listed := r.members[m.ID]
+		changed = changed || !listed && m.State != balancer.Removed || listed && was.State != m.State
 		if m.State == balancer.Removed {
-			delete(r.told, m.ID)
+			delete(r.members, m.ID)
 		} else {
-			r.told[m.ID] = m
+			r.members[m.ID] = m
 		}
-		r.Controller.UpdateServer(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready, Gone: m.State == balancer.Removed,
-			Started: m.Started}, heard)
-	}
-	if r.ListApplied(now); changed {
-		r.moved()
+		r.controller.UpdateServer(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready,
+			Gone: m.State == balancer.Removed, Started: m.Started}, confirmed)
 	}
-	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
-	for _, m := range l.Members {
-		m.Started = r.EffectiveStart(m.ID, m.Started)
-		out.Members = append(out.Members, m)
+	if r.controller.ListApplied(now); changed {
+		r.changed()
 	}
-	return out
+	return overlayMembers(u, r.overlay)
 }
 
-// remask tells the module of servers whose start is seen otherwise than before.
-func (e *Engine) remask() {
+// overlay is a member as the balancer sees it.
+func (r *recoveryOverlay) overlay(m Member) Member {
+	m.Started = r.controller.EffectiveStart(m.ID, m.Started)
+	return m
+}
+
+// applyStartChanges tells the balancer of servers whose start time the controller sees otherwise than before.
+func (r *recoveryOverlay) applyStartChanges() {
 	var servers []balancer.Server
-	for _, id := range e.recovery.TakeStartChanges() {
-		if m, there := e.recovery.told[id]; there {
-			m.Started = e.recovery.EffectiveStart(id, m.Started)
-			servers = append(servers, m.Server)
+	for _, id := range r.controller.TakeStartChanges() {
+		if m, listed := r.members[id]; listed {
+			servers = append(servers, r.overlay(m).Server)
 		}
 	}
 	if len(servers) > 0 {
-		e.decide(balancer.ServerList{Servers: servers, DropRatio: e.dropRatio})
-	}
-}
-
-// returned tells the recovery how an attempt ended.
-func (e *Engine) returned(o Outcome) {
-	broke := o.Result == balancer.ConnectFailed || o.Result == balancer.Reset
-	answered := o.Result == balancer.OK || o.Result == balancer.Failed || o.Result == balancer.Rejected
-	e.recovery.ObserveAttempt(e.clock.Now(), o.Attempt.Server, answered, broke, o.Report.ServedRate, o.Report.Utilization)
-	e.found()
-	e.remask()
-}
-
-// repeats says of a repeat of what may have run whether it may go out at all, and if so, that only over a connection from before:
-// who holds the other end of it has run on, and knows what it was sent. Elsewhere nobody may be left who drops it.
-func (r *recoveryOverlay) repeats(c *Call, a *Attempt, since time.Duration) {
-	if c.Effect != balancer.IdempotentByKey || since == 0 {
-		return
-	}
-	a.ConnectedSince = since
-	if m, there := r.told[a.Server]; there {
-		a.Forbidden = a.Forbidden || !r.AllowsRetryIn(m.Cell, since)
-	}
-}
-
-// recovery returns how the agent's recovery stands; nil where none is switched on.
-func (e *Engine) recoveryStatus() *recovery.Status {
-	if e.recovery == nil {
-		return nil
+		r.engine.decide(balancer.ServerList{Servers: servers, DropRatio: r.engine.dropRatio})
 	}
-	st := e.recovery.Status(e.clock.Now())
-	return &st
 }
--- a/internal/engine/recovery_test.go
+++ b/internal/engine/recovery_test.go
@@ -31,7 +31,7 @@
 	x.now += 10 * time.Millisecond
 	for i := range 4 {
 		if i/2 == pod {
-			x.recovery.ObserveAttempt(x.now, "s"+string(rune('0'+i)), false, true, -1, -1)
+			x.recovery.controller.ObserveAttempt(x.now, "s"+string(rune('0'+i)), false, true, -1, -1)
 		}
 	}
 	x.now += 10 * time.Millisecond
