--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -49,7 +49,7 @@
 			Incremental:         set.Delta,
 			Clusters:            set.Clusters,
 			MaxClusters:         set.Subset,
-			AgentIndex:          site.Logic.Index,
+			AgentIndex:          site.Balancer.Index,
 			Zones:               site.Zones,
 			InitialFetchTimeout: time.Duration(set.FirstFetch),
 			MinBackoff:          time.Duration(set.BackoffLeast),
@@ -71,7 +71,7 @@
 				return nil, fmt.Errorf("%s: %w", f.Where("external_processor.listen"), err)
 			}
 			s := extproc.New(extproc.Options{Settings: set, Engine: c.Engine, Clock: c.Clock, Rules: c.Rules, Pool: c.Pool,
-				ReportFields: c.Site.ReportFields, Longest: c.Longest, Log: c.Log})
+				ReportFields: c.Site.ReportFields, MaxDeadline: c.Longest, Log: c.Log})
 			return func(ctx context.Context) error { return s.Serve(ctx, l) }, nil
 		},
 	}
--- a/cmd/appleledge/fleet_overload_test.go
+++ b/cmd/appleledge/fleet_overload_test.go
@@ -13,7 +13,7 @@
 )
 
 // view is the fleet as an agent sees it.
-func view(t *testing.T, a *cluster.Agent) (f operator.Fleet) {
+func view(t *testing.T, a *cluster.Agent) (f operator.FleetView) {
 	t.Helper()
 	text := a.Sees()
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
@@ -188,18 +188,18 @@
 	for _, a := range f.Agents[:3] {
 		seen := view(t, a).Overload
 		agenttest.Eventually(t, "its claims are heard and bounded", func() bool { // against own figures, which a busy machine brings late
-			if seen.Bounded == 0 {
+			if seen.ClaimsOutOfBounds == 0 {
 				f.Offer(cluster.Offered{Rate: 8, For: time.Second})
 				seen = view(t, a).Overload
 			}
-			return seen.Bounded > 0
+			return seen.ClaimsOutOfBounds > 0
 		})
 		if seen.Malformed > 0 {
 			t.Errorf("its claims can't be read: %+v", seen)
 		}
 		for class, of := range seen.Classes {
-			if of.Refused+of.RefusedAgain > 0 {
-				t.Errorf("agent %d has refused %d of %s for them", a.Number, of.Refused, class)
+			if of.Rejected+of.RejectedRetries > 0 {
+				t.Errorf("agent %d has refused %d of %s for them", a.Number, of.Rejected, class)
 			}
 		}
 	}
@@ -226,7 +226,7 @@
 				f.Offer(cluster.Offered{Rate: 60, For: time.Second})
 				now := 0
 				for _, a := range f.Agents {
-					for _, id := range view(t, a).Overload.HeldOut {
+					for _, id := range view(t, a).Overload.ExcludedServers {
 						if id != "s-00" {
 							t.Errorf("agent %d holds out %s", a.Number, id)
 						}
--- a/cmd/appleledgectl/fleet.go
+++ b/cmd/appleledgectl/fleet.go
@@ -53,7 +53,7 @@
 	return cmd
 }
 
-func askFleet(ctx context.Context, agent string) (f operator.Fleet, err error) {
+func askFleet(ctx context.Context, agent string) (f operator.FleetView, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+agent+"/ops/fleet", nil)
@@ -79,22 +79,22 @@
 }
 
 // writeFleet writes the view as text.
-func writeFleet(out io.Writer, f operator.Fleet) error {
+func writeFleet(out io.Writer, f operator.FleetView) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "agent\t%s\n", f.Agent)
 	if r := f.Recovery; r != nil {
-		fmt.Fprintf(w, "recovery\t%s for %.1f s: %s\n", r.Phase, r.ForS, r.Why)
-		if r.LetIn > 0 {
-			fmt.Fprintf(w, "let in\t%v requests a second, at %v of the fleet's capacity\n", r.LetIn, r.Warm)
+		fmt.Fprintf(w, "recovery\t%s for %.1f s: %s\n", r.Phase, r.DurationS, r.Why)
+		if r.AdmittedRate > 0 {
+			fmt.Fprintf(w, "let in\t%v requests a second, at %v of the fleet's capacity\n", r.AdmittedRate, r.WarmRatio)
 		}
-		fmt.Fprintf(w, "servers\t%d known, %d answered; %d trials, %d in vain\n", r.Servers, r.Answered, r.Trials, r.InVain)
+		fmt.Fprintf(w, "servers\t%d known, %d answered; %d trials, %d in vain\n", r.Servers, r.Answered, r.Trials, r.FailedTrials)
 		var refused []string
-		for _, class := range slices.Sorted(maps.Keys(r.Refused)) {
-			refused = append(refused, fmt.Sprintf("%s %d", class, r.Refused[class]))
+		for _, class := range slices.Sorted(maps.Keys(r.Rejected)) {
+			refused = append(refused, fmt.Sprintf("%s %d", class, r.Rejected[class]))
 		}
 		fmt.Fprintf(w, "refused\t%s\n", strings.Join(refused, ", "))
-		fmt.Fprintf(w, "from before\ttrusted: %s\n", r.Trusted)
-		fmt.Fprintf(w, "on disk\t%s\n", r.Keeping)
+		fmt.Fprintf(w, "from before\ttrusted: %s\n", r.Trust)
+		fmt.Fprintf(w, "on disk\t%s\n", r.Persistence)
 	}
 	if p := f.Peers; p != nil {
 		fmt.Fprintf(w, "agents\t%d of %d live\n", p.Alive, len(p.States))
@@ -107,25 +107,25 @@
 		for _, state := range slices.Sorted(maps.Keys(by)) {
 			fmt.Fprintf(w, "%s\t%s\n", state, strings.Join(by[state], " "))
 		}
-		fmt.Fprintf(w, "word\t%d claims heard, %d out of bounds; held out: %s\n", p.Claims, p.Bounded, strings.Join(p.HeldOut, " "))
-		fmt.Fprintf(w, "datagrams\t%d sent (%d bytes), %d taken\n", p.Sent, p.Bytes, p.Taken)
+		fmt.Fprintf(w, "word\t%d claims heard, %d out of bounds; held out: %s\n", p.Claims, p.ClaimsOutOfBounds, strings.Join(p.ExcludedServers, " "))
+		fmt.Fprintf(w, "datagrams\t%d sent (%d bytes), %d taken\n", p.Sent, p.Bytes, p.Received)
 		for _, why := range slices.Sorted(maps.Keys(p.Dropped)) {
 			fmt.Fprintf(w, "\t%d dropped: %s\n", p.Dropped[why], why)
 		}
 	}
 	if o := f.Overload; o != nil {
-		fmt.Fprintf(w, "servers can do\t%v a second, and are %v busy\n", o.Capacity, o.Use)
-		fmt.Fprintf(w, "the fleet\tis asked %v a second, lets in %v (limit %s), serves %v in time and %v late or not; %v further attempts\n", o.Asked, o.LetIn,
-			limit(o.Limit), o.Good, o.Late, o.Further)
+		fmt.Fprintf(w, "servers can do\t%v a second, and are %v busy\n", o.Capacity, o.Utilization)
+		fmt.Fprintf(w, "the fleet\tis asked %v a second, lets in %v (limit %s), serves %v in time and %v late or not; %v further attempts\n", o.OfferedRate, o.AdmittedRate,
+			limit(o.Limit), o.ServedInTimeRate, o.LateOrFailedRate, o.RetryRate)
 		for _, class := range slices.Sorted(maps.Keys(o.Classes)) {
 			k := o.Classes[class]
-			fmt.Fprintf(w, "\t%s: %v first tries and %v repeats a second, let in with chance %v; refused here %d and %d\n", class, k.Asked, k.Again, k.Chance,
-				k.Refused, k.RefusedAgain)
+			fmt.Fprintf(w, "\t%s: %v first tries and %v repeats a second, let in with chance %v; refused here %d and %d\n", class, k.FirstAttemptRate, k.RetryRate, k.AdmissionProbability,
+				k.Rejected, k.RejectedRetries)
 		}
-		fmt.Fprintf(w, "refused here\t%d of these for want of time; %d further attempts not made\n", o.TooLate, o.Unsent)
-		fmt.Fprintf(w, "picture\ttrusted %v, of %d agents; %d requests were decided alone\n", o.Trust, o.HeardOf, o.Alone)
-		fmt.Fprintf(w, "\t%d told, %d heard, %d out of bounds, %d malformed\n", o.Told, o.Heard, o.Bounded, o.Malformed)
-		fmt.Fprintf(w, "held out as ill\t%s\n", strings.Join(o.HeldOut, " "))
+		fmt.Fprintf(w, "refused here\t%d of these for want of time; %d further attempts not made\n", o.RejectedTooLate, o.SuppressedRetries)
+		fmt.Fprintf(w, "picture\ttrusted %v, of %d agents; %d requests were decided alone\n", o.Trust, o.KnownAgents, o.DecidedAlone)
+		fmt.Fprintf(w, "\t%d told, %d heard, %d out of bounds, %d malformed\n", o.DigestsSent, o.DigestsReceived, o.ClaimsOutOfBounds, o.Malformed)
+		fmt.Fprintf(w, "held out as ill\t%s\n", strings.Join(o.ExcludedServers, " "))
 	}
 	return w.Flush()
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -38,20 +38,20 @@
 		}
 		var actions []balancer.Action
 		switch m.Kind {
-		case simwire.Turn:
+		case simwire.BatchStart:
 			now = m.Now
-		case simwire.Launch:
+		case simwire.InstanceStarted:
 			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("line %d: %w", decoder.Line(), err)
 			}
 			instances[m.Instance] = b
 			actions = b.Start(now)
-		case simwire.Killed:
+		case simwire.InstanceKilled:
 			delete(instances, m.Instance)
-		case simwire.Event:
+		case simwire.InstanceEvent:
 			actions = instances[m.Instance].Handle(now, m.Event)
-		case simwire.YourTurn:
+		case simwire.BatchEnd:
 			besteffort.IgnoreResult(out.Write(simwire.AppendYield(nil)))
 			if err := out.Flush(); err != nil {
 				return err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -159,7 +159,7 @@
 // serve is Run on a listener that is open.
 func serve(ctx context.Context, cfg Config, reloads Reloads, listener net.Listener, log *slog.Logger, with Extras) error {
 	defer besteffort.Close(listener)
-	policy, err := balancer.New(cfg.Site.Logic, cfg.Seed)
+	policy, err := balancer.New(cfg.Site.Balancer, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -173,34 +173,34 @@
 
 	toBackends, fromClients := shareSockets(cfg.Sockets - with.sockets() - cfg.operatorSockets())
 	clk := engine.NewClock().WithOffset(with.ClockOff)
-	conns := connpool.New(cfg.Site.ConnectTimeout, cfg.Site.ConnIdle, toBackends)
+	conns := connpool.New(cfg.Site.ConnectTimeout, cfg.Site.ConnectionIdleTimeout, toBackends)
 	core := engine.New(policy, clk, conns, log)
 	keep, err := with.openKept(cfg, clk, log)
 	if err != nil {
 		return err
 	}
 	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, CachedList: keep.known(cfg.known), FirstListTimeout: keep.wait(),
-		OnDemand: cfg.Site.Logic.Subscribe}
+		OnDemand: cfg.Site.Balancer.Subscribe}
 	if with.Recovery != nil {
-		seek.UsesServerClock, seek.AgentCount = true, cfg.Site.Logic.Balancers
+		seek.UsesServerClock, seek.AgentCount = true, cfg.Site.Balancer.Balancers
 	}
 	disco := platform.New(seek, clk, log)
 	core.OnSubscribe(disco.Subscribe)
 	sources, names := with.open(disco, clk, cfg.Site, log)
 	hub := membership.NewHub(with.Membership, names, clk, core.Post, log)
-	settled, rules := platformconfig.New(cfg.Site), &requesthead.InForce{}
-	rules.Put(settled.Rules())
+	settled, rules := platformconfig.New(cfg.Site), &requesthead.ActiveRules{}
+	rules.Replace(settled.Rules())
 	others, err := with.openPeers(cfg, clk, log)
 	if err != nil {
 		return err
 	}
 	var together *sharing // opened below
 	beside, err := open(with.Fronts, Core{Engine: core, Peers: statusOf(others), Overload: func() *overload.Status { return together.look() }, Clock: clk, Rules: rules, Pool: conns, Site: cfg.Site,
-		Longest: rules.Longest, Beside: func() bool { return with.link != nil && !with.link.Alone() }, Log: log})
+		Longest: rules.MaxDeadline, Beside: func() bool { return with.link != nil && !with.link.Alone() }, Log: log})
 	if err != nil {
 		return err
 	}
-	joined, err := with.join(core, cfg.Site.Logic)
+	joined, err := with.join(core, cfg.Site.Balancer)
 	if err != nil {
 		return err
 	}
@@ -245,13 +245,13 @@
 	if keep != nil {
 		keep.attach(core, clk, cfg, door, with.heard(disco), with.askFor())
 	}
-	core.SetClassNames(cfg.Site.Logic.Classes)
+	core.SetClassNames(cfg.Site.Balancer.Classes)
 	reloading := reload{clock: clk, core: core, disco: disco, terms: settled, rules: rules, keys: cfg.keys, own: own, peers: rekey, log: log}
-	var large *downstreamhttp1.Large
+	var large *downstreamhttp1.LargeBodies
 	var crowd connlimit.Options
 	if cfg.Operator != "" { // the days on which operators call are those on which bodies are large
-		large = downstreamhttp1.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
-		listener = large.Frames(listener)
+		large = downstreamhttp1.NewLargeBodies(int64(cfg.MemoryMB<<20) / largePart)
+		listener = large.TrackFraming(listener)
 		crowd.FirstRequestTimeout = silentMost
 	}
 	clients := connlimit.New(listener, fromClients, crowd)
@@ -268,7 +268,7 @@
 		return err
 	}
 	if with.Figures > 0 {
-		core.TrackLatency(cfg.Site.Logic.Classes)
+		core.TrackLatency(cfg.Site.Balancer.Classes)
 		look := counters{core, conns, disco}
 		parts.Go(func() { look.log(inner, with.Figures, log) })
 	}
@@ -305,15 +305,15 @@
 		Rules:  rules,
 		Engine: core,
 		Clock:  clk,
-		Carrier: &upstreamhttp1.Carrier{Pool: conns, Clock: clk, Large: large != nil, Fields: cfg.Site.ReportFields, Noted: func(err error) {
+		Transport: &upstreamhttp1.Transport{Pool: conns, Clock: clk, AllowsLargeBodies: large != nil, ReportFields: cfg.Site.ReportFields, OnMalformedReport: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}},
-		MostHeld:  cfg.Site.MostHeld,
-		AcceptFor: cfg.acceptFor,
-		Leave:     leave,
-		Large:     large,
-		Log:       log,
-		Joins:     joined.front(),
+		MaxInFlight:         cfg.Site.MaxInFlight,
+		DrainAcceptDuration: cfg.acceptFor,
+		OnDrain:             leave,
+		LargeBodies:         large,
+		Log:                 log,
+		Coalescing:          joined.front(),
 	}, clients)
 	var fronts sync.WaitGroup
 	defer fronts.Wait() // before the engine stops: what they hold is still answered
@@ -325,8 +325,8 @@
 		})
 	}
 	return front.Serve(ctx, func() (usually, longest time.Duration) {
-		if longest = platformconfig.LameDuck(rules.Longest()) + drainMost; cfg.linger {
-			return rules.Aim(), longest
+		if longest = platformconfig.LameDuck(rules.MaxDeadline()) + drainMost; cfg.linger {
+			return rules.LatencyObjective(), longest
 		}
 		return longest, longest
 	})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -137,7 +137,7 @@
 	for _, limit := range []int{256, 1024, 4096} {
 		if to, from := shareSockets(limit); to < 1 || from < 1 || to+from > limit-spareSockets {
 			t.Errorf("of %d: %d to backends, %d from clients", limit, to, from)
-		} else if third := limit / 3; to < third || int(http1.HeldPart*float64(from)) < third {
+		} else if third := limit / 3; to < third || int(http1.MaxInFlightRatio*float64(from)) < third {
 			t.Errorf("of %d: usual clients can't hold the third that is theirs", limit)
 		}
 	}
@@ -246,8 +246,8 @@
 	})
 	a := startWith(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), time.Millisecond, func(c *Config) {
 		c.linger = true
-		for i := range c.Site.Logic.Classes {
-			c.Site.Logic.Classes[i].Deadline = deadline
+		for i := range c.Site.Balancer.Classes {
+			c.Site.Balancer.Classes[i].Deadline = deadline
 		}
 	})
 	kept := func() func(path string) (*http.Response, error) {
@@ -403,8 +403,8 @@
 	b := newBackend(t, says(served))
 	change := func(c *Config) {
 		c.linger, c.Operator = true, refusing(t)
-		for i := range c.Site.Logic.Classes {
-			c.Site.Logic.Classes[i].Deadline = time.Minute
+		for i := range c.Site.Balancer.Classes {
+			c.Site.Balancer.Classes[i].Deadline = time.Minute
 		}
 	}
 	began := time.Now()
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -147,11 +147,11 @@
 	if err != nil {
 		return site, err
 	}
-	if site.ConnectTimeout <= 0 || site.ConnIdle <= 0 {
+	if site.ConnectTimeout <= 0 || site.ConnectionIdleTimeout <= 0 {
 		return site, errors.New("the connect time-out and the idle limit must be above 0")
 	}
 	// On sockets any refusal may carry Retry-After, also where the simulator's clients are given none.
-	site.Logic.MaxRetryAfter = site.MaxRetryAfter
+	site.Balancer.MaxRetryAfter = site.MaxRetryAfter
 	return site, nil
 }
 
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -15,9 +15,9 @@
 		cfg.Cores != 1 || cfg.MemoryMB != 192 || cfg.Sockets != 1024 || cfg.known.Version != 41 || len(cfg.known.Servers) != 1 {
 		t.Errorf("%+v", cfg)
 	}
-	if s := cfg.Site; s.ConnIdle != 15*time.Second || s.ConnectTimeout != 5*time.Second || s.MostHeld != 1000 ||
-		s.Logic.MaxRetryAfter != time.Second || strings.Join(s.ReportFields, " ") != "util qps eps" ||
-		strings.Join(s.Tenants, " ") != "glasgow-airport lerwick-port" || len(s.Logic.Classes) != 3 {
+	if s := cfg.Site; s.ConnectionIdleTimeout != 15*time.Second || s.ConnectTimeout != 5*time.Second || s.MaxInFlight != 1000 ||
+		s.Balancer.MaxRetryAfter != time.Second || strings.Join(s.ReportFields, " ") != "util qps eps" ||
+		strings.Join(s.Tenants, " ") != "glasgow-airport lerwick-port" || len(s.Balancer.Classes) != 3 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -38,7 +38,7 @@
 
 // held is what the agent holds and believes now. Shares are in thousandths, so that their sum over agents is one.
 func (f counters) held() []any {
-	c, p := f.conns.Count(), f.core.Stats().Balancer
+	c, p := f.conns.Stats(), f.core.Stats().Balancer
 	share := func(x float64) int { return int(math.Round(1000 * x)) }
 	return []any{"held_open", c.Open, "held_idle", c.Idle, "held_agents", 1, "held_use", share(p.Utilization), "held_late", share(p.LatencyRatio),
 		"held_waiting", share(p.InFlightLatencyRatio), "held_shed", share(p.ShedRatio), "held_view", p.SubsetSize, "held_cold", p.WarmingUp, "held_ejected", p.Ejected}
@@ -51,7 +51,7 @@
 }
 
 func (f counters) counts() (all []count) {
-	t, p, d := f.core.Stats().Counters, f.conns.Count(), f.disco.Counts()
+	t, p, d := f.core.Stats().Counters, f.conns.Stats(), f.disco.Counts()
 	add := func(name string, n uint64) { all = append(all, count{name, n}) }
 	for kind, name := range engine.AnswerKinds {
 		var n uint64
@@ -71,10 +71,10 @@
 		add("given_up_"+name, t.GivenUp[why])
 	}
 	add("dials", p.Dials)
-	add("dials_failed", p.Failed)
+	add("dials_failed", p.FailedDials)
 	add("conns_reused", p.Reused)
 	add("conns_dead", p.Dead)
-	add("conns_no_room", p.NoRoom)
+	add("conns_no_room", p.Exhausted)
 	add("list_whole", d.FullLists)
 	add("list_watch", d.Watches)
 	add("list_failed", d.Failed)
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -21,23 +21,23 @@
 }
 
 // calls is what operators may ask; nil where there is nothing to see.
-func (v fleetView) calls() func(context.Context) (operator.Fleet, error) {
+func (v fleetView) calls() func(context.Context) (operator.FleetView, error) {
 	if v.keep == nil && v.peers == nil {
 		return nil
 	}
 	return v.see
 }
 
-func (v fleetView) see(ctx context.Context) (operator.Fleet, error) {
-	f := operator.Fleet{Agent: v.name}
+func (v fleetView) see(ctx context.Context) (operator.FleetView, error) {
+	f := operator.FleetView{Agent: v.name}
 	load := v.core.Stats()
 	if st := load.Recovery; st != nil && v.keep != nil {
-		r := operator.Recovery{Phase: st.Phase.String(), Why: st.Reason, ForS: operator.Seconds(v.clock.Now() - st.Since), LetIn: rounded(st.AdmissionRate),
-			Warm: rounded(st.WarmCapacityRatio), Servers: st.Servers, Answered: st.RespondingServers, Trials: st.Counts.Trials, InVain: st.Counts.FailedTrials,
-			Refused: map[string]uint64{}, Trusted: v.keep.trust.String(), Keeping: v.keep.standing()}
+		r := operator.Recovery{Phase: st.Phase.String(), Why: st.Reason, DurationS: operator.Seconds(v.clock.Now() - st.Since), AdmittedRate: rounded(st.AdmissionRate),
+			WarmRatio: rounded(st.WarmCapacityRatio), Servers: st.Servers, Answered: st.RespondingServers, Trials: st.Counts.Trials, FailedTrials: st.Counts.FailedTrials,
+			Rejected: map[string]uint64{}, Trust: v.keep.trust.String(), Persistence: v.keep.standing()}
 		for class, n := range st.Counts.Rejected {
 			if class < len(load.Counters.Classes) {
-				r.Refused[load.Counters.Classes[class]] = n
+				r.Rejected[load.Counters.Classes[class]] = n
 			}
 		}
 		f.Recovery = &r
@@ -48,8 +48,8 @@
 		if err != nil {
 			return f, err
 		}
-		p := operator.Peers{Self: v.peers.Self(), Alive: st.Alive, Sent: st.Sent, Bytes: st.SentBytes, Taken: st.Received, Dropped: st.Dropped, HeldOut: held,
-			Claims: counts.Accepted, Bounded: counts.OverLimit, Refuted: st.Counts.Refuted, Suspects: st.Counts.Suspected}
+		p := operator.Peers{Self: v.peers.Self(), Alive: st.Alive, Sent: st.Sent, Bytes: st.SentBytes, Received: st.Received, Dropped: st.Dropped, ExcludedServers: held,
+			Claims: counts.Accepted, ClaimsOutOfBounds: counts.OverLimit, SuspectedBy: st.Counts.Refuted, Suspecting: st.Counts.Suspected}
 		for _, s := range st.States {
 			p.States = append(p.States, s.String())
 		}
@@ -66,15 +66,15 @@
 }
 
 func overloadOf(st overload.Status, classes []string) *operator.Overload {
-	o := &operator.Overload{Trust: rounded(st.Trust), Limit: rounded(st.Limit), Capacity: rounded(st.Capacity), Use: rounded(st.Utilization),
-		Refused: rounded(st.RejectedRatio), Asked: rounded(st.Demand.Requests), LetIn: rounded(st.Demand.Admitted), Open: rounded(st.Demand.InFlight), Good: rounded(st.Demand.ServedInTime),
-		Late: rounded(st.Demand.LateOrFailed), Further: rounded(st.Demand.ExtraAttempts), HeardOf: st.Demand.KnownAgents, Classes: map[string]operator.OverloadClass{}, HeldOut: st.Excluded,
-		Alone: st.Counts.DecidedLocally, TooLate: st.Counts.PastDeadline, Unsent: st.Counts.RejectedRetries, Told: st.Counts.PayloadsSent, Heard: st.Counts.View.Digests + st.Counts.View.Reports + st.Counts.View.Observations,
-		Bounded: st.Counts.View.Capped, Malformed: st.Counts.View.Malformed}
+	o := &operator.Overload{Trust: rounded(st.Trust), Limit: rounded(st.Limit), Capacity: rounded(st.Capacity), Utilization: rounded(st.Utilization),
+		RejectedRatio: rounded(st.RejectedRatio), OfferedRate: rounded(st.Demand.Requests), AdmittedRate: rounded(st.Demand.Admitted), InFlight: rounded(st.Demand.InFlight), ServedInTimeRate: rounded(st.Demand.ServedInTime),
+		LateOrFailedRate: rounded(st.Demand.LateOrFailed), RetryRate: rounded(st.Demand.ExtraAttempts), KnownAgents: st.Demand.KnownAgents, Classes: map[string]operator.OverloadClass{}, ExcludedServers: st.Excluded,
+		DecidedAlone: st.Counts.DecidedLocally, RejectedTooLate: st.Counts.PastDeadline, SuppressedRetries: st.Counts.RejectedRetries, DigestsSent: st.Counts.PayloadsSent, DigestsReceived: st.Counts.View.Digests + st.Counts.View.Reports + st.Counts.View.Observations,
+		ClaimsOutOfBounds: st.Counts.View.Capped, Malformed: st.Counts.View.Malformed}
 	for c, chance := range st.AdmitProbabilities {
 		if c < len(classes) {
-			o.Classes[classes[c]] = operator.OverloadClass{Asked: rounded(st.Demand.NewRequests[c]), Again: rounded(st.Demand.ClientRetries[c]), Chance: rounded(chance),
-				Refused: st.Counts.Rejected[c][0], RefusedAgain: st.Counts.Rejected[c][1]}
+			o.Classes[classes[c]] = operator.OverloadClass{FirstAttemptRate: rounded(st.Demand.NewRequests[c]), RetryRate: rounded(st.Demand.ClientRetries[c]), AdmissionProbability: rounded(chance),
+				Rejected: st.Counts.Rejected[c][0], RejectedRetries: st.Counts.Rejected[c][1]}
 		}
 	}
 	return o
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -41,8 +41,8 @@
 	if x.Generations == nil {
 		return nil, nil
 	}
-	names := namesOf(cfg.Site, cfg.Site.Logic.Classes)
-	manager := generation.New(generation.Options{Names: names, MaxRetryAfter: cfg.Site.Logic.MaxRetryAfter,
+	names := namesOf(cfg.Site, cfg.Site.Balancer.Classes)
+	manager := generation.New(generation.Options{Names: names, MaxRetryAfter: cfg.Site.Balancer.MaxRetryAfter,
 		UnixMS: func(t time.Duration) int64 { return clk.At(t).UnixMilli() }, OnRecord: func(r generation.Record) { logRecord(log, r) }})
 	changes := &admin.Changes{Agent: cfg.Name, Engine: core, Names: s.names, Log: log, Now: time.Now,
 		Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}
@@ -57,7 +57,7 @@
 
 // namesOf are the platform's names, with these classes by their numbers. Those that were dropped keep theirs.
 func namesOf(site simwire.Site, classes []balancer.Class) generation.Names {
-	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, RoutableHeaders: requesthead.Routable}
+	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, RoutableHeaders: requesthead.RoutingHeaders}
 	for _, c := range classes {
 		names.Classes = append(names.Classes, generation.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
 		if c.Effect == balancer.IdempotentByKey {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -66,13 +66,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conns := connpool.New(time.Second, time.Minute, 10)
 	core := engine.New(policy, clock, conns, quiet)
-	core.TrackLatency(site.Logic.Classes)
+	core.TrackLatency(site.Balancer.Classes)
 	core.CountRejected(&engine.Call{ID: "r"})
 	conns.Update(true, []engine.Member{{Server: balancer.Server{ID: "s-1"}, Addr: agenttest.Refusing(t)}})
 	if _, err := conns.Get(t.Context(), conns.Backend("s-1")); err == nil {
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -41,13 +41,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f, clock := goldenCounters(t), engine.NewClock()
 	core := engine.New(policy, clock, f.conns, slog.New(slog.DiscardHandler))
-	core.TrackLatency(site.Logic.Classes)
+	core.TrackLatency(site.Balancer.Classes)
 	core.SetAdmission(stormy{})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -72,16 +72,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 20 * time.Second
 	clock := engine.ManualClock(&now)
 	core := engine.New(policy, clock, goldenCounters(t).conns, slog.New(slog.DiscardHandler))
-	core.TrackLatency(site.Logic.Classes)
+	core.TrackLatency(site.Balancer.Classes)
 	var classes []recovery.Class
-	for _, c := range site.Logic.Classes {
+	for _, c := range site.Balancer.Classes {
 		classes = append(classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, IsIdempotent: c.Effect == balancer.Idempotent})
 	}
 	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdCapacityRatio: 0.32, WarmupTime: 8 * time.Second, ColdOverloadFactor: 3, MaxRetryAfter: time.Second}, nil)
--- a/internal/agent/join.go
+++ b/internal/agent/join.go
@@ -14,7 +14,7 @@
 
 // joining is what switched-on joins are at work with.
 type joining struct {
-	atFront  http1.Joins
+	atFront  http1.Coalescing
 	logEvery time.Duration
 }
 
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("joining like requests: %w", err)
 	}
-	j := &joining{logEvery: set.LogEvery, atFront: http1.Joins{Identity: identity, Apart: set.Apart}}
+	j := &joining{logEvery: set.LogEvery, atFront: http1.Coalescing{Identity: identity, TenantsApart: set.Apart}}
 	j.atFront.Classes.Store(joined(set.Options.Classes))
 	after := site.MaxRetryAfter
 	for _, c := range site.Classes { // as the module words its refusals
@@ -50,7 +50,7 @@
 	return &out
 }
 
-func (j *joining) front() *http1.Joins {
+func (j *joining) front() *http1.Coalescing {
 	if j == nil {
 		return nil
 	}
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -65,8 +65,8 @@
 	}}}
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
 	a := startOn(t, d, time.Millisecond, func(cfg *Config) {
-		for i := range cfg.Site.Logic.Classes {
-			cfg.Site.Logic.Classes[i].LatencyObjective = time.Minute
+		for i := range cfg.Site.Balancer.Classes {
+			cfg.Site.Balancer.Classes[i].LatencyObjective = time.Minute
 		}
 	}, with, slog.New(slog.DiscardHandler))
 	return a, core
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -27,22 +27,22 @@
 	reloads *reloadCounts
 	link    *hotrestart.Link // to other processes of the agent; nil where there can be none
 	ready   func() bool
-	fleet   func(context.Context) (operator.Fleet, error) // nil: there is none to see
-	keep    *keeping                                      // nil: bans end with the agent's last process
+	fleet   func(context.Context) (operator.FleetView, error) // nil: there is none to see
+	keep    *keeping                                          // nil: bans end with the agent's last process
 }
 
 func (o operating) Ready() bool { return o.ready() }
 
-func (o operating) Figures(ctx context.Context) (f operator.Figures, err error) {
-	if f.Fleet, err = o.core.EndpointCounts(ctx); err != nil {
+func (o operating) Stats(ctx context.Context) (f operator.Stats, err error) {
+	if f.Endpoints, err = o.core.EndpointCounts(ctx); err != nil {
 		return f, err
 	}
-	f.Tally, f.Reloads, f.ReloadErrors = o.core.Counters(), o.reloads.taken.Load(), o.reloads.refused.Load()
+	f.Counters, f.Reloads, f.ReloadErrors = o.core.Counters(), o.reloads.taken.Load(), o.reloads.refused.Load()
 	return f, nil
 }
 
-// Hold carries an operator's order out, here and in the other processes of the agent.
-func (o operating) Hold(ctx context.Context, server string, out bool) error {
+// SetDenied carries an operator's order out, here and in the other processes of the agent.
+func (o operating) SetDenied(ctx context.Context, server string, out bool) error {
 	do := func() error { return hold(ctx, o.core, server, out) }
 	var err error
 	if o.link == nil {
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -34,7 +34,7 @@
 	if x.Overload == nil {
 		return nil
 	}
-	site := cfg.Site.Logic
+	site := cfg.Site.Balancer
 	alone := newStorm(cfg, Storm{Remember: x.Overload.Remember})
 	s := &sharing{set: *x.Overload, core: core, log: log, door: overload.New(overload.Options{Self: site.Index, Agents: site.Balancers,
 		Classes: stormClasses(site.Classes), TenantQuotas: site.Quotas, MaxRetryAfter: site.MaxRetryAfter, Seed: cfg.Seed}, alone)}
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -34,7 +34,7 @@
 		if !cfg.MayTell || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
 			return nil, errors.New("peers: the platform's configuration does not let agents send each other datagrams, or names none; see listen and members")
 		}
-		listen, members, self = cfg.PeerListen, cfg.Peers, cfg.Site.Logic.Index
+		listen, members, self = cfg.PeerListen, cfg.Peers, cfg.Site.Balancer.Index
 	} else if self = slices.Index(members, listen); self < 0 {
 		return nil, fmt.Errorf("peers: %s is not among the members", listen)
 	}
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -77,7 +77,7 @@
 	}
 	k.file = atomicfile.File{Path: filepath.Join(k.set.Dir, knowledge), FS: x.disk()}
 	k.repeats = clientsReturn
-	for _, c := range cfg.Site.Logic.Classes {
+	for _, c := range cfg.Site.Balancer.Classes {
 		k.repeats = max(k.repeats, c.Deadline+c.DedupWindow+clientsReturn)
 	}
 	if x.Ties == nil || x.Ties.Dir == "" || !x.Ties.Sync {
@@ -163,7 +163,7 @@
 // attach puts the recovery at the engine's door, before it runs.
 func (k *keeping) attach(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Admitter, heard func() bool, askFor time.Duration) {
 	k.core = core
-	site := cfg.Site.Logic
+	site := cfg.Site.Balancer
 	o := recovery.Options{Agents: site.Balancers, Self: site.Index, ColdCapacityRatio: site.SlowStartInitialRatio, WarmupTime: site.SlowStartDuration, ColdOverloadFactor: site.WarmingOverloadRatio,
 		MaxRetryAfter: site.MaxRetryAfter, PeerPollTime: askFor, Seed: cfg.Seed}
 	for _, c := range site.Classes {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -24,7 +24,7 @@
 	core   *engine.Engine
 	disco  *platform.Discovery
 	terms  *platformconfig.Terms
-	rules  *requesthead.InForce
+	rules  *requesthead.ActiveRules
 	keys   keys // of the file in force
 	own    *sections
 	peers  func() error // reads the keys of [peers] again; nil without the section
@@ -71,9 +71,9 @@
 	r.keys = c.keys
 	rules := r.terms.Rules()
 	r.core.SetClassNames(tell.Classes)
-	changed, misfit := r.own.tell(engine.SettingsChanged{ClassUpdate: tell, Version: rules.Number})
+	changed, misfit := r.own.tell(engine.SettingsChanged{ClassUpdate: tell, Version: rules.Version})
 	r.core.Post(changed)
-	r.rules.Put(rules)
+	r.rules.Replace(rules)
 	r.disco.SetAddress(c.Discovery)
 	var names []string
 	for _, class := range tell.Classes {
@@ -81,7 +81,7 @@
 			names = append(names, class.Name)
 		}
 	}
-	r.log.Info("configuration reloaded", "discovery", c.Discovery, "settings", rules.Number, "classes", strings.Join(names, " "),
+	r.log.Info("configuration reloaded", "discovery", c.Discovery, "settings", rules.Version, "classes", strings.Join(names, " "),
 		"attempts", tell.MaxAttempts)
 	if misfit != nil {
 		r.log.Warn("a setting of the agent's own does not fit the classes any more", "error", misfit)
--- a/internal/agent/sections.go
+++ b/internal/agent/sections.go
@@ -19,7 +19,7 @@
 
 func newSections(site simwire.Site, joins func([]balancer.Class) (Joins, error)) *sections {
 	s := &sections{site: site, joins: joins}
-	names := namesOf(site, site.Logic.Classes)
+	names := namesOf(site, site.Balancer.Classes)
 	s.current.Store(&names)
 	return s
 }
--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -13,7 +13,7 @@
 
 // newStorm is a watch for storms by the platform's settings.
 func newStorm(cfg Config, set Storm) *admission.Controller {
-	site := cfg.Site.Logic
+	site := cfg.Site.Balancer
 	o := admission.Options{Quotas: site.Quotas, MaxRetryAfter: site.MaxRetryAfter, MaxRemembered: set.Remember, Seed: cfg.Seed}
 	o.Classes = stormClasses(site.Classes)
 	return admission.New(o)
--- a/internal/agent/ties.go
+++ b/internal/agent/ties.go
@@ -45,7 +45,7 @@
 	}
 	set := *x.Ties
 	window := time.Duration(0)
-	for _, c := range cfg.Site.Logic.Classes {
+	for _, c := range cfg.Site.Balancer.Classes {
 		if c.Effect == balancer.IdempotentByKey {
 			window = max(window, c.DedupWindow)
 		}
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -52,7 +52,7 @@
 	clock                   engine.Clock
 	conns                   *connpool.Pool
 	clients                 *connlimit.Listener
-	large                   *http1.Large
+	large                   *http1.LargeBodies
 	toBackends, fromClients int                // connections of the whole agent
 	memory                  func(part float64) // limits the process to a part of the agent's memory; nil: nothing does
 	keep                    *keeping           // nil: nothing is kept over a loss of power
@@ -85,9 +85,9 @@
 
 // Share is for handover.Host.
 func (u *upgrade) Share(part float64) {
-	u.conns.Limit(int(part * float64(u.toBackends)))
+	u.conns.SetMaxConnections(int(part * float64(u.toBackends)))
 	u.clients.SetLimit(int(part * float64(u.fromClients)))
-	u.large.Share(part)
+	u.large.SetBudgetRatio(part)
 	if u.memory != nil {
 		u.memory(part)
 	}
--- a/internal/cli/telemetry.go
+++ b/internal/cli/telemetry.go
@@ -21,8 +21,8 @@
 		if err != nil && !taken {
 			return nil, fmt.Errorf("%s: %w", f.Where("telemetry.listen"), err)
 		}
-		c.Engine.TrackLatency(c.Site.Logic.Classes)
-		s := &telemetry.Server{Engine: c.Engine, Pool: c.Pool, Peers: c.Peers, Shares: c.Overload, Log: c.Log}
+		c.Engine.TrackLatency(c.Site.Balancer.Classes)
+		s := &telemetry.Server{Engine: c.Engine, Pool: c.Pool, Peers: c.Peers, Overload: c.Overload, Log: c.Log}
 		return func(ctx context.Context) error {
 			if taken {
 				if l = listenLater(ctx, f.Telemetry.Listen); l == nil {
--- a/internal/coalesce/flighttimes.go
+++ b/internal/coalesce/flighttimes.go
@@ -50,7 +50,7 @@
 }
 
 func (t *times) add(now, d time.Duration) {
-	t.window.Add(now, d)
+	t.window.Record(now, d)
 	if t.unread++; t.unread >= readEvery {
 		t.read()
 	}
--- a/internal/downstream/extproc/bench_test.go
+++ b/internal/downstream/extproc/bench_test.go
@@ -115,7 +115,7 @@
 		if err != nil {
 			return err
 		}
-		policy, err := balancer.New(site.Logic, 1)
+		policy, err := balancer.New(site.Balancer, 1)
 		if err != nil {
 			return err
 		}
@@ -125,8 +125,8 @@
 		set := testSet()
 		set.MaxOpen, set.MaxStreams, set.MaxConnections = benchStreams, benchStreams, 64
 		s := New(Options{Settings: set, Engine: e, Clock: clock, Pool: pool, ReportFields: site.ReportFields,
-			Rules:   requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants},
-			Longest: twoSeconds, Log: log})
+			Rules:       requesthead.Rules{Classes: site.Balancer.Classes, Tenants: site.Tenants},
+			MaxDeadline: twoSeconds, Log: log})
 		go e.Run(ctx)
 		var members []engine.Member
 		for i := range 14 {
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -147,8 +147,8 @@
 
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{clock: engine.NewClock(), site: testSite(t)}
-	w.site.Logic.AllowHedging = false // a proxy carries one copy of a request
-	policy, err := balancer.New(w.site.Logic, seed)
+	w.site.Balancer.AllowHedging = false // a proxy carries one copy of a request
+	policy, err := balancer.New(w.site.Balancer, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,8 +191,8 @@
 		for _, q := range stream {
 			byID[q.id] = q
 		}
-		front := downstreamhttp1.New(downstreamhttp1.Options{Engine: w.engine, Clock: w.clock, Carrier: scripted{byID, got},
-			Rules: requesthead.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
+		front := downstreamhttp1.New(downstreamhttp1.Options{Engine: w.engine, Clock: w.clock, Transport: scripted{byID, got},
+			Rules: requesthead.Rules{Classes: w.site.Balancer.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
 		w.start(t)
 		play(stream, func(q recorded) {
 			method := http.MethodPost
@@ -224,8 +224,8 @@
 		set := testSet()
 		set.MaxOpen, set.MaxStreams = 10000, 10000
 		server := New(Options{Settings: set, Engine: w.engine, Clock: w.clock, Pool: w.pool, ReportFields: w.site.ReportFields,
-			Rules:   requesthead.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants},
-			Longest: twoSeconds, Log: slog.New(slog.DiscardHandler)})
+			Rules:       requesthead.Rules{Classes: w.site.Balancer.Classes, Tenants: w.site.Tenants},
+			MaxDeadline: twoSeconds, Log: slog.New(slog.DiscardHandler)})
 		w.start(t)
 		l := bufconn.Listen(1 << 20)
 		ctx, stop := context.WithCancel(context.Background())
--- a/internal/downstream/extproc/full_test.go
+++ b/internal/downstream/extproc/full_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("%s: a first try is answered %d", class, a.status)
 		}
 	}
-	if c := r.server.Counts.Snapshot(); c.GivenUp != 2 {
+	if c := r.server.Counts.Snapshot(); c.Abandoned != 2 {
 		t.Errorf("%+v", c)
 	}
 
--- a/internal/downstream/extproc/fuzz_test.go
+++ b/internal/downstream/extproc/fuzz_test.go
@@ -36,7 +36,7 @@
 	pool := connpool.New(time.Second, time.Second, 10)
 	pool.Update(true, []engine.Member{member(0, balancer.Ready), member(1, balancer.Ready)})
 	s := &Server{Options: Options{Settings: testSet(), Clock: clock, Pool: pool, ReportFields: site.ReportFields,
-		Rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Log: slog.New(slog.DiscardHandler)}}
+		Rules: requesthead.Rules{Classes: site.Balancer.Classes, Tenants: site.Tenants}, Log: slog.New(slog.DiscardHandler)}}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var req extprocv3.ProcessingRequest
 		if proto.Unmarshal(data, &req) != nil {
@@ -55,7 +55,7 @@
 				}
 				return
 			}
-			class := site.Logic.Classes[call.Class]
+			class := site.Balancer.Classes[call.Class]
 			if call.ID == "" || len(call.ID) > 128 || call.Deadline <= began || call.Deadline > clock.Now()+class.Deadline ||
 				class.Effect == balancer.IdempotentByKey && (call.IdempotencyKey == "" || call.IdempotencyWindow != class.DedupWindow) || len(call.Candidates) > 2 {
 				t.Errorf("accepted %+v", call)
--- a/internal/downstream/extproc/harness_test.go
+++ b/internal/downstream/extproc/harness_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site.Logic.MaxRetryAfter = site.MaxRetryAfter
+	site.Balancer.MaxRetryAfter = site.MaxRetryAfter
 	return site
 }
 
@@ -73,7 +73,7 @@
 	if o.site != nil {
 		o.site(&site)
 	}
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 	r.pool = connpool.New(time.Second, time.Minute, 100)
 	r.engine = engine.New(policy, clock, r.pool, log)
 	var longest time.Duration
-	for _, c := range site.Logic.Classes {
+	for _, c := range site.Balancer.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	r.server = New(Options{Settings: set, Engine: r.engine, Clock: clock, Pool: r.pool, ReportFields: site.ReportFields,
-		Rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Longest: func() time.Duration { return longest }, Log: log})
+		Rules: requesthead.Rules{Classes: site.Balancer.Classes, Tenants: site.Tenants}, MaxDeadline: func() time.Duration { return longest }, Log: log})
 	if o.linger > 0 {
 		r.server.linger = o.linger
 	}
--- a/internal/downstream/extproc/load_test.go
+++ b/internal/downstream/extproc/load_test.go
@@ -131,7 +131,7 @@
 		}
 	}
 	agenttest.Eventually(t, "all came", func() bool {
-		return r.server.Counts.Snapshot().StreamsRefused+uint64(r.server.streams.Load()) >= connections*each-most || r.server.streams.Load() == 0
+		return r.server.Counts.Snapshot().StreamsRejected+uint64(r.server.streams.Load()) >= connections*each-most || r.server.streams.Load() == 0
 	})
 	if n := r.server.streams.Load(); n > most {
 		t.Errorf("%d streams are open of at most %d", n, most)
--- a/internal/downstream/extproc/measure_test.go
+++ b/internal/downstream/extproc/measure_test.go
@@ -209,7 +209,7 @@
 	}
 	front := agent.Front{Name: "external processor", Sockets: 17, Open: func(c agent.Core) (func(context.Context) error, error) {
 		s := New(Options{Settings: testSet(), Engine: c.Engine, Clock: c.Clock, Rules: c.Rules, Pool: c.Pool,
-			ReportFields: c.Site.ReportFields, Longest: c.Longest, Log: c.Log})
+			ReportFields: c.Site.ReportFields, MaxDeadline: c.Longest, Log: c.Log})
 		return func(ctx context.Context) error { return s.Serve(ctx, l) }, nil
 	}}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/downstream/extproc/message.go
+++ b/internal/downstream/extproc/message.go
@@ -85,7 +85,7 @@
 func (s *Server) known(hint []string) []string {
 	ids := []string{}
 	for _, addr := range hint {
-		at := s.Pool.At(addr)
+		at := s.Pool.IDsAt(addr)
 		if len(at) == 0 {
 			s.Counts.unknownHints.Add(1)
 			s.once.hint.Do(func() {
@@ -104,7 +104,7 @@
 var readNames = func() map[string]string {
 	names := map[string]string{}
 	for _, name := range slices.Concat([]string{"Content-Length", "Transfer-Encoding", envoyTimeout, envoyAttempt, loadHeader,
-		notProcessedHeader, ServedHeader}, requesthead.Read, requesthead.Routable) {
+		notProcessedHeader, ServedHeader}, requesthead.CheckedHeaders, requesthead.RoutingHeaders) {
 		names[strings.ToLower(name)] = http.CanonicalHeaderKey(name)
 	}
 	return names
@@ -426,7 +426,7 @@
 // immediate is a final answer that the agent gives in place of a backend.
 func immediate(a engine.Answer) *extprocv3.ProcessingResponse {
 	var headers []*corev3.HeaderValueOption
-	for _, header := range requesthead.ComeBack(a) {
+	for _, header := range requesthead.RetryAfterHeaders(a) {
 		headers = append(headers, set(strings.ToLower(header[0]), header[1]))
 	}
 	return immediateResponse(answerStatuses[a.Kind], answerTexts[a.Kind], headers)
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -57,7 +57,7 @@
 	Rules        requesthead.Checker
 	Pool         *connpool.Pool
 	ReportFields []string             // of load reports
-	Longest      func() time.Duration // that any client waits: for so long a drain may take
+	MaxDeadline  func() time.Duration // that any client waits: for so long a drain may take
 	Log          *slog.Logger
 }
 
@@ -125,7 +125,7 @@
 func (s *Server) drain(srv *grpc.Server) {
 	ended := make(chan struct{})
 	go func() { srv.GracefulStop(); close(ended) }()
-	limit := time.NewTimer(platformconfig.LameDuck(s.Longest()) + drainMost)
+	limit := time.NewTimer(platformconfig.LameDuck(s.MaxDeadline()) + drainMost)
 	defer limit.Stop()
 	select {
 	case <-ended:
--- a/internal/downstream/extproc/server_test.go
+++ b/internal/downstream/extproc/server_test.go
@@ -48,7 +48,7 @@
 	}
 	a.answer(whole("200", "x-server-load", "util=0.5,qps=10,eps=0"))
 	r.quiet()
-	if c := r.server.Counts.Snapshot(); c.Decisions != 1 || c.Served != 1 || c.GaveUpAfter+c.GaveUpBefore != 0 {
+	if c := r.server.Counts.Snapshot(); c.Decisions != 1 || c.Served != 1 || c.AbandonedAfterDecision+c.AbandonedBeforeDecision != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -139,7 +139,7 @@
 	r.run()
 	r.list(2)
 	r.quiet()
-	if c := r.server.Counts.Snapshot(); c.Decisions != 0 || c.GaveUpBefore != 1 {
+	if c := r.server.Counts.Snapshot(); c.Decisions != 0 || c.AbandonedBeforeDecision != 1 {
 		t.Errorf("%+v", c)
 	}
 	if a := ask(t, client, q); a.to == "" {
@@ -212,8 +212,8 @@
 			s.KeepaliveTime, s.KeepaliveWait = settings.Duration(time.Second), settings.Duration(500*time.Millisecond)
 		},
 		site: func(s *simwire.Site) {
-			for i := range s.Logic.Classes {
-				s.Logic.Classes[i].Deadline = time.Hour
+			for i := range s.Balancer.Classes {
+				s.Balancer.Classes[i].Deadline = time.Hour
 			}
 		},
 	})
@@ -226,7 +226,7 @@
 	silence()
 	r.noneOut()
 	agenttest.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
-	if c := r.server.Counts.Snapshot(); c.GaveUpAfter != 1 || c.Unknown != 1 {
+	if c := r.server.Counts.Snapshot(); c.AbandonedAfterDecision != 1 || c.Unknown != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -256,7 +256,7 @@
 		}
 	}
 	r.quiet()
-	if c := r.server.Counts.Snapshot(); c.UnknownHints != 41 || c.Refused != 3 {
+	if c := r.server.Counts.Snapshot(); c.UnknownHints != 41 || c.Rejected != 3 {
 		t.Errorf("%+v", c)
 	}
 	if n := r.log.Count("127.9.9.9"); n != 1 {
@@ -312,7 +312,7 @@
 	} else {
 		again.answer(whole("200", ServedHeader, again.to))
 	}
-	if c := r.server.Counts.Snapshot(); c.Elsewhere != 3 || c.UnknownServed != 2 || c.Served != 1 {
+	if c := r.server.Counts.Snapshot(); c.ServedElsewhere != 3 || c.UnknownServed != 2 || c.Served != 1 {
 		t.Errorf("%+v", c)
 	}
 	if n := r.log.Count("127.9.9.9"); n != 1 {
@@ -347,7 +347,7 @@
 			open = append(open, b)
 		}
 	}
-	if c := r.server.Counts.Snapshot(); c.Unusable == 0 {
+	if c := r.server.Counts.Snapshot(); c.DecisionsRejected == 0 {
 		t.Errorf("the module never chose it, so that nothing was tested: %+v", c)
 	}
 	r.engine.Post(engine.EndpointUpdate{Members: []engine.Member{member(drained, balancer.Draining)}})
@@ -736,7 +736,7 @@
 	if resp, err := o.stream.Recv(); err == nil || err.Error() != "EOF" {
 		t.Errorf("%v, %v", resp, err)
 	}
-	if c := r.server.Counts.Snapshot(); c.Decisions != 0 || c.Observed != 1 {
+	if c := r.server.Counts.Snapshot(); c.Decisions != 0 || c.ObserveOnly != 1 {
 		t.Errorf("%+v", c)
 	}
 	r.quiet()
@@ -749,7 +749,7 @@
 	m := request{id: newID(), class: "pay"}.message()
 	m.ObservabilityMode = true
 	o.send(m)
-	agenttest.Eventually(t, "it is seen", func() bool { return r.server.Counts.Snapshot().Observed == 1 })
+	agenttest.Eventually(t, "it is seen", func() bool { return r.server.Counts.Snapshot().ObserveOnly == 1 })
 	time.Sleep(400 * time.Millisecond)
 	if err := o.finish(); err != nil {
 		t.Errorf("it was broken: %v", err)
@@ -831,8 +831,8 @@
 // A proxy that keeps its stream open holds the drain up for as long as a client may wait, and no longer.
 func TestDrainEndsWithoutTheProxy(t *testing.T) {
 	r := newRig(t, options{site: func(s *simwire.Site) {
-		for i := range s.Logic.Classes {
-			s.Logic.Classes[i].Deadline = 500 * time.Millisecond
+		for i := range s.Balancer.Classes {
+			s.Balancer.Classes[i].Deadline = 500 * time.Millisecond
 		}
 	}})
 	r.list(2)
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -73,7 +73,7 @@
 			return err
 		}
 		if first { // it has said something: one that only watches may last as long as a request
-			st.expiry.Reset(st.s.Longest() + st.s.linger)
+			st.expiry.Reset(st.s.MaxDeadline() + st.s.linger)
 		}
 		resp, err := st.take(req)
 		if err != nil {
@@ -188,7 +188,7 @@
 	now := st.s.Clock.Now()
 	backend, _ := a.Incarnation.(*connpool.Backend)
 	valid := min(a.WriteDeadline-now, time.Duration(st.s.Settings.DecisionValid))
-	if valid < time.Millisecond || !st.s.Pool.TakesNew(backend) {
+	if valid < time.Millisecond || !st.s.Pool.AcceptsRequests(backend) {
 		st.s.Counts.unusable.Add(1)
 		st.s.Engine.RejectAttempt(a)
 		return nil
@@ -214,7 +214,7 @@
 	}
 	out := engine.Outcome{Attempt: st.attempt, Result: balancer.Reset, Report: balancer.NoReport}
 	if code != 0 { // else it is no answer that a backend can have made
-		out.Result = http1.Judge(code, header)
+		out.Result = http1.ClassifyResponse(code, header)
 		out.Report = http1.ReadReport(header, st.s.ReportFields, st.s.badReport)
 	}
 	if result, own := localReply(req, h); own && out.Result == balancer.Failed {
@@ -236,7 +236,7 @@
 		return false
 	}
 	st.s.Counts.elsewhere.Add(1)
-	if len(st.s.Pool.At(served)) == 0 {
+	if len(st.s.Pool.IDsAt(served)) == 0 {
 		st.s.Counts.unknownServed.Add(1)
 		st.s.once.served.Do(func() {
 			st.s.Log.Warn("a proxy used an endpoint that the list does not name; further ones are not logged",
--- a/internal/downstream/framing/framing.go
+++ b/internal/downstream/framing/framing.go
@@ -20,11 +20,11 @@
 
 // What may be wrong.
 const (
-	Both    Verdict = "a length beside a transfer encoding"
-	Lengths Verdict = "two lengths"
-	Folded  Verdict = "a folded line"
-	Coding  Verdict = "a transfer encoding other than chunked"
-	Lost    Verdict = "messages that can't be told apart"
+	LengthAndTransferEncoding   Verdict = "a length beside a transfer encoding"
+	ConflictingLengths          Verdict = "two lengths"
+	ObsoleteLineFolding         Verdict = "a folded line"
+	UnsupportedTransferEncoding Verdict = "a transfer encoding other than chunked"
+	Desynchronized              Verdict = "messages that can't be told apart"
 )
 
 // Scanner follows one connection. The zero value stands before the first request.
@@ -68,7 +68,7 @@
 		if s.end != "" {
 			return s.end
 		}
-		return Lost
+		return Desynchronized
 	}
 	v := s.told[0]
 	s.told = s.told[1:]
@@ -92,7 +92,7 @@
 		end := bytes.IndexByte(p, '\n')
 		if end < 0 {
 			if s.line = append(s.line, p...); len(s.line) > longestLine {
-				s.stop(Lost)
+				s.stop(Desynchronized)
 			}
 			return
 		}
@@ -120,7 +120,7 @@
 		n, err := strconv.ParseUint(strings.Trim(size, " \t"), 16, 62)
 		switch {
 		case err != nil:
-			s.stop(Lost)
+			s.stop(Desynchronized)
 		case n == 0:
 			s.state = inTrailer
 		default:
@@ -128,7 +128,7 @@
 		}
 	case inChunkEnd:
 		if s.state = inChunkSize; len(line) != 0 {
-			s.stop(Lost)
+			s.stop(Desynchronized)
 		}
 	case inTrailer:
 		if len(line) == 0 {
@@ -149,7 +149,7 @@
 		h.begun, h.modern = true, bytes.HasSuffix(line, []byte(" HTTP/1.1"))
 		return
 	case line[0] == ' ' || line[0] == '\t':
-		h.wrong = Folded
+		h.wrong = ObsoleteLineFolding
 		return
 	}
 	name, value, _ := bytes.Cut(line, []byte{':'})
@@ -158,12 +158,12 @@
 	case is(name, "Content-Length"):
 		n, err := strconv.ParseUint(string(value), 10, 63)
 		if h.lengths++; err != nil || h.lengths > 1 && int64(n) != h.length {
-			h.wrong = Lengths
+			h.wrong = ConflictingLengths
 		}
 		h.length = int64(n)
 	case is(name, "Transfer-Encoding"):
 		if h.codings++; h.codings > 1 || !h.modern || !is(value, "chunked") {
-			h.wrong = Coding
+			h.wrong = UnsupportedTransferEncoding
 		}
 	}
 }
@@ -176,14 +176,14 @@
 	h := s.head
 	s.head = head{}
 	if h.wrong == "" && h.lengths > 0 && h.codings > 0 {
-		h.wrong = Both
+		h.wrong = LengthAndTransferEncoding
 	}
 	if h.wrong != "" {
 		s.stop(h.wrong)
 		return
 	}
 	if len(s.told) == mostWaiting {
-		s.stop(Lost)
+		s.stop(Desynchronized)
 		return
 	}
 	s.told = append(s.told, "")
--- a/internal/downstream/framing/framing_test.go
+++ b/internal/downstream/framing/framing_test.go
@@ -15,23 +15,23 @@
 		name, text string
 		want       []Verdict
 	}{
-		{"a length", start + "Content-Length: 2\r\n\r\nhi", []Verdict{"", Lost}},
-		{"requests behind one another", start + "Content-Length: 2\r\n\r\nhi" + start + "\r\n\r\n" + start + "\r\n", []Verdict{"", "", "", Lost}},
-		{"chunks with extensions and trailers", start + "Transfer-Encoding: chunked\r\n\r\n2;a=\"b\"\r\nhi\r\n0\r\nX: y\r\n\r\n" + start + "\r\n", []Verdict{"", "", Lost}},
-		{"lines that end in a bare LF", "POST / HTTP/1.1\nHost: a\nContent-Length: 1\n\nx" + start + "\r\n", []Verdict{"", "", Lost}},
-		{"a length beside chunks", start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", []Verdict{Both, Both}},
-		{"and the other way round, in other letters", start + "transfer-ENCODING: Chunked\r\ncontent-length:4\r\n\r\n", []Verdict{Both, Both}},
-		{"behind a good one", start + "\r\n" + start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", []Verdict{"", Both, Both}},
-		{"two lengths", start + "Content-Length: 4\r\nContent-Length: 5\r\n\r\n", []Verdict{Lengths}},
-		{"the same length twice", start + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi", []Verdict{"", Lost}},
-		{"a list of lengths", start + "Content-Length: 2, 2\r\n\r\nhi", []Verdict{Lengths}},
-		{"a folded line", start + "X: a\r\n b\r\n\r\n", []Verdict{Folded}},
-		{"a folded transfer encoding", start + "Transfer-Encoding:\r\n chunked\r\nContent-Length: 4\r\n\r\n", []Verdict{Coding}},
-		{"codings but chunked", start + "Transfer-Encoding: gzip, chunked\r\n\r\n", []Verdict{Coding}},
-		{"chunks of HTTP/1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", []Verdict{Coding}},
-		{"two codings", start + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", []Verdict{Coding}},
-		{"a chunk with no size", start + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", []Verdict{"", Lost}},
-		{"a head that has not come whole", start, []Verdict{Lost}},
+		{"a length", start + "Content-Length: 2\r\n\r\nhi", []Verdict{"", Desynchronized}},
+		{"requests behind one another", start + "Content-Length: 2\r\n\r\nhi" + start + "\r\n\r\n" + start + "\r\n", []Verdict{"", "", "", Desynchronized}},
+		{"chunks with extensions and trailers", start + "Transfer-Encoding: chunked\r\n\r\n2;a=\"b\"\r\nhi\r\n0\r\nX: y\r\n\r\n" + start + "\r\n", []Verdict{"", "", Desynchronized}},
+		{"lines that end in a bare LF", "POST / HTTP/1.1\nHost: a\nContent-Length: 1\n\nx" + start + "\r\n", []Verdict{"", "", Desynchronized}},
+		{"a length beside chunks", start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", []Verdict{LengthAndTransferEncoding, LengthAndTransferEncoding}},
+		{"and the other way round, in other letters", start + "transfer-ENCODING: Chunked\r\ncontent-length:4\r\n\r\n", []Verdict{LengthAndTransferEncoding, LengthAndTransferEncoding}},
+		{"behind a good one", start + "\r\n" + start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", []Verdict{"", LengthAndTransferEncoding, LengthAndTransferEncoding}},
+		{"two lengths", start + "Content-Length: 4\r\nContent-Length: 5\r\n\r\n", []Verdict{ConflictingLengths}},
+		{"the same length twice", start + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi", []Verdict{"", Desynchronized}},
+		{"a list of lengths", start + "Content-Length: 2, 2\r\n\r\nhi", []Verdict{ConflictingLengths}},
+		{"a folded line", start + "X: a\r\n b\r\n\r\n", []Verdict{ObsoleteLineFolding}},
+		{"a folded transfer encoding", start + "Transfer-Encoding:\r\n chunked\r\nContent-Length: 4\r\n\r\n", []Verdict{UnsupportedTransferEncoding}},
+		{"codings but chunked", start + "Transfer-Encoding: gzip, chunked\r\n\r\n", []Verdict{UnsupportedTransferEncoding}},
+		{"chunks of HTTP/1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", []Verdict{UnsupportedTransferEncoding}},
+		{"two codings", start + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", []Verdict{UnsupportedTransferEncoding}},
+		{"a chunk with no size", start + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", []Verdict{"", Desynchronized}},
+		{"a head that has not come whole", start, []Verdict{Desynchronized}},
 	} {
 		for _, size := range []int{1, 7, 1 << 20} { // however it is cut
 			s := &Scanner{}
@@ -39,7 +39,7 @@
 				s.Write([]byte(c.text[at:min(len(c.text), at+size)]))
 			}
 			for i, want := range c.want {
-				if got := s.Next(); got != want && (want == "" || want == Lost || got != Folded) {
+				if got := s.Next(); got != want && (want == "" || want == Desynchronized || got != ObsoleteLineFolding) {
 					t.Errorf("%s, in pieces of %d: request %d is %q, want %q", c.name, size, i, got, want)
 				}
 			}
@@ -50,7 +50,7 @@
 func TestBounds(t *testing.T) {
 	s := &Scanner{}
 	s.Write([]byte(start + "X: " + strings.Repeat("x", 2*longestLine)))
-	if s.line != nil || s.Next() != Lost {
+	if s.line != nil || s.Next() != Desynchronized {
 		t.Error("an endless line is kept")
 	}
 	s = &Scanner{}
--- a/internal/downstream/http1/body.go
+++ b/internal/downstream/http1/body.go
@@ -31,9 +31,9 @@
 	small      = 4 << 10                     // bytes that are passed on at a time where the budget has no more
 )
 
-// Large says how large bodies pass. What they hold in memory comes from one budget: a body waits for its part of it, and an
+// LargeBodies says how large bodies pass. What they hold in memory comes from one budget: a body waits for its part of it, and an
 // answer, which is owed, goes on in small pieces without one.
-type Large struct {
+type LargeBodies struct {
 	budget *semaphore.Weighted
 	most   int64
 	pieces sync.Pool
@@ -42,16 +42,16 @@
 	withheld int64 // of the budget, for another process of the agent
 }
 
-// NewLarge lets large bodies pass that hold so many bytes in memory at the most, all together.
-func NewLarge(budget int64) *Large {
+// NewLargeBodies lets large bodies pass that hold so many bytes in memory at the most, all together.
+func NewLargeBodies(budget int64) *LargeBodies {
 	budget = max(budget, holdLarge)
-	return &Large{budget: semaphore.NewWeighted(budget), most: budget,
+	return &LargeBodies{budget: semaphore.NewWeighted(budget), most: budget,
 		pieces: sync.Pool{New: func() any { return new([piece]byte) }}}
 }
 
-// Share lets large bodies hold a part of the budget only, from 0 to 1. What is held already stays so: it comes into force as
+// SetBudgetRatio lets large bodies hold a part of the budget only, from 0 to 1. What is held already stays so: it comes into force as
 // far as the budget is free.
-func (l *Large) Share(part float64) {
+func (l *LargeBodies) SetBudgetRatio(part float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	want := int64((1 - part) * float64(l.most))
@@ -63,8 +63,8 @@
 	}
 }
 
-// Frames wraps the connections of a listener so that the framing of their requests is followed.
-func (*Large) Frames(l net.Listener) net.Listener { return frames{l} }
+// TrackFraming wraps the connections of a listener so that the framing of their requests is followed.
+func (*LargeBodies) TrackFraming(l net.Listener) net.Listener { return frames{l} }
 
 type frames struct{ net.Listener }
 
@@ -156,7 +156,7 @@
 // badBody is the answer to a body that could not be read.
 func badBody(err error) error {
 	if errors.Is(err, errLong) {
-		return requesthead.BadRequestError{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is over %d KiB", http1.MostLarge>>10)}
+		return requesthead.BadRequestError{Status: http.StatusRequestEntityTooLarge, Text: fmt.Sprintf("the body is over %d KiB", http1.MaxLargeBody>>10)}
 	}
 	return requesthead.BadRequestError{Status: http.StatusBadRequest, Text: "the body is not whole"}
 }
@@ -166,7 +166,7 @@
 
 // take reads a body: whole, or its beginning where it is large; then it goes on as an Upload. What it holds of the budget is
 // given back by release, which is never nil.
-func (l *Large) take(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *http1.Upload, release func(), err error) {
+func (l *LargeBodies) take(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *http1.Upload, release func(), err error) {
 	release = func() {}
 	if r.ContentLength == 0 {
 		return nil, nil, release, nil
@@ -183,8 +183,8 @@
 	return whole, up, release, err
 }
 
-func (l *Large) read(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *http1.Upload, err error) {
-	b := &body{from: r.Body, control: http.NewResponseController(w), most: http1.MostLarge}
+func (l *LargeBodies) read(w http.ResponseWriter, r *http.Request, patience time.Duration) (whole []byte, up *http1.Upload, err error) {
+	b := &body{from: r.Body, control: http.NewResponseController(w), most: http1.MaxLargeBody}
 	size := requesthead.MaxBody + 1
 	if r.ContentLength > 0 {
 		size = int(min(r.ContentLength, int64(size)))
@@ -209,19 +209,19 @@
 		}
 		return kept, nil, nil
 	}
-	return nil, &http1.Upload{Length: r.ContentLength, Kept: kept, Rest: b, Patience: patience}, nil
+	return nil, &http1.Upload{Length: r.ContentLength, Prefix: kept, Rest: b, ClientTimeout: patience}, nil
 }
 
 // end stops an Upload whose request has its answer, and says whether the client's side was at fault.
 func end(w http.ResponseWriter, up *http1.Upload) error {
 	// An attempt may wait for the client's next bytes.
 	err := http.NewResponseController(w).SetReadDeadline(time.Unix(1, 0))
-	up.End()
-	return errors.Join(err, up.Broken())
+	up.Abort()
+	return errors.Join(err, up.ReadError())
 }
 
 // pass passes on what still comes of an answer. A client can tell that it has broken off by how the connection ends.
-func (l *Large) pass(ctx context.Context, w http.ResponseWriter, resp *http1.Response) {
+func (l *LargeBodies) pass(ctx context.Context, w http.ResponseWriter, resp *http1.Response) {
 	defer resp.Discard()
 	control := http.NewResponseController(w)
 	var buf []byte
--- a/internal/downstream/http1/body_test.go
+++ b/internal/downstream/http1/body_test.go
@@ -4,7 +4,7 @@
 
 // Another process of the agent has its part of the budget, as far as it is free, and gives it back.
 func TestBudgetIsShared(t *testing.T) {
-	l := NewLarge(4 * holdLarge)
+	l := NewLargeBodies(4 * holdLarge)
 	free := func() (n int) {
 		for l.budget.TryAcquire(holdLarge) {
 			n++
@@ -16,17 +16,17 @@
 		part float64
 		want int
 	}{{1, 4}, {0.5, 2}, {0.25, 1}, {0.5, 2}, {1, 4}} {
-		if l.Share(step.part); free() != step.want {
+		if l.SetBudgetRatio(step.part); free() != step.want {
 			t.Errorf("with a part of %v there is room for %d, want %d", step.part, free(), step.want)
 		}
 	}
 	l.budget.TryAcquire(3 * holdLarge)
-	l.Share(0.5)
+	l.SetBudgetRatio(0.5)
 	if free() != 0 || l.withheld != holdLarge {
 		t.Errorf("%d withheld, though three parts of four are in use", l.withheld)
 	}
 	l.budget.Release(3 * holdLarge)
-	if l.Share(1); free() != 4 {
+	if l.SetBudgetRatio(1); free() != 4 {
 		t.Errorf("room for %d in the end", free())
 	}
 }
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(Options{Engine: engine.New(b, engine.NewClock(), nil, nil), Clock: engine.NewClock(), MostHeld: 1,
+	s := New(Options{Engine: engine.New(b, engine.NewClock(), nil, nil), Clock: engine.NewClock(), MaxInFlight: 1,
 		Rules: requesthead.Rules{Classes: classes, Tenants: []string{"glasgow-airport"}}}, connlimit.New(nil, 2, connlimit.Options{}))
 	s.held.Store(1)
 	srv := httptest.NewServer(s)
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -32,33 +32,33 @@
 	clientIdle = 2100 * time.Millisecond // an idle client connection is closed
 	maxHeader  = 16 << 10
 
-	// HeldPart is the share of the clients' connections that may have a request in flight; the rest are answered at once.
-	HeldPart = 0.8
+	// MaxInFlightRatio is the share of the clients' connections that may have a request in flight; the rest are answered at once.
+	MaxInFlightRatio = 0.8
 
 	heldRetry = time.Second // the come-back time when too much is open
 )
 
-// Options are what a Server is made of. All but MostHeld, AcceptFor, Leave, Joins and Large must be set.
+// Options are what a Server is made of. All but MaxInFlight, DrainAcceptDuration, Leave, Joins and Large must be set.
 type Options struct {
-	Rules     requesthead.Checker
-	Engine    *engine.Engine
-	Clock     engine.Clock
-	Carrier   engine.Transport // of the calls
-	MostHeld  int              // requests open at a time; 0: as many as there are connections
-	AcceptFor time.Duration    // new connections are accepted for so long after the signal to end
-	// Leave is told that the signal has come. It reports whether another process serves now and takes new connections. It
+	Rules               requesthead.Checker
+	Engine              *engine.Engine
+	Clock               engine.Clock
+	Transport           engine.Transport // of the calls
+	MaxInFlight         int              // requests open at a time; 0: as many as there are connections
+	DrainAcceptDuration time.Duration    // new connections are accepted for so long after the signal to end
+	// OnDrain is told that the signal has come. It reports whether another process serves now and takes new connections. It
 	// may be nil.
-	Leave func() bool
-	Log   *slog.Logger
-	Joins *Joins // nil: no request says what it asks, so that the engine joins none
-	Large *Large // nil: bodies have intake.MaxBody at the most, and clients are quick
+	OnDrain     func() bool
+	Log         *slog.Logger
+	Coalescing  *Coalescing  // nil: no request says what it asks, so that the engine joins none
+	LargeBodies *LargeBodies // nil: bodies have intake.MaxBody at the most, and clients are quick
 }
 
-// Joins says which requests say what they ask, so that the engine may answer like ones together.
-type Joins struct {
-	Identity *coalesce.Identity
-	Classes  atomic.Pointer[[]bool] // by number, as they are now
-	Apart    bool                   // requests of two tenants are never alike
+// Coalescing says which requests say what they ask, so that the engine may answer like ones together.
+type Coalescing struct {
+	Identity     *coalesce.Identity
+	Classes      atomic.Pointer[[]bool] // by number, as they are now
+	TenantsApart bool                   // requests of two tenants are never alike
 }
 
 // Server is the side that faces the clients.
@@ -79,9 +79,9 @@
 
 // full reports whether so many requests are open that no other one is let in.
 func (s *Server) full(open int64) bool {
-	most := int64(HeldPart * float64(s.clients.Most()))
-	if s.MostHeld > 0 {
-		most = min(most, int64(s.MostHeld))
+	most := int64(MaxInFlightRatio * float64(s.clients.Most()))
+	if s.MaxInFlight > 0 {
+		most = min(most, int64(s.MaxInFlight))
 	}
 	return open > most
 }
@@ -99,12 +99,12 @@
 	case <-ctx.Done():
 	}
 	usually, longest := waits()
-	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.AcceptFor+longest)
+	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.DrainAcceptDuration+longest)
 	defer cancel()
-	s.until.Store(int64(s.Clock.Now() + s.AcceptFor + longest - lastWord))
-	lastWords := time.AfterFunc(s.AcceptFor+longest-lastWord, func() { close(s.last) })
+	s.until.Store(int64(s.Clock.Now() + s.DrainAcceptDuration + longest - lastWord))
+	lastWords := time.AfterFunc(s.DrainAcceptDuration+longest-lastWord, func() { close(s.last) })
 	defer lastWords.Stop()
-	if !s.drain(limited, s.AcceptFor+max(0, longest-usually)) {
+	if !s.drain(limited, s.DrainAcceptDuration+max(0, longest-usually)) {
 		s.Log.Warn("drained, but some connections were still open")
 	}
 	s.clients.CloseAll()
@@ -117,7 +117,7 @@
 // httpServer returns the net/http server that s answers for.
 func (s *Server) httpServer() *http.Server {
 	head := HeaderTimeout
-	if s.Large != nil {
+	if s.LargeBodies != nil {
 		head = slowHeader
 	}
 	return &http.Server{
@@ -144,7 +144,7 @@
 	if s.closing.Load() || !s.leaving.Load() && s.clients.IsCrowded() {
 		w.Header().Set("Connection", "close")
 	}
-	if s.Large != nil {
+	if s.LargeBodies != nil {
 		if err := checkFraming(r.Context()); err != nil {
 			turnAway(w, err)
 			return
@@ -165,7 +165,7 @@
 		return
 	}
 	if until := time.Duration(s.until.Load()); until > 0 {
-		if up != nil && s.Clock.Now()+up.Patience > until { // its time begins with its last byte; nothing was sent yet
+		if up != nil && s.Clock.Now()+up.ClientTimeout > until { // its time begins with its last byte; nothing was sent yet
 			s.refuse(w, c, true)
 			return
 		}
@@ -197,8 +197,8 @@
 		case <-r.Context().Done():
 			waits.leave()
 			s.Engine.ClientLeft(c)
-			if up != nil && end(w, up) != nil && errors.Is(up.Broken(), os.ErrDeadlineExceeded) { // net/http takes that for the client's end
-				turnAway(w, badBody(up.Broken()))
+			if up != nil && end(w, up) != nil && errors.Is(up.ReadError(), os.ErrDeadlineExceeded) { // net/http takes that for the client's end
+				turnAway(w, badBody(up.ReadError()))
 				return
 			}
 			panic(http.ErrAbortHandler) // a plain return would make net/http answer 200, which no backend said
@@ -224,8 +224,8 @@
 	if up != nil && a.Kind != engine.Served {
 		broken := end(w, up)
 		w.Header().Set("Connection", "close")
-		if broken != nil && up.Broken() != nil {
-			turnAway(w, badBody(up.Broken()))
+		if broken != nil && up.ReadError() != nil {
+			turnAway(w, badBody(up.ReadError()))
 			return
 		}
 	}
@@ -234,13 +234,13 @@
 		write(w, a)
 		return
 	}
-	if s.Large == nil || resp.Length < 0 && !r.ProtoAtLeast(1, 1) { // its end could not be told from a break
+	if s.LargeBodies == nil || resp.Length < 0 && !r.ProtoAtLeast(1, 1) { // its end could not be told from a break
 		resp.Discard()
 		write(w, engine.Answer{Kind: engine.Failed})
 		return
 	}
 	write(w, a)
-	s.Large.pass(r.Context(), w, resp)
+	s.LargeBodies.pass(r.Context(), w, resp)
 }
 
 // turnAway answers bad input. It closes the connection, as what comes behind may be a part of it.
@@ -276,7 +276,7 @@
 	} else {
 		h["Content-Type"] = nil // do not guess
 	}
-	for _, header := range requesthead.ComeBack(a) {
+	for _, header := range requesthead.RetryAfterHeaders(a) {
 		h.Set(header[0], header[1])
 	}
 	besteffort.Ignore(http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)))
@@ -290,17 +290,17 @@
 	release func(), err error) {
 	release = func() {}
 	h := requesthead.Head{Method: r.Method, Path: r.URL.Path, Header: r.Header, ContentLength: r.ContentLength, Chunked: len(r.TransferEncoding) > 0}
-	if s.Large != nil {
-		h.MostBody, h.Forms = http1.MostLarge, true
+	if s.LargeBodies != nil {
+		h.MaxBody, h.AllowsChunkedAndHead = http1.MaxLargeBody, true
 	}
 	var timeout time.Duration
 	if c, timeout, err = s.Rules.Check(h, began); err != nil {
 		return nil, nil, release, err
 	}
 	var body []byte
-	if s.Large != nil {
+	if s.LargeBodies != nil {
 		connlimit.MarkInUse(r.Context()) // as long as it keeps its pace
-		if body, up, release, err = s.Large.take(w, r, timeout); err == nil {
+		if body, up, release, err = s.LargeBodies.take(w, r, timeout); err == nil {
 			c.Deadline += s.Clock.Now() - began // a request's time counts from its last byte
 		}
 	} else {
@@ -309,13 +309,13 @@
 	if err != nil {
 		return c, nil, release, err
 	}
-	c.Transport = s.Carrier
+	c.Transport = s.Transport
 	if up != nil { // it has its real deadline when its last byte has been sent on
 		c.Upload, c.Deadline = up, s.Clock.Now()+slowest(r.ContentLength)+timeout
 	}
-	c.Payload = &http1.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: requesthead.Forwarded(r.Header), Body: body, Upload: up}
+	c.Payload = &http1.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: requesthead.ForwardedHeaders(r.Header), Body: body, Upload: up}
 	if up == nil {
-		c.CoalesceDigest = s.Joins.like(c, r, body)
+		c.CoalesceDigest = s.Coalescing.like(c, r, body)
 	}
 	return c, up, release, nil
 }
@@ -323,26 +323,26 @@
 // slowest is the time that a body takes to come at the least pace.
 func slowest(length int64) time.Duration {
 	if length < 0 {
-		length = http1.MostLarge
+		length = http1.MaxLargeBody
 	}
 	return paceFrom + time.Duration(float64(length)/leastPace*float64(time.Second))
 }
 
 // like is what a request asks, or nil of one that is not to be joined. All counts that goes on to a backend but for who
 // asks. A client that wants an answer made for itself gets it (RFC 9111, sections 5.2.1.4 and 5.2.1.5).
-func (j *Joins) like(c *engine.Call, r *http.Request, body []byte) *coalesce.Digest {
+func (j *Coalescing) like(c *engine.Call, r *http.Request, body []byte) *coalesce.Digest {
 	if j == nil {
 		return nil
 	}
-	if joined := *j.Classes.Load(); c.Class >= len(joined) || !joined[c.Class] || requesthead.Directs(r.Header, "no-cache", "no-store") {
+	if joined := *j.Classes.Load(); c.Class >= len(joined) || !joined[c.Class] || requesthead.HasCacheDirective(r.Header, "no-cache", "no-store") {
 		return nil
 	}
 	tenant := ""
-	if j.Apart {
+	if j.TenantsApart {
 		tenant = strconv.Itoa(c.Tenant)
 	}
 	parts := []string{r.Method, r.Host, r.URL.RequestURI(), tenant, string(body)}
-	d := j.Identity.Of(append(parts, requesthead.Asked(r.Header)...)...)
+	d := j.Identity.Of(append(parts, requesthead.IdentityHeaders(r.Header)...)...)
 	return &d
 }
 
@@ -381,14 +381,14 @@
 // look is how often a drain looks whether anybody is connected.
 const look = 10 * time.Millisecond
 
-// lameDuck goes on taking requests, for AcceptFor in any case and no longer than anybody is connected. At the end answers close
+// lameDuck goes on taking requests, for DrainAcceptDuration in any case and no longer than anybody is connected. At the end answers close
 // their connections.
 func (s *Server) lameDuck(ctx context.Context, wait time.Duration) {
 	began := s.Clock.Now()
 	s.await(ctx, func() bool {
 		gone := s.Clock.Now() - began
 		s.closing.Store(s.closing.Load() || gone >= wait-lastAnswers)
-		return gone >= wait || gone >= s.AcceptFor && s.clients.OpenCount() == 0
+		return gone >= wait || gone >= s.DrainAcceptDuration && s.clients.OpenCount() == 0
 	})
 }
 
@@ -412,7 +412,7 @@
 // nothing: what connects goes there, and what is idle may bring one more request. It reports whether nobody is connected any more.
 func (s *Server) drain(ctx context.Context, wait time.Duration) bool {
 	s.leaving.Store(true)
-	succeeded := s.Leave != nil && s.Leave()
+	succeeded := s.OnDrain != nil && s.OnDrain()
 	s.Log.Info("draining", "succeeded", succeeded)
 	if succeeded {
 		wait = keepFor
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -25,7 +25,7 @@
 	}
 	core := engine.New(b, engine.NewClock(), nil, nil)
 	s := New(Options{Engine: core, Rules: requesthead.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}},
-		Clock: engine.NewClock(), MostHeld: 1}, connlimit.New(nil, 2, connlimit.Options{}))
+		Clock: engine.NewClock(), MaxInFlight: 1}, connlimit.New(nil, 2, connlimit.Options{}))
 	s.held.Store(1)
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "/form-check", nil)
--- a/internal/downstream/requesthead/intake.go
+++ b/internal/downstream/requesthead/intake.go
@@ -35,11 +35,11 @@
 	deadlineMargin = 20 * time.Millisecond // before the client's deadline a request is ended, so that its answer is out in time
 )
 
-// Read are the headers that Check reads.
-var Read = []string{RequestIDHeader, KeyHeader, TimeoutHeader, tenantHeader, routeKeyHeader, retriedHeader}
+// CheckedHeaders are the headers that Check reads.
+var CheckedHeaders = []string{RequestIDHeader, KeyHeader, TimeoutHeader, tenantHeader, routeKeyHeader, retriedHeader}
 
-// Routable are the headers by which a configuration may route. Every front hands them over.
-var Routable = []string{"X-Attrs", "X-Cost", routeKeyHeader}
+// RoutingHeaders are the headers by which a configuration may route. Every front hands them over.
+var RoutingHeaders = []string{"X-Attrs", "X-Cost", routeKeyHeader}
 
 // passedOn are the headers that go on to a backend. All others concern the agent or nobody: what a client puts in them
 // must not change how a backend reads the message.
@@ -59,15 +59,15 @@
 
 // Rules are what requests are checked against. They are not changed: settings that change make others.
 type Rules struct {
-	Classes  []balancer.Class
-	Tenants  []string // names, in the order of the module's numbers; empty where there are none
-	Attempts int      // that a request may have; 0: as many as the module says
-	Number   int      // of the settings that they follow from
+	Classes     []balancer.Class
+	Tenants     []string // names, in the order of the module's numbers; empty where there are none
+	MaxAttempts int      // that a request may have; 0: as many as the module says
+	Version     int      // of the settings that they follow from
 
-	// Before are those that they replaced. Until that time a request whose form fits what its class was then alone is taken
+	// Previous are those that they replaced. Until that time a request whose form fits what its class was then alone is taken
 	// under them, and none has more attempts than either allows.
-	Before      *Rules
-	BeforeUntil time.Duration
+	Previous      *Rules
+	PreviousUntil time.Duration
 }
 
 // Checker checks requests.
@@ -75,20 +75,20 @@
 	Check(h Head, began time.Duration) (*engine.Call, time.Duration, error)
 }
 
-// InForce are rules that may be replaced while requests come. It is safe for concurrent use.
-type InForce struct{ rules atomic.Pointer[Rules] }
+// ActiveRules are rules that may be replaced while requests come. It is safe for concurrent use.
+type ActiveRules struct{ rules atomic.Pointer[Rules] }
 
-// Put puts rules in force.
-func (f *InForce) Put(r Rules) { f.rules.Store(&r) }
+// Replace puts rules in force.
+func (f *ActiveRules) Replace(r Rules) { f.rules.Store(&r) }
 
 // Check checks a request against the rules in force.
-func (f *InForce) Check(h Head, began time.Duration) (*engine.Call, time.Duration, error) {
+func (f *ActiveRules) Check(h Head, began time.Duration) (*engine.Call, time.Duration, error) {
 	return f.rules.Load().Check(h, began)
 }
 
-// Longest is how long any client waits, under these rules or those before.
-func (f *InForce) Longest() (longest time.Duration) {
-	for r := f.rules.Load(); r != nil; r = r.Before {
+// MaxDeadline is how long any client waits, under these rules or those before.
+func (f *ActiveRules) MaxDeadline() (longest time.Duration) {
+	for r := f.rules.Load(); r != nil; r = r.Previous {
 		for _, c := range r.Classes {
 			if !c.Retired {
 				longest = max(longest, c.Deadline)
@@ -98,8 +98,8 @@
 	return longest
 }
 
-// Aim is within what time any client wants its answer.
-func (f *InForce) Aim() (aim time.Duration) {
+// LatencyObjective is within what time any client wants its answer.
+func (f *ActiveRules) LatencyObjective() (aim time.Duration) {
 	for _, c := range f.rules.Load().Classes {
 		if !c.Retired {
 			aim = max(aim, c.LatencyObjective)
@@ -116,19 +116,19 @@
 	Chunked       bool  // it has a transfer encoding
 
 	// Of fronts that check the framing themselves:
-	MostBody int64 // the longest body that is taken; 0: MaxBody
-	Forms    bool  // chunked bodies, and HEAD of what may be repeated at will, are taken as well
+	MaxBody              int64 // the longest body that is taken; 0: MaxBody
+	AllowsChunkedAndHead bool  // chunked bodies, and HEAD of what may be repeated at will, are taken as well
 }
 
 // Check checks a request that began at that time on the engine's clock. It returns the call, without payload, carrier
 // and caller, and how long the client waits. An error is a BadRequestError.
 func (rules Rules) Check(h Head, began time.Duration) (*engine.Call, time.Duration, error) {
-	if rules.Before == nil || began >= rules.BeforeUntil {
+	if rules.Previous == nil || began >= rules.PreviousUntil {
 		return rules.check(h, began)
 	}
-	attempts := min(rules.Attempts, rules.Before.Attempts)
-	under, other := &rules, rules.Before
-	if !rules.fits(h) && rules.Before.fits(h) {
+	attempts := min(rules.MaxAttempts, rules.Previous.MaxAttempts)
+	under, other := &rules, rules.Previous
+	if !rules.fits(h) && rules.Previous.fits(h) {
 		under, other = other, under
 	}
 	c, timeout, err := under.check(h, began)
@@ -187,7 +187,7 @@
 	c := &engine.Call{ID: h.Header.Get(RequestIDHeader), Class: index, Tenant: tenant, Key: h.Header.Get(routeKeyHeader),
 		Deadline: began + timeout - min(deadlineMargin, timeout/4), ClientRetry: h.Header.Get(retriedHeader) == "1",
 		Effect: class.Effect, IdempotencyKey: h.Header.Get(KeyHeader), Path: h.Path, Header: h.Header,
-		SettingsVersion: rules.Number, MaxAttempts: rules.Attempts}
+		SettingsVersion: rules.Version, MaxAttempts: rules.MaxAttempts}
 	if class.Effect == balancer.IdempotentByKey {
 		c.IdempotencyWindow = class.DedupWindow
 	}
@@ -198,15 +198,15 @@
 func checkForm(h Head, class balancer.Class) error {
 	// Beside a length, chunks may hide a second request in what the length makes the body. net/http drops such a length
 	// unseen, so that chunks can't be had at all; clients always send a length.
-	if h.Chunked && !h.Forms {
+	if h.Chunked && !h.AllowsChunkedAndHead {
 		return BadRequestError{http.StatusLengthRequired, "only a body with a Content-Length is taken"}
 	}
-	if h.ContentLength > max(h.MostBody, MaxBody) {
-		return BadRequestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d KiB", max(h.MostBody, MaxBody)>>10)}
+	if h.ContentLength > max(h.MaxBody, MaxBody) {
+		return BadRequestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d KiB", max(h.MaxBody, MaxBody)>>10)}
 	}
 	want := http.MethodPost
 	switch {
-	case class.Effect == balancer.Idempotent && h.Forms && h.Method == http.MethodHead:
+	case class.Effect == balancer.Idempotent && h.AllowsChunkedAndHead && h.Method == http.MethodHead:
 		want = http.MethodHead
 	case class.Effect == balancer.Idempotent:
 		want = http.MethodGet
@@ -253,8 +253,8 @@
 	return time.Duration(min(x*float64(unit), float64(most))), nil
 }
 
-// Forwarded returns the headers that go on to a backend.
-func Forwarded(h http.Header) http.Header {
+// ForwardedHeaders returns the headers that go on to a backend.
+func ForwardedHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(passedOn)+1)
 	for _, name := range passedOn {
 		name = http.CanonicalHeaderKey(name)
@@ -265,10 +265,10 @@
 	return out
 }
 
-// ComeBack are the headers by which a client is told when to come back, as names and values: Retry-After (RFC 9110, section
+// RetryAfterHeaders are the headers by which a client is told when to come back, as names and values: Retry-After (RFC 9110, section
 // 10.2.3; decimal, as the platform has it), and where a limit turned it away RateLimit and RateLimit-Policy
 // (draft-ietf-httpapi-ratelimit-headers-10).
-func ComeBack(a engine.Answer) (headers [][2]string) {
+func RetryAfterHeaders(a engine.Answer) (headers [][2]string) {
 	if a.RetryAfter > 0 {
 		headers = append(headers, [2]string{"Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64)})
 	}
@@ -279,9 +279,9 @@
 	return headers
 }
 
-// Asked lists what of a request's headers a backend's answer may hang on, without who asks: each name that goes on, how many
+// IdentityHeaders lists what of a request's headers a backend's answer may hang on, without who asks: each name that goes on, how many
 // values it has, and these.
-func Asked(h http.Header) (parts []string) {
+func IdentityHeaders(h http.Header) (parts []string) {
 	for _, name := range passedOn {
 		if values := h[http.CanonicalHeaderKey(name)]; len(values) > 0 && !slices.Contains(ofTheAsking, name) {
 			parts = append(parts, name, strconv.Itoa(len(values)))
@@ -291,9 +291,9 @@
 	return parts
 }
 
-// Directs reports whether Cache-Control has one of the directives (RFC 9111, section 5.2), which are named in lower case.
+// HasCacheDirective reports whether Cache-Control has one of the directives (RFC 9111, section 5.2), which are named in lower case.
 // One that stands in quotes counts as well.
-func Directs(h http.Header, directives ...string) bool {
+func HasCacheDirective(h http.Header, directives ...string) bool {
 	for _, value := range h["Cache-Control"] {
 		for part := range strings.SplitSeq(value, ",") {
 			name, _, _ := strings.Cut(part, "=")
@@ -305,9 +305,9 @@
 	return false
 }
 
-// VariesByAsking reports whether an answer's Vary (RFC 9110, section 12.5.5) says that it hangs on who asks, or on nobody
+// VariesByRequester reports whether an answer's Vary (RFC 9110, section 12.5.5) says that it hangs on who asks, or on nobody
 // knows what.
-func VariesByAsking(h http.Header) bool {
+func VariesByRequester(h http.Header) bool {
 	for _, value := range h["Vary"] {
 		for name := range strings.SplitSeq(value, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -135,7 +135,7 @@
 		took := now - c.began
 		t.counts.Latencies[c.Class].Count++
 		t.counts.Latencies[c.Class].Sum += took
-		t.windows[c.Class].Add(now, took)
+		t.windows[c.Class].Record(now, took)
 	}
 }
 
--- a/internal/latency/window.go
+++ b/internal/latency/window.go
@@ -35,8 +35,8 @@
 
 func (w *Window) histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, w.most, digits) }
 
-// Add notes that something took so long, at that time.
-func (w *Window) Add(now, took time.Duration) {
+// Record notes that something took so long, at that time.
+func (w *Window) Record(now, took time.Duration) {
 	if now-w.began >= w.turn || w.full > 0 && w.fresh.TotalCount() >= w.full {
 		w.fresh, w.past, w.began = w.past, w.fresh, now
 		w.fresh.Reset()
--- a/internal/latency/window_test.go
+++ b/internal/latency/window_test.go
@@ -23,7 +23,7 @@
 			if now-began >= turn {
 				fresh, past, began = nil, fresh, now
 			}
-			w.Add(now, took)
+			w.Record(now, took)
 			fresh = append(fresh, min(max(took, unit), most))
 		}
 		all := slices.Sorted(slices.Values(slices.Concat(fresh, past)))
@@ -39,7 +39,7 @@
 	})
 	w := New(time.Second, time.Hour, 100)
 	for range 250 {
-		w.Add(time.Second, time.Millisecond)
+		w.Record(time.Second, time.Millisecond)
 	}
 	if n := w.Count(); n > 200 || n < 100 {
 		t.Errorf("%d times are kept of a window that is full with 100", n)
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -18,19 +18,19 @@
 )
 
 // goldenFleet sets every field of a view of the fleet.
-var goldenFleet = Fleet{
+var goldenFleet = FleetView{
 	Agent: "n0",
-	Recovery: &Recovery{Phase: "returning", Why: "a loss of power", ForS: 1.5, LetIn: 2.5, Warm: 0.375, Servers: 4, Answered: 5, Trials: 6, InVain: 7,
-		Refused: map[string]uint64{"form-check": 8, "refund-record": 9}, Trusted: "names", Keeping: "written 10ms ago"},
-	Peers: &Peers{Self: 11, Alive: 12, States: []string{"alive", "suspect", "dead"}, Sent: 13, Bytes: 14, Taken: 15,
-		Dropped: map[string]uint64{"forged": 16, "stale": 17}, HeldOut: []string{"s-18"}, Claims: 19, Bounded: 20, Refuted: 21, Suspects: 22},
-	Overload: &Overload{Trust: 0.23, HeardOf: 24, Capacity: 25.5, Use: 0.26, Limit: 27.5, Asked: 28.5, LetIn: 29.5, Open: 30.5, Good: 31.5, Late: 32.5,
-		Further: 33.5, Refused: 0.34, Classes: map[string]OverloadClass{"form-check": {Asked: 35.5, Again: 36.5, Chance: 0.37, Refused: 38, RefusedAgain: 39}},
-		HeldOut: []string{"s-40"}, Alone: 41, TooLate: 42, Unsent: 43, Told: 44, Heard: 45, Bounded: 46, Malformed: 47},
+	Recovery: &Recovery{Phase: "returning", Why: "a loss of power", DurationS: 1.5, AdmittedRate: 2.5, WarmRatio: 0.375, Servers: 4, Answered: 5, Trials: 6, FailedTrials: 7,
+		Rejected: map[string]uint64{"form-check": 8, "refund-record": 9}, Trust: "names", Persistence: "written 10ms ago"},
+	Peers: &Peers{Self: 11, Alive: 12, States: []string{"alive", "suspect", "dead"}, Sent: 13, Bytes: 14, Received: 15,
+		Dropped: map[string]uint64{"forged": 16, "stale": 17}, ExcludedServers: []string{"s-18"}, Claims: 19, ClaimsOutOfBounds: 20, SuspectedBy: 21, Suspecting: 22},
+	Overload: &Overload{Trust: 0.23, KnownAgents: 24, Capacity: 25.5, Utilization: 0.26, Limit: 27.5, OfferedRate: 28.5, AdmittedRate: 29.5, InFlight: 30.5, ServedInTimeRate: 31.5, LateOrFailedRate: 32.5,
+		RetryRate: 33.5, RejectedRatio: 0.34, Classes: map[string]OverloadClass{"form-check": {FirstAttemptRate: 35.5, RetryRate: 36.5, AdmissionProbability: 0.37, Rejected: 38, RejectedRetries: 39}},
+		ExcludedServers: []string{"s-40"}, DecidedAlone: 41, RejectedTooLate: 42, SuppressedRetries: 43, DigestsSent: 44, DigestsReceived: 45, ClaimsOutOfBounds: 46, Malformed: 47},
 }
 
 // answers calls a server and writes what it answers.
-func answers(f *fake, fleet func(context.Context) (Fleet, error), lines ...string) string {
+func answers(f *fake, fleet func(context.Context) (FleetView, error), lines ...string) string {
 	h := (&Server{Agent: f, Fleet: fleet, Log: slog.New(slog.DiscardHandler)}).Handler()
 	var b strings.Builder
 	for _, line := range lines {
@@ -47,17 +47,17 @@
 // The view of the fleet has the committed bytes, and these are read as the same view. A part that there is none of is left out.
 func TestGoldenFleet(t *testing.T) {
 	f := newFake()
-	for name, fleet := range map[string]Fleet{"fleet": goldenFleet, "fleet-bare": {Agent: "n0"},
+	for name, fleet := range map[string]FleetView{"fleet": goldenFleet, "fleet-bare": {Agent: "n0"},
 		"fleet-empty": {Agent: "n0", Recovery: &Recovery{}, Peers: &Peers{}, Overload: &Overload{}}} {
 		w := httptest.NewRecorder()
-		s := &Server{Agent: f, Fleet: func(context.Context) (Fleet, error) { return fleet, nil }, Log: slog.New(slog.DiscardHandler)}
+		s := &Server{Agent: f, Fleet: func(context.Context) (FleetView, error) { return fleet, nil }, Log: slog.New(slog.DiscardHandler)}
 		s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/ops/fleet", nil))
 		golden.Equal(t, "operator/"+name+".json", w.Body.Bytes())
 		if got := w.Header().Get("Content-Type"); w.Code != 200 || got != "application/json" {
 			t.Errorf("%d, %s", w.Code, got)
 		}
 	}
-	var got Fleet
+	var got FleetView
 	if err := fleetconfig.Strict(bytes.NewReader(golden.Read(t, "operator/fleet.json")), &got); err != nil || !reflect.DeepEqual(got, goldenFleet) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
@@ -70,6 +70,6 @@
 	f := newFake()
 	text := answers(f, nil, calls...)
 	f.ready, f.err = false, errors.New("the agent is ending")
-	text += answers(f, func(context.Context) (Fleet, error) { return Fleet{}, f.err }, calls...)
+	text += answers(f, func(context.Context) (FleetView, error) { return FleetView{}, f.err }, calls...)
 	golden.Equal(t, "operator/calls.txt", []byte(text))
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -37,23 +37,23 @@
 type Agent interface {
 	// Ready reports whether this process is ready to serve.
 	Ready() bool
-	// Figures returns what it has counted, and the state of its list.
-	Figures(ctx context.Context) (Figures, error)
-	// Hold holds a server out, or takes it back, and returns when that is in force.
-	Hold(ctx context.Context, server string, out bool) error
+	// Stats returns what it has counted, and the state of its list.
+	Stats(ctx context.Context) (Stats, error)
+	// SetDenied holds a server out, or takes it back, and returns when that is in force.
+	SetDenied(ctx context.Context, server string, out bool) error
 }
 
-// Figures are what operators read.
-type Figures struct {
-	Tally                 engine.Counters
-	Fleet                 engine.EndpointCounts
+// Stats are what operators read.
+type Stats struct {
+	Counters              engine.Counters
+	Endpoints             engine.EndpointCounts
 	Reloads, ReloadErrors uint64 // configurations taken and turned down
 }
 
 // Server answers the calls.
 type Server struct {
 	Agent Agent
-	Fleet func(context.Context) (Fleet, error) // nil: the agent has no view of one, and there is no such call
+	Fleet func(context.Context) (FleetView, error) // nil: the agent has no view of one, and there is no such call
 	Log   *slog.Logger
 }
 
@@ -109,7 +109,7 @@
 }
 
 func (s *Server) stats(w http.ResponseWriter, r *http.Request) {
-	f, err := s.Agent.Figures(r.Context())
+	f, err := s.Agent.Stats(r.Context())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -130,7 +130,7 @@
 			http.Error(w, "the id of a server is missing or too long", http.StatusBadRequest)
 			return
 		}
-		err := s.Agent.Hold(r.Context(), id, out)
+		err := s.Agent.SetDenied(r.Context(), id, out)
 		switch {
 		case errors.Is(err, denylist.ErrUnknown):
 			http.Error(w, err.Error(), http.StatusNotFound)
@@ -156,19 +156,19 @@
 }
 
 // String writes the figures, a line each.
-func (f Figures) String() string {
+func (f Stats) String() string {
 	var b strings.Builder
-	for class, name := range f.Tally.Classes {
+	for class, name := range f.Counters.Classes {
 		for _, o := range outcomes {
 			var n uint64
 			for _, kind := range o.kinds {
-				n += f.Tally.Answers[class][kind]
+				n += f.Counters.Answers[class][kind]
 			}
 			fmt.Fprintf(&b, "svc.downstream_requests.%s.%s=%d\n", name, o.name, n)
 		}
 	}
 	fmt.Fprintf(&b, "svc.upstream_requests=%d\nsvc.pending=%d\nsvc.members=%d\nsvc.members_unavailable=%d\n"+
-		"svc.config_reloads=%d\nsvc.config_reload_errors=%d\n", f.Tally.Written, f.Tally.Open, f.Fleet.Listed, f.Fleet.Avoided,
+		"svc.config_reloads=%d\nsvc.config_reload_errors=%d\n", f.Counters.Written, f.Counters.Open, f.Endpoints.Listed, f.Endpoints.Avoided,
 		f.Reloads, f.ReloadErrors)
 	return b.String()
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -34,11 +34,11 @@
 }
 
 func (f *fake) Ready() bool { return f.ready }
-func (f *fake) Figures(context.Context) (Figures, error) {
-	return Figures{Tally: engine.Counters{Classes: []string{"form-check"}, Answers: [][4]uint64{{812, 3, 2, 1}}, Written: 900, Open: 14},
-		Fleet: engine.EndpointCounts{Listed: 12, Avoided: 1}, Reloads: 4, ReloadErrors: 2}, f.err
+func (f *fake) Stats(context.Context) (Stats, error) {
+	return Stats{Counters: engine.Counters{Classes: []string{"form-check"}, Answers: [][4]uint64{{812, 3, 2, 1}}, Written: 900, Open: 14},
+		Endpoints: engine.EndpointCounts{Listed: 12, Avoided: 1}, Reloads: 4, ReloadErrors: 2}, f.err
 }
-func (f *fake) Hold(_ context.Context, server string, out bool) error {
+func (f *fake) SetDenied(_ context.Context, server string, out bool) error {
 	switch {
 	case f.err != nil:
 		return f.err
--- a/internal/platformconfig/terms.go
+++ b/internal/platformconfig/terms.go
@@ -35,8 +35,8 @@
 
 // New returns the settings that an agent starts with, which are generation 0.
 func New(site simwire.Site) *Terms {
-	return &Terms{present: site, rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants,
-		Attempts: site.Logic.MaxAttempts}}
+	return &Terms{present: site, rules: requesthead.Rules{Classes: site.Balancer.Classes, Tenants: site.Tenants,
+		MaxAttempts: site.Balancer.MaxAttempts}}
 }
 
 // Rules are what requests are checked against.
@@ -45,21 +45,21 @@
 // Change puts other settings in force from now on. It returns what the module is to be told, and the names of what has changed
 // that takes effect at the next start only. After an error all is as it was.
 func (t *Terms) Change(now time.Duration, site simwire.Site) (tell balancer.ClassUpdate, later []string, err error) {
-	if err := site.Logic.Validate(); err != nil {
+	if err := site.Balancer.Validate(); err != nil {
 		return tell, nil, err
 	}
-	classes, err := t.numbered(site.Logic.Classes)
+	classes, err := t.numbered(site.Balancer.Classes)
 	if err != nil {
 		return tell, nil, err
 	}
 	before := t.rules
-	before.Before = nil
-	t.rules = requesthead.Rules{Classes: classes, Tenants: t.rules.Tenants, Attempts: site.Logic.MaxAttempts, Number: before.Number + 1,
-		Before: &before, BeforeUntil: now + grace}
+	before.Previous = nil
+	t.rules = requesthead.Rules{Classes: classes, Tenants: t.rules.Tenants, MaxAttempts: site.Balancer.MaxAttempts, Version: before.Version + 1,
+		Previous: &before, PreviousUntil: now + grace}
 	later = t.present.Differs(site)
-	t.present.Logic.Classes, t.present.Logic.MaxAttempts = site.Logic.Classes, site.Logic.MaxAttempts
-	t.present.Logic.AllowHedging = site.Logic.AllowHedging
-	return balancer.ClassUpdate{Classes: classes, MaxAttempts: site.Logic.MaxAttempts, AllowHedging: site.Logic.AllowHedging}, later, nil
+	t.present.Balancer.Classes, t.present.Balancer.MaxAttempts = site.Balancer.Classes, site.Balancer.MaxAttempts
+	t.present.Balancer.AllowHedging = site.Balancer.AllowHedging
+	return balancer.ClassUpdate{Classes: classes, MaxAttempts: site.Balancer.MaxAttempts, AllowHedging: site.Balancer.AllowHedging}, later, nil
 }
 
 // numbered are the classes by the numbers that their names have. Those that are no more are there as dropped.
--- a/internal/platformconfig/terms_test.go
+++ b/internal/platformconfig/terms_test.go
@@ -26,9 +26,9 @@
 
 // site has classes such as "a:r b:k".
 func site(attempts int, classes string) simwire.Site {
-	s := simwire.Site{Logic: balancer.Settings{Balancers: 1, MaxAttempts: attempts}}
+	s := simwire.Site{Balancer: balancer.Settings{Balancers: 1, MaxAttempts: attempts}}
 	for f := range strings.FieldsSeq(classes) {
-		s.Logic.Classes = append(s.Logic.Classes, class(f[:len(f)-2], f[len(f)-1]))
+		s.Balancer.Classes = append(s.Balancer.Classes, class(f[:len(f)-2], f[len(f)-1]))
 	}
 	return s
 }
@@ -92,14 +92,14 @@
 		many += fmt.Sprintf(" n%d:r", i)
 	}
 	broken := site(5, "a:r b:r")
-	broken.Logic.Classes[1].Deadline = -5
+	broken.Balancer.Classes[1].Deadline = -5
 	for name, s := range map[string]simwire.Site{"no attempts": site(0, "a:r"), "a class twice": site(5, "a:r a:k"), "no class": site(5, ""),
 		"too many classes": site(5, many), "a deadline below 0": broken} {
 		if _, _, err := terms.Change(time.Second, s); err == nil {
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if r := terms.Rules(); r.Number != 0 || len(r.Classes) != 1 {
+	if r := terms.Rules(); r.Version != 0 || len(r.Classes) != 1 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -107,7 +107,7 @@
 func TestWhatWaitsForTheNextStartIsNamed(t *testing.T) {
 	terms := New(site(5, "a:r"))
 	other := site(2, "b:k")
-	other.Tenants, other.Logic.SlowStartInitialRatio = []string{"x"}, 0.5
+	other.Tenants, other.Balancer.SlowStartInitialRatio = []string{"x"}, 0.5
 	if _, later, err := terms.Change(time.Second, other); err != nil || fmt.Sprint(later) != "[the module's tenants]" {
 		t.Errorf("%v, %v", later, err)
 	}
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -20,11 +20,11 @@
 
 // The kinds of messages.
 const (
-	Turn     Kind = iota // a batch begins at Now
-	YourTurn             // a batch ends; the reply is due
-	Launch               // an instance begins, with Settings and Seed
-	Killed               // an instance is gone
-	Event                // an instance has an event
+	BatchStart      Kind = iota // a batch begins at Now
+	BatchEnd                    // a batch ends; the reply is due
+	InstanceStarted             // an instance begins, with Settings and Seed
+	InstanceKilled              // an instance is gone
+	InstanceEvent               // an instance has an event
 )
 
 // Message is one decoded line.
@@ -122,13 +122,13 @@
 			return m, false, errors.New("a Turn inside a Turn: YourTurn is missing")
 		}
 		d.inTurn = true
-		return Message{Kind: Turn, Now: d.time(v, "WallNs")}, false, d.bad
+		return Message{Kind: BatchStart, Now: d.time(v, "WallNs")}, false, d.bad
 	case "YourTurn":
 		if !d.inTurn {
 			return m, false, errors.New("YourTurn without a Turn")
 		}
 		d.inTurn = false
-		return Message{Kind: YourTurn}, false, nil
+		return Message{Kind: BatchEnd}, false, nil
 	}
 	if !d.inTurn {
 		return m, false, fmt.Errorf("%q outside a Turn", kind)
@@ -140,19 +140,19 @@
 	m.Instance = d.name(v, "I")
 	switch string(kind) {
 	case "Launch":
-		m.Kind, m.Seed = Launch, d.uint(v, "Seed")
+		m.Kind, m.Seed = InstanceStarted, d.uint(v, "Seed")
 		m.Settings = d.launch(m.Instance, v.Get("BootInfo"))
 		return m, false, d.bad
 	case "Killed":
-		m.Kind = Killed
+		m.Kind = InstanceKilled
 	default:
-		m.Kind = Event
+		m.Kind = InstanceEvent
 	}
 	fields, ok := d.instances[m.Instance]
 	if !ok {
 		return m, false, fmt.Errorf("instance %q was never launched", m.Instance)
 	}
-	if m.Kind == Event {
+	if m.Kind == InstanceEvent {
 		m.Event = d.event(string(kind), v, fields)
 	} else {
 		delete(d.instances, m.Instance)
@@ -354,5 +354,5 @@
 		d.fault("BootInfo: %v", err)
 	}
 	d.instances[instance] = site.ReportFields
-	return site.Logic
+	return site.Balancer
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -15,7 +15,7 @@
 // goldenSite is what the committed settings say; no field is zero.
 func goldenSite() Site {
 	return Site{
-		Logic: balancer.Settings{
+		Balancer: balancer.Settings{
 			Balancers: 3, Index: 2, Tick: 4000001,
 			Classes: []balancer.Class{
 				{Name: "first", Effect: balancer.Idempotent, DedupScope: balancer.DedupFleet, DedupWindow: 1500000003, LatencyObjective: 600000001, Deadline: 1200000002, Priority: 1.25},
@@ -27,7 +27,7 @@
 			OverQuotaPriorityRatio: 0.35, WarmingOverloadRatio: 1.45,
 		},
 		ReportFields: []string{"util", "qps", "eps", "inflight", "queue"}, Tenants: []string{"glasgow-airport", "lerwick-port"},
-		Zones: []string{"edinburgh-dc", "lerwick-dc"}, ConnectTimeout: 5000000011, ConnIdle: 15000000012, MostHeld: 1013,
+		Zones: []string{"edinburgh-dc", "lerwick-dc"}, ConnectTimeout: 5000000011, ConnectionIdleTimeout: 15000000012, MaxInFlight: 1013,
 		MaxRetryAfter: 1000000010,
 	}
 }
@@ -42,8 +42,8 @@
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	rough, err := DecodeSettings(bytes.Replace(text, []byte(`"nominal"`), []byte(`"rough"`), 1))
-	if err != nil || !rough.Logic.UseListWeights {
-		t.Errorf("rough weights: %v, %v", rough.Logic.UseListWeights, err)
+	if err != nil || !rough.Balancer.UseListWeights {
+		t.Errorf("rough weights: %v, %v", rough.Balancer.UseListWeights, err)
 	}
 }
 
@@ -52,10 +52,10 @@
 	list := []balancer.Server{first, {ID: "10.0.0.2:2", State: balancer.Draining, Zone: 3, Cell: 4, Weight: 2.5, Started: 7},
 		{ID: "10.0.0.3:3", State: balancer.Removed, Zone: 5, Cell: 6, Weight: 3.5, Started: 8}}
 	removed := []balancer.Server{{ID: "10.0.0.1:1", State: balancer.Removed, Zone: 1, Cell: 2, Weight: 1.25, Started: 9}}
-	event := func(e balancer.Event) Message { return Message{Kind: Event, Instance: "agent_1", Event: e} }
+	event := func(e balancer.Event) Message { return Message{Kind: InstanceEvent, Instance: "agent_1", Event: e} }
 	want := []Message{
-		{Kind: Turn, Now: 5000000001},
-		{Kind: Launch, Instance: "agent_1", Settings: goldenSite().Logic, Seed: 1<<63 - 1},
+		{Kind: BatchStart, Now: 5000000001},
+		{Kind: InstanceStarted, Instance: "agent_1", Settings: goldenSite().Balancer, Seed: 1<<63 - 1},
 		event(balancer.ServerList{Full: true, Servers: list}),
 		event(balancer.ServerList{Servers: removed}),
 		event(balancer.ServerList{Full: true, Servers: list}),
@@ -74,8 +74,8 @@
 			Report: balancer.Report{Utilization: 0.25, ServedRate: 70, ErrorRate: 2, InFlight: 6.5, QueueLength: 7.5}}),
 		event(balancer.PeerMessage{From: 2, Data: []byte("hi")}),
 		event(balancer.TimerFired{Token: 1 << 63}),
-		Message{Kind: Killed, Instance: "agent_1"},
-		Message{Kind: YourTurn})
+		Message{Kind: InstanceKilled, Instance: "agent_1"},
+		Message{Kind: BatchEnd})
 	d := NewDecoder(bytes.NewReader(golden.Read(t, "wire/messages.jsonl")))
 	for i, w := range want {
 		got, err := d.Next()
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -12,14 +12,14 @@
 
 // Site is what the settings of an instance tell of its deployment, to the module and to the agent round it.
 type Site struct {
-	Logic          balancer.Settings
-	ReportFields   []string      // the figures of a load report, in order
-	Tenants        []string      // names, in the order of the module's numbers
-	Zones          []string      // the same
-	ConnectTimeout time.Duration // a connection that is not up by then has failed
-	ConnIdle       time.Duration // servers close connections that stand idle for so long
-	MostHeld       int           // requests that may be open at a time; 0: no limit
-	MaxRetryAfter  time.Duration // the longest come-back time that clients heed
+	Balancer              balancer.Settings
+	ReportFields          []string      // the figures of a load report, in order
+	Tenants               []string      // names, in the order of the module's numbers
+	Zones                 []string      // the same
+	ConnectTimeout        time.Duration // a connection that is not up by then has failed
+	ConnectionIdleTimeout time.Duration // servers close connections that stand idle for so long
+	MaxInFlight           int           // requests that may be open at a time; 0: no limit
+	MaxRetryAfter         time.Duration // the longest come-back time that clients heed
 }
 
 // DecodeSettings reads the settings object of an instance.
@@ -29,9 +29,9 @@
 		return Site{}, err
 	}
 	set, err := boot.settings()
-	site := Site{Logic: set, ReportFields: boot.Report.Fields, Zones: boot.Zones,
-		ConnectTimeout: time.Duration(boot.Ceilings.ConnectTimeoutNs), ConnIdle: time.Duration(boot.Ceilings.ConnIdleNs),
-		MostHeld: boot.Ceilings.MostHeld, MaxRetryAfter: time.Duration(boot.Ceilings.MaxRetryAfterNs)}
+	site := Site{Balancer: set, ReportFields: boot.Report.Fields, Zones: boot.Zones,
+		ConnectTimeout: time.Duration(boot.Ceilings.ConnectTimeoutNs), ConnectionIdleTimeout: time.Duration(boot.Ceilings.ConnIdleNs),
+		MaxInFlight: boot.Ceilings.MostHeld, MaxRetryAfter: time.Duration(boot.Ceilings.MaxRetryAfterNs)}
 	for _, t := range boot.Tenants {
 		site.Tenants = append(site.Tenants, t.Name)
 	}
@@ -41,18 +41,18 @@
 // Differs names what another instance's settings have otherwise, beside classes, the number of attempts and whether two may be
 // out at a time.
 func (s Site) Differs(other Site) (names []string) {
-	s.Logic.Classes, s.Logic.MaxAttempts, s.Logic.AllowHedging = other.Logic.Classes, other.Logic.MaxAttempts, other.Logic.AllowHedging
+	s.Balancer.Classes, s.Balancer.MaxAttempts, s.Balancer.AllowHedging = other.Balancer.Classes, other.Balancer.MaxAttempts, other.Balancer.AllowHedging
 	for _, part := range []struct {
 		name     string
 		old, now any
 	}{
-		{"the module's", s.Logic, other.Logic},
+		{"the module's", s.Balancer, other.Balancer},
 		{"report fields", s.ReportFields, other.ReportFields},
 		{"tenants", s.Tenants, other.Tenants},
 		{"zones", s.Zones, other.Zones},
 		{"connect time-out", s.ConnectTimeout, other.ConnectTimeout},
-		{"idle limit", s.ConnIdle, other.ConnIdle},
-		{"requests held", s.MostHeld, other.MostHeld},
+		{"idle limit", s.ConnectionIdleTimeout, other.ConnectionIdleTimeout},
+		{"requests held", s.MaxInFlight, other.MaxInFlight},
 		{"come-back time", s.MaxRetryAfter, other.MaxRetryAfter},
 	} {
 		if !reflect.DeepEqual(part.old, part.now) {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := got[0]; m.Kind != Launch || m.Seed != 1<<63-1 || !m.Settings.KeyAffinity || m.Settings.Zone != 2 ||
+	if m := got[0]; m.Kind != InstanceStarted || m.Seed != 1<<63-1 || !m.Settings.KeyAffinity || m.Settings.Zone != 2 ||
 		m.Settings.Classes[1].DedupScope != balancer.DedupCell || m.Settings.MaxRetryAfter != 9 || !m.Settings.Subscribe ||
 		m.Settings.Tick != 4*time.Millisecond || !m.Settings.UseListWeights {
 		t.Errorf("launch: %+v", m)
@@ -112,7 +112,7 @@
 
 func TestKilledThenLaunched(t *testing.T) {
 	got, err := read(t, launch, `{"type":"Killed","I":"agent_1"}`, launch, `{"type":"Dropped","I":"agent_1","Tid":"x"}`)
-	if err != nil || len(got) != 4 || got[1].Kind != Killed || got[2].Kind != Launch {
+	if err != nil || len(got) != 4 || got[1].Kind != InstanceKilled || got[2].Kind != InstanceStarted {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -199,7 +199,7 @@
 			if err != nil {
 				return // an error or the end, never a panic
 			}
-			if m.Kind == Event && m.Event == nil {
+			if m.Kind == InstanceEvent && m.Event == nil {
 				t.Fatal("an event without content and without an error")
 			}
 		}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -48,7 +48,7 @@
 
 // Each part of the page from fixed counts, none of which is zero; maps come in any order, so the lines of a part are sorted.
 func TestGoldenFigures(t *testing.T) {
-	s := &Server{Peers: goldenPeers, Shares: goldenShares}
+	s := &Server{Peers: goldenPeers, Overload: goldenShares}
 	var all strings.Builder
 	part := func(write func(page)) {
 		var out bytes.Buffer
@@ -56,7 +56,7 @@
 		all.WriteString(sortedLines(out.String()))
 	}
 	part(func(p page) {
-		s.pool(p, connpool.Counts{Open: 30, Idle: 12, Dials: 103, Failed: 104, Reused: 105, Dead: 106, NoRoom: 107})
+		s.pool(p, connpool.Stats{Open: 30, Idle: 12, Dials: 103, FailedDials: 104, Reused: 105, Dead: 106, Exhausted: 107})
 	})
 	times := func(from time.Duration) engine.LatencyStats {
 		return engine.LatencyStats{Count: uint64(from), Sum: from * time.Second, Quantiles: map[float64]time.Duration{
@@ -111,7 +111,7 @@
 	agenttest.Eventually(t, "the engine is ready", core.Ready)
 	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Responder: make(ear, 1), Transport: waits{}})
 	agenttest.Eventually(t, "the attempt is out", func() bool { return core.Stats().InFlight["s-1"] == 1 })
-	s := &Server{Engine: core, Pool: conns, Peers: goldenPeers, Shares: goldenShares, Log: slog.New(slog.DiscardHandler)}
+	s := &Server{Engine: core, Pool: conns, Peers: goldenPeers, Overload: goldenShares, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	l := agenttest.Listen(t)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -40,11 +40,11 @@
 
 // Server shows the figures of an agent.
 type Server struct {
-	Engine *engine.Engine
-	Pool   *connpool.Pool
-	Peers  func() *gossip.Status   // nil, or returning nil: the agent knows of no others
-	Shares func() *overload.Status // nil, or returning nil: overload is handled alone
-	Log    *slog.Logger
+	Engine   *engine.Engine
+	Pool     *connpool.Pool
+	Peers    func() *gossip.Status   // nil, or returning nil: the agent knows of no others
+	Overload func() *overload.Status // nil, or returning nil: overload is handled alone
+	Log      *slog.Logger
 }
 
 // Serve answers GET /metrics until the context ends.
@@ -71,7 +71,7 @@
 	page := page{w}
 	page.gauge("appleledge_ready", "", bit(s.Engine.Ready()))
 	page.gauge("appleledge_calls", "", float64(l.Calls))
-	s.pool(page, s.Pool.Count())
+	s.pool(page, s.Pool.Stats())
 	for i, id := range slices.Sorted(maps.Keys(l.InFlight)) {
 		if i == mostServers {
 			break
@@ -89,10 +89,10 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-func (s *Server) pool(p page, c connpool.Counts) {
+func (s *Server) pool(p page, c connpool.Stats) {
 	p.gauge("appleledge_connections", `state="in_use"`, float64(c.Open-c.Idle))
 	p.gauge("appleledge_connections", `state="idle"`, float64(c.Idle))
-	for name, n := range map[string]uint64{"dials": c.Dials, "failed_dials": c.Failed, "reused": c.Reused, "found_dead": c.Dead, "no_room": c.NoRoom} {
+	for name, n := range map[string]uint64{"dials": c.Dials, "failed_dials": c.FailedDials, "reused": c.Reused, "found_dead": c.Dead, "no_room": c.Exhausted} {
 		p.count("appleledge_connections_"+name+"_total", "", n)
 	}
 }
@@ -220,10 +220,10 @@
 }
 
 func (s *Server) overload(p page, classes []string) {
-	if s.Shares == nil {
+	if s.Overload == nil {
 		return
 	}
-	st := s.Shares()
+	st := s.Overload()
 	if st == nil {
 		return
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -33,7 +33,7 @@
 	core, conns, ended := newEngine(t, site)
 	others := &gossip.Status{States: []gossip.State{gossip.Alive, gossip.Dead, gossip.Alive}, Sent: 7, Dropped: map[string]uint64{"forged": 3}}
 	shares := &overload.Status{Trust: 0.5, Capacity: 120, AdmitProbabilities: []float64{0.25}, Counts: overload.Counts{Rejected: [][2]uint64{{7, 2}}}}
-	s := &Server{Engine: core, Pool: conns, Peers: func() *gossip.Status { return others }, Shares: func() *overload.Status { return shares }, Log: slog.New(slog.DiscardHandler)}
+	s := &Server{Engine: core, Pool: conns, Peers: func() *gossip.Status { return others }, Overload: func() *overload.Status { return shares }, Log: slog.New(slog.DiscardHandler)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -77,15 +77,15 @@
 
 func newEngine(t *testing.T, site simwire.Site) (core *engine.Engine, conns *connpool.Pool, end func()) {
 	t.Helper()
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conns = connpool.New(time.Second, time.Minute, 10)
 	core = engine.New(policy, engine.NewClock(), conns, slog.New(slog.DiscardHandler))
-	core.TrackLatency(site.Logic.Classes)
-	behind := admission.New(admission.Options{Classes: make([]admission.Class, len(site.Logic.Classes)), MaxRemembered: 1})
-	core.SetRecovery(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Logic.Classes))}, behind), func() bool { return true }, func() {})
+	core.TrackLatency(site.Balancer.Classes)
+	behind := admission.New(admission.Options{Classes: make([]admission.Class, len(site.Balancer.Classes)), MaxRemembered: 1})
+	core.SetRecovery(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Balancer.Classes))}, behind), func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -23,11 +23,11 @@
 // connection turns out dead, which counts as an attempt that nobody decided on.
 type Pool struct {
 	Dialer net.Dialer // opens connections; not to be changed once in use, nor is what follows
-	// Settle is for how long a connection rests behind an answer: what still comes of that must not meet the next request.
-	Settle     time.Duration
-	idleFor    time.Duration // connections idle for longer are not used again
-	most       int           // connections of all backends
-	perBackend int           // of one, so that a silent one does not use up all
+	// QuietPeriod is for how long a connection rests behind an answer: what still comes of that must not meet the next request.
+	QuietPeriod time.Duration
+	idleFor     time.Duration // connections idle for longer are not used again
+	most        int           // connections of all backends
+	perBackend  int           // of one, so that a silent one does not use up all
 
 	mu       sync.Mutex
 	closed   bool
@@ -37,7 +37,7 @@
 	opening  int // dials under way
 	ready    int // backends that may get new requests
 	resting  int // connections that wait for use
-	counts   Counts
+	counts   Stats
 	oldest   Conn // the ring of those, by the time since they do: after it comes the first
 }
 
@@ -64,8 +64,8 @@
 
 // Reasons why there is no connection.
 var (
-	ErrNotReady = errors.New("the backend takes no new requests")
-	ErrNoRoom   = errors.New("too many connections are open")
+	ErrNotReady      = errors.New("the backend takes no new requests")
+	ErrPoolExhausted = errors.New("too many connections are open")
 )
 
 // nearIdle is the part of the backends' idle limit after which a connection is not used again: a request that
@@ -79,14 +79,14 @@
 // New returns a pool of at most so many connections, which backends close when they stand idle for so long.
 func New(connectTimeout, idle time.Duration, most int) *Pool {
 	p := &Pool{
-		Dialer:     net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
-		idleFor:    time.Duration(float64(idle) * nearIdle),
-		Settle:     settleFor,
-		most:       most,
-		perBackend: perBackend(most),
-		backends:   map[string]*Backend{},
-		byAddr:     map[string][]*Backend{},
-		open:       map[*Conn]struct{}{},
+		Dialer:      net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
+		idleFor:     time.Duration(float64(idle) * nearIdle),
+		QuietPeriod: settleFor,
+		most:        most,
+		perBackend:  perBackend(most),
+		backends:    map[string]*Backend{},
+		byAddr:      map[string][]*Backend{},
+		open:        map[*Conn]struct{}{},
 	}
 	p.oldest.next, p.oldest.prev = &p.oldest, &p.oldest
 	return p
@@ -177,8 +177,8 @@
 	c.backend.conns--
 }
 
-// Limit changes how many connections there may be. Those that wait for use are closed where there are more.
-func (p *Pool) Limit(most int) {
+// SetMaxConnections changes how many connections there may be. Those that wait for use are closed where there are more.
+func (p *Pool) SetMaxConnections(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.most, p.perBackend = most, perBackend(most)
@@ -209,17 +209,17 @@
 // Incarnation is Backend in the engine's terms.
 func (p *Pool) Incarnation(id string) engine.Incarnation { return p.Backend(id) }
 
-// Counts are what a pool holds, and what it has done since it was made.
-type Counts struct {
+// Stats are what a pool holds, and what it has done since it was made.
+type Stats struct {
 	Open, Idle   int    // connections, and those of them that wait for use
 	Dials        uint64 // connections asked for
-	Failed       uint64 // of which did not come up
+	FailedDials  uint64 // of which did not come up
 	Reused, Dead uint64 // idle ones that were used again, and such as turned out to be over
-	NoRoom       uint64 // uses for which there was no place
+	Exhausted    uint64 // uses for which there was no place
 }
 
-// Count says what the pool holds and has done.
-func (p *Pool) Count() Counts {
+// Stats says what the pool holds and has done.
+func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.counts
@@ -227,8 +227,8 @@
 	return c
 }
 
-// At returns the ids of the list's backends at an address; there may be several while one follows another.
-func (p *Pool) At(addr string) (ids []string) {
+// IDsAt returns the ids of the list's backends at an address; there may be several while one follows another.
+func (p *Pool) IDsAt(addr string) (ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.byAddr[addr] {
@@ -240,11 +240,11 @@
 // Addr is the address of this life of the backend, host and port.
 func (b *Backend) Addr() string { return b.addr }
 
-// Allow lets the far end send so many bytes more.
-func (c *Conn) Allow(n int64) { c.left.N, c.answered = n, true }
+// AllowBytes lets the far end send so many bytes more.
+func (c *Conn) AllowBytes(n int64) { c.left.N, c.answered = n, true }
 
-// TakesNew reports whether the backend may still get something new in this life.
-func (p *Pool) TakesNew(b *Backend) bool {
+// AcceptsRequests reports whether the backend may still get something new in this life.
+func (p *Pool) AcceptsRequests(b *Backend) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return b != nil && b.ready
@@ -266,7 +266,7 @@
 	}
 	if err != nil {
 		b.conns--
-		p.counts.Failed++
+		p.counts.FailedDials++
 		return nil, fmt.Errorf("connecting to %s: %w", b.id, err)
 	}
 	left := &io.LimitedReader{R: raw}
@@ -284,7 +284,7 @@
 	}
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
-		if c.answered && time.Since(c.idleSince) < p.Settle {
+		if c.answered && time.Since(c.idleSince) < p.QuietPeriod {
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
@@ -300,8 +300,8 @@
 		p.dismiss(b.idle[0])
 	}
 	if p.closed || b.conns >= p.perBackend || len(p.open)+p.opening >= p.most && !p.evict() {
-		p.counts.NoRoom++
-		return nil, ErrNoRoom
+		p.counts.Exhausted++
+		return nil, ErrPoolExhausted
 	}
 	b.conns++
 	p.opening++
--- a/internal/upstream/connpool/pool_test.go
+++ b/internal/upstream/connpool/pool_test.go
@@ -68,7 +68,7 @@
 	}
 	p.Put(second, true)
 	p.Sweep()
-	if c := p.Count(); c.Open+c.Idle != 0 {
+	if c := p.Stats(); c.Open+c.Idle != 0 {
 		t.Error("the sweep left an old connection open")
 	}
 }
@@ -80,7 +80,7 @@
 	for range 2 {
 		take(t, p, "b")
 	}
-	if _, err := p.Get(context.Background(), p.Backend("b")); !errors.Is(err, ErrNoRoom) {
+	if _, err := p.Get(context.Background(), p.Backend("b")); !errors.Is(err, ErrPoolExhausted) {
 		t.Errorf("a third of at most 8/4: %v", err)
 	}
 	var others []engine.Member
@@ -91,7 +91,7 @@
 	for i := range 9 {
 		p.Put(take(t, p, fmt.Sprint(i)), true)
 	}
-	if open := p.Count().Open; open > 8 {
+	if open := p.Stats().Open; open > 8 {
 		t.Errorf("%d connections of at most 8", open)
 	}
 }
@@ -190,17 +190,17 @@
 		}
 		held = append(held, c)
 	}
-	if _, err := p.Get(t.Context(), p.Backend("b")); !errors.Is(err, ErrNoRoom) {
+	if _, err := p.Get(t.Context(), p.Backend("b")); !errors.Is(err, ErrPoolExhausted) {
 		t.Errorf("a third of at most two to one backend: %v", err)
 	}
 	for _, c := range held {
 		p.Put(c, true)
 	}
-	p.Limit(1)
-	if n := p.Count(); n.Open != 1 || n.Idle != 1 {
+	p.SetMaxConnections(1)
+	if n := p.Stats(); n.Open != 1 || n.Idle != 1 {
 		t.Errorf("%d open, %d idle", n.Open, n.Idle)
 	}
-	p.Limit(8)
+	p.SetMaxConnections(8)
 	if c, err := p.Get(t.Context(), p.Backend("b")); err != nil {
 		t.Error(err)
 	} else {
@@ -214,24 +214,24 @@
 // that brought no answer needs no rest.
 func TestConnectionsRestBehindTheirAnswers(t *testing.T) {
 	p := newTestPool(t, agenttest.Listen(t).Addr().String(), 8) // 2 of one backend
-	p.Settle = time.Hour
+	p.QuietPeriod = time.Hour
 	unused := take(t, p, "b")
 	p.Put(unused, true)
 	if take(t, p, "b") != unused {
 		t.Error("one that brought no answer was not used")
 	}
 	p.Put(unused, true)
-	answered := func(c *Conn) *Conn { c.Allow(1); p.Put(c, true); return c }
+	answered := func(c *Conn) *Conn { c.AllowBytes(1); p.Put(c, true); return c }
 	first := answered(take(t, p, "b"))
 	second := answered(take(t, p, "b"))
 	third := take(t, p, "b")
 	if first == second || third == first || third == second {
 		t.Error("one that rests was used")
 	}
-	if n := p.Count(); n.Open != 2 || n.Idle != 1 || n.NoRoom != 0 {
+	if n := p.Stats(); n.Open != 2 || n.Idle != 1 || n.Exhausted != 0 {
 		t.Errorf("%+v", n)
 	}
-	p.Settle = 0
+	p.QuietPeriod = 0
 	if take(t, p, "b") != second {
 		t.Error("one that has rested is not used, or the wrong one made room")
 	}
--- a/internal/upstream/http1/carrier.go
+++ b/internal/upstream/http1/carrier.go
@@ -52,17 +52,17 @@
 	Rest        *Stream // what follows on Body; nil where that is whole. It must be read to its end, or discarded
 }
 
-// Carrier makes attempts.
-type Carrier struct {
-	Pool   *connpool.Pool
-	Clock  engine.Clock
-	Fields []string        // of load reports
-	Noted  func(err error) // is told of reports that can't be read
-	Large  bool            // bodies of up to MostLarge pass, peers may be slow, and an answer may end with its connection
+// Transport makes attempts.
+type Transport struct {
+	Pool              *connpool.Pool
+	Clock             engine.Clock
+	ReportFields      []string        // of load reports
+	OnMalformedReport func(err error) // is told of reports that can't be read
+	AllowsLargeBodies bool            // bodies of up to MaxLargeBody pass, peers may be slow, and an answer may end with its connection
 }
 
 // RoundTrip makes the attempt and returns its outcome, which is exact: what may have run is never said not to have.
-func (s *Carrier) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (s *Transport) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	out := engine.Outcome{Attempt: a, Result: balancer.NotSent, Report: balancer.NoReport}
 	if a.Forbidden {
 		return out
@@ -71,7 +71,7 @@
 	defer cancel()
 	c, err := s.Pool.Get(ctx, life(a))
 	switch {
-	case errors.Is(err, connpool.ErrNotReady) || errors.Is(err, connpool.ErrNoRoom) || err != nil && ctx.Err() != nil:
+	case errors.Is(err, connpool.ErrNotReady) || errors.Is(err, connpool.ErrPoolExhausted) || err != nil && ctx.Err() != nil:
 		return out // the agent's own lack says nothing of the backend
 	case err != nil:
 		out.Result = balancer.ConnectFailed
@@ -94,14 +94,14 @@
 
 // stillWanted is asked just before the first byte goes out. A dial may have taken long: meanwhile the backend
 // may have begun to drain or started anew, the request may have ended, or the backends may have forgotten its key.
-func (s *Carrier) stillWanted(c *connpool.Conn, a *engine.Attempt) bool {
-	return s.Clock.Now() < a.WriteDeadline && !a.Call.Closed() && s.Pool.TakesNew(life(a)) &&
+func (s *Transport) stillWanted(c *connpool.Conn, a *engine.Attempt) bool {
+	return s.Clock.Now() < a.WriteDeadline && !a.Call.Closed() && s.Pool.AcceptsRequests(life(a)) &&
 		(a.ConnectedSince == 0 || c.Opened.Before(s.Clock.At(a.ConnectedSince)))
 }
 
 // exchange writes the request and reads the answer; keep says whether the connection is in order then, and passed that the
 // rest of the answer, and with it the connection, is in the outcome's payload.
-func (s *Carrier) exchange(c *connpool.Conn, a *engine.Attempt, out *engine.Outcome) (keep, passed bool) {
+func (s *Transport) exchange(c *connpool.Conn, a *engine.Attempt, out *engine.Outcome) (keep, passed bool) {
 	req, until, ok := s.write(c, a, out)
 	if !ok {
 		return false, false
@@ -111,8 +111,8 @@
 		out.Result = broken(err)
 		return false, false
 	}
-	out.Report = ReadReport(resp.Header, s.Fields, s.Noted)
-	if out.Result = Judge(resp.StatusCode, resp.Header); out.Result == balancer.OK {
+	out.Report = ReadReport(resp.Header, s.ReportFields, s.OnMalformedReport)
+	if out.Result = ClassifyResponse(resp.StatusCode, resp.Header); out.Result == balancer.OK {
 		out.Payload = body
 		out.Private = private(resp.Header) || body.Rest != nil // which can be read once
 	}
@@ -121,12 +121,12 @@
 
 // write writes the request and says until when its answer is waited for. If it could not be written whole, that is the
 // outcome.
-func (s *Carrier) write(c *connpool.Conn, a *engine.Attempt, out *engine.Outcome) (req *http.Request, until time.Duration, ok bool) {
+func (s *Transport) write(c *connpool.Conn, a *engine.Attempt, out *engine.Outcome) (req *http.Request, until time.Duration, ok bool) {
 	if u := a.Call.Payload.(*Request).Upload; u != nil {
 		if req, ok, out.Result = s.upload(c, a, u); !ok {
 			return nil, 0, false
 		}
-		until = s.Clock.Now() + u.Patience - min(uploadMargin, u.Patience/4)
+		until = s.Clock.Now() + u.ClientTimeout - min(uploadMargin, u.ClientTimeout/4)
 		a.UploadFinished(until)
 		return req, until, c.SetDeadline(s.Clock.At(until)) == nil
 	}
@@ -144,11 +144,11 @@
 
 // private reports whether an answer is for one caller alone, by the rules for shared caches (RFC 9111, sections 3 and 4.1).
 func private(h http.Header) bool {
-	return requesthead.Directs(h, "private", "no-store") || len(h["Set-Cookie"]) > 0 || requesthead.VariesByAsking(h)
+	return requesthead.HasCacheDirective(h, "private", "no-store") || len(h["Set-Cookie"]) > 0 || requesthead.VariesByRequester(h)
 }
 
-// Judge says what a whole answer with that status and head means for the attempt.
-func Judge(status int, header http.Header) balancer.Result {
+// ClassifyResponse says what a whole answer with that status and head means for the attempt.
+func ClassifyResponse(status int, header http.Header) balancer.Result {
 	switch {
 	case status == http.StatusOK:
 		return balancer.OK
@@ -163,13 +163,13 @@
 var errSpoilt = errors.New("spoilt answer")
 
 // readAnswer reads an answer, or fails as soon as it can't become one: a spoilt answer may never end.
-func (s *Carrier) readAnswer(c *connpool.Conn, req *http.Request, until time.Duration) (*http.Response, *Response, error) {
-	c.Allow(maxHead) // http.ReadResponse takes a head of any length
+func (s *Transport) readAnswer(c *connpool.Conn, req *http.Request, until time.Duration) (*http.Response, *Response, error) {
+	c.AllowBytes(maxHead) // http.ReadResponse takes a head of any length
 	if err := startsWell(c.Reader); err != nil {
 		return nil, nil, err
 	}
 	wait := answerTimeout
-	if s.Large {
+	if s.AllowsLargeBodies {
 		wait = headWait
 	}
 	if end := s.Clock.Now() + wait; end < until {
@@ -205,17 +205,17 @@
 
 // ended reports whether the end of a body can be told: one that ends where the connection does may be cut. It is whole by the
 // protocol (RFC 9112, section 6.3, point 8), and taken for that where messages come in all forms; a reset is a break there too.
-func (s *Carrier) ended(resp *http.Response) bool {
-	return s.Large || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+func (s *Transport) ended(resp *http.Response) bool {
+	return s.AllowsLargeBodies || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
 // readWhole reads the body.
-func (s *Carrier) readWhole(c *connpool.Conn, resp *http.Response) ([]byte, error) {
+func (s *Transport) readWhole(c *connpool.Conn, resp *http.Response) ([]byte, error) {
 	length := resp.ContentLength
 	if length > maxBody || !s.ended(resp) {
 		return nil, fmt.Errorf("a length of %d", length)
 	}
-	c.Allow(maxAnswer)
+	c.AllowBytes(maxAnswer)
 	if length >= 0 {
 		body := make([]byte, length)
 		_, err := io.ReadFull(resp.Body, body)
@@ -229,7 +229,7 @@
 }
 
 // request returns the message for the backend, also as text.
-func (s *Carrier) request(a *engine.Attempt) (*http.Request, []byte, error) {
+func (s *Transport) request(a *engine.Attempt) (*http.Request, []byte, error) {
 	in := a.Call.Payload.(*Request)
 	req := &http.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header.Clone(),
 		ContentLength: int64(len(in.Body)), Body: http.NoBody}
--- a/internal/upstream/http1/carrier_test.go
+++ b/internal/upstream/http1/carrier_test.go
@@ -23,7 +23,7 @@
 
 // fixture is a carrier with one backend.
 type fixture struct {
-	*Carrier
+	*Transport
 	reports []error
 }
 
@@ -31,8 +31,8 @@
 	f := &fixture{}
 	p := connpool.New(2*time.Second, time.Minute, most)
 	t.Cleanup(p.Close)
-	f.Carrier = &Carrier{Pool: p, Clock: engine.NewClock(), Fields: []string{"util", "qps", "eps"},
-		Noted: func(err error) { f.reports = append(f.reports, err) }}
+	f.Transport = &Transport{Pool: p, Clock: engine.NewClock(), ReportFields: []string{"util", "qps", "eps"},
+		OnMalformedReport: func(err error) { f.reports = append(f.reports, err) }}
 	f.list(addr, balancer.Ready, 0)
 	return f
 }
@@ -50,9 +50,9 @@
 	return &engine.Attempt{Call: c, Server: "b", Incarnation: f.Pool.Incarnation("b"), Deadline: until, WriteDeadline: until}
 }
 
-func (f *fixture) open() int { return f.Pool.Count().Open }
+func (f *fixture) open() int { return f.Pool.Stats().Open }
 
-func (f *fixture) idle() int { return f.Pool.Count().Idle }
+func (f *fixture) idle() int { return f.Pool.Stats().Idle }
 
 // body is what a testbed.Served attempt brought.
 func body(out engine.Outcome) string {
@@ -167,7 +167,7 @@
 		return n == 1 && agenttest.Says(agenttest.Served)(c, r, n)
 	})
 	f := newFixture(t, b.Addr().String(), 100)
-	f.Pool.Settle = 0
+	f.Pool.QuietPeriod = 0
 	if out := f.RoundTrip(context.Background(), f.attempt(agenttest.Patience)); out.Result != balancer.OK {
 		t.Fatalf("first: %v", out.Result)
 	}
@@ -216,7 +216,7 @@
 func TestOnlyOverAConnectionFromBefore(t *testing.T) {
 	b := agenttest.NewBackend(t, agenttest.Says(agenttest.Served))
 	f := newFixture(t, b.Addr().String(), 100)
-	f.Pool.Settle = 0
+	f.Pool.QuietPeriod = 0
 	if out := f.RoundTrip(t.Context(), f.attempt(agenttest.Patience)); out.Result != balancer.OK {
 		t.Fatal(out.Result)
 	}
@@ -387,7 +387,7 @@
 		return err == nil
 	})
 	f := newFixture(t, b.Addr().String(), 100)
-	f.Pool.Settle = time.Hour
+	f.Pool.QuietPeriod = time.Hour
 	for n := range 3 {
 		if out := f.RoundTrip(t.Context(), f.attempt(agenttest.Patience)); out.Result != balancer.OK || body(out) != fmt.Sprint("answer ", n+1) {
 			t.Errorf("request %d: %v, %q", n+1, out.Result, body(out))
@@ -401,6 +401,6 @@
 		t.Error(err)
 	}
 	mu.Unlock()
-	f.Pool.Settle = 0 // all have rested long enough
+	f.Pool.QuietPeriod = 0 // all have rested long enough
 	agenttest.Eventually(t, "the one that got more is closed", func() bool { f.Pool.Sweep(); return f.idle() == 2 })
 }
--- a/internal/upstream/http1/golden_test.go
+++ b/internal/upstream/http1/golden_test.go
@@ -32,9 +32,9 @@
 // An attempt as its bytes go to a backend: with a body, without one, and with one that still comes.
 func TestGoldenAttempt(t *testing.T) {
 	now := 5 * time.Second
-	s := &Carrier{Clock: engine.ManualClock(&now)}
+	s := &Transport{Clock: engine.ManualClock(&now)}
 	target := &url.URL{Path: "/refund-record/8", RawQuery: "q=9"}
-	in := Request{Method: http.MethodPost, Host: "origin.svc", URL: target, Header: requesthead.Forwarded(goldenHeader()), Body: []byte("body")}
+	in := Request{Method: http.MethodPost, Host: "origin.svc", URL: target, Header: requesthead.ForwardedHeaders(goldenHeader()), Body: []byte("body")}
 	var out []byte
 	attempt := func(in Request) *engine.Attempt {
 		return &engine.Attempt{Call: &engine.Call{ID: "9b1f03aa5c7e2d41", Payload: &in}, Server: "b", Deadline: now + 123456*time.Microsecond}
@@ -49,7 +49,7 @@
 	}
 	in.Method = http.MethodPost
 	for _, length := range []int64{8, -1} {
-		u := &Upload{Length: length, Kept: []byte("some"), Rest: strings.NewReader("more"), Patience: 654321 * time.Microsecond}
+		u := &Upload{Length: length, Prefix: []byte("some"), Rest: strings.NewReader("more"), ClientTimeout: 654321 * time.Microsecond}
 		near, far := net.Pipe()
 		got := make(chan []byte)
 		go func() {
@@ -86,7 +86,7 @@
 	var out []byte
 	for _, status := range []int{200, 201, 404, 500, 503, 504} {
 		for _, h := range []http.Header{{}, {"X-Not-Processed": {"1"}}, {"X-Not-Processed": {"0"}}} {
-			out = fmt.Appendf(out, "%d %v: %s\n", status, h, balancer.ResultNames[Judge(status, h)])
+			out = fmt.Appendf(out, "%d %v: %s\n", status, h, balancer.ResultNames[ClassifyResponse(status, h)])
 		}
 	}
 	for _, h := range []http.Header{{}, {"Cache-Control": {"private"}}, {"Cache-Control": {"no-store"}}, {"Set-Cookie": {"c=1"}}, {"Vary": {"*"}},
--- a/internal/upstream/http1/stream.go
+++ b/internal/upstream/http1/stream.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// MostLarge is the longest body of a message where large ones pass, in bytes: 32 MB, however it is counted, and a bit.
-	MostLarge = 33 << 20
+	// MaxLargeBody is the longest body of a message where large ones pass, in bytes: 32 MB, however it is counted, and a bit.
+	MaxLargeBody = 33 << 20
 
 	chunkCost    = 8                      // times a body's length, what its chunks may add at most
 	pieceWait    = time.Second            // for the next piece of an answer that is read whole, where peers may be slow
@@ -32,10 +32,10 @@
 
 // Upload is the body of a request that is sent on while it comes.
 type Upload struct {
-	Length   int64         // of the whole; -1 where it is not stated
-	Kept     []byte        // how it begins, which every attempt can send
-	Rest     io.Reader     // what follows, once
-	Patience time.Duration // for which the client waits from the last byte on
+	Length        int64         // of the whole; -1 where it is not stated
+	Prefix        []byte        // how it begins, which every attempt can send
+	Rest          io.Reader     // what follows, once
+	ClientTimeout time.Duration // for which the client waits from the last byte on
 
 	reading sync.Mutex // one attempt reads at a time
 	ended   bool
@@ -46,16 +46,16 @@
 // Consumed is for engine.Upload.
 func (u *Upload) Consumed() bool { return u.spent.Load() }
 
-// Broken is why the client's side could not be read to its end; nil where it could, or was not tried.
-func (u *Upload) Broken() error {
+// ReadError is why the client's side could not be read to its end; nil where it could, or was not tried.
+func (u *Upload) ReadError() error {
 	if err := u.broken.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-// End lets no attempt read on. What is being read has to be interrupted before.
-func (u *Upload) End() {
+// Abort lets no attempt read on. What is being read has to be interrupted before.
+func (u *Upload) Abort() {
 	u.reading.Lock()
 	defer u.reading.Unlock()
 	u.ended = true
@@ -70,8 +70,8 @@
 }
 
 func (p *part) Read(to []byte) (int, error) {
-	if p.at < len(p.Kept) {
-		n := copy(to, p.Kept[p.at:])
+	if p.at < len(p.Prefix) {
+		n := copy(to, p.Prefix[p.at:])
 		p.at += n
 		return n, nil
 	}
@@ -102,23 +102,23 @@
 
 // upload writes a request whose body still comes. Its result is NotSent if it was written whole; a request that was not has
 // never run.
-func (s *Carrier) upload(c *connpool.Conn, a *engine.Attempt, u *Upload) (req *http.Request, ok bool, result balancer.Result) {
+func (s *Transport) upload(c *connpool.Conn, a *engine.Attempt, u *Upload) (req *http.Request, ok bool, result balancer.Result) {
 	in := a.Call.Payload.(*Request)
 	body := &part{Upload: u}
 	req = &http.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header.Clone(), ContentLength: u.Length, Body: body}
-	req.Header.Set(requesthead.TimeoutHeader, strconv.FormatInt(u.Patience.Microseconds(), 10)+"u")
+	req.Header.Set(requesthead.TimeoutHeader, strconv.FormatInt(u.ClientTimeout.Microseconds(), 10)+"u")
 	err := req.Write(paced{c})
 	if err == nil {
 		a.MarkWritten()
 		return req, true, balancer.NotSent
 	}
-	if u.Broken() != nil || errors.Is(err, errEnded) {
+	if u.ReadError() != nil || errors.Is(err, errEnded) {
 		return req, false, balancer.NotSent // the client's side has broken off, or needs no answer any more
 	}
 	// A server that turns a request away may say so before it has come whole, and close.
 	if c.SetReadDeadline(time.Now().Add(earlyAnswer)) == nil {
-		c.Allow(maxHead)
-		if resp, err := readResponse(c, req); err == nil && Judge(resp.StatusCode, resp.Header) == balancer.Rejected {
+		c.AllowBytes(maxHead)
+		if resp, err := readResponse(c, req); err == nil && ClassifyResponse(resp.StatusCode, resp.Header) == balancer.Rejected {
 			return req, false, balancer.Rejected
 		}
 	}
@@ -145,7 +145,7 @@
 	}
 	n, err := s.body.Read(to)
 	if s.left -= int64(n); s.left < 0 {
-		return 0, fmt.Errorf("an answer of more than %d bytes", MostLarge)
+		return 0, fmt.Errorf("an answer of more than %d bytes", MaxLargeBody)
 	}
 	if err == io.EOF {
 		s.free(s.keep)
@@ -168,20 +168,20 @@
 }
 
 // readBody reads a body: whole, or its first piece where it is large.
-func (s *Carrier) readBody(c *connpool.Conn, resp *http.Response, until time.Duration) (*Response, error) {
+func (s *Transport) readBody(c *connpool.Conn, resp *http.Response, until time.Duration) (*Response, error) {
 	out := &Response{Length: resp.ContentLength, ContentType: resp.Header.Get("Content-Type")}
 	if resp.Request.Method == http.MethodHead { // the length is that of what is not sent
 		return out, nil
 	}
-	if !s.Large || resp.StatusCode != http.StatusOK {
+	if !s.AllowsLargeBodies || resp.StatusCode != http.StatusOK {
 		body, err := s.readWhole(c, resp)
 		out.Body, out.Length = body, int64(len(body))
 		return out, err
 	}
-	if out.Length > MostLarge {
+	if out.Length > MaxLargeBody {
 		return nil, fmt.Errorf("a length of %d", out.Length)
 	}
-	c.Allow(chunkCost * (MostLarge + maxHead))
+	c.AllowBytes(chunkCost * (MaxLargeBody + maxHead))
 	room, sure := int64(maxBody), time.Duration(1<<62)
 	switch {
 	case out.Length > maxBody:
@@ -199,7 +199,7 @@
 		}
 		if len(body) > 0 && (int64(len(body)) == room || s.Clock.Now() >= sure) {
 			out.Body = body
-			out.Rest = &Stream{conn: c, pool: s.Pool, body: resp.Body, left: MostLarge - int64(len(body)), keep: !resp.Close}
+			out.Rest = &Stream{conn: c, pool: s.Pool, body: resp.Body, left: MaxLargeBody - int64(len(body)), keep: !resp.Close}
 			return out, nil
 		}
 		if len(body) == cap(body) {
