--- a/internal/balancer/check_test.go
+++ b/internal/balancer/check_test.go
@@ -262,7 +262,7 @@
 	}
 	if w.rng.Float64() < 0.2 {
 		all := ServerList{Full: w.rng.Float64() < 0.8}
-		for range w.rng.IntN(3) * few { // more than are taken in one by one
+		for range w.rng.IntN(3) * maxIncrementalChanges { // more than are taken in one by one
 			s := &worldServer{Server: Server{ID: fmt.Sprint("s", len(w.ids)), Cell: w.rng.IntN(3), Weight: 1}}
 			w.servers[s.ID] = s
 			w.ids = append(w.ids, s.ID)
@@ -351,8 +351,8 @@
 		for _, f := range w.faults {
 			t.Errorf("seed %d: %s", seed, f)
 		}
-		if len(b.requests) != 0 {
-			t.Errorf("seed %d: %d requests are kept after all has ended", seed, len(b.requests))
+		if len(b.requests.byID) != 0 {
+			t.Errorf("seed %d: %d requests are kept after all has ended", seed, len(b.requests.byID))
 		}
 		sends, refusals, failures = sends+w.sends, refusals+w.refusals, failures+w.failures
 	}
--- a/internal/balancer/cold_fleet_test.go
+++ b/internal/balancer/cold_fleet_test.go
@@ -78,7 +78,7 @@
 		f.sent[a.Server] = append(f.sent[a.Server], f.now)
 	}
 	able := f.capacity
-	if started := b.byID[a.Server].Started; started > 0 {
+	if started := b.endpoints.byID[a.Server].Started; started > 0 {
 		able *= f.share(f.now - started)
 	}
 	took := time.Duration((0.5 + f.rng.Float64()) * cores / able * float64(time.Second))
@@ -86,7 +86,7 @@
 	r.Utilization = 0.3 + 0.4*f.rng.Float64()
 	r.ServedRate = r.Utilization * able
 	o := Outcome{Request: a.Request, Server: a.Server, Result: OK, Latency: took, RequestClosed: true, Report: r,
-		Attempt: len(b.requests[a.Request].attempts) - 1}
+		Attempt: len(b.requests.byID[a.Request].attempts) - 1}
 	if f.rng.Float64() < f.fails {
 		o.Result, o.RequestClosed = Failed, false
 	}
@@ -128,7 +128,7 @@
 	for len(f.due) > 0 && f.due[0].at <= at {
 		h := heap.Pop(&f.due).(happening)
 		f.now = h.at
-		if f.all[h.of.set.Index] != h.of {
+		if f.all[h.of.settings.Index] != h.of {
 			continue
 		}
 		f.act(h.of, h.of.Handle(f.now, h.ev))
@@ -217,7 +217,7 @@
 	for _, draws := range []struct {
 		most  int
 		first uint64
-	}{{coverLeast, 30}, {300, 1103}} { // the latter are rich in servers behind gaps of the ring, which many balancers see
+	}{{minSubsetsPerServer, 30}, {300, 1103}} { // the latter are rich in servers behind gaps of the ring, which many balancers see
 		servers, toppled := 0, 0
 		for seed := draws.first; seed < draws.first+30; seed++ {
 			over, cold, part := newCold(t, seed, draws.most)
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -78,8 +78,8 @@
 			for _, a := range b.Handle(now, Request{ID: id, Deadline: now + time.Second}) {
 				if a.Kind == Send {
 					got[a.Server]++
-					if a.WarmingUp != (b.byID[a.Server].Started > 0) {
-						t.Fatalf("a send to %+v is said to be cold: %v", b.byID[a.Server].Server, a.WarmingUp)
+					if a.WarmingUp != (b.endpoints.byID[a.Server].Started > 0) {
+						t.Fatalf("a send to %+v is said to be cold: %v", b.endpoints.byID[a.Server].Server, a.WarmingUp)
 					}
 					b.Handle(now, Outcome{Request: id, Server: a.Server, Result: OK, Latency: 50 * time.Millisecond, Report: NoReport})
 				}
@@ -108,13 +108,13 @@
 	h := newBench(t, testSettings(), 1, 1)
 	started := h.at + 3*time.Second
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s0", Weight: 1, Started: started}}})
-	s := h.byID["s0"]
+	s := h.endpoints.byID["s0"]
 	for _, step := range []struct {
 		at    time.Duration
 		share float64
-	}{{h.at, h.set.SlowStartInitialRatio}, {started, h.set.SlowStartInitialRatio}, {started + h.set.SlowStartDuration/2, (1 + h.set.SlowStartInitialRatio) / 2}, {started + h.set.SlowStartDuration, 1}} {
-		if h.now = step.at; math.Abs(s.coldShare(h.Balancer)-step.share) > 1e-9 {
-			t.Errorf("%v after its start its share is %v, want %v", step.at-started, s.coldShare(h.Balancer), step.share)
+	}{{h.at, h.settings.SlowStartInitialRatio}, {started, h.settings.SlowStartInitialRatio}, {started + h.settings.SlowStartDuration/2, (1 + h.settings.SlowStartInitialRatio) / 2}, {started + h.settings.SlowStartDuration, 1}} {
+		if h.now = step.at; math.Abs(h.warmRatio(s)-step.share) > 1e-9 {
+			t.Errorf("%v after its start its share is %v, want %v", step.at-started, h.warmRatio(s), step.share)
 		}
 	}
 }
@@ -138,13 +138,13 @@
 		}
 		b.Start(now)
 		b.Handle(now, ServerList{Full: true, Servers: all})
-		held += float64(b.edge) / balancers
-		for _, s := range b.servers {
-			part := b.crowded(s)
-			if part < crowdLeast {
+		held += float64(b.subset.size) / balancers
+		for _, s := range b.endpoints.servers {
+			part := b.membershipRatio(s)
+			if part < minMembershipRatio {
 				t.Errorf("balancer %d takes %s to be in %.2f of the mean number of views", me, s.ID, part)
 			}
-			if reckoned[s.ID] += part / balancers; s.seen {
+			if reckoned[s.ID] += part / balancers; s.isInSubset {
 				views[s.ID]++
 			}
 		}
@@ -156,7 +156,7 @@
 	for id, n := range views {
 		part := n / balancers * servers / held
 		least, most = min(least, part), max(most, part)
-		if want := max(part, crowdLeast); math.Abs(reckoned[id]-want) > 0.25 {
+		if want := max(part, minMembershipRatio); math.Abs(reckoned[id]-want) > 0.25 {
 			t.Errorf("%s is in %.2f of the mean number of views, reckoned are %.2f", id, part, reckoned[id])
 		}
 	}
--- a/internal/balancer/logic_test.go
+++ b/internal/balancer/logic_test.go
@@ -61,7 +61,7 @@
 // tick passes time, with the timer that checks health.
 func (h *bench) tick(d time.Duration) (actions []Action) {
 	for end := h.at + d; h.at < end; {
-		h.at += h.horizon / ticks
+		h.at += h.horizon / ticksPerHorizon
 		actions = append(actions, slices.Clone(h.Handle(h.at, TimerFired{tickToken}))...)
 	}
 	return slices.DeleteFunc(actions, func(a Action) bool { return a.Kind == SetTimer })
@@ -77,7 +77,7 @@
 	set := testSettings()
 	set.UseListWeights = true
 	h := newBench(t, set, 1, 2, 3, 4)
-	d := h.warm.At(h.mean)
+	d := h.subset.warmPool.At(h.capacity.meanRate)
 	const n = 40000
 	got := map[string]float64{}
 	for range n {
@@ -140,11 +140,11 @@
 		noise := 1 + 0.2*math.Sin(float64(i)*1.7)
 		for s, c := range []float64{100, 40} {
 			h.now = h.at
-			h.report(h.byID[fmt.Sprint("s", s)], report(0.5*noise, 0.5*c*(2-noise)))
+			h.recordReport(h.endpoints.byID[fmt.Sprint("s", s)], report(0.5*noise, 0.5*c*(2-noise)))
 		}
 	}
 	for s, want := range []float64{100, 40, 70} { // the last has no estimate: the mean of the others
-		if got := h.weight(h.byID[fmt.Sprint("s", s)]); math.Abs(got-want) > 0.15*want {
+		if got := h.presentWeight(h.endpoints.byID[fmt.Sprint("s", s)]); math.Abs(got-want) > 0.15*want {
 			t.Errorf("server %d: capacity %v, want about %v", s, got, want)
 		}
 	}
@@ -156,18 +156,18 @@
 	for range 50 {
 		h.at += 50 * time.Millisecond
 		h.now = h.at
-		h.report(h.byID["s0"], report(0.5, 50))
-		h.report(h.byID["s1"], report(0.01, 0.2))
+		h.recordReport(h.endpoints.byID["s0"], report(0.5, 50))
+		h.recordReport(h.endpoints.byID["s1"], report(0.01, 0.2))
 	}
-	if h.weight(h.byID["s1"]) < h.weight(h.byID["s0"]) {
-		t.Errorf("idle server weighs %v, a busy one %v", h.weight(h.byID["s1"]), h.weight(h.byID["s0"]))
+	if h.presentWeight(h.endpoints.byID["s1"]) < h.presentWeight(h.endpoints.byID["s0"]) {
+		t.Errorf("idle server weighs %v, a busy one %v", h.presentWeight(h.endpoints.byID["s1"]), h.presentWeight(h.endpoints.byID["s0"]))
 	}
 }
 
 // Guards against a server that takes requests and answers none while others answer.
 func TestSilentServerIsEjectedAndReadmitted(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
-	for h.byID["s0"].until == 0 {
+	for h.endpoints.byID["s0"].health.ejectedUntil == 0 {
 		id, to := h.ask(0)
 		if to != "s0" {
 			h.end(id, to, 0, OK, report(0.5, 50))
@@ -176,14 +176,14 @@
 		if h.at > time.Hour+3*time.Second {
 			t.Fatal("a silent server was never ejected")
 		}
-		h.tick(h.horizon / ticks)
+		h.tick(h.horizon / ticksPerHorizon)
 	}
 	for range 20 {
 		if _, to := h.ask(1); to == "s0" {
 			t.Fatal("an unsafe request went to an ejected server")
 		}
 	}
-	h.at = h.byID["s0"].until
+	h.at = h.endpoints.byID["s0"].health.ejectedUntil
 	trials, trial := 0, ""
 	for range 20 {
 		id, to := h.ask(0)
@@ -196,7 +196,7 @@
 		t.Fatalf("%d trials at once, want 1", trials)
 	}
 	h.end(trial, "s0", 0, OK, NoReport)
-	if h.byID["s0"].until != 0 {
+	if h.endpoints.byID["s0"].health.ejectedUntil != 0 {
 		t.Error("an answered trial does not readmit")
 	}
 }
@@ -206,7 +206,7 @@
 	h := newBench(t, testSettings(), 1, 1)
 	_, to := h.ask(1)
 	h.tick(h.horizon)
-	if s := h.byID[to]; s.until != 0 {
+	if s := h.endpoints.byID[to]; s.health.ejectedUntil != 0 {
 		t.Error("ejected for one answer that is an aim late")
 	}
 }
@@ -217,19 +217,19 @@
 	for range 200 { // an ordinary start
 		id, to := h.ask(1)
 		h.end(id, to, 0, OK, report(0.5, 50))
-		h.tick(h.horizon / ticks)
+		h.tick(h.horizon / ticksPerHorizon)
 	}
 	for range 300 { // then nothing is answered
 		h.ask(1)
 	}
 	h.tick(h.horizon)
-	for _, s := range h.servers {
-		if h.ejected(s) {
+	for _, s := range h.endpoints.servers {
+		if h.isEjected(s) {
 			t.Error("a server is kept out though all are silent")
 		}
 	}
-	if h.shed <= 1 {
-		t.Errorf("shed level %v in a jam", h.shed)
+	if h.shedder.ratio <= 1 {
+		t.Errorf("shed level %v in a jam", h.shedder.ratio)
 	}
 	refused := 0
 	for range 100 {
@@ -245,7 +245,7 @@
 // Guards against the valuable waiting behind the cheap.
 func TestCheapGivesWayFirst(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
-	h.shed = 0.1
+	h.shedder.ratio = 0.1
 	refused := [2]int{}
 	for i := range 2000 {
 		id, to := h.ask(i % 2)
@@ -267,7 +267,7 @@
 	h := newBench(t, set, 1, 1)
 	refused := [2]int{}
 	for i := range 4000 {
-		h.shed = 0.3
+		h.shedder.ratio = 0.3
 		id, to := h.ask(i % 2)
 		if to == "" {
 			refused[i%2]++
@@ -296,11 +296,11 @@
 	if bad > 6 {
 		t.Errorf("a server that only fails got %d of 60", bad)
 	}
-	h.byID["s0"].failing = failEject
+	h.endpoints.byID["s0"].health.failureRatio = ejectionFailureRatio
 	id, _ := h.ask(1)
-	r := h.requests[id]
-	h.judge(&attempt{req: r, srv: h.byID["s0"]}, Outcome{Result: Failed})
-	if h.byID["s0"].until == 0 {
+	r := h.requests.byID[id]
+	h.recordOutcome(&attempt{request: r, server: h.endpoints.byID["s0"]}, Outcome{Result: Failed})
+	if h.endpoints.byID["s0"].health.ejectedUntil == 0 {
 		t.Error("a server that fails again and again is not ejected")
 	}
 }
@@ -311,7 +311,7 @@
 	for range 500 {
 		h.ask(1)
 	}
-	h.shed = 0
+	h.shedder.ratio = 0
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "new", Started: h.at}}})
 	cold := 0
 	const n = 300
@@ -329,12 +329,12 @@
 func TestRestartForgets(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
 	h.now = h.at
-	s := h.byID["s0"]
-	h.report(s, report(0.5, 500))
-	s.failing = 0.9
+	s := h.endpoints.byID["s0"]
+	h.recordReport(s, report(0.5, 500))
+	s.health.failureRatio = 0.9
 	h.eject(s)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s0", Started: h.at}}})
-	if s.rate != 0 || s.failing != 0 || s.until != 0 {
+	if s.estimate.rate != 0 || s.health.failureRatio != 0 || s.health.ejectedUntil != 0 {
 		t.Errorf("after a restart: %+v", s)
 	}
 }
@@ -369,16 +369,16 @@
 	for range 200 {
 		id, to := h.ask(1)
 		h.end(id, to, 0, OK, report(1, 50))
-		h.tick(h.horizon / ticks)
+		h.tick(h.horizon / ticksPerHorizon)
 	}
-	if h.shed != 0 {
-		t.Fatalf("shed level %v before the jam", h.shed)
+	if h.shedder.ratio != 0 {
+		t.Fatalf("shed level %v before the jam", h.shedder.ratio)
 	}
 	for range 40 {
 		h.ask(1)
 	}
-	h.tick(h.horizon / ticks)
-	if h.shed == 0 {
+	h.tick(h.horizon / ticksPerHorizon)
+	if h.shedder.ratio == 0 {
 		t.Error("40 in flight of 200 sends say nothing")
 	}
 }
@@ -389,14 +389,14 @@
 	for range 200 {
 		id, to := h.ask(1)
 		h.end(id, to, 0, OK, report(0.3, 50))
-		h.tick(h.horizon / ticks)
+		h.tick(h.horizon / ticksPerHorizon)
 	}
 	for range 40 {
 		h.ask(1)
 	}
-	h.tick(h.horizon / ticks)
-	if h.shed != 0 {
-		t.Errorf("shed level %v with servers at three tenths", h.shed)
+	h.tick(h.horizon / ticksPerHorizon)
+	if h.shedder.ratio != 0 {
+		t.Errorf("shed level %v with servers at three tenths", h.shedder.ratio)
 	}
 }
 
@@ -406,15 +406,15 @@
 	for range 12 {
 		h.ask(1)
 	}
-	h.tick(h.set.Classes[1].LatencyObjective + h.horizon/ticks)
+	h.tick(h.settings.Classes[1].LatencyObjective + h.horizon/ticksPerHorizon)
 	for range 100 {
 		id, to := h.ask(1)
 		h.end(id, to, 0, OK, report(1, 50))
 	}
-	h.late = 0
-	h.tick(h.horizon / ticks)
-	if h.shed != 0 {
-		t.Errorf("shed level %v with a few stuck", h.shed)
+	h.shedder.latencyRatio = 0
+	h.tick(h.horizon / ticksPerHorizon)
+	if h.shedder.ratio != 0 {
+		t.Errorf("shed level %v with a few stuck", h.shedder.ratio)
 	}
 }
 
@@ -426,8 +426,8 @@
 	if len(actions) != 1 || actions[0].Kind != Send || actions[0].Server == to {
 		t.Errorf("after %s: %+v", to, actions)
 	}
-	if s := h.byID[to]; s.failing != 0 {
-		t.Errorf("failing %v", s.failing)
+	if s := h.endpoints.byID[to]; s.health.failureRatio != 0 {
+		t.Errorf("failing %v", s.health.failureRatio)
 	}
 }
 
@@ -447,10 +447,10 @@
 			id, to := h.ask(0)
 			h.end(id, to, 0, OK, report(c.util, 50))
 		}
-		h.tick(h.horizon / ticks)
+		h.tick(h.horizon / ticksPerHorizon)
 		id, to := h.ask(c.class)
 		copies := 0
-		for _, a := range h.tick(time.Duration(2 * copyAfter * h.usual[c.class])) {
+		for _, a := range h.tick(time.Duration(2 * hedgeLatencyFactor * h.classLatency[c.class])) {
 			if a.Kind == Send && a.Request == id {
 				copies++
 				if a.Server == to {
@@ -474,7 +474,7 @@
 		got := map[string]int{}
 		for range 60 {
 			_, to := h.ask(1)
-			h.shed = 0
+			h.shedder.ratio = 0
 			got[to]++
 		}
 		return got
@@ -482,7 +482,7 @@
 	all := map[string]int{}
 	for me := range 200 {
 		one, again := used(me, 200, 40), used(me, 200, 40)
-		if len(one) > subsetLeast || len(again) != len(one) {
+		if len(one) > minSubsetSize || len(again) != len(one) {
 			t.Fatalf("balancer %d uses %d servers, then %d", me, len(one), len(again))
 		}
 		for id := range one {
@@ -503,12 +503,12 @@
 		if i == 40 {
 			h.Handle(h.at, TimerFired{tickToken})
 		}
-		h.shed = 0
+		h.shedder.ratio = 0
 		if _, to := h.ask(1); i >= 40 {
 			got[to] = true
 		}
 	}
-	if len(got) < 2*subsetLeast {
+	if len(got) < 2*minSubsetSize {
 		t.Errorf("with 40 in flight %d servers are used", len(got))
 	}
 	if n := len(used(0, 4, 20)); n != 20 {
@@ -521,7 +521,7 @@
 	for range 30 {
 		id, to := h.ask(2)
 		next := h.end(id, to, 0, Reset, NoReport)
-		if len(next) != 1 || next[0].Kind == Send && h.byID[next[0].Server].Cell != h.byID[to].Cell {
+		if len(next) != 1 || next[0].Kind == Send && h.endpoints.byID[next[0].Server].Cell != h.endpoints.byID[to].Cell {
 			t.Fatalf("after a reset at %s: %+v", to, next)
 		}
 		if next[0].Kind == Reject {
@@ -546,7 +546,7 @@
 			}
 		}
 	}
-	if most := n*(1+retryShare) + retrySaved; float64(sends) > most {
+	if most := n*(1+retryBudgetRatio) + maxRetryBudget; float64(sends) > most {
 		t.Errorf("%d attempts for %d requests", sends, n)
 	}
 }
@@ -557,12 +557,12 @@
 	set.CrossZoneCost = 0.1
 	h := newBench(t, set, 1, 1)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s1", Zone: 1}}})
-	if h.weight(h.byID["s0"]) < 2*h.weight(h.byID["s1"]) {
+	if h.presentWeight(h.endpoints.byID["s0"]) < 2*h.presentWeight(h.endpoints.byID["s1"]) {
 		t.Error("an idle server of the own zone is not preferred")
 	}
-	h.byID["s0"].util = 1
-	h.refresh(h.byID["s0"])
-	if h.weight(h.byID["s0"]) != h.weight(h.byID["s1"]) {
+	h.endpoints.byID["s0"].estimate.utilization = 1
+	h.refresh(h.endpoints.byID["s0"])
+	if h.presentWeight(h.endpoints.byID["s0"]) != h.presentWeight(h.endpoints.byID["s1"]) {
 		t.Error("a full server of the own zone is preferred")
 	}
 }
@@ -590,7 +590,7 @@
 			b.Handle(0, TimerFired{subscribeToken})
 			return b.Handle(0, ListUnavailable{})[0]
 		}
-		for range mostWaits {
+		for range maxPollBackoffDoublings {
 			fail(b)
 			if a := b.Handle(0, ListUnavailable{}); len(a) != 0 {
 				t.Errorf("seed %d: a second timer to ask again: %+v", seed, a)
@@ -599,7 +599,7 @@
 		set := set // guards against asking so late that the balancer is held to know what it has not heard
 		set.MaxPollInterval = time.Second
 		bound, _ := New(set, seed)
-		for range 2 * mostWaits {
+		for range 2 * maxPollBackoffDoublings {
 			if a := fail(bound); a.After > 2*time.Second {
 				t.Errorf("asks again after %v, must within %v", a.After, set.MaxPollInterval)
 			}
@@ -668,8 +668,8 @@
 		cold := 0
 		const n = 1000
 		for range n {
-			h.shed = 0
-			if _, to := h.ask(1); to != "" && h.byID[to].Started != 0 {
+			h.shedder.ratio = 0
+			if _, to := h.ask(1); to != "" && h.endpoints.byID[to].Started != 0 {
 				cold++
 			}
 		}
@@ -692,7 +692,7 @@
 			if burst && i%8 > 2 {
 				tenant = 1 // more than twice its share
 			}
-			h.shed = 0.3
+			h.shedder.ratio = 0.3
 			sent := false
 			for _, a := range h.Handle(h.at, Request{ID: fmt.Sprint(i), Tenant: tenant, Deadline: h.at + 2e9}) {
 				if sent = sent || a.Kind == Send; a.Kind == Send {
@@ -717,9 +717,9 @@
 // The server of a key is drawn in proportion to capacity, alike at every balancer, and gives way under load.
 // homeOf is the id of the server that is home to a key.
 func homeOf(h *bench, key string) string {
-	h.race.SetKey(key)
-	d := h.warm.At(h.mean)
-	s, _ := d.Owner(h.race)
+	h.picker.rendezvous.SetKey(key)
+	d := h.subset.warmPool.At(h.capacity.meanRate)
+	s, _ := d.Owner(h.picker.rendezvous)
 	return s.ID
 }
 
@@ -769,19 +769,19 @@
 		}
 		h.end(id, to, 0, OK, r)
 	}
-	slow := h.byID["s0"]
-	if h.capacity(slow) > 10 {
-		t.Fatalf("after reports of 2 a second at most the capacity is %v", h.capacity(slow))
+	slow := h.endpoints.byID["s0"]
+	if h.warmCapacity(slow) > 10 {
+		t.Fatalf("after reports of 2 a second at most the capacity is %v", h.warmCapacity(slow))
 	}
-	late := h.at + 3*reportTime*h.horizon
+	late := h.at + 3*reportAveragingHorizons*h.horizon
 	for h.at < late { // the others go on
 		for _, s := range []string{"s1", "s2"} {
-			h.report(h.byID[s], report(0.5, 50))
+			h.recordReport(h.endpoints.byID[s], report(0.5, 50))
 		}
 		h.tick(h.horizon)
 	}
-	if h.capacity(slow) < 80 {
-		t.Errorf("long after its last report its capacity counts as %v, want near 100 as the others", h.capacity(slow))
+	if h.warmCapacity(slow) < 80 {
+		t.Errorf("long after its last report its capacity counts as %v, want near 100 as the others", h.warmCapacity(slow))
 	}
 }
 
@@ -802,10 +802,10 @@
 		h.Handle(h.at, Outcome{Request: id, Server: to, Latency: took, RequestClosed: true, Report: NoReport})
 	}
 	for i, want := range []float64{25, 12.5, 18.75} {
-		if got := h.byID[fmt.Sprint("s", i)].rate; i < 2 && math.Abs(got-want) > 0.1*want {
+		if got := h.endpoints.byID[fmt.Sprint("s", i)].estimate.rate; i < 2 && math.Abs(got-want) > 0.1*want {
 			t.Errorf("server %d: %v, want about %v", i, got, want)
 		}
-		if got := h.weight(h.byID[fmt.Sprint("s", i)]); math.Abs(got-want) > 0.1*want {
+		if got := h.presentWeight(h.endpoints.byID[fmt.Sprint("s", i)]); math.Abs(got-want) > 0.1*want {
 			t.Errorf("server %d weighs %v, want about %v", i, got, want)
 		}
 	}
@@ -816,11 +816,11 @@
 func TestKeyedStaysWhereItWasSent(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
 	id, to := h.ask(2)
-	cell := h.byID[to].Cell
+	cell := h.endpoints.byID[to].Cell
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: to, Weight: 1, Cell: 1 - cell}}})
 	for _, a := range h.end(id, to, 0, Reset, NoReport) {
-		if a.Kind == Send && (a.Server == to || h.byID[a.Server].Cell != cell) {
-			t.Errorf("first sent to %s in cell %d, then to %s in cell %d", to, cell, a.Server, h.byID[a.Server].Cell)
+		if a.Kind == Send && (a.Server == to || h.endpoints.byID[a.Server].Cell != cell) {
+			t.Errorf("first sent to %s in cell %d, then to %s in cell %d", to, cell, a.Server, h.endpoints.byID[a.Server].Cell)
 		}
 	}
 }
@@ -836,7 +836,7 @@
 			answers := 0
 			for _, k := range order {
 				e := []Event{Outcome{Request: id, Server: to, Result: result, RequestClosed: result == OK, Report: NoReport},
-					ClientDisconnected{id}, TimerFired{h.token}}[k]
+					ClientDisconnected{id}, TimerFired{h.requests.lastToken}}[k]
 				for _, a := range h.Handle(h.at, e) {
 					switch a.Kind {
 					case Send:
@@ -846,8 +846,8 @@
 					}
 				}
 			}
-			if answers > 1 || len(h.requests) != 0 {
-				t.Errorf("result %d, order %v: %d answers, %d requests kept", result, order, answers, len(h.requests))
+			if answers > 1 || len(h.requests.byID) != 0 {
+				t.Errorf("result %d, order %v: %d answers, %d requests kept", result, order, answers, len(h.requests.byID))
 			}
 		}
 	}
@@ -885,7 +885,7 @@
 	h.Handle(h.at, ServerList{Full: true, Servers: []Server{{ID: "s1", Started: h.at}, {ID: "s2"}, {ID: "s3"}}})
 	cold := 0
 	for range 200 {
-		h.shed = 0
+		h.shedder.ratio = 0
 		switch _, to := h.ask(1); to {
 		case "s0":
 			t.Fatal("sent to a server that the list has dropped")
@@ -918,7 +918,7 @@
 	list := func(state State, id string) {
 		h.Handle(h.at, ServerList{Servers: []Server{{ID: id, Weight: 1, State: state}}})
 	}
-	h.eject(h.byID["s0"]) // dead, and still in the list
+	h.eject(h.endpoints.byID["s0"]) // dead, and still in the list
 	list(Ready, "s0")
 	list(Draining, "s1")
 	for range 200 {
@@ -963,13 +963,13 @@
 // cheap request that tries them and stand empty (incident if77e79).
 func TestTrialIsNotRefused(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1)
-	s := h.byID["s0"]
+	s := h.endpoints.byID["s0"]
 	h.eject(s)
-	h.shed = 1e6
+	h.shedder.ratio = 1e6
 	if id, to := h.ask(0); to != "" {
 		t.Fatalf("%s was sent to %s, not refused", id, to)
 	}
-	h.at = s.until
+	h.at = s.health.ejectedUntil
 	if _, to := h.ask(0); to != "s0" {
 		t.Errorf("a trial went to %q", to)
 	}
@@ -1014,7 +1014,7 @@
 				}
 				return c.others
 			})
-			if got := h.byID["s0"].until > 0; got != c.ejected {
+			if got := h.endpoints.byID["s0"].health.ejectedUntil > 0; got != c.ejected {
 				t.Errorf("ejected: %v", got)
 			}
 		})
@@ -1025,33 +1025,33 @@
 // ill again as soon as before, and who is due first is tried first.
 func TestTrialsInVain(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1, 1)
-	s := h.byID["s0"]
+	s := h.endpoints.byID["s0"]
 	h.now = h.at
 	h.eject(s)
 	for _, horizons := range []time.Duration{1, 2, 4, 8, 8} {
-		if got := s.until - h.at; got != horizons*h.horizon {
+		if got := s.health.ejectedUntil - h.at; got != horizons*h.horizon {
 			t.Fatalf("tried after %v, want %d horizons", got, horizons)
 		}
-		h.at = s.until
+		h.at = s.health.ejectedUntil
 		id, to := h.ask(0)
 		if to != "s0" {
 			t.Fatalf("a trial went to %s", to)
 		}
 		h.end(id, to, 0, Failed, NoReport)
 	}
-	later := h.byID["s1"]
+	later := h.endpoints.byID["s1"]
 	h.eject(later) // due before s0, which is ejected for longer
-	if h.at = later.until; later.until >= s.until {
+	if h.at = later.health.ejectedUntil; later.health.ejectedUntil >= s.health.ejectedUntil {
 		t.Fatal("the first ejection is no shorter")
 	}
 	if _, to := h.ask(0); to != "s1" {
 		t.Errorf("a trial of who is due first went to %s", to)
 	}
-	h.at = s.until
+	h.at = s.health.ejectedUntil
 	id, to := h.ask(0)
 	h.end(id, to, 0, OK, NoReport)
-	if h.eject(s); s.until-h.at != h.horizon {
-		t.Errorf("well again, then ejected for %v", s.until-h.at)
+	if h.eject(s); s.health.ejectedUntil-h.at != h.horizon {
+		t.Errorf("well again, then ejected for %v", s.health.ejectedUntil-h.at)
 	}
 }
 
@@ -1062,11 +1062,11 @@
 		h.answers(n+20, time.Second/300, func(string) time.Duration { return took })
 	}
 	run(600, 200*time.Millisecond)
-	if run(15, 800*time.Millisecond); h.late > lateFrom {
-		t.Errorf("15 late answers in 50 ms make %.2f", h.late)
+	if run(15, 800*time.Millisecond); h.shedder.latencyRatio > shedStartLatencyRatio {
+		t.Errorf("15 late answers in 50 ms make %.2f", h.shedder.latencyRatio)
 	}
-	if run(150, 800*time.Millisecond); h.late < lateFrom {
-		t.Errorf("half a second of them makes %.2f", h.late)
+	if run(150, 800*time.Millisecond); h.shedder.latencyRatio < shedStartLatencyRatio {
+		t.Errorf("half a second of them makes %.2f", h.shedder.latencyRatio)
 	}
 }
 
@@ -1075,12 +1075,12 @@
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
 	h.now = h.at
 	for i, r := range []Report{report(0.08, 18), report(0.5, 45), report(0.5, 45), report(0.5, 45)} {
-		h.report(h.servers[i], r)
+		h.recordReport(h.endpoints.servers[i], r)
 	}
-	if got := h.capacity(h.servers[0]); got < 90 || got > 160 {
+	if got := h.warmCapacity(h.endpoints.servers[0]); got < 90 || got > 160 {
 		t.Errorf("capacity %.0f", got)
 	}
-	if got := h.capacity(h.servers[1]); got != 90 {
+	if got := h.warmCapacity(h.endpoints.servers[1]); got != 90 {
 		t.Errorf("capacity %.0f of one that is half used", got)
 	}
 }
@@ -1092,21 +1092,21 @@
 	for range 200 {
 		id, to := h.ask(1)
 		h.end(id, to, 0, OK, report(1, 50))
-		h.tick(h.horizon / ticks)
+		h.tick(h.horizon / ticksPerHorizon)
 	}
-	for h.waiting < shedFrom+0.02 {
+	for h.shedder.inFlightLatencyRatio < shedStartInFlightRatio+0.02 {
 		h.ask(1)
-		h.setShed()
+		h.updateShedding()
 	}
-	if h.waiting > lateFrom {
-		t.Fatalf("what is in flight is at %.2f of the aim: the test says nothing", h.waiting)
+	if h.shedder.inFlightLatencyRatio > shedStartLatencyRatio {
+		t.Fatalf("what is in flight is at %.2f of the aim: the test says nothing", h.shedder.inFlightLatencyRatio)
 	}
-	if h.shed > 0 {
-		t.Errorf("shed level %.2f at %.2f of the aim while answers come", h.shed, h.waiting)
+	if h.shedder.ratio > 0 {
+		t.Errorf("shed level %.2f at %.2f of the aim while answers come", h.shedder.ratio, h.shedder.inFlightLatencyRatio)
 	}
 	h.now += h.horizon / 2
-	if h.setShed(); h.shed == 0 {
-		t.Errorf("shed level 0 at %.2f of the aim when none has come for half a horizon", h.waiting)
+	if h.updateShedding(); h.shedder.ratio == 0 {
+		t.Errorf("shed level 0 at %.2f of the aim when none has come for half a horizon", h.shedder.inFlightLatencyRatio)
 	}
 }
 
@@ -1120,16 +1120,16 @@
 				zone, cell int
 			}{{"the same cell", 1, 11}, {"another cell of the zone", 1, 12}, {"another zone", 2, 21}} {
 				for _, age := range []time.Duration{0, window - tick - 1, window - tick, 2 * window} {
-					b := &Balancer{now: sent + age, set: Settings{Tick: tick, MaxAttempts: 3}}
+					b := &Balancer{now: sent + age, settings: Settings{Tick: tick, MaxAttempts: 3}}
 					r := &request{Request: Request{Deadline: sent + time.Hour}, class: &Class{Effect: effect, DedupScope: group, DedupWindow: window}}
-					r.attempts = []*attempt{{zone: 1, cell: 11, sent: sent}}
+					r.attempts = []*attempt{{zone: 1, cell: 11, sentAt: sent}}
 					reached := group == DedupFleet || group == DedupZone && to.zone == 1 || group == DedupCell && to.cell == 11
 					want := effect == Idempotent || effect == IdempotentByKey && reached && age < window-tick
 					s := &server{Server: Server{State: Ready, Zone: to.zone, Cell: to.cell}}
 					if got := b.maySend(r, s); got != want {
 						t.Errorf("effect %v, group %v, to %s after %v: %v", effect, group, to.name, age, got)
 					}
-					r.attempts[0].neverRan = true
+					r.attempts[0].hasNotRun = true
 					if !b.maySend(r, s) {
 						t.Errorf("effect %v, group %v, to %s after %v: not sent, though it never ran", effect, group, to.name, age)
 					}
--- a/internal/balancer/members_test.go
+++ b/internal/balancer/members_test.go
@@ -11,49 +11,49 @@
 // inconsistent says what of the kept state differs from what it stands for, worked out anew from the servers; "" if
 // nothing does. The rules' random events ask it after each.
 func (b *Balancer) inconsistent() string {
-	var all sums
-	var inView view
-	for i, s := range b.servers {
-		all.add(&s.sums, 1)
-		eligible := s.State == Ready && !b.ejected(s)
+	var all capacityTotals
+	var inView subsetCapacity
+	for i, s := range b.endpoints.servers {
+		all.add(&s.totals, 1)
+		eligible := s.State == Ready && !b.isEjected(s)
 		switch {
-		case i > 0 && inOrder(b.servers[i-1], s) >= 0:
+		case i > 0 && inRingOrder(b.endpoints.servers[i-1], s) >= 0:
 			return fmt.Sprintf("%s stands out of order", s.ID)
-		case b.byID[s.ID] != s || !s.listed || s.State == Removed:
+		case b.endpoints.byID[s.ID] != s || !s.isListed || s.State == Removed:
 			return fmt.Sprintf("%s is no server of the list", s.ID)
-		case s.seen != (i < b.edge):
-			return fmt.Sprintf("%s at %d of a view of %d is seen: %v", s.ID, i, b.edge, s.seen)
-		case (s.part.size > 0) != (s.seen && eligible) || (s.pool != nil) != (s.part.size > 0):
-			return fmt.Sprintf("%s counts as %d, seen: %v, to be drawn: %v, in a pool: %v", s.ID, s.part.size, s.seen, eligible, s.pool != nil)
-		case s.pool == b.warm && s.coldShare(b) < 1:
+		case s.isInSubset != (i < b.subset.size):
+			return fmt.Sprintf("%s at %d of a view of %d is seen: %v", s.ID, i, b.subset.size, s.isInSubset)
+		case (s.subsetPart.units > 0) != (s.isInSubset && eligible) || (s.pool != nil) != (s.subsetPart.units > 0):
+			return fmt.Sprintf("%s counts as %d, seen: %v, to be drawn: %v, in a pool: %v", s.ID, s.subsetPart.units, s.isInSubset, eligible, s.pool != nil)
+		case s.pool == b.subset.warmPool && b.warmRatio(s) < 1:
 			return s.ID + " is cold and drawn as if it was warm"
-		case (s.until > 0) != slices.Contains(b.ill, s):
+		case (s.health.ejectedUntil > 0) != slices.Contains(b.outliers.ejected, s):
 			return s.ID + " is ejected and not listed so, or the other way round"
-		case len(s.inFlight) > 0 && !slices.Contains(b.active, s):
+		case len(s.inFlight) > 0 && !slices.Contains(b.requests.activeServers, s):
 			return s.ID + " has attempts in flight and is not looked after"
-		case s.trust > 0 && !slices.Contains(b.fresh, s):
+		case s.estimate.confidence > 0 && !slices.Contains(b.capacity.estimated, s):
 			return s.ID + " is trusted for good"
-		case b.cells != nil && !slices.Contains(b.cells[s.Cell], s):
+		case b.endpoints.cells != nil && !slices.Contains(b.endpoints.cells[s.Cell], s):
 			return s.ID + " is missing from its cell"
 		}
-		inView.add(s.part, 1)
+		inView.add(s.subsetPart, 1)
 	}
-	want := coldUnits * max(b.subset, b.crowd)
+	want := unitsPerServer * max(b.subset.minSize, b.subset.growthThreshold)
 	spare := 0
-	if b.edge > 0 {
-		spare = b.servers[b.edge-1].part.size
+	if b.subset.size > 0 {
+		spare = b.endpoints.servers[b.subset.size-1].subsetPart.units
 	}
 	switch {
-	case len(b.byID) != len(b.servers):
-		return fmt.Sprintf("%d servers by id, %d in order", len(b.byID), len(b.servers))
-	case inView.size != b.view.size || inView.size-spare >= want && b.edge > 0 || inView.size < want && b.edge < len(b.servers):
-		return fmt.Sprintf("%d to be drawn, counted as %d, with %d wanted and an edge at %d of %d", inView.size, b.view.size,
-			want, b.edge, len(b.servers))
-	case math.Abs(inView.cold.At(b.mean)-b.view.cold.At(b.mean))+math.Abs(inView.warm.At(b.mean)-b.view.warm.At(b.mean)) > 1e-6*all.whole.At(b.mean)+1e-9:
-		return fmt.Sprintf("the view can do %v, kept as %v", inView, b.view)
-	case math.Abs(all.total.At(b.mean)-b.sums.total.At(b.mean)) > 1e-6*all.whole.At(b.mean)+1e-9,
-		math.Abs(all.told.At(b.mean)-b.sums.told.At(b.mean)) > 1e-6*all.whole.At(b.mean)+1e-9, all.tellers != b.sums.tellers:
-		return fmt.Sprintf("sums are %v, kept as %v", all, b.sums)
+	case len(b.endpoints.byID) != len(b.endpoints.servers):
+		return fmt.Sprintf("%d servers by id, %d in order", len(b.endpoints.byID), len(b.endpoints.servers))
+	case inView.units != b.subset.capacity.units || inView.units-spare >= want && b.subset.size > 0 || inView.units < want && b.subset.size < len(b.endpoints.servers):
+		return fmt.Sprintf("%d to be drawn, counted as %d, with %d wanted and an edge at %d of %d", inView.units, b.subset.capacity.units,
+			want, b.subset.size, len(b.endpoints.servers))
+	case math.Abs(inView.warming.At(b.capacity.meanRate)-b.subset.capacity.warming.At(b.capacity.meanRate))+math.Abs(inView.warm.At(b.capacity.meanRate)-b.subset.capacity.warm.At(b.capacity.meanRate)) > 1e-6*all.warmedUp.At(b.capacity.meanRate)+1e-9:
+		return fmt.Sprintf("the view can do %v, kept as %v", inView, b.subset.capacity)
+	case math.Abs(all.present.At(b.capacity.meanRate)-b.capacity.totals.present.At(b.capacity.meanRate)) > 1e-6*all.warmedUp.At(b.capacity.meanRate)+1e-9,
+		math.Abs(all.reported.At(b.capacity.meanRate)-b.capacity.totals.reported.At(b.capacity.meanRate)) > 1e-6*all.warmedUp.At(b.capacity.meanRate)+1e-9, all.reporting != b.capacity.totals.reporting:
+		return fmt.Sprintf("sums are %v, kept as %v", all, b.capacity.totals)
 	}
 	return ""
 }
@@ -64,23 +64,23 @@
 	at := time.Hour
 	check := func(what string, servers int) {
 		t.Helper()
-		if fault := h.inconsistent(); fault != "" || len(h.servers) != servers {
-			t.Fatalf("%s: %d servers, want %d; %s", what, len(h.servers), servers, fault)
+		if fault := h.inconsistent(); fault != "" || len(h.endpoints.servers) != servers {
+			t.Fatalf("%s: %d servers, want %d; %s", what, len(h.endpoints.servers), servers, fault)
 		}
 	}
 	tell := func(full bool, servers ...Server) { h.Handle(at, ServerList{Full: full, Servers: servers}) }
 
 	tell(true, all...)
 	check("the whole list", 10_000)
-	changes := h.changes
+	changes := h.capacity.changesSince
 	all[77].State = Draining
 	tell(true, all...)
-	if check("a whole list with one change", 10_000); h.changes != changes+1 {
-		t.Errorf("a whole list that differs in one changed %d servers", h.changes-changes)
+	if check("a whole list with one change", 10_000); h.capacity.changesSince != changes+1 {
+		t.Errorf("a whole list that differs in one changed %d servers", h.capacity.changesSince-changes)
 	}
 	tell(false, Server{ID: "new", Weight: math.NaN()}, Server{ID: "new", Weight: -1}, Server{ID: "odd", Weight: math.Inf(1)})
 	check("duplicates and weights that are none", 10_002)
-	if w := [2]float64{h.byID["new"].Weight, h.byID["odd"].Weight}; w != [2]float64{1, weightMost} {
+	if w := [2]float64{h.endpoints.byID["new"].Weight, h.endpoints.byID["odd"].Weight}; w != [2]float64{1, maxListWeight} {
 		t.Errorf("weights that are none or absurd count as %v", w)
 	}
 	tell(false, Server{ID: "there and gone"}, Server{ID: "there and gone", State: Removed}, Server{ID: "unheard of", State: Removed},
@@ -101,8 +101,8 @@
 		all[i].State = Draining
 	}
 	tell(false, all[:2999]...)
-	if check("all but one drain", 3000); h.view.size == 0 || h.view.size != h.byID[all[2999].ID].part.size {
-		t.Errorf("%d are to be drawn, want the last one", h.view.size)
+	if check("all but one drain", 3000); h.subset.capacity.units == 0 || h.subset.capacity.units != h.endpoints.byID[all[2999].ID].subsetPart.units {
+		t.Errorf("%d are to be drawn, want the last one", h.subset.capacity.units)
 	}
 	tell(true)
 	if check("nothing left", 0); len(h.Handle(at, Request{ID: "r", Deadline: at + 1e9})) == 0 {
@@ -128,7 +128,7 @@
 			h := newBench(t, set)
 			h.Handle(h.at, ServerList{Full: true, Servers: list})
 			mine := map[string]bool{}
-			for _, s := range h.servers[:h.edge] {
+			for _, s := range h.endpoints.servers[:h.subset.size] {
 				mine[s.ID] = true
 				cover[s.ID]++
 			}
@@ -142,8 +142,8 @@
 		for _, n := range cover {
 			least, most = min(least, n), max(most, n)
 		}
-		t.Logf("%d servers, each in %d to %d subsets, %d on the mean", servers, least, most, coverLeast)
-		if len(cover) != servers || least < coverLeast/2 || most > 2*coverLeast {
+		t.Logf("%d servers, each in %d to %d subsets, %d on the mean", servers, least, most, minSubsetsPerServer)
+		if len(cover) != servers || least < minSubsetsPerServer/2 || most > 2*minSubsetsPerServer {
 			t.Errorf("%d of %d servers covered, by %d to %d balancers", len(cover), servers, least, most)
 		}
 	}
--- a/internal/balancer/ondemand_test.go
+++ b/internal/balancer/ondemand_test.go
@@ -49,8 +49,8 @@
 		t.Errorf("nil narrows nothing: %q, %v", to, final)
 	}
 	for range 50 { // not even a server that is due to be tried again comes in from outside
-		h.eject(h.byID["s0"])
-		h.at = max(h.at, h.byID["s0"].until)
+		h.eject(h.endpoints.byID["s0"])
+		h.at = max(h.at, h.endpoints.byID["s0"].health.ejectedUntil)
 		if _, to, _ := h.demand(0, "s1"); to != "s1" {
 			t.Fatalf("sent to %q", to)
 		}
@@ -83,7 +83,7 @@
 		t.Errorf("with one out: %q, %v", to, final)
 	}
 	h.tick(1200 * time.Millisecond) // late enough for a copy
-	if n := len(h.requests[id].attempts); n != 1 {
+	if n := len(h.requests.byID[id].attempts); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
 	if a := h.end(id, first, 0, Failed, NoReport); len(a) != 0 {
@@ -125,7 +125,7 @@
 			refused++
 		}
 	}
-	if sent > 200*retryShare+retrySaved || refused == 0 {
+	if sent > 200*retryBudgetRatio+maxRetryBudget || refused == 0 {
 		t.Errorf("%d further attempts for 200 requests, %d without", sent, refused)
 	}
 }
@@ -170,7 +170,7 @@
 	} {
 		for range 30 {
 			h := newBench(t, set, 1, 1, 1, 1, 1, 1, 1, 1)
-			for i, s := range h.servers {
+			for i, s := range h.endpoints.servers {
 				e := s.Server
 				e.Cell = i % 3
 				h.Handle(h.at, ServerList{Servers: []Server{e}})
@@ -178,7 +178,7 @@
 			h.at += window
 			to, final := sentTo(h.Handle(h.at, Request{ID: "r", Class: tt.class, Deadline: h.at + window,
 				Earlier: EarlierAttempt{MayHaveRun: true, SentAt: h.at - tt.ago, Cell: tt.cell}}))
-			if tt.want && (to == "" || h.byID[to].Cell != tt.cell) || !tt.want && (to != "" || !slices.Equal(final, []ActionKind{Fail})) {
+			if tt.want && (to == "" || h.endpoints.byID[to].Cell != tt.cell) || !tt.want && (to != "" || !slices.Equal(final, []ActionKind{Fail})) {
 				t.Fatalf("%s: sent to %q, %v", name, to, final)
 			}
 			if to == "" {
@@ -186,7 +186,7 @@
 			}
 			// An end that proves that this attempt never ran proves nothing of the one before.
 			to, final = sentTo(h.Handle(h.at+tt.ago, Outcome{Request: "r", Server: to, Result: Rejected, Report: NoReport}))
-			if to != "" && h.byID[to].Cell != tt.cell || to == "" && !slices.Equal(final, []ActionKind{Fail}) {
+			if to != "" && h.endpoints.byID[to].Cell != tt.cell || to == "" && !slices.Equal(final, []ActionKind{Fail}) {
 				t.Fatalf("%s: sent again to %q, %v", name, to, final)
 			}
 		}
--- a/internal/balancer/quiet_test.go
+++ b/internal/balancer/quiet_test.go
@@ -38,8 +38,8 @@
 		for range 27 {
 			h.ask(0)
 		}
-		if h.tick(75 * time.Millisecond); h.shed > 0 {
-			t.Errorf("%s: shed level %v with 30 in flight for a tick", name, h.shed)
+		if h.tick(75 * time.Millisecond); h.shedder.ratio > 0 {
+			t.Errorf("%s: shed level %v with 30 in flight for a tick", name, h.shedder.ratio)
 		}
 	}
 }
@@ -55,10 +55,10 @@
 		h.ask(0)
 		h.tick(75 * time.Millisecond)
 	}
-	if h.busy < busyFrom {
-		t.Errorf("taken to be %v in use", h.busy)
+	if h.shedder.utilization < shedStartUtilization {
+		t.Errorf("taken to be %v in use", h.shedder.utilization)
 	}
-	if h.shed == 0 {
+	if h.shedder.ratio == 0 {
 		t.Error("nothing is shed")
 	}
 }
@@ -70,7 +70,7 @@
 	h := newBench(t, testSettings(), 1, 1, 1, 1, 1, 1)
 	type sent struct{ id, to string }
 	var out []sent
-	aim := h.set.Classes[0].LatencyObjective
+	aim := h.settings.Classes[0].LatencyObjective
 	refused := 0
 	for range 400 {
 		id, to := h.ask(0)
--- /dev/null
+++ b/internal/balancer/retry.go
@@ -0,0 +1,94 @@
+package balancer
+
+import "slices"
+
+// Retries: what may be sent again and where, and the budget that keeps retries from multiplying an overload.
+const (
+	retryBudgetRatio = 0.2 // retries and hedges per first attempt
+	maxRetryBudget   = 10  // most of them saved up
+)
+
+// retryBudget counts the retries and hedges that may be made now, from 0 to maxRetryBudget.
+type retryBudget struct{ tokens float64 }
+
+// maySend is the one place that says what may be sent where; every send passes it. An attempt that may have
+// run is repeated only where the class allows it: for an idempotency key within its scope, and a tick before
+// its window ends, since the server may see the repeat that much later.
+func (b *Balancer) maySend(r *request, s *server) bool {
+	if s.State != Ready || !b.mayAttempt(r) || !r.isAllowed(s) {
+		return false
+	}
+	first := r.firstThatMayHaveRun()
+	if first == nil || r.class.Effect == Idempotent {
+		return true
+	}
+	scope := r.class.DedupScope
+	return r.class.Effect == IdempotentByKey && b.now+b.settings.Tick-first.sentAt < r.class.DedupWindow &&
+		(scope != DedupZone || s.Zone == first.zone) && (scope != DedupCell || s.Cell == first.cell)
+}
+
+// mayAttempt reports whether the request may have another attempt anywhere: it is open, in time, within its
+// number of attempts, and has none in flight or one that may be hedged.
+func (b *Balancer) mayAttempt(r *request) bool {
+	return !r.isClosed && b.now < r.Deadline && len(r.attempts) < b.settings.MaxAttempts &&
+		(r.MaxAttempts == 0 || len(r.attempts) < r.MaxAttempts) &&
+		r.inFlight <= 1 && (r.inFlight == 0 || !r.ManualRetry && b.settings.AllowHedging)
+}
+
+// isAllowed reports whether the server is one of those that the request may be sent to.
+func (r *request) isAllowed(s *server) bool {
+	if r.AllowedServers == nil {
+		return true
+	}
+	_, found := slices.BinarySearch(r.AllowedServers, s.ID)
+	return found
+}
+
+func (r *request) hasTried(s *server) bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.server == s })
+}
+
+// firstThatMayHaveRun is the first attempt that is not proved to have had no effect; nil: there is none.
+func (r *request) firstThatMayHaveRun() *attempt {
+	if r.Earlier.MayHaveRun {
+		return &r.earlier
+	}
+	for _, a := range r.attempts {
+		if !a.hasNotRun {
+			return a
+		}
+	}
+	return nil
+}
+
+// cellAttempt is the attempt in whose cell a repeat of the request has to stay; nil: it may leave.
+func (r *request) cellAttempt() *attempt {
+	if r.class.Effect != IdempotentByKey || r.class.DedupScope != DedupCell {
+		return nil
+	}
+	return r.firstThatMayHaveRun()
+}
+
+// mayReject reports whether the client may be told that repeating the request does no harm.
+func (r *request) mayReject() bool {
+	return r.firstThatMayHaveRun() == nil || r.class.Effect == Idempotent ||
+		r.class.Effect == IdempotentByKey && r.class.DedupScope == DedupFleet
+}
+
+// sendRetry makes another attempt, or ends the request where the budget is used up.
+func (b *Balancer) sendRetry(r *request) {
+	if b.retries.tokens < 1 {
+		b.finish(r, ReasonRetryBudget)
+		return
+	}
+	b.retries.tokens--
+	b.sendOrFinish(r)
+}
+
+// retryManually makes another attempt of a ManualRetry request, as its caller asks.
+func (b *Balancer) retryManually(e Retry) {
+	if r := b.requests.byID[e.Request]; r != nil && r.ManualRetry && r.inFlight == 0 && !r.isClosed {
+		r.AllowedServers = e.AllowedServers
+		b.sendRetry(r)
+	}
+}
--- a/internal/balancer/retune_test.go
+++ b/internal/balancer/retune_test.go
@@ -70,7 +70,7 @@
 	b.Handle(time.Second, ClassUpdate{MaxAttempts: 2, Classes: []Class{
 		{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, Retired: true},
 		{Name: "pay", Effect: NonIdempotent, LatencyObjective: 3 * time.Second, Deadline: 4 * time.Second, Priority: 1}}})
-	if b.trialBy != NonIdempotent || b.horizon != 3*time.Second {
-		t.Errorf("trials by %v, horizon %v", b.trialBy, b.horizon)
+	if b.outliers.trialEffect != NonIdempotent || b.horizon != 3*time.Second {
+		t.Errorf("trials by %v, horizon %v", b.outliers.trialEffect, b.horizon)
 	}
 }
--- a/internal/engine/tally.go
+++ b/internal/engine/tally.go
@@ -28,7 +28,7 @@
 	Left     []uint64                          // by class: calls whose client left first
 	Open     int                               // calls that have not ended
 	Written  uint64                            // attempts that were written whole to a server
-	Attempts [len(balancer.ResultNames)]uint64 // by logic.Result
+	Attempts [len(balancer.ResultNames)]uint64 // by balancer.Result
 	Sends    [len(SendKinds)]uint64            // by kind
 	Cold     uint64                            // of all these, to servers that had started lately
 	GivenUp  [len(balancer.ReasonNames)]uint64
