--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -179,13 +179,13 @@
 	if err != nil {
 		return err
 	}
-	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, Known: keep.known(cfg.known), Wait: keep.wait(),
-		Asked: cfg.Site.Logic.Subscribe}
+	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, CachedList: keep.known(cfg.known), FirstListTimeout: keep.wait(),
+		OnDemand: cfg.Site.Logic.Subscribe}
 	if with.Recovery != nil {
-		seek.Dated, seek.Agents = true, cfg.Site.Logic.Balancers
+		seek.UsesServerClock, seek.AgentCount = true, cfg.Site.Logic.Balancers
 	}
 	disco := platform.New(seek, clk, log)
-	core.OnSubscribe(disco.Ask)
+	core.OnSubscribe(disco.Subscribe)
 	sources, names := with.open(disco, clk, cfg.Site, log)
 	hub := membership.NewHub(with.Membership, names, clk, core.Tell, log)
 	settled, rules := platformconfig.New(cfg.Site), &requesthead.InForce{}
@@ -221,7 +221,7 @@
 	if governed != nil {
 		parts.Go(func() { governed.run(ctx, core.Done(), log) })
 	}
-	var door recovery.Door
+	var door recovery.Admitter
 	if with.Storm != nil {
 		door = newStorm(cfg, *with.Storm)
 		core.Guard(door)
@@ -229,9 +229,9 @@
 	}
 	var rekey func() error
 	if others != nil {
-		core.Heed(with.heard(disco), others.Tell)
+		core.Heed(with.heard(disco), others.Broadcast)
 		parts.Go(func() { others.Run(leaving, core) })
-		rekey = func() error { return others.Rekey(with.Peers.KeyFile) }
+		rekey = func() error { return others.ReloadKeys(with.Peers.KeyFile) }
 	}
 	together = with.openSharing(core, cfg, log)
 	if together != nil {
@@ -252,7 +252,7 @@
 	if cfg.Operator != "" { // the days on which operators call are those on which bodies are large
 		large = downstreamhttp1.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
 		listener = large.Frames(listener)
-		crowd.Patience = silentMost
+		crowd.FirstRequestTimeout = silentMost
 	}
 	clients := connlimit.New(listener, fromClients, crowd)
 	ready := func() bool { return core.Ready() && ctx.Err() == nil }
@@ -337,7 +337,7 @@
 	if len(x.Sources) > 0 && x.Sources[0].Name != Platform {
 		return func() bool { return true }
 	}
-	return disco.Heard
+	return disco.HasAnswered
 }
 
 // open opens the sources of members, the platform's list among them.
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -263,14 +264,15 @@
 	eventually(t, "it is rolled back", func() bool {
 		h := o.history(t)
 		last = h[len(h)-1]
-		return last.What == generation.Harmed
+		return last.Event == generation.EventHarmFound
 	})
-	t.Logf("rolled back after %v: %s", time.Since(applied).Round(10*time.Millisecond), last.Why)
-	if last.Hash != a.Hash || !strings.Contains(last.Why, "refused, failed or late") || o.log.Count("what=harmed") != 1 {
+	t.Logf("rolled back after %v: %s", time.Since(applied).Round(10*time.Millisecond), last.Reason)
+	if last.Hash != a.Hash || !strings.Contains(last.Reason, "refused, failed or late") || o.log.Count("what=harmed") != 1 {
 		t.Errorf("%+v", last)
 	}
 	err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, to("s-3")), By: "test"}, &admin.Applied{})
-	if e, ok := err.(*admin.CallError); !ok || e.Kind != admin.KindRefused || !strings.Contains(e.Error(), "done harm before") {
+	var e *admin.CallError
+	if !errors.As(err, &e) || e.Kind != admin.KindRefused || !strings.Contains(e.Error(), "done harm before") {
 		t.Errorf("applied again: %v", err)
 	}
 }
@@ -284,14 +286,13 @@
 	if a := o.apply(t, to("s-2")); !a.Durable {
 		t.Fatalf("%+v", a)
 	}
-	again := func() *operated {
+	again := func() {
 		o.stop()
 		if err := <-o.done; err != nil {
 			t.Fatal(err)
 		}
 		o.done <- nil // its cleanup asks again
 		o.start(t, state)
-		return o
 	}
 	cfg, err := parseConfig(configText(o.disco.Addr().String(), "null"), noEnv)
 	if err != nil {
@@ -342,7 +343,7 @@
 		t.Errorf("another tenant's: %+v", got)
 	}
 	data, err := json.Marshal(o.history(t))
-	if err != nil || !strings.Contains(string(data), generation.Applied) {
+	if err != nil || !strings.Contains(string(data), generation.EventApplied) {
 		t.Errorf("%s, %v", data, err)
 	}
 }
@@ -373,7 +374,8 @@
 		p := o.plan(t, c)
 		time.Sleep(time.Duration(rand.IntN(10)) * time.Millisecond)
 		err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, By: "test", Force: true}, &admin.Applied{})
-		switch e, refused := err.(*admin.CallError); {
+		var e *admin.CallError
+		switch refused := errors.As(err, &e); {
 		case err == nil:
 			ended["applied"]++
 			last = []string{id}
@@ -390,7 +392,7 @@
 	close(moving)
 	<-done
 	var s admin.Status
-	if err := o.client.Call(t.Context(), http.MethodGet, admin.PathStatus, nil, &s); err != nil || s.Drained != 1 {
+	if err := o.client.Call(t.Context(), http.MethodGet, admin.PathStatus, nil, &s); err != nil || s.DrainingServers != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	var in admin.Config
--- a/internal/agent/scale_test.go
+++ b/internal/agent/scale_test.go
@@ -25,7 +25,10 @@
 	parts   []time.Duration // of the time that changes took the engine
 }
 
-func newLarge(tb testing.TB, n int) *large {
+// largeFleet is the number of servers in a large fleet.
+const largeFleet = 10_000
+
+func newLarge(tb testing.TB) *large {
 	set := balancer.Settings{Balancers: 2, Tick: time.Millisecond, MaxAttempts: 2, KeyAffinity: true, UseListWeights: true,
 		SlowStartInitialRatio: 0.3, SlowStartDuration: 10 * time.Second, Classes: []balancer.Class{{Name: "form-check", Effect: balancer.Idempotent, LatencyObjective: 600e6, Deadline: 2e9, Priority: 1}}}
 	m, err := balancer.New(set, 1)
@@ -34,7 +37,7 @@
 	}
 	l := &large{now: time.Hour, table: membership.NewTable(membership.Options{}, 1), pool: connpool.New(time.Second, time.Second, 100), module: m}
 	m.Start(l.now)
-	for range n {
+	for range largeFleet {
 		l.members = append(l.members, l.fresh())
 	}
 	l.table.Update(l.now, 0, membership.Update{Full: true, Members: l.members})
@@ -51,7 +54,7 @@
 // tell hands on what has changed, as the hub and the engine do, and notes how long each part took.
 func (l *large) tell() {
 	for {
-		part := l.table.Take(128)
+		part := l.table.TakeChanges(128)
 		if len(part) == 0 {
 			return
 		}
@@ -109,7 +112,7 @@
 // are replaced each minute.
 func TestMemoryOverADayOfChurn(t *testing.T) {
 	before := heapMB()
-	l := newLarge(t, 10_000)
+	l := newLarge(t)
 	hour := func(n int) float64 {
 		for range n * 60 {
 			l.now += time.Minute
@@ -135,14 +138,14 @@
 // BenchmarkChange is a change of lists at 10,000 members: of one entry, and of all at once, which comes in parts.
 func BenchmarkChange(b *testing.B) {
 	b.Run("one of 10000", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		b.ReportAllocs()
 		for b.Loop() {
 			l.replace(1)
 		}
 	})
 	b.Run("all of 10000", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		l.parts = nil
 		for b.Loop() {
 			for i := range l.members {
@@ -158,7 +161,7 @@
 		}
 	})
 	b.Run("whole list, one differs", func(b *testing.B) {
-		l := newLarge(b, 10_000)
+		l := newLarge(b)
 		for b.Loop() {
 			l.members[l.next%10_000] = l.fresh()
 			l.table.Update(l.now, 0, membership.Update{Full: true, Members: l.members})
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -60,9 +60,9 @@
 }
 
 // Bans is for handover.Host.
-func (u *upgrade) Bans(ctx context.Context) (st denylist.State, err error) {
+func (u *upgrade) Bans(ctx context.Context) (st denylist.Snapshot, err error) {
 	err = u.core.Bans(ctx, func(_ time.Duration, s *denylist.Set) error {
-		st = s.State(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
+		st = s.Snapshot(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
 		return nil
 	})
 	return st, err
@@ -71,7 +71,7 @@
 // Obey is for handover.Host. The other process may know of a server that this one has not been told of yet.
 func (u *upgrade) Obey(ctx context.Context, o hotrestart.Order) error {
 	if err := u.core.Bans(ctx, func(_ time.Duration, s *denylist.Set) error {
-		s.Restore(denylist.State{Seen: []string{o.Server}}, u.clock.FromUnix)
+		s.Restore(denylist.Snapshot{KnownIDs: []string{o.Server}}, u.clock.FromUnix)
 		return nil
 	}); err != nil {
 		return err
@@ -86,7 +86,7 @@
 // Share is for handover.Host.
 func (u *upgrade) Share(part float64) {
 	u.conns.Limit(int(part * float64(u.toBackends)))
-	u.clients.Limit(int(part * float64(u.fromClients)))
+	u.clients.SetLimit(int(part * float64(u.fromClients)))
 	u.large.Share(part)
 	if u.memory != nil {
 		u.memory(part)
@@ -102,7 +102,7 @@
 // becomeReady waits until the process could serve all that comes, and takes new connections from then on.
 func (u *upgrade) becomeReady(ctx context.Context, d *platform.Discovery, log *slog.Logger) {
 	began := time.Now()
-	for ctx.Err() == nil && !(u.core.Ready() && (d.Heard() || u.link.Alone() || time.Since(began) > unheardMost)) {
+	for ctx.Err() == nil && (!u.core.Ready() || !d.HasAnswered() && !u.link.Alone() && time.Since(began) <= unheardMost) {
 		time.Sleep(readyLook)
 	}
 	if ctx.Err() != nil {
@@ -110,5 +110,5 @@
 	}
 	u.link.Enter(ctx, hotrestart.Serving)
 	u.serving.Store(true)
-	log.Info("ready to serve", "discovery heard", d.Heard(), "alone", u.link.Alone(), "after", time.Since(began).Round(time.Millisecond))
+	log.Info("ready to serve", "discovery heard", d.HasAnswered(), "alone", u.link.Alone(), "after", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -59,11 +59,11 @@
 	carried    int           // attempts that ended and had been handed over
 	last       *Attempt      // the latest attempt of a chooser's call
 	member     *coalesce.Member[*Call]
-	pass       *admission.Pass // of one that a door let in
-	began      time.Duration   // when the engine was told of it
-	counted    bool            // the tally has it as open
-	flies      bool            // it is a flight of joined calls, and nobody's own
-	bound      generation.Bound
+	pass       *admission.Permit // of one that a door let in
+	began      time.Duration     // when the engine was told of it
+	counted    bool              // the tally has it as open
+	flies      bool              // it is a flight of joined calls, and nobody's own
+	bound      generation.Binding
 	key        affinity.Key            // of a keyed call, where ties are kept
 	before     balancer.EarlierAttempt // what may have run of it under another id
 }
@@ -396,12 +396,12 @@
 		at, ok = e.timers[0].due, true
 	}
 	if e.joins != nil {
-		if due, is := e.joins.table.Due(); is && (!ok || due < at) {
+		if due, is := e.joins.table.NextTimer(); is && (!ok || due < at) {
 			at, ok = due, true
 		}
 	}
 	if e.governed != nil {
-		if due, is := e.governed.manager.Due(); is && (!ok || due < at) {
+		if due, is := e.governed.manager.NextTick(); is && (!ok || due < at) {
 			at, ok = due, true
 		}
 	}
@@ -480,21 +480,21 @@
 	case Restored:
 		e.ties.table.Restore(e.clock.Now(), ev.Records)
 	case undurable:
-		e.ties.table.Undurable()
+		e.ties.table.CountNotDurable()
 	case kept:
 		e.handOver(ev.attempt)
 	case spoken:
 		e.hear(ev)
 	case living:
 		if e.returning != nil {
-			e.returning.Lives(ev.alive)
+			e.returning.SetLiveAgents(ev.alive)
 		}
 		if s := e.sharer(); s != nil {
-			s.Lives(ev.alive)
+			s.HandleLiveness(ev.alive)
 		}
 	case shared:
 		if s := e.sharer(); s != nil {
-			besteffort.Ignore(s.Take(e.clock.Now(), ev.from, ev.body)) // what can't be read is counted there
+			besteffort.Ignore(s.HandlePayload(e.clock.Now(), ev.from, ev.body)) // what can't be read is counted there
 		}
 	}
 }
@@ -536,8 +536,8 @@
 		e.leave(c)
 		return
 	}
-	e.passed(c, admission.Left)
-	e.unbind(c, generation.Left)
+	e.passed(c, admission.OutcomeCanceled)
+	e.unbind(c, generation.ClientCanceled)
 	e.decide(balancer.ClientDisconnected{Request: c.ID})
 	e.forget(c)
 }
@@ -571,7 +571,7 @@
 	}
 	e.decide(balancer.Request{UsesPreviousClasses: c.Settings < e.settings, ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: c.Deadline, IsClientRetry: c.Again,
 		AllowedServers: c.among(), ManualRetry: c.chooser != nil || c.Upload != nil, StreamsBody: c.Upload != nil,
-		MaxAttempts: fewest(c.Attempts, c.bound.Attempts), Earlier: c.before})
+		MaxAttempts: fewest(c.Attempts, c.bound.MaxAttempts), Earlier: c.before})
 }
 
 // fewest is the lower of two numbers of which 0 states none.
@@ -593,7 +593,7 @@
 		d.Retune(r.Door)
 	}
 	if e.governed != nil {
-		e.governed.manager.Retune(r.Names)
+		e.governed.manager.SetNames(r.Names)
 	}
 }
 
@@ -619,7 +619,7 @@
 		e.returned(o)
 	}
 	if s := e.sharer(); s != nil && !a.Barred {
-		s.Ended(e.clock.Now(), a.Server, o.Result, o.Report)
+		s.AttemptEnded(e.clock.Now(), a.Server, o.Result, o.Report)
 	}
 	served := o.Result == balancer.OK
 	if o.Elsewhere {
@@ -727,8 +727,8 @@
 		e.returning.repeats(c, a, before)
 	}
 	if s := e.sharer(); s != nil {
-		if a.Barred = a.Barred || a.Number > 0 && !s.MayRetry(a.Sent); !a.Barred {
-			s.Sent(a.Sent, act.Server, a.Number > 0)
+		if a.Barred = a.Barred || a.Number > 0 && !s.AllowsRetry(a.Sent); !a.Barred {
+			s.AttemptSent(a.Sent, act.Server, a.Number > 0)
 		}
 	}
 	a.Life, a.tally, a.tell = e.fleet.Life(act.Server), e.tally, e.Tell
@@ -798,7 +798,7 @@
 // forget drops a call that is over. While attempts are in flight it is kept: their outcomes still teach.
 func (e *Engine) forget(c *Call) {
 	if c.closed.Load() && c.out == 0 && e.calls[c.ID] == c {
-		e.unbind(c, generation.Left) // one that was closed from outside has told nobody
+		e.unbind(c, generation.ClientCanceled) // one that was closed from outside has told nobody
 		e.tally.forgotten(c)
 		delete(e.calls, c.ID)
 		c.release()
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -34,16 +34,16 @@
 func goldenPeers() *gossip.Status {
 	return &gossip.Status{Listening: true, Alive: 2, States: []gossip.State{gossip.Unknown, gossip.Alive, gossip.Alive, gossip.Suspect, gossip.Suspect, gossip.Suspect,
 		gossip.Dead, gossip.Dead, gossip.Dead, gossip.Dead, gossip.Left, gossip.Left, gossip.Left, gossip.Left, gossip.Left},
-		Counts: gossip.Counts{Probes: 401, Unanswered: 402, Suspected: 403, Died: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Taken: 408,
+		Counts: gossip.Counts{Probes: 401, Unanswered: 402, Suspected: 403, DeclaredDead: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Received: 408,
 		Dropped: map[string]uint64{"forged": 409, "not of now": 410}}
 }
 
 func goldenShares() *overload.Status {
-	return &overload.Status{Trust: 0.51, Limit: 502, Capacity: 503, Use: 0.54, Gain: 0.55, Chances: []float64{0.56, 0.57}, Refused: 0.58,
-		Asked: overload.Asked{All: 509, LetIn: 510, Open: 511, Extra: 512, Good: 513, Late: 514, Heard: 515, Alive: 516},
-		Held:  []string{"s-1", "s-2", "s-3"},
-		Counts: overload.Counts{Refused: [][2]uint64{{517, 518}, {519, 520}}, Alone: 521, Late: 522, Unsent: 523, Told: 524,
-			Picture: overload.PictureCounts{Bounded: 525, Malformed: 526}}}
+	return &overload.Status{Trust: 0.51, Limit: 502, Capacity: 503, Utilization: 0.54, Gain: 0.55, AdmitProbabilities: []float64{0.56, 0.57}, RejectedRatio: 0.58,
+		Demand:   overload.Demand{Requests: 509, Admitted: 510, InFlight: 511, ExtraAttempts: 512, ServedInTime: 513, LateOrFailed: 514, KnownAgents: 515, AliveAgents: 516},
+		Excluded: []string{"s-1", "s-2", "s-3"},
+		Counts: overload.Counts{Rejected: [][2]uint64{{517, 518}, {519, 520}}, DecidedLocally: 521, PastDeadline: 522, RejectedRetries: 523, PayloadsSent: 524,
+			View: overload.ViewCounts{Capped: 525, Malformed: 526}}}
 }
 
 // Each part of the page from fixed counts, none of which is zero; maps come in any order, so the lines of a part are sorted.
@@ -68,26 +68,26 @@
 			GivenUp: [5]uint64{151, 152, 153, 154, 155}, Times: []engine.Times{times(161), times(171)}})
 	})
 	part(func(p page) {
-		s.joins(p, engine.Load{Joins: coalesce.Counts{Flights: 181, Joined: 182, Alone: 183, Parted: 184, Again: 185, Private: 186, Shared: 187,
+		s.joins(p, engine.Load{Joins: coalesce.Counts{Flights: 181, Followers: 182, NotCoalesced: 183, LateFlights: 184, NextFlights: 185, Private: 186, Shared: 187,
 			Waiting: 188, Groups: 189}})
 	})
-	for state := admission.Calm; state <= admission.Recovering; state++ {
+	for state := admission.Normal; state <= admission.Recovering; state++ {
 		part(func(p page) {
-			s.door(p, admission.Counts{State: state, Since: 201, Why: "why", Limit: 202, InFlight: 203, Refused: [][2]uint64{{204, 205}, {206, 207}},
-				Late: 208, Bound: 209, Storms: 210}, goldenClasses)
+			s.door(p, admission.Counts{State: state, Since: 201, Reason: "why", Limit: 202, InFlight: 203, Rejected: [][2]uint64{{204, 205}, {206, 207}},
+				TooLate: 208, OverLimit: 209, Overloads: 210}, goldenClasses)
 		})
 	}
 	part(func(p page) {
-		s.generation(p, generation.Status{Number: 221, Watched: true, Drained: 222, Refused: 223, Barred: 224, Servers: 225,
-			Counts: map[string]uint64{generation.Applied: 226, generation.Kept: 227, generation.RolledBack: 228, generation.Harmed: 229}})
+		s.generation(p, generation.Status{Number: 221, IsWatched: true, DrainingServers: 222, RejectedRequests: 223, BlockedConfigs: 224, ServerCount: 225,
+			EventCounts: map[string]uint64{generation.EventApplied: 226, generation.EventPromoted: 227, generation.EventRolledBack: 228, generation.EventHarmFound: 229}})
 	})
 	part(func(p page) {
-		s.ties(p, affinity.Counts{Entries: 241, Tied: 242, Lost: 243, Overflowed: 244, Evicted: 245, Unprotected: 246, Undurable: 247, Restored: 248})
+		s.ties(p, affinity.Counts{Entries: 241, Hits: 242, PodUnknown: 243, Overflowed: 244, Evicted: 245, Unprotected: 246, NotDurable: 247, Restored: 248})
 	})
-	for phase := recovery.Full; phase <= recovery.Proving; phase++ {
+	for phase := recovery.FullService; phase <= recovery.Ramping; phase++ {
 		part(func(p page) {
-			s.recovery(p, &recovery.Status{Phase: phase, Why: "why", Since: 261, Rate: 262, Warm: 0.63, Servers: 264, Heard: 265,
-				Counts: recovery.Counts{Recoveries: 266, Trials: 267, Vain: 268, Refused: []uint64{269, 270}, LetIn: []uint64{271, 272}}}, goldenClasses)
+			s.recovery(p, &recovery.Status{Phase: phase, Reason: "why", Since: 261, AdmissionRate: 262, WarmCapacityRatio: 0.63, Servers: 264, RespondingServers: 265,
+				Counts: recovery.Counts{Recoveries: 266, Trials: 267, FailedTrials: 268, Rejected: []uint64{269, 270}, Admitted: []uint64{271, 272}}}, goldenClasses)
 		})
 	}
 	part(s.peers)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -128,8 +128,8 @@
 
 func (s *Server) joins(p page, l engine.Load) {
 	c := l.Joins
-	for name, n := range map[string]uint64{"flights": c.Flights, "joined": c.Joined, "alone": c.Alone, "parted": c.Parted,
-		"again": c.Again, "private": c.Private, "shared": c.Shared} {
+	for name, n := range map[string]uint64{"flights": c.Flights, "joined": c.Followers, "alone": c.NotCoalesced, "parted": c.LateFlights,
+		"again": c.NextFlights, "private": c.Private, "shared": c.Shared} {
 		p.count("appleledge_join_"+name+"_total", "", n)
 	}
 	p.gauge("appleledge_join_waiting", "", float64(c.Waiting))
@@ -137,15 +137,15 @@
 }
 
 func (s *Server) door(p page, c admission.Counts, classes []string) {
-	for state := admission.Calm; state <= admission.Recovering; state++ {
+	for state := admission.Normal; state <= admission.Recovering; state++ {
 		p.gauge("appleledge_storm_state", fmt.Sprintf("state=%q", state), bit(c.State == state))
 	}
-	p.count("appleledge_storms_total", "", c.Storms)
+	p.count("appleledge_storms_total", "", c.Overloads)
 	p.gauge("appleledge_storm_limit", "", c.Limit)
 	p.gauge("appleledge_storm_in_flight", "", float64(c.InFlight))
-	p.count("appleledge_storm_too_late_total", "", c.Late)
-	p.count("appleledge_storm_bound_total", "", c.Bound)
-	for class, n := range c.Refused {
+	p.count("appleledge_storm_too_late_total", "", c.TooLate)
+	p.count("appleledge_storm_bound_total", "", c.OverLimit)
+	for class, n := range c.Rejected {
 		p.count("appleledge_storm_refused_total", fmt.Sprintf(`class=%q,try="first"`, classes[class]), n[0])
 		p.count("appleledge_storm_refused_total", fmt.Sprintf(`class=%q,try="again"`, classes[class]), n[1])
 	}
@@ -153,19 +153,19 @@
 
 func (s *Server) generation(p page, g generation.Status) {
 	p.gauge("appleledge_generation", "", float64(g.Number))
-	p.gauge("appleledge_generation_watched", "", bit(g.Watched))
-	p.gauge("appleledge_generation_drained", "", float64(g.Drained))
-	p.gauge("appleledge_generation_barred", "", float64(g.Barred))
-	p.count("appleledge_generation_refused_total", "", g.Refused)
-	for _, what := range []string{generation.Applied, generation.Kept, generation.RolledBack, generation.Harmed} {
-		p.count("appleledge_generation_changes_total", fmt.Sprintf("what=%q", what), g.Counts[what])
+	p.gauge("appleledge_generation_watched", "", bit(g.IsWatched))
+	p.gauge("appleledge_generation_drained", "", float64(g.DrainingServers))
+	p.gauge("appleledge_generation_barred", "", float64(g.BlockedConfigs))
+	p.count("appleledge_generation_refused_total", "", g.RejectedRequests)
+	for _, what := range []string{generation.EventApplied, generation.EventPromoted, generation.EventRolledBack, generation.EventHarmFound} {
+		p.count("appleledge_generation_changes_total", fmt.Sprintf("what=%q", what), g.EventCounts[what])
 	}
 }
 
 func (s *Server) ties(p page, c affinity.Counts) {
 	p.gauge("appleledge_ties", "", float64(c.Entries))
-	for name, n := range map[string]uint64{"tied": c.Tied, "lost": c.Lost, "overflowed": c.Overflowed, "evicted": c.Evicted,
-		"unprotected": c.Unprotected, "undurable": c.Undurable, "restored": c.Restored} {
+	for name, n := range map[string]uint64{"tied": c.Hits, "lost": c.PodUnknown, "overflowed": c.Overflowed, "evicted": c.Evicted,
+		"unprotected": c.Unprotected, "undurable": c.NotDurable, "restored": c.Restored} {
 		p.count("appleledge_ties_"+name+"_total", "", n)
 	}
 }
@@ -174,17 +174,17 @@
 	if st == nil {
 		return
 	}
-	for phase := recovery.Full; phase <= recovery.Proving; phase++ {
+	for phase := recovery.FullService; phase <= recovery.Ramping; phase++ {
 		p.gauge("appleledge_recovery_phase", fmt.Sprintf("phase=%q", phase), bit(st.Phase == phase))
 	}
-	p.gauge("appleledge_recovery_let_in_per_second", "", st.Rate)
-	p.gauge("appleledge_recovery_warm", "", st.Warm)
+	p.gauge("appleledge_recovery_let_in_per_second", "", st.AdmissionRate)
+	p.gauge("appleledge_recovery_warm", "", st.WarmCapacityRatio)
 	p.gauge("appleledge_recovery_servers", `state="known"`, float64(st.Servers))
-	p.gauge("appleledge_recovery_servers", `state="answered"`, float64(st.Heard))
+	p.gauge("appleledge_recovery_servers", `state="answered"`, float64(st.RespondingServers))
 	p.count("appleledge_recoveries_total", "", st.Counts.Recoveries)
 	p.count("appleledge_recovery_trials_total", "", st.Counts.Trials)
-	p.count("appleledge_recovery_trials_in_vain_total", "", st.Counts.Vain)
-	for class, n := range st.Counts.Refused {
+	p.count("appleledge_recovery_trials_in_vain_total", "", st.Counts.FailedTrials)
+	for class, n := range st.Counts.Rejected {
 		if class < len(classes) {
 			p.count("appleledge_recovery_refused_total", fmt.Sprintf("class=%q", classes[class]), n)
 		}
@@ -209,7 +209,7 @@
 	p.gauge("appleledge_peers_listening", "", bit(st.Listening))
 	p.count("appleledge_peer_datagrams_sent_total", "", st.Sent)
 	p.count("appleledge_peer_bytes_sent_total", "", st.SentBytes)
-	p.count("appleledge_peer_datagrams_taken_total", "", st.Taken)
+	p.count("appleledge_peer_datagrams_taken_total", "", st.Received)
 	for why, n := range st.Dropped {
 		p.count("appleledge_peer_datagrams_dropped_total", fmt.Sprintf("reason=%q", why), n)
 	}
@@ -228,25 +228,25 @@
 		return
 	}
 	p.gauge("appleledge_overload_trust", "", st.Trust)
-	p.gauge("appleledge_overload_agents_heard_of", "", float64(st.Asked.Heard))
-	p.gauge("appleledge_overload_use", "", st.Use)
-	for name, rate := range map[string]float64{"capacity": st.Capacity, "limit": st.Limit, "asked": st.Asked.All, "let_in": st.Asked.LetIn,
-		"in_time": st.Asked.Good, "late": st.Asked.Late, "further": st.Asked.Extra} {
+	p.gauge("appleledge_overload_agents_heard_of", "", float64(st.Demand.KnownAgents))
+	p.gauge("appleledge_overload_use", "", st.Utilization)
+	for name, rate := range map[string]float64{"capacity": st.Capacity, "limit": st.Limit, "asked": st.Demand.Requests, "let_in": st.Demand.Admitted,
+		"in_time": st.Demand.ServedInTime, "late": st.Demand.LateOrFailed, "further": st.Demand.ExtraAttempts} {
 		p.gauge("appleledge_overload_fleet_per_second", fmt.Sprintf("what=%q", name), rate)
 	}
-	for c, chance := range st.Chances {
+	for c, chance := range st.AdmitProbabilities {
 		if c < len(classes) {
 			p.gauge("appleledge_overload_chance", fmt.Sprintf("class=%q", classes[c]), chance)
-			p.count("appleledge_overload_refused_total", fmt.Sprintf(`class=%q,try="first"`, classes[c]), st.Counts.Refused[c][0])
-			p.count("appleledge_overload_refused_total", fmt.Sprintf(`class=%q,try="again"`, classes[c]), st.Counts.Refused[c][1])
+			p.count("appleledge_overload_refused_total", fmt.Sprintf(`class=%q,try="first"`, classes[c]), st.Counts.Rejected[c][0])
+			p.count("appleledge_overload_refused_total", fmt.Sprintf(`class=%q,try="again"`, classes[c]), st.Counts.Rejected[c][1])
 		}
 	}
-	p.gauge("appleledge_overload_held_out", "", float64(len(st.Held)))
-	p.count("appleledge_overload_decided_alone_total", "", st.Counts.Alone)
-	p.count("appleledge_overload_unsent_total", "", st.Counts.Unsent)
-	p.count("appleledge_overload_told_total", "", st.Counts.Told)
-	p.count("appleledge_overload_claims_bounded_total", "", st.Counts.Picture.Bounded)
-	p.count("appleledge_overload_malformed_total", "", st.Counts.Picture.Malformed)
+	p.gauge("appleledge_overload_held_out", "", float64(len(st.Excluded)))
+	p.count("appleledge_overload_decided_alone_total", "", st.Counts.DecidedLocally)
+	p.count("appleledge_overload_unsent_total", "", st.Counts.RejectedRetries)
+	p.count("appleledge_overload_told_total", "", st.Counts.PayloadsSent)
+	p.count("appleledge_overload_claims_bounded_total", "", st.Counts.View.Capped)
+	p.count("appleledge_overload_malformed_total", "", st.Counts.View.Malformed)
 }
 
 func bit(is bool) float64 {
