--- a/internal/balancer/weighted/weighted_test.go
+++ b/internal/balancer/weighted/weighted_test.go
@@ -11,33 +11,33 @@
 	"pgregory.net/rapid"
 )
 
-// crowd is a pool with its members, as an owner keeps it.
-type crowd struct {
+// poolFixture is a pool with its members, as an owner keeps it.
+type poolFixture struct {
 	pool *Pool[int]
 	mean float64
 	all  map[int]*Member[int]
 }
 
-func newCrowd() *crowd {
-	return &crowd{pool: NewPool[int](true), mean: 1, all: map[int]*Member[int]{}}
+func newPoolFixture() *poolFixture {
+	return &poolFixture{pool: NewPool[int](true), mean: 1, all: map[int]*Member[int]{}}
 }
 
-func (c *crowd) set(i int, share Linear) {
+func (c *poolFixture) set(i int, weight Linear) {
 	m := c.all[i]
 	if m == nil {
 		m = &Member[int]{Value: i, Hash: xxhash.Sum64String(fmt.Sprint("m", i))}
 		c.all[i] = m
 	}
-	m.DrawWeight = share
+	m.DrawWeight = weight
 	c.pool.Put(m, c.mean)
 }
 
-func (c *crowd) remove(i int) {
+func (c *poolFixture) remove(i int) {
 	c.pool.Remove(c.all[i])
 	delete(c.all, i)
 }
 
-func (c *crowd) homes(r *Rendezvous, keys int) []int {
+func (c *poolFixture) ownersOf(r *Rendezvous, keys int) []int {
 	d := c.pool.At(c.mean)
 	out := make([]int, keys)
 	for k := range out {
@@ -47,7 +47,7 @@
 	return out
 }
 
-// fits tells by Pearson's chi-squared test how far counts are from the wanted shares, in standard deviations of a draw
+// fits tells by Pearson's chi-squared test how far counts are from the wanted weights, in standard deviations of a draw
 // that follows them (by Wilson and Hilferty's approximation).
 func fits(got map[int]int, want map[int]float64, n int) float64 {
 	chi, total := 0.0, 0.0
@@ -63,14 +63,14 @@
 	return (math.Cbrt(chi/k) - (1 - 2/(9*k))) / math.Sqrt(2/(9*k))
 }
 
-// Draws and homes follow the weights at every size, when new and after churn, and the test would see a draw that does
+// Draws and owners of keys follow the weights at every size, when new and after churn, and the test would see a draw that does
 // not: one that ignores weights, and one by weights a fifth of which are off by a quarter, are both found out.
 func TestDrawsFollowWeights(t *testing.T) {
 	const most = 5 // standard deviations: a true draw goes beyond that once in three million times
 	for _, size := range []int{14, 100, 1000, 10_000} {
 		rng := rand.New(rand.NewPCG(1, uint64(size)))
-		c := newCrowd()
-		share := func() Linear { // sizes of one to ten, some of them by their own reports in part
+		c := newPoolFixture()
+		newWeight := func() Linear { // sizes of one to ten, some of them by their own reports in part
 			p := Linear{Slope: 1 + 9*rng.Float64()}
 			if rng.IntN(2) == 0 {
 				p = Linear{p.Slope / 4, 20 * p.Slope}
@@ -78,7 +78,7 @@
 			return p
 		}
 		for i := range size {
-			c.set(i, share())
+			c.set(i, newWeight())
 		}
 		check := func(when string) {
 			t.Helper()
@@ -115,7 +115,7 @@
 		}
 		check("new")
 		for i := range size / 2 {
-			c.set(i, share())
+			c.set(i, newWeight())
 		}
 		check("with half of the weights changed")
 		for range 5 * size {
@@ -123,7 +123,7 @@
 			if rng.IntN(3) == 0 {
 				c.remove(i)
 			}
-			c.set(i, share())
+			c.set(i, newWeight())
 		}
 		c.mean = 17
 		check("after churn")
@@ -134,7 +134,7 @@
 // the ends: the draw follows what is a weight and always ends.
 func TestExtremeWeights(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	c := newCrowd()
+	c := newPoolFixture()
 	for i := range 1000 {
 		c.set(i, Linear{Slope: 1})
 	}
@@ -168,12 +168,12 @@
 	}
 }
 
-// Whatever comes and goes, in whatever order: the pool holds exactly the members, and keys have the homes that they
+// Whatever comes and goes, in whatever order: the pool holds exactly the members, and keys have the owners that they
 // would have in a pool that is filled anew.
 func TestPoolModel(t *testing.T) {
-	race := NewRendezvous()
+	rendezvous := NewRendezvous()
 	rapid.Check(t, func(t *rapid.T) {
-		c := newCrowd()
+		c := newPoolFixture()
 		for round := range rapid.IntRange(1, 4).Draw(t, "rounds") {
 			for range rapid.IntRange(1, 120).Draw(t, "changes") {
 				i := rapid.IntRange(0, 99).Draw(t, "member")
@@ -183,25 +183,25 @@
 				}
 				c.set(i, Linear{float64(rapid.IntRange(0, 5).Draw(t, "size")), float64(rapid.IntRange(0, 90).Draw(t, "rate")) / 8})
 			}
-			fresh := newCrowd()
+			fresh := newPoolFixture()
 			for i, m := range c.all {
-				m.homed = m.DrawWeight // else the two may lawfully differ by homeStale
+				m.ownerWeight = m.DrawWeight // else the two may lawfully differ by maxOwnerWeightDrift
 				fresh.set(i, m.DrawWeight)
 			}
-			rebuild(c.pool.homes)
+			refreshOwnerWeights(c.pool.owners)
 			var held []int
-			for half := range c.pool.halves {
-				m := &c.pool.halves[half]
+			for half := range c.pool.samplers {
+				m := &c.pool.samplers[half]
 				for class, list := range m.classes {
-					if filled := m.filled[class/64]>>(class%64)&1 == 1; filled != (len(list) > 0) {
+					if filled := m.nonEmpty[class/64]>>(class%64)&1 == 1; filled != (len(list) > 0) {
 						t.Fatalf("class %d with %d members is marked %v", class, len(list), filled)
 					}
 					for at, e := range list {
 						w := m.weight(e.member)
-						if e.weight != w || w >= most(class) || w < most(class)/2 || e.member.slots[half] != (slot{uint8(class + 1), int32(at)}) {
-							t.Fatalf("member %d of weight %v stands in class %d as %v", e.of, w, class, e)
+						if e.weight != w || w >= classBound(class) || w < classBound(class)/2 || e.member.slots[half] != (slot{uint8(class + 1), int32(at)}) {
+							t.Fatalf("member %d of weight %v stands in class %d as %v", e.value, w, class, e)
 						}
-						held = append(held, e.of)
+						held = append(held, e.value)
 					}
 				}
 			}
@@ -211,65 +211,65 @@
 					t.Fatalf("member %d with %v is held: %v", i, m.DrawWeight, is)
 				}
 			}
-			if n := c.pool.homes.count; n != len(c.all) {
-				t.Fatalf("the homes count %d members of %d", n, len(c.all))
+			if n := c.pool.owners.size; n != len(c.all) {
+				t.Fatalf("the tree counts %d members of %d", n, len(c.all))
 			}
-			if got, want := c.homes(race, 50), fresh.homes(race, 50); !slices.Equal(got, want) {
-				t.Fatalf("homes after changes are %v, in a new pool %v", got, want)
+			if got, want := c.ownersOf(rendezvous, 50), fresh.ownersOf(rendezvous, 50); !slices.Equal(got, want) {
+				t.Fatalf("owners after changes are %v, in a new pool %v", got, want)
 			}
 		}
 	})
 }
 
-// Members without weight have no say in the homes of keys beside one that has some; where none has any, keys still have
-// the same homes whatever the order in which the members came.
-func TestHomesWithoutWeight(t *testing.T) {
-	race := NewRendezvous()
-	here, there := newCrowd(), newCrowd()
+// Members without weight have no say in the owners of keys beside one that has some; where none has any, keys still have
+// the same owners whatever the order in which the members came.
+func TestOwnersWithoutWeight(t *testing.T) {
+	rendezvous := NewRendezvous()
+	here, there := newPoolFixture(), newPoolFixture()
 	for i := range 4 {
 		here.set(i, Linear{})
 		there.set(3-i, Linear{Intercept: math.NaN()})
 	}
-	got, want := here.homes(race, 50), there.homes(race, 50)
+	got, want := here.ownersOf(rendezvous, 50), there.ownersOf(rendezvous, 50)
 	if !slices.Equal(got, want) || slices.Min(got) == slices.Max(got) {
-		t.Errorf("homes are %v, and %v where the members came in another order", got, want)
+		t.Errorf("owners are %v, and %v where the members came in another order", got, want)
 	}
 	here.set(2, Linear{Intercept: 1e-9})
-	if got := here.homes(race, 50); slices.Min(got) != 2 || slices.Max(got) != 2 {
-		t.Errorf("homes are %v, where only member 2 has a weight", got)
+	if got := here.ownersOf(rendezvous, 50); slices.Min(got) != 2 || slices.Max(got) != 2 {
+		t.Errorf("owners are %v, where only member 2 has a weight", got)
 	}
 }
 
-// rebuild brings a tree's copies of shares up to date.
-func rebuild(h *node[int]) {
+// refreshOwnerWeights brings the copies of weights in a tree up to date.
+func refreshOwnerWeights(h *ownerTree[int]) {
 	for i := range h.leaf {
-		h.leaf[i].homed = h.leaf[i].member.homed
+		h.leaf[i].ownerWeight = h.leaf[i].member.ownerWeight
 	}
-	if h.inner != nil {
-		for k, kid := range h.inner.kids {
-			if kid != nil {
-				rebuild(kid)
-				h.inner.sums[k] = kid.sum
+	if h.branch != nil {
+		for k, child := range h.branch.children {
+			if child != nil {
+				refreshOwnerWeights(child)
+				h.branch.weights[k] = child.weight
 			}
 		}
 	}
-	h.resum()
+	h.recomputeWeight()
 }
 
 // Few keys move when few members change: at each level of the tree no more than must, so within the number of levels
 // times the least possible in all. Homes follow the weights all the time.
 func TestFewKeysMove(t *testing.T) {
-	race := NewRendezvous()
+	rendezvous := NewRendezvous()
 	for _, tt := range []struct {
 		size   int
 		levels float64
 	}{{30, 1}, {1000, 3}, {10_000, 4}} {
-		for name, change := range map[string]func(c *crowd, i int){
-			"gone":       func(c *crowd, i int) { c.remove(i) },
-			"twice":      func(c *crowd, i int) { c.set(i, c.all[i].DrawWeight.Scaled(2)) },
-			"new beside": func(c *crowd, i int) { c.set(c.all[i].Value+1_000_000, c.all[i].DrawWeight) },
+		for name, change := range map[string]func(c *poolFixture, i int){
+			"gone":       func(c *poolFixture, i int) { c.remove(i) },
+			"twice":      func(c *poolFixture, i int) { c.set(i, c.all[i].DrawWeight.Scaled(2)) },
+			"new beside": func(c *poolFixture, i int) { c.set(c.all[i].Value+1_000_000, c.all[i].DrawWeight) },
 		} {
-			c := newCrowd()
+			c := newPoolFixture()
 			rng := rand.New(rand.NewPCG(3, 4))
 			weights, total := map[int]float64{}, 0.0
 			for i := range tt.size {
@@ -278,13 +278,13 @@
 				total += weights[i]
 			}
 			const keys = 40_000
-			before := c.homes(race, keys)
+			before := c.ownersOf(rendezvous, keys)
 			got := map[int]int{}
 			for _, i := range before {
 				got[i]++
 			}
 			if z := fits(got, weights, keys); z > 5 {
-				t.Errorf("%d members: homes are %.1f standard deviations off the weights", tt.size, z)
+				t.Errorf("%d members: owners are %.1f standard deviations off the weights", tt.size, z)
 			}
 			least := 0.0
 			for i := range max(1, tt.size/100) {
@@ -295,15 +295,15 @@
 				least /= 1 + least
 			}
 			moved := 0
-			for k, i := range c.homes(race, keys) {
+			for k, i := range c.ownersOf(rendezvous, keys) {
 				if i != before[k] {
 					moved++
 				}
 			}
-			share := float64(moved) / keys
-			t.Logf("%d members, 1%% of them %s: %.2f%% of the keys move, the least is %.2f%%", tt.size, name, 100*share, 100*least)
-			if share > least*tt.levels*1.25 || share < least/2 {
-				t.Errorf("%d members, %s: %.2f%% of the keys moved, where %.2f%% must", tt.size, name, 100*share, 100*least)
+			ratio := float64(moved) / keys
+			t.Logf("%d members, 1%% of them %s: %.2f%% of the keys move, the least is %.2f%%", tt.size, name, 100*ratio, 100*least)
+			if ratio > least*tt.levels*1.25 || ratio < least/2 {
+				t.Errorf("%d members, %s: %.2f%% of the keys moved, where %.2f%% must", tt.size, name, 100*ratio, 100*least)
 			}
 		}
 	}
