--- a/internal/denylist/decisions_test.go
+++ b/internal/denylist/decisions_test.go
@@ -11,11 +11,12 @@
 	"appleledge/internal/golden"
 )
 
-// decisionTrace is servers that are listed, taken off, held out and taken back, more than are kept, and goes on in another process.
+// decisionTrace records a run in which servers are listed, unlisted, denied and allowed, more of them than are remembered, and
+// in which another process takes over.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
 	s, now := New(8), time.Hour
-	said := func(err error) {
+	record := func(err error) {
 		tr.Add(now, err == nil, errors.Is(err, ErrUnknown), errors.Is(err, ErrFull))
 		tr.CountIf(err == nil, "done")
 		tr.CountIf(errors.Is(err, ErrUnknown), "unknown")
@@ -34,9 +35,9 @@
 		case 1:
 			s.MarkUnlisted(id)
 		case 2:
-			said(s.Deny(now, id))
+			record(s.Deny(now, id))
 		case 3:
-			said(s.Allow(now, id))
+			record(s.Allow(now, id))
 		case 4:
 			start := s.EffectiveStart(id, now-rnd.Millis(0, 4000))
 			tr.Add(s.IsDenied(id), start)
@@ -44,9 +45,9 @@
 			tr.Add(s.DeniedIDs())
 		}
 		if step%200 == 199 {
-			st := s.Snapshot(func(d time.Duration) int64 { return int64(d) })
-			tr.Add(st.KnownIDs)
-			for _, times := range []map[string]int64{st.DeniedSince, st.AllowedSince} {
+			snapshot := s.Snapshot(func(d time.Duration) int64 { return int64(d) })
+			tr.Add(snapshot.KnownIDs)
+			for _, times := range []map[string]int64{snapshot.DeniedSince, snapshot.AllowedSince} {
 				ids := []string{}
 				for id := range times {
 					ids = append(ids, id)
@@ -56,10 +57,10 @@
 					tr.Add(id, time.Duration(times[id]))
 				}
 			}
-			tr.CountIf(len(st.AllowedSince) > 0, "looks at those taken back")
+			tr.CountIf(len(snapshot.AllowedSince) > 0, "looks at those taken back")
 			if step%1000 == 999 { // the list names what it did before; all ids find room, as the order in which more are forgotten is a map's
 				next := New(100)
-				next.Restore(st, func(ms int64) time.Duration { return time.Duration(ms) })
+				next.Restore(snapshot, func(ms int64) time.Duration { return time.Duration(ms) })
 				tr.Add(next.DeniedIDs())
 				tr.Count("restored")
 			}
--- a/internal/denylist/denylist.go
+++ b/internal/denylist/denylist.go
@@ -1,116 +1,126 @@
-// Package denylist decides which servers operators hold out, beside what the list says of them. It does no I/O and reads no
-// clock.
+// Package denylist holds the servers that an operator has ejected by hand, whatever the endpoint list and health checks say of
+// them.
+//
+// The engine asks a Set for every server that it is about to give to the balancer, and tells it what each endpoint list names.
+// An operator's command reaches Deny or Allow through the engine, so that all calls come from the engine's goroutine. The package
+// does no I/O and reads no clock: times go in, as durations on the engine's clock.
+//
+// A server is listed or not and denied or not. It is forgotten only when it is neither, and then the one that departed longest
+// ago goes first. A Snapshot carries the state to another process of the same agent, on disk and during a hot restart.
 package denylist
 
 import (
 	"container/list"
 	"errors"
 	"fmt"
-	"maps"
 	"slices"
 	"time"
 )
 
-// Set is what is held out by hand. It is not safe for concurrent use.
+// Set is the denylist of one agent. It is not safe for concurrent use.
 //
-// Invariants: a ban outlasts whatever the list says and ends by Up alone. An id is known from the first list that names it;
-// one that is neither listed nor banned is forgotten when more than Most such ids have come after it. So a Set holds at most
-// Most bans, Most departed ids and what the list names.
+// Invariants: a denial outlasts whatever the endpoint list says and ends by Allow alone. An id is known from the first endpoint
+// list that names it. At most maxDenied ids are denied and at most maxDenied are in departed, so that memory is bounded by these
+// and by what the endpoint list names. An id is in departed exactly when it is neither listed nor denied.
 type Set struct {
 	maxDenied   int
 	servers     map[string]*server
-	departed    *list.List // ids neither listed nor banned, the earliest first
+	departed    *list.List // ids that are neither listed nor denied, the earliest first
 	deniedCount int
 }
 
+// server is what a Set knows of one id.
 type server struct {
 	isListed        bool
 	isDenied        bool
-	deniedAt        time.Duration // of a ban: when it began
-	listedStart     time.Duration // its start as last listed
-	allowedAt       time.Duration // when it was taken back with no known start since the ban; 0 if not
-	departedElement *list.Element // among those that are gone
+	deniedAt        time.Duration // when the denial began; kept after its end
+	listedStart     time.Duration // the server's start as last listed
+	allowedAt       time.Duration // when the denial ended with no start known since it began; 0 if not
+	departedElement *list.Element // its place in Set.departed, or nil
 }
 
-// Reasons why a call is turned down.
+// Errors of Deny and Allow. Both leave the Set as it was.
 var (
 	ErrUnknown = errors.New("no list has named it")
 	ErrFull    = errors.New("too many are held out already")
 )
 
-// New returns a set of at most so many bans.
-func New(most int) *Set {
-	return &Set{maxDenied: most, servers: map[string]*server{}, departed: list.New()}
+// New returns an empty Set that denies at most maxDenied servers at a time.
+func New(maxDenied int) *Set {
+	return &Set{maxDenied: maxDenied, servers: map[string]*server{}, departed: list.New()}
 }
 
-// MarkListed notes that the list names a server, with its latest start.
-func (s *Set) MarkListed(id string, started time.Duration) {
-	n := s.serverFor(id)
-	n.isListed, n.listedStart = true, started
-	s.updateDeparted(id, n)
+// MarkListed notes that the endpoint list names a server, with its latest start.
+func (s *Set) MarkListed(id string, startedAt time.Duration) {
+	srv := s.serverFor(id)
+	srv.isListed, srv.listedStart = true, startedAt
+	s.updateDeparted(id, srv)
 }
 
-// MarkUnlisted notes that the list names it no more.
+// MarkUnlisted notes that the endpoint list names a server no more. A denial of it stays.
 func (s *Set) MarkUnlisted(id string) {
-	if n := s.servers[id]; n != nil {
-		n.isListed = false
-		s.updateDeparted(id, n)
+	if srv := s.servers[id]; srv != nil {
+		srv.isListed = false
+		s.updateDeparted(id, srv)
 	}
 }
 
-// Deny holds a server out. Held out already, it stays so.
+// Deny ejects a server until Allow. One that is denied already stays so, from its first denial on. The error is ErrUnknown for an
+// id that no endpoint list has named, which protects an operator from a typing error, and ErrFull at the bound.
 func (s *Set) Deny(now time.Duration, id string) error {
-	n := s.servers[id]
+	srv := s.servers[id]
 	switch {
-	case n == nil:
+	case srv == nil:
 		return fmt.Errorf("%.64q: %w", id, ErrUnknown)
-	case n.isDenied:
+	case srv.isDenied:
 		return nil
 	case s.deniedCount >= s.maxDenied:
 		return fmt.Errorf("%.64q: %w", id, ErrFull)
 	}
-	n.isDenied, n.deniedAt = true, now
+	srv.isDenied, srv.deniedAt = true, now
 	s.deniedCount++
-	s.updateDeparted(id, n)
+	s.updateDeparted(id, srv)
 	return nil
 }
 
-// Allow takes a server back, however often it was held out. Nobody has told what happened to it meanwhile: unless the list
-// knows of a start since the ban, it counts as started now.
+// Allow ends a server's denial, however often it was denied; of one that is not denied it changes nothing. Nothing was heard of
+// the server meanwhile: unless the endpoint list names a start since the denial began, it counts as started now, so that it is
+// warmed up and not given a full share at once. The error is ErrUnknown for an id that no endpoint list has named.
 func (s *Set) Allow(now time.Duration, id string) error {
-	n := s.servers[id]
-	if n == nil {
+	srv := s.servers[id]
+	if srv == nil {
 		return fmt.Errorf("%.64q: %w", id, ErrUnknown)
 	}
-	if !n.isDenied {
+	if !srv.isDenied {
 		return nil
 	}
-	if n.isDenied = false; n.listedStart < n.deniedAt {
-		n.allowedAt = now
+	if srv.isDenied = false; srv.listedStart < srv.deniedAt {
+		srv.allowedAt = now
 	}
 	s.deniedCount--
-	s.updateDeparted(id, n)
+	s.updateDeparted(id, srv)
 	return nil
 }
 
-// DeniedSince reports whether a server is held out.
+// IsDenied reports whether a server is denied.
 func (s *Set) IsDenied(id string) bool {
-	n := s.servers[id]
-	return n != nil && n.isDenied
+	srv := s.servers[id]
+	return srv != nil && srv.isDenied
 }
 
-// EffectiveStart is the start that counts of a server that the list has started then.
-func (s *Set) EffectiveStart(id string, listed time.Duration) time.Duration {
-	if n := s.servers[id]; n != nil && n.allowedAt != 0 {
-		return max(listed, n.allowedAt)
+// EffectiveStart returns the start by which a server is to be warmed up: the one that the endpoint list states, or the end of its
+// denial where that is later.
+func (s *Set) EffectiveStart(id string, listedStart time.Duration) time.Duration {
+	if srv := s.servers[id]; srv != nil && srv.allowedAt != 0 {
+		return max(listedStart, srv.allowedAt)
 	}
-	return listed
+	return listedStart
 }
 
-// DeniedIDs are the ids that are held out, sorted; with those that the list does not name.
+// DeniedIDs returns the denied servers' ids, sorted, with those that the endpoint list does not name.
 func (s *Set) DeniedIDs() (ids []string) {
-	for id, n := range s.servers {
-		if n.isDenied {
+	for id, srv := range s.servers {
+		if srv.isDenied {
 			ids = append(ids, id)
 		}
 	}
@@ -118,67 +128,26 @@
 	return ids
 }
 
+// serverFor returns what is known of an id, which it makes known if it is not.
 func (s *Set) serverFor(id string) *server {
-	n := s.servers[id]
-	if n == nil {
-		n = &server{}
-		s.servers[id] = n
+	srv := s.servers[id]
+	if srv == nil {
+		srv = &server{}
+		s.servers[id] = srv
 	}
-	return n
+	return srv
 }
 
-// settle keeps the order of those that are gone, and forgets the earliest of too many.
-func (s *Set) updateDeparted(id string, n *server) {
-	switch here := n.isListed || n.isDenied; {
-	case here && n.departedElement != nil:
-		s.departed.Remove(n.departedElement)
-		n.departedElement = nil
-	case !here && n.departedElement == nil:
-		n.departedElement = s.departed.PushBack(id)
+// updateDeparted restores the invariants of departed after a change of srv, and forgets the earliest ids over the bound.
+func (s *Set) updateDeparted(id string, srv *server) {
+	switch isNeeded := srv.isListed || srv.isDenied; {
+	case isNeeded && srv.departedElement != nil:
+		s.departed.Remove(srv.departedElement)
+		srv.departedElement = nil
+	case !isNeeded && srv.departedElement == nil:
+		srv.departedElement = s.departed.PushBack(id)
 	}
 	for s.departed.Len() > s.maxDenied {
 		delete(s.servers, s.departed.Remove(s.departed.Front()).(string))
 	}
 }
-
-// Snapshot is what another process of the same agent needs to go on with: what is held out, what was taken back as cold, and
-// which ids have been listed. Times are Unix milliseconds.
-type Snapshot struct {
-	DeniedSince  map[string]int64 `json:"out,omitempty"`  // since when
-	AllowedSince map[string]int64 `json:"back,omitempty"` // since when it counts as started
-	KnownIDs     []string         `json:"seen,omitempty"`
-}
-
-// Snapshot returns a copy; unix turns its times.
-func (s *Set) Snapshot(unix func(time.Duration) int64) Snapshot {
-	st := Snapshot{DeniedSince: map[string]int64{}, AllowedSince: map[string]int64{}}
-	for id, n := range s.servers {
-		if n.isDenied {
-			st.DeniedSince[id] = unix(n.deniedAt)
-		}
-		if n.allowedAt != 0 {
-			st.AllowedSince[id] = unix(n.allowedAt)
-		}
-	}
-	st.KnownIDs = slices.Sorted(maps.Keys(s.servers))
-	return st
-}
-
-// Restore adds what another process has kept; clock turns its times.
-func (s *Set) Restore(st Snapshot, clock func(unixMS int64) time.Duration) {
-	for _, id := range st.KnownIDs {
-		s.updateDeparted(id, s.serverFor(id))
-	}
-	for id, since := range st.DeniedSince {
-		if n := s.serverFor(id); !n.isDenied && s.deniedCount < s.maxDenied {
-			n.isDenied, n.deniedAt = true, clock(since)
-			s.deniedCount++
-			s.updateDeparted(id, n)
-		}
-	}
-	for id, back := range st.AllowedSince {
-		n := s.serverFor(id)
-		n.allowedAt = clock(back)
-		s.updateDeparted(id, n)
-	}
-}
--- a/internal/denylist/denylist_test.go
+++ b/internal/denylist/denylist_test.go
@@ -12,7 +12,7 @@
 
 const second = time.Second
 
-func listed(ids ...string) *Set {
+func setWithListed(ids ...string) *Set {
 	s := New(3)
 	for _, id := range ids {
 		s.MarkListed(id, 0)
@@ -27,24 +27,28 @@
 	}
 }
 
-func TestABanHoldsUntilASingleUp(t *testing.T) {
-	s := listed("a")
+// An operator denies a server twice, and it leaves the endpoint list and comes back. It stays denied all along. One command to
+// allow it ends the denial, and a second one changes nothing.
+func TestDenialLastsUntilOneAllow(t *testing.T) {
+	s := setWithListed("a")
 	must(t, s.Deny(second, "a"))
 	must(t, s.Deny(2*second, "a"))
 	s.MarkUnlisted("a")
 	s.MarkListed("a", 3*second)
 	if !s.IsDenied("a") {
-		t.Fatal("leaving the list and coming back has ended the ban")
+		t.Fatal("leaving the list and coming back has ended the denial")
 	}
 	must(t, s.Allow(4*second, "a"))
 	must(t, s.Allow(5*second, "a"))
 	if s.IsDenied("a") {
-		t.Fatal("still out")
+		t.Fatal("still denied")
 	}
 }
 
-func TestWhatNoListHasNamedIsTurnedDown(t *testing.T) {
-	s := listed("a")
+// A command names a server that no endpoint list has ever named, as after a typing error, and is rejected. One that was listed
+// once and has left can still be denied and allowed.
+func TestUnlistedServerIsRejectedAsUnknown(t *testing.T) {
+	s := setWithListed("a")
 	for _, err := range []error{s.Deny(second, "b"), s.Allow(second, "b")} {
 		if !errors.Is(err, ErrUnknown) {
 			t.Errorf("got %v", err)
@@ -55,28 +59,29 @@
 	must(t, s.Allow(second, "a"))
 }
 
-// Nobody tells what becomes of a server that is out: without a start that the list knows of, it counts as cold.
-func TestATakenBackServerIsCold(t *testing.T) {
+// An operator denies a server and allows it again. Whether it was restarted meanwhile is known from the endpoint list alone, and
+// without a start there the server has to be warmed up like a new one. A process that takes over decides the same.
+func TestAllowedServerCountsAsJustStarted(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		listed, want    time.Duration
-		startedMeantime bool
+		name               string
+		listed, want       time.Duration
+		restartedMeanwhile bool
 	}{
 		{name: "no start is known of", want: 9 * second},
-		{name: "the list knows of a start since", startedMeantime: true, listed: 5 * second, want: 5 * second},
+		{name: "the list knows of a start since", restartedMeanwhile: true, listed: 5 * second, want: 5 * second},
 	} {
-		s := listed("a")
+		s := setWithListed("a")
 		must(t, s.Deny(2*second, "a"))
-		if c.startedMeantime {
+		if c.restartedMeanwhile {
 			s.MarkListed("a", c.listed)
 		}
 		must(t, s.Allow(9*second, "a"))
 		if got := s.EffectiveStart("a", c.listed); got != c.want {
 			t.Errorf("%s: started %v, want %v", c.name, got, c.want)
 		}
-		other := New(3) // as does a process that takes over, which hears of the list only then
-		same := func(d time.Duration) int64 { return int64(d) }
-		other.Restore(s.Snapshot(same), func(ms int64) time.Duration { return time.Duration(ms) })
+		other := New(3) // a process that takes over hears of the list only then
+		identity := func(d time.Duration) int64 { return int64(d) }
+		other.Restore(s.Snapshot(identity), func(ms int64) time.Duration { return time.Duration(ms) })
 		other.MarkListed("a", max(c.listed, second))
 		if got := other.EffectiveStart("a", max(c.listed, second)); got != c.want {
 			t.Errorf("%s: started %v for the next process, want %v", c.name, got, c.want)
@@ -90,15 +95,15 @@
 
 // model is a Set with no bound on what it remembers.
 type model struct {
-	listed, out, known map[string]bool
+	listed, denied, known map[string]bool
 }
 
-// Whatever comes, a ban ends by an up alone, what is held is bounded, and another process that takes the state over holds out
-// the same.
-func TestBansAsAModel(t *testing.T) {
+// Endpoint lists and commands come in any order, and now and then another process takes the state over. A denial ends by Allow
+// alone, memory stays bounded, and the other process denies the same servers.
+func TestSetMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 3
-		s, m := New(most), model{map[string]bool{}, map[string]bool{}, map[string]bool{}}
+		const maxDenied = 3
+		s, m := New(maxDenied), model{map[string]bool{}, map[string]bool{}, map[string]bool{}}
 		id := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f", "g"})
 		now := second
 		t.Repeat(map[string]func(*rapid.T){
@@ -108,22 +113,22 @@
 				x := id.Draw(t, "id")
 				switch err := s.Deny(now, x); {
 				case err == nil:
-					m.out[x] = true
-				case errors.Is(err, ErrFull) && len(m.out) < most, errors.Is(err, ErrUnknown) && (m.listed[x] || m.out[x]):
+					m.denied[x] = true
+				case errors.Is(err, ErrFull) && len(m.denied) < maxDenied, errors.Is(err, ErrUnknown) && (m.listed[x] || m.denied[x]):
 					t.Fatal(err)
 				}
 			},
 			"up": func(t *rapid.T) {
 				if x := id.Draw(t, "id"); s.Allow(now, x) == nil {
-					delete(m.out, x)
-				} else if m.listed[x] || m.out[x] {
-					t.Fatal("turned down")
+					delete(m.denied, x)
+				} else if m.listed[x] || m.denied[x] {
+					t.Fatal("rejected")
 				}
 			},
 			"taken over": func(t *rapid.T) {
-				same := func(d time.Duration) int64 { return int64(d) }
-				other := New(most)
-				other.Restore(s.Snapshot(same), func(ms int64) time.Duration { return time.Duration(ms) })
+				identity := func(d time.Duration) int64 { return int64(d) }
+				other := New(maxDenied)
+				other.Restore(s.Snapshot(identity), func(ms int64) time.Duration { return time.Duration(ms) })
 				if !slices.Equal(other.DeniedIDs(), s.DeniedIDs()) {
 					t.Fatalf("%v became %v", s.DeniedIDs(), other.DeniedIDs())
 				}
@@ -134,10 +139,10 @@
 			},
 			"": func(t *rapid.T) {
 				now += second
-				if !slices.Equal(s.DeniedIDs(), slices.Sorted(maps.Keys(m.out))) {
-					t.Fatalf("held out %v, want %v", s.DeniedIDs(), m.out)
+				if !slices.Equal(s.DeniedIDs(), slices.Sorted(maps.Keys(m.denied))) {
+					t.Fatalf("denied %v, want %v", s.DeniedIDs(), m.denied)
 				}
-				if len(s.servers) > len(m.listed)+2*most || s.departed.Len() > most || s.deniedCount > most {
+				if len(s.servers) > len(m.listed)+2*maxDenied || s.departed.Len() > maxDenied || s.deniedCount > maxDenied {
 					t.Fatalf("%d names for %d listed", len(s.servers), len(m.listed))
 				}
 			},
--- a/internal/denylist/golden_test.go
+++ b/internal/denylist/golden_test.go
@@ -9,10 +9,11 @@
 	"appleledge/internal/golden"
 )
 
-// Times are of a clock that is ahead of the engine's by 1,790,000,000,000 ms.
+// unixMS and clock convert times between the engine's clock and one that is ahead of it by 1,790,000,000,000 ms.
 func unixMS(t time.Duration) int64 { return t.Milliseconds() + 1_790_000_000_000 }
 func clock(ms int64) time.Duration { return time.Duration(ms-1_790_000_000_000) * time.Millisecond }
 
+// A Snapshot with every kind of entry has the committed bytes, and another process restores the same from them.
 func TestGoldenState(t *testing.T) {
 	s := New(10)
 	for i, id := range []string{"back", "departed", "listed", "out", "out and back"} {
