--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -24,7 +24,7 @@
 	}
 	ten := 1 << 20
 	c.Limits = []fleetconfig.Limit{{Name: "all", InFlight: &ten}, {Name: "wick", Tenant: "wick", Rate: 1e6, Burst: 1 << 20}}
-	return normal(c)
+	return normalized(c)
 }
 
 func fleetOf(n int) Servers {
@@ -37,7 +37,7 @@
 	return out
 }
 
-// BenchmarkBind is what a request costs: bound, and ended.
+// BenchmarkBind measures what Bind and Release cost a request.
 func BenchmarkBind(b *testing.B) {
 	for _, routes := range []int{0, 10, 100, 1000} {
 		b.Run(fmt.Sprint("routes=", routes), func(b *testing.B) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkSwitch is for how long the engine is held by a switch between two configurations of 1,000 routes over 10,000
-// servers, which are compiled before, with a tenth of the servers that begin or end to drain.
+// BenchmarkSwitch measures for how long a switch occupies the engine: between two compiled configurations of 1,000 routes over
+// 10,000 servers, with a tenth of the servers that begin or end to drain.
 func BenchmarkSwitch(b *testing.B) {
 	m := newManager()
 	m.UpdateServers(fleetOf(10_000))
@@ -77,7 +77,7 @@
 		_, _, base := m.Config()
 		b.StartTimer()
 		began := time.Now()
-		if err := m.Stage(ready, m.version, "x", base, true); err != nil {
+		if err := m.Stage(ready, m.serversVersion, "x", base, true); err != nil {
 			b.Fatal(err)
 		}
 		longest = max(longest, time.Since(began))
@@ -91,7 +91,7 @@
 	b.ReportMetric(float64(longest.Microseconds()), "longest-us")
 }
 
-// BenchmarkCompile is what is done beside the engine before a switch.
+// BenchmarkCompile measures what is done beside the engine before a switch.
 func BenchmarkCompile(b *testing.B) {
 	c, servers := manyRoutes(1000), fleetOf(10_000)
 	for b.Loop() {
@@ -101,8 +101,8 @@
 	}
 }
 
-// BenchmarkListed is what a change of one server costs the engine.
-func BenchmarkListed(b *testing.B) {
+// BenchmarkUpdateServers measures what a change of one server costs the engine.
+func BenchmarkUpdateServers(b *testing.B) {
 	m := newManager()
 	m.UpdateServers(fleetOf(10_000))
 	apply(b, m, time.Second, manyRoutes(1000))
--- a/internal/generation/golden_newer_test.go
+++ b/internal/generation/golden_newer_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A state of a newer form is told by its key "format", which is read through a field without a tag.
-func TestGoldenStateFormNumber(t *testing.T) {
+// A newer program wrote the state. It is recognized by its key "format" alone, whatever else the state holds.
+func TestGoldenStateFormatNumber(t *testing.T) {
 	if _, err := DecodeState([]byte(`{"format":2,"number":"of another kind"}`)); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("a state of a newer form: %v", err)
 	}
--- a/internal/generation/golden_test.go
+++ b/internal/generation/golden_test.go
@@ -16,10 +16,10 @@
 	"appleledge/internal/golden"
 )
 
-// full is a configuration with all that there is, which fits the names of these tests.
-func full() *fleetconfig.Config {
+// completeConfig sets every field of a configuration, with names that these tests know.
+func completeConfig() *fleetconfig.Config {
 	n := 7
-	return normal(fleetconfig.Config{
+	return normalized(fleetconfig.Config{
 		Pools: []fleetconfig.Pool{{Name: "p", Selector: fleetconfig.Selector{Kinds: []string{"twin-core"}, Zones: []string{"a"}, Pods: []int{1, 2},
 			IDs: []string{"s-1", "s-2"}, Networks: []netip.Prefix{netip.MustParsePrefix("127.0.1.0/24")}}}},
 		Routes: []fleetconfig.Route{{Name: "r", Priority: 3, Class: "form-check", Tenant: "glasgow", PathPrefix: "/form", Headers: map[string]string{"X-Attrs": "4"},
@@ -33,9 +33,9 @@
 	})
 }
 
-// fullState is a state in which each field has a value of its own.
-func fullState() *State {
-	c, before := full(), toPool("wick", 40)
+// completeState is a state in which each field has a value of its own.
+func completeState() *State {
+	c, before := completeConfig(), routeToPool("wick", 40)
 	return &State{
 		Format: 1, Number: 12, Config: c.JSON(), Hash: c.Hash(), PreviousConfig: before.JSON(), StagedHash: "hash of what is staged",
 		Watch: &WatchState{RolloutStep: 1, Baseline: []OutcomeCounts{{101, 1}, {102, 2}, {103, 3}, {104, 4}, {105, 5}, {106, 6}},
@@ -53,8 +53,8 @@
 	}
 }
 
-// kept is a state's whole file, as agents keep it.
-func kept(t *testing.T, s *State) []byte {
+// encodeFile returns the whole file in which agents store a state.
+func encodeFile(t *testing.T, s *State) []byte {
 	t.Helper()
 	doc, err := json.Marshal(s)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return data
 }
 
-// committed reads a state's committed file, as agents do.
-func committed(t *testing.T, name string) *State {
+// readCommitted reads a state's committed file, as agents do.
+func readCommitted(t *testing.T, name string) *State {
 	t.Helper()
 	f := atomicfile.File{Path: filepath.Join(t.TempDir(), "any"), FS: atomicfile.OS{}}
 	if err := os.WriteFile(f.Path, golden.Read(t, name), 0o600); err != nil {
@@ -89,39 +89,41 @@
 	return s
 }
 
+// A State with every field set, and one with none, have the committed bytes and are read back as the same.
 func TestGoldenState(t *testing.T) {
-	golden.Equal(t, "generation/state", kept(t, fullState()))
-	if got := committed(t, "generation/state"); !reflect.DeepEqual(got, fullState()) {
+	golden.Equal(t, "generation/state", encodeFile(t, completeState()))
+	if got := readCommitted(t, "generation/state"); !reflect.DeepEqual(got, completeState()) {
 		t.Errorf("the committed state reads as %+v", got)
 	}
 	c := fleetconfig.Config{} // the least: what may be left out is not written
 	least := &State{Format: 1, Config: c.JSON(), Hash: c.Hash()}
-	golden.Equal(t, "generation/least-state", kept(t, least))
-	if got := committed(t, "generation/least-state"); !reflect.DeepEqual(got, least) {
+	golden.Equal(t, "generation/least-state", encodeFile(t, least))
+	if got := readCommitted(t, "generation/least-state"); !reflect.DeepEqual(got, least) {
 		t.Errorf("the committed least state reads as %+v", got)
 	}
 }
 
-// A newer form is told by its number alone, whatever else is in it. The committed file was made by hand: this program can't write one.
+// A newer format is recognized by its number alone, whatever else is in the file. The committed file was made by hand, as this program
+// cannot write one.
 func TestGoldenNewerState(t *testing.T) {
 	if _, err := DecodeState(golden.Read(t, "generation/newer-state.json")); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("got %v", err)
 	}
 }
 
-// goldenManager has kept a change, rolled one back for its harm and one by an operator's word; it watches one, at the second step of its
-// rollout, and has another staged.
+// goldenManager has promoted a change, rolled one back for harm and one by an operator's command; it watches one, at the second step
+// of its rollout, and has another staged.
 func goldenManager(t *testing.T) *Manager {
-	x := newTrial(1, 300)
+	x := newSimulation(1, 300)
 	x.m.options.UnixMS = goldenMS
 	x.run(65 * time.Second)
-	apply(t, x.m, x.now, toPool("glasgow", 50))
+	apply(t, x.m, x.now, routeToPool("glasgow", 50))
 	x.run(35 * time.Second)
-	apply(t, x.m, x.now, toPool("wick", 100))
-	x.bad = pooled(1, 0.01)
+	apply(t, x.m, x.now, routeToPool("wick", 100))
+	x.badProbability = badInPool(1, 0.01)
 	x.run(10 * time.Second)
-	x.bad = pooled(0.01, 0.01)
-	apply(t, x.m, x.now, toPool("lerwick", 100))
+	x.badProbability = badInPool(0.01, 0.01)
+	apply(t, x.m, x.now, routeToPool("lerwick", 100))
 	x.run(time.Second)
 	if err := x.m.Rollback(x.now, "ann", "a word"); err != nil {
 		t.Fatal(err)
@@ -132,11 +134,11 @@
 	limited.Rollout = &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Time(2 * time.Second)}
 	apply(t, x.m, x.now, limited)
 	x.run(3 * time.Second)
-	ready, err := compileFor(full(), x.m)
+	ready, err := compileFor(completeConfig(), x.m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := x.m.Stage(ready, x.m.version, "ben", limited.Hash(), true); err != nil {
+	if err := x.m.Stage(ready, x.m.serversVersion, "ben", limited.Hash(), true); err != nil {
 		t.Fatal(err)
 	}
 	return x.m
@@ -144,15 +146,16 @@
 
 func goldenMS(now time.Duration) int64 { return 1_790_000_000_000 + now.Milliseconds() }
 
+// A Manager with every kind of record stores the committed state, and another one that restores it stores what is committed too.
 func TestGoldenStateOfAManager(t *testing.T) {
 	m := goldenManager(t)
-	golden.Equal(t, "generation/state-of-a-manager", kept(t, m.State()))
+	golden.Equal(t, "generation/state-of-a-manager", encodeFile(t, m.State()))
 	for _, word := range []string{EventApplied, EventPromoted, EventRolledBack, EventHarmFound} {
-		if m.counts[word] == 0 {
+		if m.eventCounts[word] == 0 {
 			t.Errorf("nothing was %s", word)
 		}
 	}
-	read := committed(t, "generation/state-of-a-manager")
+	read := readCommitted(t, "generation/state-of-a-manager")
 	if w := read.Watch; w == nil || w.RolloutStep != 1 || read.StagedHash == "" || read.PreviousConfig == nil || len(read.Blocked) != 1 {
 		t.Fatalf("the committed state reads as %+v", read)
 	}
@@ -163,7 +166,7 @@
 	if err := next.Restore(time.Minute, read); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "generation/state-taken-over", kept(t, next.State()))
+	golden.Equal(t, "generation/state-taken-over", encodeFile(t, next.State()))
 	status, err := json.MarshalIndent(next.Status(time.Minute), "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/generation/manager_test.go
+++ b/internal/generation/manager_test.go
@@ -20,26 +20,26 @@
 
 func newManager() *Manager { return New(Options{Names: names, MaxRetryAfter: time.Second}) }
 
-// normal is a configuration in its one form.
-func normal(c fleetconfig.Config) *fleetconfig.Config {
+// normalized returns a configuration in its normalized form.
+func normalized(c fleetconfig.Config) *fleetconfig.Config {
 	c.Normalize()
 	return &c
 }
 
-// compileFor compiles for the servers that there are.
+// compileFor compiles a configuration for the Manager's servers.
 func compileFor(c *fleetconfig.Config, m *Manager) (*CompiledConfig, error) {
 	servers, _ := m.Servers()
 	return Compile(c, names, servers)
 }
 
-// apply stages and switches.
+// apply stages a configuration and switches to it.
 func apply(t interface{ Fatal(...any) }, m *Manager, now time.Duration, c *fleetconfig.Config) {
 	ready, err := compileFor(c, m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _, base := m.Config()
-	if err := m.Stage(ready, m.version, "test", base, true); err != nil {
+	if err := m.Stage(ready, m.serversVersion, "test", base, true); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.Switch(now, ""); err != nil {
@@ -52,7 +52,7 @@
 		Zone: names.Zones[i/2%2], Pod: i % 4, Weight: 1}
 }
 
-// drawSelector draws what selects some servers.
+// drawSelector draws a selector.
 func drawSelector(t *rapid.T) (s fleetconfig.Selector) {
 	switch rapid.IntRange(0, 4).Draw(t, "by") {
 	case 0:
@@ -104,17 +104,17 @@
 			c.Drains = append(c.Drains, d)
 		}
 	}
-	return normal(c)
+	return normalized(c)
 }
 
-// selected is what a selector names, said as plainly as can be.
-func selected(s fleetconfig.Selector, x *fleetconfig.Server) bool {
+// isSelected reports whether a selector selects a server, as plainly as can be written.
+func isSelected(s fleetconfig.Selector, x *fleetconfig.Server) bool {
 	in := func(words []string, w string) bool { return len(words) == 0 || slices.Contains(words, w) }
 	return in(s.Kinds, x.Kind) && in(s.Zones, x.Zone) && in(s.IDs, x.ID) && (len(s.Pods) == 0 || slices.Contains(s.Pods, x.Pod))
 }
 
-// plainRoute is the route of a request, found by asking all of them.
-func plainRoute(c *fleetconfig.Config, a Request) *fleetconfig.Route {
+// routeByScan finds the route of a request by trying all of them.
+func routeByScan(c *fleetconfig.Config, a Request) *fleetconfig.Route {
 	var best *fleetconfig.Route
 	count := func(r *fleetconfig.Route) (n int) {
 		if r.Class != "" {
@@ -153,26 +153,26 @@
 	return best
 }
 
-// world is the model that a Manager is held against: configurations and servers as plain values, requests by hand.
-type world struct {
+// model is what a Manager is compared with: configurations and servers as plain values, and the open requests.
+type model struct {
 	m       *Manager
 	now     time.Duration
 	config  *fleetconfig.Config // in force
 	before  *fleetconfig.Config // to go back to, or nil
 	servers Servers
-	open    []*taken
+	open    []*openRequest
 	n       int
 }
 
-// taken is a request under way, with what it was told when it came.
-type taken struct {
+// openRequest is a request in flight, with what it was bound to when it arrived.
+type openRequest struct {
 	bound  Binding
 	number uint64
 	ids    []string
 	limits []string // that it counts under
 }
 
-func (w *world) limitsOf(a Request) (out []string) {
+func (w *model) limitsOf(a Request) (out []string) {
 	for _, l := range w.config.Limits {
 		if (l.Class == "" || l.Class == names.Classes[a.Class].Name) && (l.Tenant == "" || l.Tenant == names.Tenants[a.Tenant]) {
 			out = append(out, l.Name)
@@ -183,7 +183,7 @@
 
 // inFlight counts the requests under a limit's name that are open, whatever their generation: as long as the name is in
 // every generation between. The model asks only where that holds.
-func (w *world) inFlight(name string) (n int) {
+func (w *model) inFlight(name string) (n int) {
 	for _, x := range w.open {
 		if slices.Contains(x.limits, name) {
 			n++
@@ -192,30 +192,31 @@
 	return n
 }
 
-// Whatever comes, in whatever order: pools, drains and routes are what they are when all servers and routes are asked one by
-// one; limits let in what they say; a request keeps what it was bound to; a rollback brings the same hash back; and when all
-// requests have ended nothing is held any more.
-func TestManagerModel(t *testing.T) {
+// Servers come and go, changes are applied and rolled back, requests arrive and end, and processes restart or follow each other,
+// in any order. Pools, drains and routes are always what a scan of all servers and routes finds, limits admit what they say, and
+// a request keeps what it was bound to. A rollback brings the same hash back, and no memory of requests is left when all have
+// ended.
+func TestManagerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{m: newManager(), now: time.Second, config: &fleetconfig.Config{}, servers: Servers{}}
+		w := &model{m: newManager(), now: time.Second, config: &fleetconfig.Config{}, servers: Servers{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"servers": w.list, "apply": w.apply, "rollback": w.rollback, "arrive": w.arrive, "end": w.end, "restart": w.restart, "follow": w.follow, "": w.check,
 		})
 		for len(w.open) > 0 {
 			w.end(t)
 		}
-		for _, l := range w.m.force.limits {
+		for _, l := range w.m.active.limits {
 			if l.gauge.inFlight != 0 {
 				t.Fatalf("limit %s has %d in flight, and nothing is", l.Name, l.gauge.inFlight)
 			}
 		}
-		if s := w.m.Status(w.now); len(s.OpenRequests) > 0 || len(w.m.old) > 0 {
+		if s := w.m.Status(w.now); len(s.OpenRequests) > 0 || len(w.m.retiring) > 0 {
 			t.Fatalf("held although nothing is open: %+v", s)
 		}
 	})
 }
 
-func (w *world) list(t *rapid.T) {
+func (w *model) list(t *rapid.T) {
 	changed := Servers{}
 	for range rapid.IntRange(1, 6).Draw(t, "changes") {
 		s := server(rapid.IntRange(0, 15).Draw(t, "server"))
@@ -235,7 +236,7 @@
 	w.m.UpdateServers(changed)
 }
 
-func (w *world) apply(t *rapid.T) {
+func (w *model) apply(t *rapid.T) {
 	c := drawConfig(t)
 	if c.Hash() == w.config.Hash() {
 		return
@@ -244,7 +245,7 @@
 	w.config, w.before = c, w.config
 }
 
-func (w *world) rollback(t *rapid.T) {
+func (w *model) rollback(t *rapid.T) {
 	err := w.m.Rollback(w.now, "test", "")
 	if (err == nil) != (w.before != nil) {
 		t.Fatalf("there is a generation to go back to: %v, and it said %v", w.before != nil, err)
@@ -255,7 +256,7 @@
 }
 
 // restart makes a new Manager of the state of the old one, whose requests are lost with it.
-func (w *world) restart(t *rapid.T) {
+func (w *model) restart(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "restart") > 0 {
 		return
 	}
@@ -267,9 +268,9 @@
 	w.m.UpdateServers(maps.Clone(w.servers))
 }
 
-// follow makes changes in another process, whose state this one follows or takes over; its requests stay, and the list moves
-// between the two looks that it takes.
-func (w *world) follow(t *rapid.T) {
+// follow makes changes in another process, whose state this one follows or takes over. Its own requests stay, and the endpoint list
+// may change between the compilation of the state and its use.
+func (w *model) follow(t *rapid.T) {
 	other := newManager()
 	if err := other.Restore(w.now, w.m.State()); err != nil {
 		t.Fatal(err)
@@ -304,23 +305,23 @@
 	}
 }
 
-func (w *world) arrive(t *rapid.T) {
+func (w *model) arrive(t *rapid.T) {
 	w.n++
 	a := Request{ID: fmt.Sprint(w.n), Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"),
 		Path: rapid.SampledFrom([]string{"/", "/form-check/a/b", "/form-check"}).Draw(t, "path"), Deadline: w.now + time.Second}
 	if rapid.Bool().Draw(t, "attrs") {
 		a.Header = map[string][]string{"X-Attrs": {rapid.SampledFrom([]string{"1", "2"}).Draw(t, "attr")}}
 	}
-	x := &taken{}
-	told, ok := w.m.Bind(w.now, &a, &x.bound)
+	x := &openRequest{}
+	rejection, ok := w.m.Bind(w.now, &a, &x.bound)
 	if !ok {
-		i := slices.IndexFunc(w.config.Limits, func(l fleetconfig.Limit) bool { return l.Name == told.Limit })
-		if i < 0 || told.MaxInFlight != *w.config.Limits[i].InFlight {
-			t.Fatalf("refused by %+v, which is not in force", told)
+		i := slices.IndexFunc(w.config.Limits, func(l fleetconfig.Limit) bool { return l.Name == rejection.Limit })
+		if i < 0 || rejection.MaxInFlight != *w.config.Limits[i].InFlight {
+			t.Fatalf("rejected by %+v, which is not in force", rejection)
 		}
 		return
 	}
-	if route := plainRoute(w.config, a); route == nil {
+	if route := routeByScan(w.config, a); route == nil {
 		if x.bound.ServerIDs() != nil {
 			t.Fatalf("without a route it is kept to %v", x.bound.ServerIDs())
 		}
@@ -331,12 +332,12 @@
 	w.open = append(w.open, x)
 }
 
-func (w *world) checkPool(t *rapid.T, name string, ids []string) {
+func (w *model) checkPool(t *rapid.T, name string, ids []string) {
 	i := slices.IndexFunc(w.config.Pools, func(p fleetconfig.Pool) bool { return p.Name == name })
 	var want []string
 	if i >= 0 {
 		for id, s := range w.servers {
-			if selected(w.config.Pools[i].Selector, s) {
+			if isSelected(w.config.Pools[i].Selector, s) {
 				want = append(want, id)
 			}
 		}
@@ -350,7 +351,7 @@
 	}
 }
 
-func (w *world) end(t *rapid.T) {
+func (w *model) end(t *rapid.T) {
 	if len(w.open) == 0 {
 		return
 	}
@@ -360,11 +361,11 @@
 		t.Fatalf("bound to %d and %v, and it ends under %d with %v", x.number, x.ids, x.bound.Generation(), x.bound.ServerIDs())
 	}
 	w.m.Release(w.now, &x.bound, Served)
-	w.m.Release(w.now, &x.bound, Served) // a second word changes nothing
+	w.m.Release(w.now, &x.bound, Served) // a second call changes nothing
 	w.open = slices.Delete(w.open, i, i+1)
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *model) check(t *rapid.T) {
 	if _, _, hash := w.m.Config(); hash != w.config.Hash() {
 		t.Fatalf("%s is in force, want %s", hash, w.config.Hash())
 	}
@@ -372,7 +373,7 @@
 	for _, d := range w.config.Drains {
 		var in []*fleetconfig.Server
 		for _, s := range w.servers {
-			if selected(d.Selector, s) {
+			if isSelected(d.Selector, s) {
 				in = append(in, s)
 			}
 		}
@@ -380,10 +381,10 @@
 			want[s.ID] = true
 		}
 	}
-	if !maps.Equal(want, w.m.drained) {
-		t.Fatalf("drained are %v, want %v", w.m.drained, want)
+	if !maps.Equal(want, w.m.draining) {
+		t.Fatalf("drained are %v, want %v", w.m.draining, want)
 	}
-	for _, l := range w.m.force.limits {
+	for _, l := range w.m.active.limits {
 		if n := l.gauge.inFlight; n > max(*l.InFlight, w.inFlight(l.Name)) {
 			t.Fatalf("limit %s lets in %d", l.Name, n)
 		}
@@ -400,8 +401,9 @@
 	return n
 }
 
-// A larger share holds the smaller one, and a share is rounded up.
-func TestPartsGrow(t *testing.T) {
+// A rollout drains a growing share of the servers. A larger share includes the smaller one, so that no step brings back a server
+// that an earlier one drained, and a share is rounded up.
+func TestLargerShareIncludesSmaller(t *testing.T) {
 	var all []*fleetconfig.Server
 	for i := range 40 {
 		all = append(all, server(i))
@@ -427,24 +429,25 @@
 	}
 }
 
-// A rate lets in its burst and then so many a second, and tells when the next one fits; clients are told apart when to come.
-func TestRatesAndComeBackTimes(t *testing.T) {
+// Requests of one tenant come ten times as fast as its limit allows. The limit admits its burst and then its rate, and tells the
+// others when to retry, at spread times so that they do not return together. Another tenant is not limited.
+func TestRateLimitAdmitsItsRateAndSpreadsRetryAfter(t *testing.T) {
 	m := newManager()
-	apply(t, m, time.Second, normal(fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "wick", Rate: 10, Burst: 5}}}))
+	apply(t, m, time.Second, normalized(fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "wick", Rate: 10, Burst: 5}}}))
 	in, afters := 0, map[time.Duration]bool{}
 	for i := range 2000 {
 		now := time.Second + time.Duration(i)*time.Millisecond
 		var b Binding
-		told, ok := m.Bind(now, &Request{ID: fmt.Sprint(i), Tenant: 2}, &b)
+		rejection, ok := m.Bind(now, &Request{ID: fmt.Sprint(i), Tenant: 2}, &b)
 		if ok {
 			in++
 			m.Release(now, &b, Served)
 			continue
 		}
-		if told.RetryAfter <= 0 || told.RetryAfter > 150*time.Millisecond || told.Limit != "l" || told.MaxInFlight != 0 {
-			t.Fatalf("refused with %+v", told)
+		if rejection.RetryAfter <= 0 || rejection.RetryAfter > 150*time.Millisecond || rejection.Limit != "l" || rejection.MaxInFlight != 0 {
+			t.Fatalf("rejected with %+v", rejection)
 		}
-		afters[told.RetryAfter] = true
+		afters[rejection.RetryAfter] = true
 	}
 	if in != 5+19 && in != 5+20 {
 		t.Errorf("%d were let in, over 2 s at 10 a second with a burst of 5", in)
@@ -458,11 +461,12 @@
 	}
 }
 
-// Event is staged is refused for a reason that can be told from others.
-func TestWhatIsNotStaged(t *testing.T) {
+// A plan is applied on the wrong base, twice at once, while the change before is watched, or although it did harm before. Each
+// is rejected with an error of its own, by which the caller tells the operator what to do; force overrides the last two.
+func TestStageRejectsWithDistinctErrors(t *testing.T) {
 	m := newManager()
-	a := normal(fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Pods: []int{1}}}}})
-	b := normal(fleetconfig.Config{Watch: &fleetconfig.Watch{For: fleetconfig.Time(time.Second), FalseAlarms: 0.01}})
+	a := normalized(fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Pods: []int{1}}}}})
+	b := normalized(fleetconfig.Config{Watch: &fleetconfig.Watch{For: fleetconfig.Time(time.Second), FalseAlarms: 0.01}})
 	compiled := func(c *fleetconfig.Config) *CompiledConfig {
 		ready, err := Compile(c, names, nil)
 		if err != nil {
@@ -471,46 +475,49 @@
 		return ready
 	}
 	empty := (&fleetconfig.Config{}).Hash()
-	wants := func(what string, err, want error) {
+	expect := func(what string, err, want error) {
 		t.Helper()
 		if fmt.Sprint(err) != fmt.Sprint(want) && !strings.HasPrefix(fmt.Sprint(err), fmt.Sprint(want)) {
 			t.Errorf("%s: %v, want %v", what, err, want)
 		}
 	}
-	wants("another base", m.Stage(compiled(a), m.version, "x", "0000000000000000", false), ErrBaseChanged)
-	wants("nothing new", m.Stage(compiled(&fleetconfig.Config{}), m.version, "x", empty, false), ErrNoChange)
-	wants("the first", m.Stage(compiled(a), m.version, "x", empty, false), nil)
-	wants("a second at once", m.Stage(compiled(b), m.version, "y", empty, false), ErrAlreadyStaged)
+	expect("another base", m.Stage(compiled(a), m.serversVersion, "x", "0000000000000000", false), ErrBaseChanged)
+	expect("nothing new", m.Stage(compiled(&fleetconfig.Config{}), m.serversVersion, "x", empty, false), ErrNoChange)
+	expect("the first", m.Stage(compiled(a), m.serversVersion, "x", empty, false), nil)
+	expect("a second at once", m.Stage(compiled(b), m.serversVersion, "y", empty, false), ErrAlreadyStaged)
 	if _, err := m.Switch(time.Second, ""); err != nil {
 		t.Fatal(err)
 	}
-	wants("while it is watched", m.Stage(compiled(b), m.version, "y", a.Hash(), false), ErrWatchActive)
-	wants("forced", m.Stage(compiled(b), m.version, "y", a.Hash(), true), nil)
+	expect("while it is watched", m.Stage(compiled(b), m.serversVersion, "y", a.Hash(), false), ErrWatchActive)
+	expect("forced", m.Stage(compiled(b), m.serversVersion, "y", a.Hash(), true), nil)
 	m.Unstage()
-	m.bar(b.Hash(), "it was bad")
-	wants("rolled back", m.Rollback(2*time.Second, "x", ""), nil)
-	wants("with nothing before", m.Rollback(2*time.Second, "x", ""), ErrNoRollbackTarget)
-	wants("one that has done harm", m.Stage(compiled(b), m.version, "y", empty, false), ErrBlocked)
-	wants("the same, forced", m.Stage(compiled(b), m.version, "y", empty, true), nil)
-	if _, err := m.Switch(3*time.Second, ""); err != nil || len(m.barList) != len(m.barred) {
-		t.Errorf("%v; %d in the order of those that have done harm, %d of them", err, len(m.barList), len(m.barred))
+	m.blockConfig(b.Hash(), "it was bad")
+	expect("rolled back", m.Rollback(2*time.Second, "x", ""), nil)
+	expect("with nothing before", m.Rollback(2*time.Second, "x", ""), ErrNoRollbackTarget)
+	expect("one that has done harm", m.Stage(compiled(b), m.serversVersion, "y", empty, false), ErrBlocked)
+	expect("the same, forced", m.Stage(compiled(b), m.serversVersion, "y", empty, true), nil)
+	if _, err := m.Switch(3*time.Second, ""); err != nil || len(m.blockedOrder) != len(m.blocked) {
+		t.Errorf("%v; %d in the order of those that have done harm, %d of them", err, len(m.blockedOrder), len(m.blocked))
 	}
 }
 
-// Neither what is remembered of changes nor of harm grows without end.
-func TestBoundsOfMemory(t *testing.T) {
+// An agent that runs for years sees any number of changes and of harmful ones. The history and the blocked hashes stay bounded,
+// and the oldest entries are dropped.
+func TestHistoryAndBlockedConfigsAreBounded(t *testing.T) {
 	m := newManager()
-	for i := range 3 * mostHistory {
-		m.bar(fmt.Sprint(i), "")
+	for i := range 3 * maxHistoryRecords {
+		m.blockConfig(fmt.Sprint(i), "")
 		m.record(0, Record{Number: uint64(i)})
 	}
-	if len(m.barred) != mostBarred || len(m.barList) != mostBarred || len(m.history) != mostHistory || m.history[0].Number != 2*mostHistory {
-		t.Errorf("%d barred, %d in the history", len(m.barred), len(m.history))
+	if len(m.blocked) != maxBlockedConfigs || len(m.blockedOrder) != maxBlockedConfigs || len(m.history) != maxHistoryRecords || m.history[0].Number != 2*maxHistoryRecords {
+		t.Errorf("%d barred, %d in the history", len(m.blocked), len(m.history))
 	}
 }
 
-// A process that follows another one drains as far as that one's rollout has come, judges nothing, and takes the watch over.
-func TestAFollowerLeavesTheWatchToTheOther(t *testing.T) {
+// During a hot restart the new process follows the old one, which is in the middle of a rollout. The follower drains as far as the
+// rollout has come and leaves the watch to the other, so that no change is judged twice. When the old process ends, the new one
+// takes the watch over.
+func TestFollowerLeavesWatchToLeaderUntilTakeOver(t *testing.T) {
 	leader, follower := newManager(), newManager()
 	changed := Servers{}
 	for i := range 8 {
@@ -518,7 +525,7 @@
 	}
 	leader.UpdateServers(changed)
 	follower.UpdateServers(maps.Clone(changed))
-	apply(t, leader, time.Second, normal(fleetconfig.Config{Rollout: &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Time(time.Second)},
+	apply(t, leader, time.Second, normalized(fleetconfig.Config{Rollout: &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Time(time.Second)},
 		Drains: []fleetconfig.Drain{{Name: "d", Selector: fleetconfig.Selector{Kinds: []string{"twin-core"}}, Share: 1}}}))
 	adopt := func(bring func(time.Duration, *CompiledState), now time.Duration) {
 		servers, version := follower.Servers()
@@ -527,45 +534,45 @@
 			t.Fatal(err)
 		}
 		bring(now, p)
-		if !maps.Equal(follower.drained, leader.drained) {
-			t.Errorf("%v are drained, and %v by the one that is followed", follower.drained, leader.drained)
+		if !maps.Equal(follower.draining, leader.draining) {
+			t.Errorf("%v are drained, and %v by the one that is followed", follower.draining, leader.draining)
 		}
 	}
 	adopt(follower.Follow, time.Second)
-	if n := len(follower.drained); n != 1 {
+	if n := len(follower.draining); n != 1 {
 		t.Fatalf("%d of 4 are drained at the first of four steps", n)
 	}
 	if _, due := follower.NextTick(); due {
-		t.Error("it watches as well")
+		t.Error("the follower watches as well")
 	}
-	for now := time.Second; len(leader.drained) < 3; now += 100 * time.Millisecond {
+	for now := time.Second; len(leader.draining) < 3; now += 100 * time.Millisecond {
 		if leader.Tick(now); now > time.Minute {
 			t.Fatal("the rollout does not go on")
 		}
 	}
 	adopt(follower.Follow, 4*time.Second)
 	adopt(follower.TakeOver, 5*time.Second)
-	if _, due := follower.NextTick(); !due || len(follower.drained) != 3 {
-		t.Errorf("after it took over: watches %v, %d drained", due, len(follower.drained))
+	if _, due := follower.NextTick(); !due || len(follower.draining) != 3 {
+		t.Errorf("after it took over: watches %v, %d drained", due, len(follower.draining))
 	}
 }
 
-// Classes that come while a change is watched are watched as well; there are rows for no more of them than memory is meant for, and
-// what comes over that is counted with the last.
-func TestClassesThatComeUnderWatch(t *testing.T) {
+// The platform adds thousands of classes while a change is watched. Harm to the last of them is found, although there is memory for
+// fewer: the classes above the bound are counted together.
+func TestClassesAddedDuringWatchAreWatched(t *testing.T) {
 	m := newManager()
 	now := time.Second
-	apply(t, m, now, normal(fleetconfig.Config{Routes: []fleetconfig.Route{{Name: "r", Priority: 1, To: []fleetconfig.Target{{Pool: fleetconfig.All, Weight: 1}}}}}))
+	apply(t, m, now, normalized(fleetconfig.Config{Routes: []fleetconfig.Route{{Name: "r", Priority: 1, To: []fleetconfig.Target{{Pool: fleetconfig.All, Weight: 1}}}}}))
 	more := names
 	more.Classes = slices.Clone(names.Classes)
-	for i := range 2 * mostPairs {
+	for i := range 2 * maxTrafficPairs {
 		more.Classes = append(more.Classes, Class{fmt.Sprint("c", i), 600 * time.Millisecond, 2 * time.Second})
 	}
 	m.SetNames(more)
-	if n := len(m.traffic.pairs); n > 2*mostPairs {
+	if n := len(m.traffic.pairs); n > 2*maxTrafficPairs {
 		t.Fatalf("%d rows", n)
 	}
-	for i := 0; m.watch != nil; i++ { // a class that came behind is harmed
+	for i := 0; m.watch != nil; i++ { // the class that was added last is harmed
 		var b Binding
 		if _, ok := m.Bind(now, &Request{ID: fmt.Sprint(i), Class: len(more.Classes) - 1, Tenant: i % 3, Deadline: now + time.Second}, &b); !ok {
 			t.Fatal("refused")
--- a/internal/generation/routes.go
+++ b/internal/generation/routes.go
@@ -10,52 +10,49 @@
 	"appleledge/internal/fleetconfig"
 )
 
-// any stands for every class or tenant.
-const anyone = -1
-
-// route is a route that is ready for use.
-type route struct {
-	rank    int // the smallest of those that fit counts
-	prefix  string
-	headers []header // sorted by name
-	targets []target
-	total   float64
+// compiledRoute is a route in the form in which requests are matched against it.
+type compiledRoute struct {
+	rank        int // its place in matchOrder; of the routes that match, the one with the least rank is taken
+	prefix      string
+	headers     []headerCondition // sorted by name
+	targets     []weightedTarget
+	totalWeight float64
 }
 
-type header struct{ name, value string }
+// headerCondition requires a header, by its canonical name, to occur once and to have exactly this value.
+type headerCondition struct{ name, value string }
 
-// target is a pool and up to where on the way from 0 to the sum of weights it reaches.
-type target struct {
-	pool  *pool
-	until float64
+// weightedTarget is a pool and the sum of the weights up to and including its own.
+type weightedTarget struct {
+	pool             *serverPool
+	cumulativeWeight float64
 }
 
-// who is a class and a tenant; either may be anyone.
-type who struct{ class, tenant int }
+// routeIndex finds the route of a request in a time that depends on the number of distinct prefix lengths and header names, and
+// not on the number of routes.
+type routeIndex map[scope]*routesByPrefix
 
-// routeIndex finds the route of a request in a time that hangs on how many lengths of prefixes and names of headers there
-// are, not on how many routes.
-type routeIndex map[who]*prefixes
-
-// prefixes are the routes of one class and tenant, by path prefix.
-type prefixes struct {
-	lengths  []int // that there are
-	byPrefix map[string]*byHeader
+// routesByPrefix are the routes of one scope, by path prefix.
+type routesByPrefix struct {
+	prefixLengths []int // the distinct lengths of the prefixes
+	byPrefix      map[string]*routesByHeader
 }
 
-// byHeader are the routes of one prefix: those without headers and, by the first of them, those with.
-type byHeader struct {
-	plain []*route // in order of rank, as all lists of them
-	names []string
-	first map[header][]*route
+// routesByHeader are the routes of one scope and prefix: those without headers and, by their first header, those with. Each list
+// is in order of rank.
+type routesByHeader struct {
+	withoutHeaders   []*compiledRoute
+	firstHeaderNames []string
+	byFirstHeader    map[headerCondition][]*compiledRoute
 }
 
-// orderOf brings routes into the order in which they are asked, the first that fits counts.
-func orderOf(routes []fleetconfig.Route) []fleetconfig.Route {
+// matchOrder returns the routes in the order in which they are matched: by priority, then those with more conditions, then
+// those with the longer prefix, then by name.
+func matchOrder(routes []fleetconfig.Route) []fleetconfig.Route {
 	ordered := slices.Clone(routes)
 	conditions := func(r *fleetconfig.Route) (n int) {
-		for _, is := range []bool{r.Class != "", r.Tenant != "", r.PathPrefix != ""} {
-			if is {
+		for _, isSet := range []bool{r.Class != "", r.Tenant != "", r.PathPrefix != ""} {
+			if isSet {
 				n++
 			}
 		}
@@ -68,112 +65,110 @@
 	return ordered
 }
 
-func (x routeIndex) add(w who, r *route) {
-	p := x[w]
+// add puts a route into the index. Routes are added in order of rank.
+func (x routeIndex) add(s scope, r *compiledRoute) {
+	p := x[s]
 	if p == nil {
-		p = &prefixes{byPrefix: map[string]*byHeader{}}
-		x[w] = p
+		p = &routesByPrefix{byPrefix: map[string]*routesByHeader{}}
+		x[s] = p
 	}
 	h := p.byPrefix[r.prefix]
 	if h == nil {
-		h = &byHeader{first: map[header][]*route{}}
+		h = &routesByHeader{byFirstHeader: map[headerCondition][]*compiledRoute{}}
 		p.byPrefix[r.prefix] = h
-		if !slices.Contains(p.lengths, len(r.prefix)) {
-			p.lengths = append(p.lengths, len(r.prefix))
+		if !slices.Contains(p.prefixLengths, len(r.prefix)) {
+			p.prefixLengths = append(p.prefixLengths, len(r.prefix))
 		}
 	}
 	if len(r.headers) == 0 {
-		h.plain = append(h.plain, r)
+		h.withoutHeaders = append(h.withoutHeaders, r)
 		return
 	}
 	first := r.headers[0]
-	if !slices.Contains(h.names, first.name) {
-		h.names = append(h.names, first.name)
+	if !slices.Contains(h.firstHeaderNames, first.name) {
+		h.firstHeaderNames = append(h.firstHeaderNames, first.name)
 	}
-	h.first[first] = append(h.first[first], r)
+	h.byFirstHeader[first] = append(h.byFirstHeader[first], r)
 }
 
 // find returns the route of a request, or nil.
-func (x routeIndex) find(a *Request) (best *route) {
+func (x routeIndex) find(r *Request) (best *compiledRoute) {
 	if len(x) == 0 {
 		return nil
 	}
-	for _, w := range around(a.Class, a.Tenant) {
-		p := x[w]
+	for _, s := range scopesOf(r.Class, r.Tenant) {
+		p := x[s]
 		if p == nil {
 			continue
 		}
-		for _, n := range p.lengths {
-			if n > len(a.Path) {
+		for _, n := range p.prefixLengths {
+			if n > len(r.Path) {
 				continue
 			}
-			if h := p.byPrefix[a.Path[:n]]; h != nil {
-				best = h.find(a, best)
+			if h := p.byPrefix[r.Path[:n]]; h != nil {
+				best = h.find(r, best)
 			}
 		}
 	}
 	return best
 }
 
-// around are the pairs that objects for a class and tenant may stand under.
-func around(class, tenant int) [4]who {
-	return [4]who{{class, tenant}, {class, anyone}, {anyone, tenant}, {anyone, anyone}}
-}
-
-func (h *byHeader) find(a *Request, best *route) *route {
-	best = better(best, h.plain, a)
-	for _, name := range h.names {
-		if values := a.Header[name]; len(values) == 1 {
-			best = better(best, h.first[header{name, values[0]}], a)
+// find returns the better one of best, which may be nil, and the routes that match the request's headers.
+func (h *routesByHeader) find(r *Request, best *compiledRoute) *compiledRoute {
+	best = betterRoute(best, h.withoutHeaders, r)
+	for _, name := range h.firstHeaderNames {
+		if values := r.Header[name]; len(values) == 1 {
+			best = betterRoute(best, h.byFirstHeader[headerCondition{name, values[0]}], r)
 		}
 	}
 	return best
 }
 
-// better returns the first of the routes that fits, where it goes before the best one so far.
-func better(best *route, routes []*route, a *Request) *route {
-	for _, r := range routes {
-		if best != nil && best.rank < r.rank {
+// betterRoute returns the first of the routes, which are in order of rank, whose headers match, or best if that has a lesser rank.
+func betterRoute(best *compiledRoute, routes []*compiledRoute, r *Request) *compiledRoute {
+	for _, route := range routes {
+		if best != nil && best.rank < route.rank {
 			return best
 		}
-		if r.fits(a) {
-			return r
+		if route.matchesHeaders(r) {
+			return route
 		}
 	}
 	return best
 }
 
-// fits reports whether a request has the route's headers. One that is there twice fits none.
-func (r *route) fits(a *Request) bool {
-	for _, h := range r.headers {
-		if values := a.Header[h.name]; len(values) != 1 || values[0] != h.value {
+// matchesHeaders reports whether a request meets the route's conditions on headers. A header that occurs twice meets none.
+func (route *compiledRoute) matchesHeaders(r *Request) bool {
+	for _, h := range route.headers {
+		if values := r.Header[h.name]; len(values) != 1 || values[0] != h.value {
 			return false
 		}
 	}
 	return true
 }
 
-// target picks the pool for a request: the same one for all requests of one key.
-func (r *route) target(a *Request) *pool {
-	if len(r.targets) == 1 {
-		return r.targets[0].pool
+// selectPool picks a pool by weight: the same one for all requests with the same key, so that a retry under an idempotency key
+// reaches the servers that remember it.
+func (route *compiledRoute) selectPool(r *Request) *serverPool {
+	if len(route.targets) == 1 {
+		return route.targets[0].pool
 	}
-	key := cmp.Or(a.AffinityKey, a.IdempotencyKey, a.ID)
-	at := float64(xxhash.Sum64String(key)>>11) / (1 << 53) * r.total
-	for _, t := range r.targets {
-		if at < t.until {
+	key := cmp.Or(r.AffinityKey, r.IdempotencyKey, r.ID)
+	at := float64(xxhash.Sum64String(key)>>11) / (1 << 53) * route.totalWeight
+	for _, t := range route.targets {
+		if at < t.cumulativeWeight {
 			return t.pool
 		}
 	}
-	return r.targets[len(r.targets)-1].pool
+	return route.targets[len(route.targets)-1].pool
 }
 
-// headersOf are a route's conditions on headers, by name.
-func headersOf(r *fleetconfig.Route) []header {
-	out := make([]header, 0, len(r.Headers))
+// headerConditions returns a route's conditions on headers, sorted by name.
+func headerConditions(r *fleetconfig.Route) []headerCondition {
+	out := make([]headerCondition, 0, len(r.Headers))
 	for name, value := range r.Headers {
-		out = append(out, header{name, value})
+		out = append(out, headerCondition{name, value})
 	}
-	slices.SortFunc(out, func(a, b header) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(out, func(a, b headerCondition) int { return strings.Compare(a.name, b.name) })
 	return out
 }
--- a/internal/generation/state.go
+++ b/internal/generation/state.go
@@ -10,53 +10,35 @@
 	"appleledge/internal/fleetconfig"
 )
 
-// StateFormat is the version of a State's form. What has a greater one is refused.
+// StateFormat is the version of a State's format. DecodeState rejects a greater one.
 const StateFormat = 1
 
-// State is what a Manager keeps over a restart. It is written whole, so that there is nothing between two states.
+// State is what a Manager stores over a restart and hands to another process during a hot restart. It is written as a whole, so
+// that a crash leaves one state or the next and nothing between. Its JSON keys are part of the format.
 type State struct {
 	Format         int               `json:"format"`
 	Number         uint64            `json:"number"` // of the generation in force
 	Config         json.RawMessage   `json:"config"`
-	Hash           string            `json:"hash"`
-	PreviousConfig json.RawMessage   `json:"previous,omitempty"` // that a rollback goes back to
-	StagedHash     string            `json:"staged,omitempty"`   // hash of one that was about to be switched to; never in force
-	Watch          *WatchState       `json:"watching,omitempty"`
-	Blocked        map[string]string `json:"barred,omitempty"` // hashes that have done harm, and what
-	History        []Record          `json:"history,omitempty"`
+	Hash           string            `json:"hash"`               // of Config
+	PreviousConfig json.RawMessage   `json:"previous,omitempty"` // what a rollback goes back to
+	StagedHash     string            `json:"staged,omitempty"`   // of a configuration that was about to be switched to; never in force
+	Watch          *WatchState       `json:"watching,omitempty"` // nil: no change was watched
+	Blocked        map[string]string `json:"barred,omitempty"`   // hashes of configurations that did harm, and how
+	History        []Record          `json:"history,omitempty"`  // the earliest first
 }
 
-// WatchState is a watch that was under way.
+// WatchState is what is stored of a watch under way.
 type WatchState struct {
-	Baseline            []OutcomeCounts `json:"before"`
-	ExpectedRejectRatio []float64       `json:"limited"`
-	RolloutStep         int             `json:"step"` // of the rollout, that was done
+	Baseline            []OutcomeCounts `json:"before"`  // by pair, of the minute before the switch
+	ExpectedRejectRatio []float64       `json:"limited"` // by pair
+	RolloutStep         int             `json:"step"`
 }
 
-// Record is an entry of the history, which is bounded.
-type Record struct {
-	Number uint64 `json:"number"`
-	Hash   string `json:"hash"`
-	Event  string `json:"what"` // one of the words below
-	Actor  string `json:"by,omitempty"`
-	Reason string `json:"why,omitempty"`
-	UnixMS int64  `json:"unix_ms"`
-}
-
-// Event a Record says.
-const (
-	EventApplied    = "applied"
-	EventPromoted   = "kept"        // the watch found no harm
-	EventRolledBack = "rolled back" // by an operator
-	EventHarmFound  = "harmed"      // and rolled back by the watch
-	EventRestored   = "restarted"   // the agent came back to it
-	EventDiscarded  = "dropped"     // it was staged when the agent ended, and never in force
-)
-
-// ErrNewerFormat says that a state was written by a newer program.
+// ErrNewerFormat says that a state was written by a newer program. The agent must not overwrite it: after an operator has gone
+// back to the old version and forth again, the newer program needs it.
 var ErrNewerFormat = errors.New("the state is of a newer form; it is kept, and the agent must not write over it")
 
-// DecodeState reads a state.
+// DecodeState reads a State from JSON. The error is ErrNewerFormat for a newer format, whatever else the state holds.
 func DecodeState(data []byte) (*State, error) {
 	var head struct {
 		Format int `json:"format"`
@@ -81,44 +63,39 @@
 	return s, nil
 }
 
-// State is what is to be kept.
+// State returns what is to be stored now.
 func (m *Manager) State() *State {
-	s := &State{Format: StateFormat, Number: m.force.number, Config: m.force.json, Hash: m.force.Hash, Blocked: map[string]string{},
+	s := &State{Format: StateFormat, Number: m.active.number, Config: m.active.encoded, Hash: m.active.Hash, Blocked: map[string]string{},
 		History: append([]Record(nil), m.history...)}
-	for hash, why := range m.barred {
-		s.Blocked[hash] = why
+	for hash, harm := range m.blocked {
+		s.Blocked[hash] = harm
 	}
-	if m.before != nil {
-		s.PreviousConfig = m.before.json
+	if m.previous != nil {
+		s.PreviousConfig = m.previous.encoded
 	}
 	if m.staged != nil {
 		s.StagedHash = m.staged.Hash
 	}
 	if m.watch != nil {
-		s.Watch = &WatchState{Baseline: m.watch.before, ExpectedRejectRatio: m.watch.limited, RolloutStep: m.step}
+		s.Watch = &WatchState{Baseline: m.watch.baseline, ExpectedRejectRatio: m.watch.expectedRejectRatio, RolloutStep: m.rolloutStep}
 	}
 	return s
 }
 
-// Restore takes up a state, before anything else is asked of the Manager. Configurations that no longer fit the platform's
-// names are an error, and then the Manager is as it was. A watch begins anew, with the figures of before the switch.
-func (m *Manager) Restore(now time.Duration, s *State) error {
-	p, err := CompileState(s, m.options.Names, m.servers, m.version)
-	if err == nil {
-		m.TakeOver(now, p)
-	}
-	return err
-}
+// StateRevision counts the changes of what State returns: when it has grown, the state is to be stored again.
+func (m *Manager) StateRevision() uint64 { return m.stateRevision }
 
 // CompiledState is a State whose configurations are compiled.
 type CompiledState struct {
-	state         *State
-	force, before *CompiledConfig // before: nil where there is nothing to go back to
-	version       uint64          // of the servers that they are compiled for
+	state          *State
+	active         *CompiledConfig
+	previous       *CompiledConfig // nil where there is nothing to roll back to
+	serversVersion uint64          // of the servers that they are compiled for
 }
 
-// CompileState compiles the configurations of a State, for that version of the servers.
-func CompileState(s *State, names Names, servers Servers, version uint64) (*CompiledState, error) {
+// CompileState compiles the configurations of a State for the given version of the servers. Like Compile it runs beside the engine.
+// A configuration that no longer fits the platform's names is an error.
+func CompileState(s *State, names Names, servers Servers, serversVersion uint64) (*CompiledState, error) {
 	compile := func(data json.RawMessage) (*CompiledConfig, error) {
 		c, err := fleetconfig.Decode(data)
 		if err != nil {
@@ -126,67 +103,77 @@
 		}
 		return Compile(c, names, servers)
 	}
-	p := &CompiledState{state: s, version: version}
+	compiled := &CompiledState{state: s, serversVersion: serversVersion}
 	var err error
-	if p.force, err = compile(s.Config); err != nil {
+	if compiled.active, err = compile(s.Config); err != nil {
 		return nil, fmt.Errorf("generation %d: %w", s.Number, err)
 	}
 	if s.PreviousConfig == nil {
-		return p, nil
+		return compiled, nil
 	}
-	if p.before, err = compile(s.PreviousConfig); err != nil {
+	if compiled.previous, err = compile(s.PreviousConfig); err != nil {
 		return nil, fmt.Errorf("the generation before %d: %w", s.Number, err)
 	}
-	return p, nil
+	return compiled, nil
+}
+
+// Restore takes over a stored State at the start, before any other call. After an error, which is CompileState's, the Manager is
+// as it was.
+func (m *Manager) Restore(now time.Duration, s *State) error {
+	compiled, err := CompileState(s, m.options.Names, m.servers, m.serversVersion)
+	if err == nil {
+		m.TakeOver(now, compiled)
+	}
+	return err
 }
 
-// Follow brings in force what another process of the agent has in force. That one watches its changes, goes on with rollouts and
-// rolls back, until this one takes over.
-func (m *Manager) Follow(now time.Duration, p *CompiledState) {
-	m.adopt(p)
-	m.followed = p.state.Watch != nil
-	m.redrain()
+// Follow puts in force what another process of the agent has in force. That process watches its changes, advances rollouts and
+// rolls back, until this one calls TakeOver.
+func (m *Manager) Follow(now time.Duration, s *CompiledState) {
+	m.restoreGeneration(s)
+	m.isFollowing = s.state.Watch != nil
+	m.updateDraining()
 }
 
-// TakeOver brings in force what a process had that has ended. A watch begins anew, with the figures of before the switch.
-func (m *Manager) TakeOver(now time.Duration, p *CompiledState) {
-	s := p.state
-	m.adopt(p)
-	m.followed = false
-	if s.StagedHash != "" {
-		m.record(now, Record{Number: s.Number, Hash: s.StagedHash, Event: EventDiscarded, Reason: "the agent ended before the switch"})
-	}
-	m.record(now, Record{Number: s.Number, Hash: s.Hash, Event: EventRestored})
-	if w := s.Watch; w != nil && m.before != nil && len(w.Baseline) == len(m.traffic.pairs) && len(w.ExpectedRejectRatio) == len(w.Baseline) {
+// TakeOver puts in force what a process had that has ended. A watch under way begins anew, with its baseline of before the switch.
+func (m *Manager) TakeOver(now time.Duration, s *CompiledState) {
+	state := s.state
+	m.restoreGeneration(s)
+	m.isFollowing = false
+	if state.StagedHash != "" {
+		m.record(now, Record{Number: state.Number, Hash: state.StagedHash, Event: EventDiscarded, Reason: "the agent ended before the switch"})
+	}
+	m.record(now, Record{Number: state.Number, Hash: state.Hash, Event: EventRestored})
+	if w := state.Watch; w != nil && m.previous != nil && len(w.Baseline) == len(m.traffic.pairs) && len(w.ExpectedRejectRatio) == len(w.Baseline) {
 		m.startWatch(now, w.Baseline, w.ExpectedRejectRatio)
 	}
-	m.redrain()
+	m.updateDraining()
 }
 
-// adopt brings the generation of a State in force, with all that is remembered beside it. Requests that are bound to another one
-// end under that.
-func (m *Manager) adopt(p *CompiledState) {
-	s := p.state
-	if old := m.force; old.number != s.Number || old.Hash != s.Hash {
-		p.force.inherit(old.CompiledConfig)
-		if old.open > 0 {
-			m.old = append(m.old, old)
+// restoreGeneration puts the generation of a State in force, with all that the state holds beside it. Requests that are bound to
+// another generation end under that.
+func (m *Manager) restoreGeneration(s *CompiledState) {
+	state := s.state
+	if old := m.active; old.number != state.Number || old.Hash != state.Hash {
+		s.active.inheritCounters(old.CompiledConfig)
+		if old.openRequests > 0 {
+			m.retiring = append(m.retiring, old)
 		}
-		m.force = &tenure{CompiledConfig: p.force, number: s.Number}
+		m.active = &activeGeneration{CompiledConfig: s.active, number: state.Number}
 	}
-	m.before, m.watch, m.step, m.history = p.before, nil, 0, slices.Clone(s.History)
-	m.changes++ // what is on disk may not be whole when this process is the one to keep it
-	if s.Watch != nil {
-		m.step = s.Watch.RolloutStep
+	m.previous, m.watch, m.rolloutStep, m.history = s.previous, nil, 0, slices.Clone(state.History)
+	m.stateRevision++ // this process may have to store it: what is on disk may be incomplete
+	if state.Watch != nil {
+		m.rolloutStep = state.Watch.RolloutStep
 	}
-	if p.version != m.version { // from here on they hear of changes as the others do
-		for _, c := range []*CompiledConfig{p.force, p.before} {
+	if s.serversVersion != m.serversVersion { // UpdateServers keeps them up to date from here on
+		for _, c := range []*CompiledConfig{s.active, s.previous} {
 			if c != nil {
-				c.update(m.servers, union(c.told, m.servers))
+				c.update(m.servers, changedServerIDs(c.known, m.servers))
 			}
 		}
 	}
-	for hash, why := range s.Blocked {
-		m.bar(hash, why)
+	for hash, harm := range state.Blocked {
+		m.blockConfig(hash, harm)
 	}
 }
