--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -172,22 +172,22 @@
 	defer left()
 
 	toBackends, fromClients := shareSockets(cfg.Sockets - with.sockets() - cfg.operatorSockets())
-	clk := engine.NewClock().Shifted(with.ClockOff)
+	clk := engine.NewClock().WithOffset(with.ClockOff)
 	conns := connpool.New(cfg.Site.ConnectTimeout, cfg.Site.ConnIdle, toBackends)
 	core := engine.New(policy, clk, conns, log)
 	keep, err := with.openKept(cfg, clk, log)
 	if err != nil {
 		return err
 	}
-	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, Known: keep.known(cfg.known), Wait: keep.wait(),
-		Asked: cfg.Site.Logic.Subscribe}
+	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, CachedList: keep.known(cfg.known), FirstListTimeout: keep.wait(),
+		OnDemand: cfg.Site.Logic.Subscribe}
 	if with.Recovery != nil {
-		seek.Dated, seek.Agents = true, cfg.Site.Logic.Balancers
+		seek.UsesServerClock, seek.AgentCount = true, cfg.Site.Logic.Balancers
 	}
 	disco := platform.New(seek, clk, log)
-	core.OnSubscribe(disco.Ask)
+	core.OnSubscribe(disco.Subscribe)
 	sources, names := with.open(disco, clk, cfg.Site, log)
-	hub := membership.NewHub(with.Membership, names, clk, core.Tell, log)
+	hub := membership.NewHub(with.Membership, names, clk, core.Post, log)
 	settled, rules := platformconfig.New(cfg.Site), &requesthead.InForce{}
 	rules.Put(settled.Rules())
 	others, err := with.openPeers(cfg, clk, log)
@@ -221,17 +221,17 @@
 	if governed != nil {
 		parts.Go(func() { governed.run(ctx, core.Done(), log) })
 	}
-	var door recovery.Door
+	var door recovery.Admitter
 	if with.Storm != nil {
 		door = newStorm(cfg, *with.Storm)
-		core.Guard(door)
+		core.SetAdmission(door)
 		parts.Go(func() { logStorms(inner, core, clk, with.Storm.LogEvery, log) })
 	}
 	var rekey func() error
 	if others != nil {
-		core.Heed(with.heard(disco), others.Tell)
+		core.SetGossip(with.heard(disco), others.Broadcast)
 		parts.Go(func() { others.Run(leaving, core) })
-		rekey = func() error { return others.Rekey(with.Peers.KeyFile) }
+		rekey = func() error { return others.ReloadKeys(with.Peers.KeyFile) }
 	}
 	together = with.openSharing(core, cfg, log)
 	if together != nil {
@@ -245,14 +245,14 @@
 	if keep != nil {
 		keep.attach(core, clk, cfg, door, with.heard(disco), with.askFor())
 	}
-	core.Name(cfg.Site.Logic.Classes)
+	core.SetClassNames(cfg.Site.Logic.Classes)
 	reloading := reload{clock: clk, core: core, disco: disco, terms: settled, rules: rules, keys: cfg.keys, own: own, peers: rekey, log: log}
 	var large *downstreamhttp1.Large
 	var crowd connlimit.Options
 	if cfg.Operator != "" { // the days on which operators call are those on which bodies are large
 		large = downstreamhttp1.NewLarge(int64(cfg.MemoryMB<<20) / largePart)
 		listener = large.Frames(listener)
-		crowd.Patience = silentMost
+		crowd.FirstRequestTimeout = silentMost
 	}
 	clients := connlimit.New(listener, fromClients, crowd)
 	ready := func() bool { return core.Ready() && ctx.Err() == nil }
@@ -268,7 +268,7 @@
 		return err
 	}
 	if with.Figures > 0 {
-		core.Count(cfg.Site.Logic.Classes)
+		core.TrackLatency(cfg.Site.Logic.Classes)
 		look := counters{core, conns, disco}
 		parts.Go(func() { look.log(inner, with.Figures, log) })
 	}
@@ -337,7 +337,7 @@
 	if len(x.Sources) > 0 && x.Sources[0].Name != Platform {
 		return func() bool { return true }
 	}
-	return disco.Heard
+	return disco.HasAnswered
 }
 
 // open opens the sources of members, the platform's list among them.
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -51,7 +51,7 @@
 		g.close()
 		return nil, err
 	}
-	core.Govern(manager, cfg.Site.Zones)
+	core.SetGenerations(manager, cfg.Site.Zones)
 	return g, nil
 }
 
@@ -59,8 +59,8 @@
 func namesOf(site simwire.Site, classes []balancer.Class) generation.Names {
 	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, RoutableHeaders: requesthead.Routable}
 	for _, c := range classes {
-		names.Classes = append(names.Classes, generation.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline})
-		if c.Effect == balancer.Keyed {
+		names.Classes = append(names.Classes, generation.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
+		if c.Effect == balancer.IdempotentByKey {
 			names.IdempotentClasses = append(names.IdempotentClasses, c.Name)
 		}
 	}
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -26,13 +26,13 @@
 // stormy is a door that counts what the test says.
 type stormy struct{}
 
-func (stormy) Arrive(time.Duration, admission.Ask) (*admission.Pass, admission.Refusal) {
-	return nil, admission.Refusal{}
+func (stormy) Arrive(time.Duration, admission.Request) (*admission.Permit, admission.Rejection) {
+	return nil, admission.Rejection{}
 }
-func (stormy) Done(time.Duration, *admission.Pass, admission.End) {}
+func (stormy) Done(time.Duration, *admission.Permit, admission.Outcome) {}
 func (stormy) Counts() admission.Counts {
-	return admission.Counts{State: admission.Storm, Since: 1, Why: "hardly anything is served in time", Limit: 2.25, InFlight: 3,
-		Refused: [][2]uint64{{4, 5}, {6, 7}, {8, 9}}, Late: 10, Bound: 11, Storms: 12}
+	return admission.Counts{State: admission.Overloaded, Since: 1, Reason: "hardly anything is served in time", Limit: 2.25, InFlight: 3,
+		Rejected: [][2]uint64{{4, 5}, {6, 7}, {8, 9}}, TooLate: 10, OverLimit: 11, Overloads: 12}
 }
 
 // The line of the storm watch, but for its time and how long the state has lasted.
@@ -47,8 +47,8 @@
 	}
 	f, clock := goldenCounters(t), engine.NewClock()
 	core := engine.New(policy, clock, f.conns, slog.New(slog.DiscardHandler))
-	core.Count(site.Logic.Classes)
-	core.Guard(stormy{})
+	core.TrackLatency(site.Logic.Classes)
+	core.SetAdmission(stormy{})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
@@ -77,21 +77,21 @@
 		t.Fatal(err)
 	}
 	now := 20 * time.Second
-	clock := engine.DrivenClock(&now)
+	clock := engine.ManualClock(&now)
 	core := engine.New(policy, clock, goldenCounters(t).conns, slog.New(slog.DiscardHandler))
-	core.Count(site.Logic.Classes)
+	core.TrackLatency(site.Logic.Classes)
 	var classes []recovery.Class
 	for _, c := range site.Logic.Classes {
-		classes = append(classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		classes = append(classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, IsIdempotent: c.Effect == balancer.Idempotent})
 	}
-	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdFrom: 0.32, ColdFor: 8 * time.Second, Overload: 3, MaxAfter: time.Second}, nil)
-	before := recovery.Before{Usual: []float64{40, 20, 10}, Use: 0.5}
+	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdCapacityRatio: 0.32, WarmupTime: 8 * time.Second, ColdOverloadFactor: 3, MaxRetryAfter: time.Second}, nil)
+	before := recovery.Baseline{ClassRates: []float64{40, 20, 10}, Utilization: 0.5}
 	for i := range 3 {
-		before.Servers = append(before.Servers, recovery.BeforeServer{ID: fmt.Sprint("s-", i), Cell: i, Ready: true, Capacity: 45})
+		before.Servers = append(before.Servers, recovery.BaselineServer{ID: fmt.Sprint("s-", i), Cell: i, Ready: true, Capacity: 45})
 	}
-	r.Begin(18*time.Second, before, "power")
-	r.Outcome(19*time.Second, "s-1", true, false, 20, 0.8)
-	core.Return(r, func() bool { return true }, func() {})
+	r.Start(18*time.Second, before, "power")
+	r.ObserveAttempt(19*time.Second, "s-1", true, false, 20, 0.8)
+	core.SetRecovery(r, func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -34,10 +34,10 @@
 func (o operating) Ready() bool { return o.ready() }
 
 func (o operating) Figures(ctx context.Context) (f operator.Figures, err error) {
-	if f.Fleet, err = o.core.Fleet(ctx); err != nil {
+	if f.Fleet, err = o.core.EndpointCounts(ctx); err != nil {
 		return f, err
 	}
-	f.Tally, f.Reloads, f.ReloadErrors = o.core.Tally(), o.reloads.taken.Load(), o.reloads.refused.Load()
+	f.Tally, f.Reloads, f.ReloadErrors = o.core.Counters(), o.reloads.taken.Load(), o.reloads.refused.Load()
 	return f, nil
 }
 
@@ -53,14 +53,14 @@
 	if err != nil || o.keep == nil {
 		return err
 	}
-	if err := o.keep.keep(ctx); err != nil && !(errors.Is(err, errElsewhere) && o.link != nil && !o.link.Alone()) {
+	if err := o.keep.keep(ctx); err != nil && (!errors.Is(err, errElsewhere) || o.link == nil || o.link.Alone()) {
 		return fmt.Errorf("the order is in force, and a loss of power would end it: %w", err)
 	}
 	return nil
 }
 
 func hold(ctx context.Context, core *engine.Engine, server string, out bool) error {
-	return core.Bans(ctx, func(now time.Duration, s *denylist.Set) error {
+	return core.WithDenylist(ctx, func(now time.Duration, s *denylist.Set) error {
 		if out {
 			return s.Deny(now, server)
 		}
@@ -83,7 +83,7 @@
 		set.Restore(o.link.Inherited(), clk.FromUnix)
 	}
 	set.Restore(o.keep.bans(), clk.FromUnix)
-	o.core.Hold(set)
+	o.core.SetDenylist(set)
 	s := &operator.Server{Agent: o, Fleet: o.fleet, Log: log}
 	return func(ctx context.Context) error { return s.Serve(ctx, l) }, nil
 }
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -28,12 +28,13 @@
 	if x.Peers == nil {
 		return nil, nil
 	}
-	listen, members, self := x.Peers.Listen, x.Peers.Members, 0
+	listen, members := x.Peers.Listen, x.Peers.Members
+	var self int
 	if listen == "" {
 		if !cfg.MayTell || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
 			return nil, errors.New("peers: the platform's configuration does not let agents send each other datagrams, or names none; see listen and members")
 		}
-		listen, members, self = cfg.PeerListen, cfg.Peers, cfg.Site.Logic.Me
+		listen, members, self = cfg.PeerListen, cfg.Peers, cfg.Site.Logic.Index
 	} else if self = slices.Index(members, listen); self < 0 {
 		return nil, fmt.Errorf("peers: %s is not among the members", listen)
 	}
@@ -41,9 +42,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: the key: %w", err)
 	}
-	o := gossip.NodeOptions{Self: self, Keys: keys, Period: x.Peers.Period, Now: clk.Now, Log: log}
+	o := gossip.NodeOptions{Self: self, Keys: keys, ProbeInterval: x.Peers.Period, Now: clk.Now, Log: log}
 	if x.link != nil {
-		o.Stays = x.link.Succeeded
+		o.HasSuccessor = x.link.Succeeded
 	}
 	for _, m := range members {
 		at, err := netip.ParseAddrPort(m)
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -46,7 +46,7 @@
 type keeping struct {
 	set     Recovery
 	file    atomicfile.File
-	reader  listing.Reader
+	reader  listing.Decoder
 	agent   string
 	log     *slog.Logger
 	trust   ondisk.Trust
@@ -70,7 +70,7 @@
 	if x.Recovery == nil {
 		return nil, nil
 	}
-	k := &keeping{set: *x.Recovery, reader: listing.Reader{Zones: cfg.Site.Zones, Clock: clk}, agent: cfg.Name + " " + cfg.Listen, log: log,
+	k := &keeping{set: *x.Recovery, reader: listing.Decoder{Zones: cfg.Site.Zones, Clock: clk}, agent: cfg.Name + " " + cfg.Listen, log: log,
 		wake: make(chan struct{}, 1)}
 	if err := os.MkdirAll(k.set.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("recovery: the folder for what is kept: %w", err)
@@ -78,7 +78,7 @@
 	k.file = atomicfile.File{Path: filepath.Join(k.set.Dir, knowledge), FS: x.disk()}
 	k.repeats = clientsReturn
 	for _, c := range cfg.Site.Logic.Classes {
-		k.repeats = max(k.repeats, c.Deadline+c.Window+clientsReturn)
+		k.repeats = max(k.repeats, c.Deadline+c.DedupWindow+clientsReturn)
 	}
 	if x.Ties == nil || x.Ties.Dir == "" || !x.Ties.Sync {
 		log.Warn("a loss of power loses where refunds went, as [affinity] does not keep it with sync: repeats that clients do not mark may run twice then")
@@ -89,7 +89,7 @@
 	}
 	text, err := k.file.Load()
 	if err == nil {
-		k.before, err = ondisk.Parse(text)
+		k.before, err = ondisk.Decode(text)
 	}
 	switch {
 	case errors.Is(err, atomicfile.ErrNone):
@@ -103,13 +103,13 @@
 		log.Error("what is kept is not whole: the agent begins with nothing", "file", k.file.Path, "error", err, "kept_as", aside, "not_set_aside", failed)
 		return k, nil
 	}
-	why := ""
-	if k.trust, why = k.before.Judge(now); k.trust == ondisk.None {
+	var why string
+	if k.trust, why = k.before.Assess(now); k.trust == ondisk.TrustNothing {
 		k.off, k.before = why, ondisk.Document{}
 		log.Error("the folder for what is kept is another agent's: nothing of it is used, and nothing is kept", "dir", k.set.Dir, "why", why)
 		return k, nil
 	}
-	log.Info("knowledge from before", "trusted", k.trust.String(), "why", why, "servers", len(k.before.Servers), "held_out", len(k.before.Bans.DeniedSince))
+	log.Info("knowledge from before", "trusted", k.trust.String(), "why", why, "servers", len(k.before.Servers), "held_out", len(k.before.Denylist.DeniedSince))
 	return k, nil
 }
 
@@ -121,13 +121,13 @@
 	return x.Disk
 }
 
-func (k *keeping) now() (ondisk.Now, error) {
+func (k *keeping) now() (ondisk.Reader, error) {
 	run, err := k.set.run()
 	if err != nil {
-		return ondisk.Now{}, err
+		return ondisk.Reader{}, err
 	}
-	_, since, err := bindinglog.SinceBoot()
-	return ondisk.Now{Agent: k.agent, Run: run, SinceBoot: since}, err
+	_, since, err := bindinglog.BootTime()
+	return ondisk.Reader{Agent: k.agent, BootID: run, SinceBoot: since}, err
 }
 
 // run names the present run of the machine.
@@ -138,10 +138,10 @@
 
 // known is the list to begin with: what was kept, or what the platform says if that is newer.
 func (k *keeping) known(platform listing.List) listing.List {
-	if k == nil || k.trust == ondisk.None || len(k.before.Servers) == 0 || platform.Version > k.before.Version {
+	if k == nil || k.trust == ondisk.TrustNothing || len(k.before.Servers) == 0 || platform.Version > k.before.ListVersion {
 		return platform
 	}
-	return k.before.List(k.trust)
+	return k.before.EndpointList(k.trust)
 }
 
 // wait is how long the list is waited for before the known one is used; 0: as usual.
@@ -155,38 +155,38 @@
 // bans are those from before.
 func (k *keeping) bans() (st denylist.Snapshot) {
 	if k != nil {
-		st = k.before.Bans
+		st = k.before.Denylist
 	}
 	return st
 }
 
 // attach puts the recovery at the engine's door, before it runs.
-func (k *keeping) attach(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Door, heard func() bool, askFor time.Duration) {
+func (k *keeping) attach(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Admitter, heard func() bool, askFor time.Duration) {
 	k.core = core
 	site := cfg.Site.Logic
-	o := recovery.Options{Agents: site.Balancers, Self: site.Me, ColdFrom: site.ColdFrom, ColdFor: site.ColdFor, Overload: site.Overload,
-		MaxAfter: site.MaxRetryAfter, AskFor: askFor, Seed: cfg.Seed}
+	o := recovery.Options{Agents: site.Balancers, Self: site.Index, ColdCapacityRatio: site.SlowStartInitialRatio, WarmupTime: site.SlowStartDuration, ColdOverloadFactor: site.WarmingOverloadRatio,
+		MaxRetryAfter: site.MaxRetryAfter, PeerPollTime: askFor, Seed: cfg.Seed}
 	for _, c := range site.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Safe: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, IsIdempotent: c.Effect == balancer.Idempotent})
 	}
 	r := recovery.New(o, behind)
-	before := k.before.Before(k.classes(site.Classes))
+	before := k.before.RecoveryBaseline(k.classes(site.Classes))
 	switch k.trust {
-	case ondisk.Names:
-		r.Begin(clk.Now(), before, "the machine has started anew")
-	case ondisk.Complete: // the servers have run on, as the machine has
+	case ondisk.TrustNames:
+		r.Start(clk.Now(), before, "the machine has started anew")
+	case ondisk.TrustEverything: // the servers have run on, as the machine has
 		r.Resume(before)
 	default:
-		r.Begin(clk.Now(), recovery.Before{}, "nothing is known from before")
+		r.Start(clk.Now(), recovery.Baseline{}, "nothing is known from before")
 	}
-	core.Return(r, heard, func() {
+	core.SetRecovery(r, heard, func() {
 		select {
 		case k.wake <- struct{}{}:
 		default:
 		}
 	})
-	if k.trust != ondisk.Complete { // whatever is on the disk: it may be a backup's, or of before the last that was sent
-		core.Forgot(clk.Now() + k.repeats)
+	if k.trust != ondisk.TrustEverything { // whatever is on the disk: it may be a backup's, or of before the last that was sent
+		core.FailUnknownRepeatsUntil(clk.Now() + k.repeats)
 	}
 }
 
@@ -261,11 +261,11 @@
 	if err != nil || !ok {
 		return err
 	}
-	if d.Same(k.last) && time.Since(k.written) < staleWrite {
+	if d.HasSameContent(k.last) && time.Since(k.written) < staleWrite {
 		return nil
 	}
-	d.Writes = max(k.last.Writes, k.before.Writes) + 1
-	text, err := d.Text()
+	d.PreviousWrites = max(k.last.PreviousWrites, k.before.PreviousWrites) + 1
+	text, err := d.Encode()
 	if err != nil {
 		return err
 	}
@@ -278,28 +278,28 @@
 
 // document is what the agent knows now; ok is false before it has been told of any server.
 func (k *keeping) document(ctx context.Context) (d ondisk.Document, ok bool, err error) {
-	known, err := k.core.Known(ctx)
-	if err != nil || len(known.Members) == 0 && len(known.Bans.DeniedSince) == 0 {
+	known, err := k.core.Snapshot(ctx)
+	if err != nil || len(known.Members) == 0 && len(known.Denylist.DeniedSince) == 0 {
 		return d, false, err
 	}
 	now, err := k.now()
 	if err != nil {
 		return d, false, err
 	}
-	d = ondisk.Document{Agent: now.Agent, Run: now.Run, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
-		Usual: map[string]float64{}, Use: rounded(known.Before.Use), Bans: known.Bans}
+	d = ondisk.Document{Agent: now.Agent, BootID: now.BootID, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
+		ClassRates: map[string]float64{}, Utilization: rounded(known.Recovery.Utilization), Denylist: known.Denylist}
 	for _, m := range known.Members {
-		d.Servers = append(d.Servers, k.reader.Entry(m))
+		d.Servers = append(d.Servers, k.reader.Encode(m))
 	}
-	for _, s := range known.Before.Servers {
+	for _, s := range known.Recovery.Servers {
 		if s.Capacity > 0 {
 			d.Capacity[s.ID] = rounded(s.Capacity)
 		}
 	}
-	names := k.core.Tally().Classes
-	for class, rate := range known.Before.Usual {
+	names := k.core.Counters().Classes
+	for class, rate := range known.Recovery.ClassRates {
 		if class < len(names) && rate > 0 {
-			d.Usual[names[class]] = rounded(rate)
+			d.ClassRates[names[class]] = rounded(rate)
 		}
 	}
 	return d, true, nil
@@ -324,15 +324,15 @@
 func (k *keeping) say(ctx context.Context, clk engine.Clock) {
 	last, logged := recovery.Status{}, time.Duration(0)
 	every(ctx, statusLook, func() {
-		st := k.core.Load().Recovery
+		st := k.core.Stats().Recovery
 		if st == nil {
 			return
 		}
 		now := clk.Now()
-		if st.Phase != last.Phase || st.Phase != recovery.Full && now-logged >= k.set.LogEvery {
+		if st.Phase != last.Phase || st.Phase != recovery.FullService && now-logged >= k.set.LogEvery {
 			logged = now
-			k.log.Info("recovery", "phase", st.Phase.String(), "why", st.Why, "let_in", rounded(st.Rate), "warm", rounded(st.Warm),
-				"servers", st.Servers, "answered", st.Heard, "trials", st.Counts.Trials, "in_vain", st.Counts.Vain)
+			k.log.Info("recovery", "phase", st.Phase.String(), "why", st.Reason, "let_in", rounded(st.AdmissionRate), "warm", rounded(st.WarmCapacityRatio),
+				"servers", st.Servers, "answered", st.RespondingServers, "trials", st.Counts.Trials, "in_vain", st.Counts.FailedTrials)
 		}
 		last = *st
 	})
--- a/internal/agent/ties.go
+++ b/internal/agent/ties.go
@@ -46,24 +46,24 @@
 	set := *x.Ties
 	window := time.Duration(0)
 	for _, c := range cfg.Site.Logic.Classes {
-		if c.Effect == balancer.Keyed {
-			window = max(window, c.Window)
+		if c.Effect == balancer.IdempotentByKey {
+			window = max(window, c.DedupWindow)
 		}
 	}
 	if window == 0 {
 		log.Warn("no class is keyed: there are no ties to remember")
 	}
-	table := affinity.New(affinity.Options{Most: set.Most, Window: window, Tail: set.Tail})
+	table := affinity.New(affinity.Options{MaxEntries: set.Most, DedupWindow: window, LateRetryPeriod: set.Tail})
 	if set.Dir == "" {
 		var secret affinity.Secret // nobody else's table has to be the same
-		core.Tie(table, secret, nil)
+		core.SetAffinity(table, secret, nil)
 		return nil, nil
 	}
-	o := bindinglog.Options{Dir: set.Dir, FS: x.disk(), Sync: set.Sync, Lasts: window + set.Tail, Now: clk.Now}
+	o := bindinglog.Options{Dir: set.Dir, FS: x.disk(), Sync: set.Sync, Retention: window + set.Tail, Now: clk.Now}
 	if err := x.sinceBoot(&o, clk); err != nil {
 		return nil, fmt.Errorf("ties: %w", err)
 	}
-	secret, err := bindinglog.Secret(o)
+	secret, err := bindinglog.LoadOrCreateSecret(o)
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 		return nil, fmt.Errorf("ties: %w", err)
 	}
 	began := time.Now()
-	found, err := l.Read()
+	found, err := l.ReadNew()
 	if err != nil {
 		return nil, fmt.Errorf("ties: %w", err)
 	}
@@ -80,13 +80,13 @@
 	log.Info("ties of earlier processes read", "records", len(found.Records), "ties", table.Counts().Entries, "took", time.Since(began))
 	t := &tying{log: l, core: core, budget: set.Budget, out: log}
 	t.damaged(found)
-	core.Tie(table, secret, t)
+	core.SetAffinity(table, secret, t)
 	return t, nil
 }
 
 // sinceBoot sets times since the machine has started, which two processes have in common.
 func (x Extras) sinceBoot(o *bindinglog.Options, clk engine.Clock) error {
-	boot, now, err := bindinglog.SinceBoot()
+	boot, now, err := bindinglog.BootTime()
 	if err == nil && x.Recovery != nil {
 		boot, err = x.Recovery.run()
 	}
@@ -94,21 +94,23 @@
 		return err
 	}
 	offset := int64(now - clk.Now())
-	o.Boot = boot
-	o.Stamp = func(t time.Duration) int64 { return int64(t) + offset }
-	o.Clock = func(stamp int64) time.Duration { return time.Duration(stamp - offset) }
+	o.BootID = boot
+	o.ToBootTime = func(t time.Duration) int64 { return int64(t) + offset }
+	o.FromBootTime = func(stamp int64) time.Duration { return time.Duration(stamp - offset) }
 	return nil
 }
 
 // damaged logs what could not be read.
-func (t *tying) damaged(found bindinglog.Found) {
-	if found.Damaged > 0 {
-		t.out.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Damaged, "kept_as", found.Aside)
+func (t *tying) damaged(found bindinglog.ReadResult) {
+	if found.Corrupt > 0 {
+		t.out.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Corrupt, "kept_as", found.Quarantined)
 	}
 }
 
 // Append hands a record over to be kept.
-func (t *tying) Append(r affinity.Record) engine.TieCommit { return commit{t.log.Append(r), t.budget} }
+func (t *tying) Append(r affinity.Record) engine.BindingCommit {
+	return commit{t.log.Append(r), t.budget}
+}
 
 type commit struct {
 	*bindinglog.Commit
@@ -134,10 +136,10 @@
 		case <-ended:
 			trouble(errors.Join(t.log.Flush(), t.log.Close()))
 			return
-		case <-t.log.Wake():
+		case <-t.log.FlushNeeded():
 			trouble(t.log.Flush())
 		case <-remove.C:
-			trouble(t.log.Remove())
+			trouble(t.log.RemoveExpired())
 		}
 	}
 }
@@ -146,14 +148,14 @@
 func (t *tying) follow(ctx context.Context) {
 	failed := false
 	every(ctx, followEvery, func() {
-		found, err := t.log.Read()
+		found, err := t.log.ReadNew()
 		if err != nil && !failed {
 			t.out.Error("ties of other processes can't be read", "error", err)
 		}
 		failed = err != nil
 		t.damaged(found)
 		if len(found.Records) > 0 {
-			t.core.Tell(engine.Restored{Records: found.Records})
+			t.core.Post(engine.BindingsRestored{Records: found.Records})
 		}
 	})
 }
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -22,13 +22,20 @@
 )
 
 const (
-	writeTimeout  = 2 * time.Second         // for an answer that the client does not read
-	HeaderTimeout = 1500 * time.Millisecond // for the head of a request, from when the client connected
-	BodyTimeout   = 1200 * time.Millisecond // for the body, from when the head was read
-	clientIdle    = 2100 * time.Millisecond // an idle client connection is closed
-	maxHeader     = 16 << 10
-	HeldPart      = 0.8         // of the clients' connections may hold a request; the rest can be told so at once
-	heldRetry     = time.Second // the come-back time when too much is open
+	writeTimeout = 2 * time.Second // for an answer that the client does not read
+
+	// HeaderTimeout limits the time for the head of a request, from when the client connected.
+	HeaderTimeout = 1500 * time.Millisecond
+	// BodyTimeout limits the time for the body of a request, from when its head was read.
+	BodyTimeout = 1200 * time.Millisecond
+
+	clientIdle = 2100 * time.Millisecond // an idle client connection is closed
+	maxHeader  = 16 << 10
+
+	// HeldPart is the share of the clients' connections that may have a request in flight; the rest are answered at once.
+	HeldPart = 0.8
+
+	heldRetry = time.Second // the come-back time when too much is open
 )
 
 // Options are what a Server is made of. All but MostHeld, AcceptFor, Leave, Joins and Large must be set.
@@ -36,9 +43,9 @@
 	Rules     requesthead.Checker
 	Engine    *engine.Engine
 	Clock     engine.Clock
-	Carrier   engine.Carrier // of the calls
-	MostHeld  int            // requests open at a time; 0: as many as there are connections
-	AcceptFor time.Duration  // new connections are accepted for so long after the signal to end
+	Carrier   engine.Transport // of the calls
+	MostHeld  int              // requests open at a time; 0: as many as there are connections
+	AcceptFor time.Duration    // new connections are accepted for so long after the signal to end
 	// Leave is told that the signal has come. It reports whether another process serves now and takes new connections. It
 	// may be nil.
 	Leave func() bool
@@ -100,7 +107,7 @@
 	if !s.drain(limited, s.AcceptFor+max(0, longest-usually)) {
 		s.Log.Warn("drained, but some connections were still open")
 	}
-	s.clients.Drop()
+	s.clients.CloseAll()
 	besteffort.Close(srv)
 	besteffort.Ignore(<-failed)
 	s.Log.Info("drained")
@@ -125,16 +132,16 @@
 }
 
 // statuses are the answers' kinds in HTTP.
-var statuses = [...]int{engine.Served: http.StatusOK, engine.Refused: http.StatusServiceUnavailable,
+var statuses = [...]int{engine.Served: http.StatusOK, engine.Rejected: http.StatusServiceUnavailable,
 	engine.Failed: http.StatusBadGateway, engine.Conflict: http.StatusConflict}
 
 // ServeHTTP gives each request its one answer.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := s.Clock.Now()
-	if connlimit.Ended(r.Context()) { // its close and this request have crossed: it was not sent on, and its client sends it once more
+	if connlimit.IsEnded(r.Context()) { // its close and this request have crossed: it was not sent on, and its client sends it once more
 		panic(http.ErrAbortHandler)
 	}
-	if s.closing.Load() || !s.leaving.Load() && s.clients.Crowded() {
+	if s.closing.Load() || !s.leaving.Load() && s.clients.IsCrowded() {
 		w.Header().Set("Connection", "close")
 	}
 	if s.Large != nil {
@@ -166,15 +173,15 @@
 			c.Deadline = min(c.Deadline, until)
 		}
 	}
-	connlimit.Hold(r.Context())
+	connlimit.MarkInUse(r.Context())
 	defer s.held.Add(-1)
 	if s.full(s.held.Add(1)) { // nothing was sent yet, so a refusal's promise holds
 		s.refuse(w, c, up != nil)
 		return
 	}
 	waits := newCaller()
-	c.Caller = waits
-	if connlimit.Left(r.Context()) { // while the request lay unread: nothing begins for who has gone
+	c.Responder = waits
+	if connlimit.HasClientLeft(r.Context()) { // while the request lay unread: nothing begins for who has gone
 		panic(http.ErrAbortHandler)
 	}
 	s.Engine.Arrive(c)
@@ -185,7 +192,7 @@
 			s.answer(w, r, up, a)
 			return
 		case <-last: // also what was taken before the signal has to be answered by now
-			s.Engine.LastWord(c)
+			s.Engine.ForceAnswer(c)
 			last = nil
 		case <-r.Context().Done():
 			waits.leave()
@@ -205,11 +212,11 @@
 
 // refuse turns away what the engine has not seen. Of its body there may be some that is not read.
 func (s *Server) refuse(w http.ResponseWriter, c *engine.Call, unread bool) {
-	s.Engine.TurnedAway(c)
+	s.Engine.CountRejected(c)
 	if unread {
 		w.Header().Set("Connection", "close")
 	}
-	write(w, engine.Answer{Kind: engine.Refused, RetryAfter: heldRetry})
+	write(w, engine.Answer{Kind: engine.Rejected, RetryAfter: heldRetry})
 }
 
 // answer writes the final answer.
@@ -239,7 +246,7 @@
 // turnAway answers bad input. It closes the connection, as what comes behind may be a part of it.
 func turnAway(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	if bad, ok := errors.AsType[requesthead.BadRequest](err); ok {
+	if bad, ok := errors.AsType[requesthead.BadRequestError](err); ok {
 		status = bad.Status
 	}
 	w.Header().Set("Connection", "close")
@@ -292,7 +299,7 @@
 	}
 	var body []byte
 	if s.Large != nil {
-		connlimit.Hold(r.Context()) // as long as it keeps its pace
+		connlimit.MarkInUse(r.Context()) // as long as it keeps its pace
 		if body, up, release, err = s.Large.take(w, r, timeout); err == nil {
 			c.Deadline += s.Clock.Now() - began // a request's time counts from its last byte
 		}
@@ -302,13 +309,13 @@
 	if err != nil {
 		return c, nil, release, err
 	}
-	c.Carrier = s.Carrier
+	c.Transport = s.Carrier
 	if up != nil { // it has its real deadline when its last byte has been sent on
 		c.Upload, c.Deadline = up, s.Clock.Now()+slowest(r.ContentLength)+timeout
 	}
 	c.Payload = &http1.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: requesthead.Forwarded(r.Header), Body: body, Upload: up}
 	if up == nil {
-		c.Like = s.Joins.like(c, r, body)
+		c.CoalesceDigest = s.Joins.like(c, r, body)
 	}
 	return c, up, release, nil
 }
@@ -350,10 +357,10 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, requesthead.MaxBody))
 	if _, long := errors.AsType[*http.MaxBytesError](err); long {
-		return nil, requesthead.BadRequest{Status: http.StatusRequestEntityTooLarge, Text: "the body is over 64 KiB"}
+		return nil, requesthead.BadRequestError{Status: http.StatusRequestEntityTooLarge, Text: "the body is over 64 KiB"}
 	}
 	if err != nil {
-		return nil, requesthead.BadRequest{Status: http.StatusBadRequest, Text: "the body is not whole"}
+		return nil, requesthead.BadRequestError{Status: http.StatusBadRequest, Text: "the body is not whole"}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		return nil, fmt.Errorf("clearing the read deadline: %w", err)
@@ -381,7 +388,7 @@
 	s.await(ctx, func() bool {
 		gone := s.Clock.Now() - began
 		s.closing.Store(s.closing.Load() || gone >= wait-lastAnswers)
-		return gone >= wait || gone >= s.AcceptFor && s.clients.Open() == 0
+		return gone >= wait || gone >= s.AcceptFor && s.clients.OpenCount() == 0
 	})
 }
 
@@ -414,6 +421,6 @@
 	s.lameDuck(ctx, wait)
 	s.closing.Store(true)
 	besteffort.Close(s.clients)
-	s.clients.Shut() // not net/http's Shutdown, which closes what is idle also in the moment in which it brings a request
-	return s.await(ctx, func() bool { return s.clients.Open() == 0 })
+	s.clients.Drain() // not net/http's Shutdown, which closes what is idle also in the moment in which it brings a request
+	return s.await(ctx, func() bool { return s.clients.OpenCount() == 0 })
 }
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -19,7 +19,7 @@
 // When too much is open, what comes is refused at once: past the limit on descriptors nothing would be answered at
 // all.
 func TestTooMuchOpen(t *testing.T) {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") != "1" {
 		t.Errorf("%d %v", w.Code, w.Header())
 	}
-	if n := core.Tally(); n.Answers[0][engine.Refused] != 1 || n.Open != 0 {
+	if n := core.Counters(); n.Answers[0][engine.Rejected] != 1 || n.Open != 0 {
 		t.Errorf("counted %+v", n)
 	}
 	if s.held.Load() != 1 {
@@ -55,11 +55,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Shut()
+	l.Drain()
 	s := New(Options{Clock: engine.NewClock()}, l) // with no engine: one that is asked is a panic of another kind
 	defer func() {
-		if err := recover(); err != http.ErrAbortHandler {
-			t.Errorf("%v", err)
+		if reason := recover(); reason != any(http.ErrAbortHandler) {
+			t.Errorf("%v", reason)
 		}
 	}()
 	r := httptest.NewRequest(http.MethodGet, "/form-check", nil)
@@ -68,7 +68,7 @@
 
 // A request that lay unread until its client had gone is not begun.
 func TestWhoHasGoneGetsNothingBegun(t *testing.T) {
-	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 1, Classes: []balancer.Class{{Name: "form-check", LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,10 +87,10 @@
 	defer besteffort.Close(raw)
 	ctx := connlimit.ConnContext(t.Context(), raw)
 	besteffort.Close(far)
-	agenttest.Eventually(t, "the close has come", func() bool { return connlimit.Left(ctx) })
+	agenttest.Eventually(t, "the close has come", func() bool { return connlimit.HasClientLeft(ctx) })
 	defer func() {
-		if err := recover(); err != http.ErrAbortHandler {
-			t.Errorf("%v", err)
+		if reason := recover(); reason != any(http.ErrAbortHandler) {
+			t.Errorf("%v", reason)
 		}
 		if s.held.Load() != 0 {
 			t.Errorf("%d are held", s.held.Load())
@@ -105,6 +105,6 @@
 // noFleet has no servers.
 type noFleet struct{}
 
-func (noFleet) Update(bool, []engine.Member) int { return 0 }
-func (noFleet) Life(string) engine.Life          { return nil }
-func (noFleet) Close()                           {}
+func (noFleet) Update(bool, []engine.Member) int      { return 0 }
+func (noFleet) Incarnation(string) engine.Incarnation { return nil }
+func (noFleet) Close()                                {}
--- a/internal/engine/returning.go
+++ b/internal/engine/returning.go
@@ -14,7 +14,7 @@
 // returning is what the engine keeps for a recovery: the list as it was told, since starts that the recovery sees otherwise lie over
 // it.
 type returning struct {
-	*recovery.Recovery
+	*recovery.Controller
 	heard func() bool // the list is of now, and not from before
 	moved func()      // is told of what has to be kept at once; never nil
 	told  map[string]Member
@@ -33,41 +33,41 @@
 		r.first = nil
 		return false
 	}
-	if _, since := r.first[c.RepeatKey]; since || c.RepeatKey == "" {
+	if _, since := r.first[c.IdempotencyKey]; since || c.IdempotencyKey == "" {
 		return false
 	}
-	if c.Again {
+	if c.ClientRetry {
 		return true
 	}
 	if len(r.first) < mostFirst {
-		r.first[c.RepeatKey] = struct{}{}
+		r.first[c.IdempotencyKey] = struct{}{}
 	}
 	return false
 }
 
-// Return puts a recovery at the door. heard says whether the list has been confirmed since the start; moved is called on the engine's
+// SetRecovery puts a recovery at the door. heard says whether the list has been confirmed since the start; moved is called on the engine's
 // goroutine when the list tells of another server, or of one that drains or is gone. It is called before Run, and in place of Guard.
-func (e *Engine) Return(r *recovery.Recovery, heard func() bool, moved func()) {
-	e.returning = &returning{Recovery: r, heard: heard, moved: moved, told: map[string]Member{}}
-	e.Guard(r)
+func (e *Engine) SetRecovery(r *recovery.Controller, heard func() bool, moved func()) {
+	e.returning = &returning{Controller: r, heard: heard, moved: moved, told: map[string]Member{}}
+	e.SetAdmission(r)
 }
 
-// Forgot says that what may have run before the start may not be remembered: until then a repeat of a keyed request, which its client
+// FailUnknownRepeatsUntil says that what may have run before the start may not be remembered: until then a repeat of a keyed request, which its client
 // marks as one and whose first try did not come since, is not sent anywhere and has failed. It is called before Run, after Return.
-func (e *Engine) Forgot(until time.Duration) {
+func (e *Engine) FailUnknownRepeatsUntil(until time.Duration) {
 	e.returning.forgot, e.returning.first = until, map[string]struct{}{}
 }
 
-// Known is what an agent has to remember over a loss of power.
-type Known struct {
-	Members []Member // as the list has them, by id
-	Before  recovery.Before
-	Bans    denylist.Snapshot
+// Snapshot is what an agent has to remember over a loss of power.
+type Snapshot struct {
+	Members  []Member // as the list has them, by id
+	Recovery recovery.Baseline
+	Denylist denylist.Snapshot
 }
 
-// Known returns what the engine knows. It waits for the engine, and is for one that has a recovery.
-func (e *Engine) Known(ctx context.Context) (k Known, err error) {
-	err = e.command(ctx, func(time.Duration) {
+// Snapshot returns what the engine knows. It waits for the engine, and is for one that has a recovery.
+func (e *Engine) Snapshot(ctx context.Context) (k Snapshot, err error) {
+	err = e.execute(ctx, func(time.Duration) {
 		told := e.returning.told
 		switch { // as the list has them: what lies over it is kept for itself
 		case e.governed != nil:
@@ -78,16 +78,16 @@
 		for _, id := range slices.Sorted(maps.Keys(told)) {
 			k.Members = append(k.Members, told[id])
 		}
-		k.Before = e.returning.Before()
+		k.Recovery = e.returning.Baseline()
 		if e.held != nil {
-			k.Bans = e.held.set.Snapshot(func(t time.Duration) int64 { return e.clock.At(t).UnixMilli() })
+			k.Denylist = e.held.set.Snapshot(func(t time.Duration) int64 { return e.clock.At(t).UnixMilli() })
 		}
 	})
 	return k, err
 }
 
 // listed takes a list over and returns it as the module is to see it.
-func (r *returning) listed(now time.Duration, l Listed) Listed {
+func (r *returning) listed(now time.Duration, l EndpointUpdate) EndpointUpdate {
 	heard, changed := r.heard(), false
 	if l.Full {
 		named := make(map[string]bool, len(l.Members))
@@ -98,27 +98,27 @@
 			if !named[id] {
 				delete(r.told, id)
 				changed = true
-				r.Recovery.Listed(now, recovery.Server{ID: id, Gone: true}, heard)
+				r.Controller.UpdateServer(now, recovery.Server{ID: id, Gone: true}, heard)
 			}
 		}
 	}
 	for _, m := range l.Members {
 		was, there := r.told[m.ID]
-		changed = changed || !there && m.State != balancer.Gone || there && was.State != m.State
-		if m.State == balancer.Gone {
+		changed = changed || !there && m.State != balancer.Removed || there && was.State != m.State
+		if m.State == balancer.Removed {
 			delete(r.told, m.ID)
 		} else {
 			r.told[m.ID] = m
 		}
-		r.Recovery.Listed(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready, Gone: m.State == balancer.Gone,
+		r.Controller.UpdateServer(now, recovery.Server{ID: m.ID, Cell: m.Cell, Ready: m.State == balancer.Ready, Gone: m.State == balancer.Removed,
 			Started: m.Started}, heard)
 	}
-	if r.Settled(now); changed {
+	if r.ListApplied(now); changed {
 		r.moved()
 	}
-	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
+	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
-		m.Started = r.Started(m.ID, m.Started)
+		m.Started = r.EffectiveStart(m.ID, m.Started)
 		out.Members = append(out.Members, m)
 	}
 	return out
@@ -127,14 +127,14 @@
 // remask tells the module of servers whose start is seen otherwise than before.
 func (e *Engine) remask() {
 	var servers []balancer.Server
-	for _, id := range e.returning.Moved() {
+	for _, id := range e.returning.TakeStartChanges() {
 		if m, there := e.returning.told[id]; there {
-			m.Started = e.returning.Started(id, m.Started)
+			m.Started = e.returning.EffectiveStart(id, m.Started)
 			servers = append(servers, m.Server)
 		}
 	}
 	if len(servers) > 0 {
-		e.decide(balancer.ServerList{Servers: servers, Drop: e.drop})
+		e.decide(balancer.ServerList{Servers: servers, DropRatio: e.drop})
 	}
 }
 
@@ -142,7 +142,7 @@
 func (e *Engine) returned(o Outcome) {
 	broke := o.Result == balancer.ConnectFailed || o.Result == balancer.Reset
 	answered := o.Result == balancer.OK || o.Result == balancer.Failed || o.Result == balancer.Rejected
-	e.returning.Outcome(e.clock.Now(), o.Attempt.Server, answered, broke, o.Report.Rate, o.Report.Util)
+	e.returning.ObserveAttempt(e.clock.Now(), o.Attempt.Server, answered, broke, o.Report.ServedRate, o.Report.Utilization)
 	e.found()
 	e.remask()
 }
@@ -150,12 +150,12 @@
 // repeats says of a repeat of what may have run whether it may go out at all, and if so, that only over a connection from before:
 // who holds the other end of it has run on, and knows what it was sent. Elsewhere nobody may be left who drops it.
 func (r *returning) repeats(c *Call, a *Attempt, since time.Duration) {
-	if c.Effect != balancer.Keyed || since == 0 {
+	if c.Effect != balancer.IdempotentByKey || since == 0 {
 		return
 	}
-	a.OnlySince = since
+	a.ConnectedSince = since
 	if m, there := r.told[a.Server]; there {
-		a.Barred = a.Barred || !r.MayRepeat(m.Cell, since)
+		a.Forbidden = a.Forbidden || !r.AllowsRetryIn(m.Cell, since)
 	}
 }
 
--- a/internal/engine/worded.go
+++ b/internal/engine/worded.go
@@ -14,18 +14,18 @@
 // worded is what the engine keeps for the word of other agents: what they hold servers for, and the list as it was told, since what is
 // held out on their word lies over it.
 type worded struct {
-	holds  *corroborate.Holds
-	heard  func() bool       // the list is of now, and not from before
-	tell   func(gossip.Fact) // to the others; must not block
+	holds  *corroborate.Exclusions
+	heard  func() bool              // the list is of now, and not from before
+	tell   func(gossip.Observation) // to the others; must not block
 	told   map[string]Member
 	names  map[uint64]string
 	held   map[uint64]bool
-	sharer Sharer // nil: overload is handled alone
+	sharer OverloadHandler // nil: overload is handled alone
 	looked time.Duration
 }
 
-// Heed makes the engine heed the word of others, and tell them what it knows. It is called before Run.
-func (e *Engine) Heed(heard func() bool, tell func(gossip.Fact)) {
+// SetGossip makes the engine heed the word of others, and tell them what it knows. It is called before Run.
+func (e *Engine) SetGossip(heard func() bool, tell func(gossip.Observation)) {
 	e.worded = &worded{holds: corroborate.New(), heard: heard, tell: tell, told: map[string]Member{}, names: map[uint64]string{}}
 }
 
@@ -33,7 +33,7 @@
 type (
 	spoken struct {
 		from int
-		fact gossip.Fact
+		fact gossip.Observation
 	}
 	living struct{ alive []bool }
 )
@@ -41,25 +41,25 @@
 func (spoken) event() {}
 func (living) event() {}
 
-// Hear takes word of another agent.
-func (e *Engine) Hear(from int, f gossip.Fact) { e.Tell(Spoken(from, f)) }
+// HandleGossip takes word of another agent.
+func (e *Engine) HandleGossip(from int, f gossip.Observation) { e.Post(GossipReceived(from, f)) }
 
-// Lives takes which agents live, by number.
-func (e *Engine) Lives(alive []bool) { e.Tell(living{alive}) }
+// HandleLiveness takes which agents live, by number.
+func (e *Engine) HandleLiveness(alive []bool) { e.Post(living{alive}) }
 
-// Spoken is word of another agent as an event, for Step.
-func Spoken(from int, f gossip.Fact) Event { return spoken{from, f} }
+// GossipReceived is word of another agent as an event, for Step.
+func GossipReceived(from int, f gossip.Observation) Event { return spoken{from, f} }
 
 // hear takes word of another agent.
 func (e *Engine) hear(s spoken) {
 	switch now := e.clock.Now(); s.fact.Kind {
-	case corroborate.Drains:
-		if e.worded.holds.Hear(now, s.from, s.fact) {
+	case corroborate.Draining:
+		if e.worded.holds.Observe(now, s.from, s.fact) {
 			e.settleWord(now)
 		}
-	case corroborate.Answers:
+	case corroborate.Responding:
 		if name, known := e.worded.names[s.fact.ID]; known && e.returning != nil {
-			e.returning.Heard(now, name)
+			e.returning.PeerReportsResponding(now, name)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	if w.held = held; !changed {
 		return
 	}
-	l := Listed{Drop: e.drop}
+	l := EndpointUpdate{Drop: e.drop}
 	for id, name := range w.names {
 		if m, there := w.told[name]; there && before[id] != held[id] {
 			l.Members = append(l.Members, w.overlay(m))
@@ -89,14 +89,14 @@
 }
 
 func (w *worded) overlay(m Member) Member {
-	if m.State == balancer.Ready && w.held[corroborate.Server(m.ID)] {
+	if m.State == balancer.Ready && w.held[corroborate.ServerID(m.ID)] {
 		m.State = balancer.Draining
 	}
 	return m
 }
 
 // listed takes a list over, tells the others of what has begun to drain or is gone, and returns the list with what is held out.
-func (w *worded) listed(now time.Duration, l Listed) Listed {
+func (w *worded) listed(now time.Duration, l EndpointUpdate) EndpointUpdate {
 	heard := w.heard()
 	if l.Full {
 		named := make(map[string]bool, len(l.Members))
@@ -110,29 +110,29 @@
 		}
 	}
 	for _, m := range l.Members {
-		id := corroborate.Server(m.ID)
+		id := corroborate.ServerID(m.ID)
 		was, there := w.told[m.ID]
 		switch {
-		case m.State == balancer.Gone:
+		case m.State == balancer.Removed:
 			w.gone(m.ID)
 			continue
 		case m.State == balancer.Draining && (!there || was.State != balancer.Draining):
-			w.tell(gossip.Fact{Kind: corroborate.Drains, ID: id})
+			w.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
 		case m.State == balancer.Ready && heard && (!there || was != m):
-			w.holds.Ready(now, id)
+			w.holds.MarkReady(now, id)
 		}
 		w.told[m.ID], w.names[id] = m, m.ID
 		if w.sharer != nil {
-			w.sharer.Listed(m.ID, true, m.State == balancer.Ready)
+			w.sharer.UpdateServer(m.ID, true, m.State == balancer.Ready)
 		}
 	}
 	if heard {
-		w.holds.Listed(len(w.told))
+		w.holds.SetConfirmedListSize(len(w.told))
 	} else {
-		w.holds.Known(len(w.told))
+		w.holds.SetCachedListSize(len(w.told))
 	}
 	w.held, _ = w.heldWith(now)
-	out := Listed{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
+	out := EndpointUpdate{Full: l.Full, Drop: l.Drop, Members: make([]Member, 0, len(l.Members))}
 	for _, m := range l.Members {
 		out.Members = append(out.Members, w.overlay(m))
 	}
@@ -144,19 +144,19 @@
 	if _, there := w.told[name]; !there {
 		return
 	}
-	id := corroborate.Server(name)
+	id := corroborate.ServerID(name)
 	delete(w.told, name)
 	delete(w.names, id)
-	w.holds.Gone(id)
+	w.holds.Forget(id)
 	if w.sharer != nil {
-		w.sharer.Listed(name, false, false)
+		w.sharer.UpdateServer(name, false, false)
 	}
-	w.tell(gossip.Fact{Kind: corroborate.Drains, ID: id})
+	w.tell(gossip.Observation{Kind: corroborate.Draining, ID: id})
 }
 
-// Held returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
-func (e *Engine) Held(ctx context.Context) (ids []string, n corroborate.Counts, err error) {
-	err = e.command(ctx, func(time.Duration) {
+// HeldByGossip returns the servers that are held out on the word of others, and what was made of that. It waits for the engine.
+func (e *Engine) HeldByGossip(ctx context.Context) (ids []string, n corroborate.Counts, err error) {
+	err = e.execute(ctx, func(time.Duration) {
 		ids, n = []string{}, e.worded.holds.Counts()
 		for id := range e.worded.held {
 			if name, known := e.worded.names[id]; known {
@@ -170,9 +170,9 @@
 
 // found tells the others of servers that have answered for the first time since a loss of power.
 func (e *Engine) found() {
-	for _, id := range e.returning.Found() {
+	for _, id := range e.returning.TakeResponding() {
 		if e.worded != nil {
-			e.worded.tell(gossip.Fact{Kind: corroborate.Answers, ID: corroborate.Server(id)})
+			e.worded.tell(gossip.Observation{Kind: corroborate.Responding, ID: corroborate.ServerID(id)})
 		}
 	}
 }
--- a/internal/membership/xds/machine_test.go
+++ b/internal/membership/xds/machine_test.go
@@ -26,7 +26,7 @@
 
 func testReader() reader {
 	now := time.Second
-	return reader{Zones: []string{"edinburgh-dc"}, Clock: engine.DrivenClock(&now)}
+	return reader{Zones: []string{"edinburgh-dc"}, Clock: engine.ManualClock(&now)}
 }
 
 func packed(name, version string, m proto.Message) resource {
@@ -75,9 +75,7 @@
 				if !delta {
 					asked = r.names
 				}
-				for _, name := range r.subscribe {
-					asked = append(asked, name)
-				}
+				asked = append(asked, r.subscribe...)
 				asked = slices.DeleteFunc(slices.Clone(asked), func(name string) bool { return slices.Contains(r.unsubscribe, name) })
 				if r.initial != nil {
 					versions = r.initial
@@ -185,7 +183,7 @@
 			}
 			if u, ok := m.update(); ok {
 				for _, member := range u.Members {
-					if listed[member.ID] = true; member.State == balancer.Gone {
+					if listed[member.ID] = true; member.State == balancer.Removed {
 						delete(listed, member.ID)
 					}
 				}
@@ -433,7 +431,7 @@
 		}
 		if u, ok := m.update(); ok {
 			for _, member := range u.Members {
-				if member.ID == "" || member.State != balancer.Gone && (member.Addr == "" || !(member.Weight > 0)) {
+				if member.ID == "" || member.State != balancer.Removed && (member.Addr == "" || !(member.Weight > 0)) {
 					t.Fatalf("%+v", member)
 				}
 			}
--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -115,11 +115,11 @@
 
 func (p *Pool) update(m engine.Member) {
 	b := p.backends[m.ID]
-	if b != nil && (m.State == balancer.Gone || b.addr != m.Addr || b.started != m.Started) {
+	if b != nil && (m.State == balancer.Removed || b.addr != m.Addr || b.started != m.Started) {
 		p.retire(b)
 		b = nil
 	}
-	if m.State == balancer.Gone {
+	if m.State == balancer.Removed {
 		return
 	}
 	if b == nil {
@@ -203,8 +203,11 @@
 	return p.backends[id]
 }
 
-// Life is Backend in the engine's terms.
-func (p *Pool) Life(id string) engine.Life { return p.Backend(id) }
+// IsIncarnation makes a Backend an engine.Incarnation.
+func (*Backend) IsIncarnation() {}
+
+// Incarnation is Backend in the engine's terms.
+func (p *Pool) Incarnation(id string) engine.Incarnation { return p.Backend(id) }
 
 // Counts are what a pool holds, and what it has done since it was made.
 type Counts struct {
@@ -388,4 +391,4 @@
 
 // quiet reports whether an idle connection is open and nothing has come on it. A backend that died or closed
 // it shows here, before a request is risked on it.
-func (c *Conn) quiet() bool { return sockstate.Look(c.Conn) == sockstate.Nothing }
+func (c *Conn) quiet() bool { return sockstate.Peek(c.Conn) == sockstate.Idle }
