--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -79,7 +79,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-		} else if !errors.Is(err, atomicfile.ErrNone) {
+		} else if !errors.Is(err, atomicfile.ErrNotFound) {
 			t.Fatal(err)
 		}
 	}
@@ -122,7 +122,7 @@
 					t.Fatal(a, err)
 				}
 				old, fresh := x.hash(), drainPod(1)
-				disk.Left, disk.Fault = at, fault
+				disk.OperationsUntilFault, disk.FaultError = at, fault
 				a, err := x.Apply(t.Context(), x.plan(t, fresh), "x", "", true)
 				done = err == nil && a.Durable
 				if err != nil && x.hash() != old {
@@ -131,8 +131,8 @@
 				if err == nil && a.Hash != fresh.Hash() {
 					t.Fatalf("in force is %s", a.Hash)
 				}
-				disk.Left = -1
-				back := start(t, disk.Restart(), 6)
+				disk.OperationsUntilFault = -1
+				back := start(t, disk.Reboot(), 6)
 				last := back.core.manager.State().History
 				switch back.hash() {
 				case old:
@@ -142,7 +142,7 @@
 					}
 				case fresh.Hash():
 					kinds["new"]++
-					if err != nil && fault == nil && !errors.Is(err, faultfs.ErrStopped) {
+					if err != nil && fault == nil && !errors.Is(err, faultfs.ErrCrashed) {
 						t.Fatal(err)
 					}
 				default:
@@ -444,7 +444,7 @@
 	if err := x.Engine.WithGenerations(t.Context(), func(now time.Duration, m *generation.Manager) { m.Tick(now) }); err != nil {
 		t.Fatal(err)
 	}
-	disk.Left, disk.Fault = 0, syscall.EIO
+	disk.OperationsUntilFault, disk.FaultError = 0, syscall.EIO
 	if err := x.keepChanged(t.Context()); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("on a disk that fails: %v", err)
 	}
--- a/internal/affinity/bindinglog/bindinglog.go
+++ b/internal/affinity/bindinglog/bindinglog.go
@@ -97,7 +97,7 @@
 	wake    chan struct{}
 
 	// Of the goroutine that writes:
-	file  atomicfile.Handle
+	file  atomicfile.WritableFile
 	name  string
 	size  int
 	last  time.Duration // when the file was written last
@@ -125,14 +125,14 @@
 func LoadOrCreateSecret(o Options) (s affinity.Secret, err error) {
 	f := atomicfile.File{Path: filepath.Join(o.Dir, secretName), FS: o.FS}
 	doc, err := f.Load()
-	if errors.Is(err, atomicfile.ErrNone) {
+	if errors.Is(err, atomicfile.ErrNotFound) {
 		if _, err := rand.Read(s[:]); err != nil {
 			return s, err
 		}
 		return s, f.Save(s[:])
 	}
 	if err == nil && len(doc) != len(s) {
-		err = atomicfile.ErrBroken
+		err = atomicfile.ErrCorrupt
 	}
 	if err != nil {
 		return s, fmt.Errorf("the secret of ties: %w", err)
@@ -247,7 +247,7 @@
 // What is damaged is passed over and its file kept under another name; the end of a file may be a record that is still being
 // written, or was when its process was killed, and is no damage.
 func (l *Log) ReadNew() (found ReadResult, err error) {
-	names, err := l.options.FS.Names(l.options.Dir)
+	names, err := l.options.FS.List(l.options.Dir)
 	if err != nil {
 		return found, err
 	}
@@ -353,7 +353,7 @@
 // RemoveExpired removes files of which no record is of use any more, own ones and others'. A file is begun by a time, and no process
 // writes to one for longer than Lasts without another record; so one is of no use Lasts after its last.
 func (l *Log) RemoveExpired() error {
-	names, err := l.options.FS.Names(l.options.Dir)
+	names, err := l.options.FS.List(l.options.Dir)
 	if err != nil {
 		return err
 	}
--- a/internal/affinity/bindinglog/bindinglog_test.go
+++ b/internal/affinity/bindinglog/bindinglog_test.go
@@ -55,7 +55,7 @@
 		for at := range 14 {
 			for seed := range uint64(20) {
 				disk := faultfs.New(seed)
-				disk.Left, disk.Fault = at, fault
+				disk.OperationsUntilFault, disk.FaultError = at, fault
 				l := open(t, c.options(disk, true, "boot"))
 				kept, handed := []int{}, 0
 				for batch := range 4 {
@@ -73,8 +73,8 @@
 						}
 					}
 				}
-				disk.Left = -1
-				found := read(t, c.options(disk.Restart(), true, "boot"))
+				disk.OperationsUntilFault = -1
+				found := read(t, c.options(disk.Reboot(), true, "boot"))
 				var got []int
 				for _, r := range found.Records {
 					got = append(got, int(r.Key[0]))
@@ -177,7 +177,7 @@
 		t.Errorf("after a start of the machine %+v", found)
 	}
 	files := func() int {
-		names, err := atomicfile.OS{}.Names(o.Dir)
+		names, err := atomicfile.OS{}.List(o.Dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,7 +217,7 @@
 	if err := os.WriteFile(filepath.Join(o.Dir, secretName), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := LoadOrCreateSecret(o); !errors.Is(err, atomicfile.ErrBroken) {
+	if _, err := LoadOrCreateSecret(o); !errors.Is(err, atomicfile.ErrCorrupt) {
 		t.Errorf("a damaged one: %v", err)
 	}
 }
--- a/internal/affinity/bindinglog/golden_test.go
+++ b/internal/affinity/bindinglog/golden_test.go
@@ -72,7 +72,7 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	names, err := atomicfile.OS{}.Names(dir)
+	names, err := atomicfile.OS{}.List(dir)
 	if err != nil || len(names) != len(goldenFiles) {
 		t.Errorf("the folder holds %v, %v", names, err)
 	}
--- a/internal/affinity/bindinglog/inspect.go
+++ b/internal/affinity/bindinglog/inspect.go
@@ -30,7 +30,7 @@
 
 // Inspect reads the files of a folder, without a process that serves; those that were kept aside as well.
 func Inspect(f atomicfile.FS, dir string) (reports []FileReport, err error) {
-	names, err := f.Names(dir)
+	names, err := f.List(dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -97,7 +97,7 @@
 // start: it would write over it, and who put it there meant it.
 func restore(m *generation.Manager, f atomicfile.File, clk engine.Clock, log *slog.Logger) error {
 	doc, err := f.Load()
-	if errors.Is(err, atomicfile.ErrNone) {
+	if errors.Is(err, atomicfile.ErrNotFound) {
 		return nil
 	}
 	var s *generation.State
@@ -108,7 +108,7 @@
 	case errors.Is(err, generation.ErrNewerFormat):
 		return fmt.Errorf("%s: %w", f.Path, err)
 	case err != nil:
-		name, aside := f.SetAside(time.Now())
+		name, aside := f.Quarantine(time.Now())
 		if aside != nil {
 			return errors.Join(err, aside)
 		}
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -92,14 +92,14 @@
 		k.before, err = ondisk.Decode(text)
 	}
 	switch {
-	case errors.Is(err, atomicfile.ErrNone):
+	case errors.Is(err, atomicfile.ErrNotFound):
 		log.Info("nothing is kept from before")
 		return k, nil
 	case errors.Is(err, os.ErrPermission):
 		log.Error("what is kept can't be read: the agent begins with nothing", "file", k.file.Path, "error", err)
 		return k, nil
 	case err != nil:
-		aside, failed := k.file.SetAside(time.Now())
+		aside, failed := k.file.Quarantine(time.Now())
 		log.Error("what is kept is not whole: the agent begins with nothing", "file", k.file.Path, "error", err, "kept_as", aside, "not_set_aside", failed)
 		return k, nil
 	}
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -112,7 +112,7 @@
 // full is a disk on which nothing can be written any more.
 type full struct{ atomicfile.OS }
 
-func (full) Create(name string) (atomicfile.Handle, error) {
+func (full) Create(name string) (atomicfile.WritableFile, error) {
 	return nil, &os.PathError{Op: "create", Path: name, Err: os.ErrPermission}
 }
 
--- a/internal/atomicfile/store.go
+++ b/internal/atomicfile/atomicfile.go
@@ -21,25 +21,25 @@
 	"appleledge/internal/besteffort"
 )
 
-// Most is the longest document, in bytes.
-const Most = 64 << 20
+// MaxDocumentBytes is the longest document, in bytes.
+const MaxDocumentBytes = 64 << 20
 
 // FS is what a File needs of a file system.
 type FS interface {
 	// Create opens a file for writing, anew.
-	Create(name string) (Handle, error)
+	Create(name string) (WritableFile, error)
 	// Open opens a file for reading.
 	Open(name string) (io.ReadCloser, error)
 	Rename(from, to string) error
 	Remove(name string) error
 	// SyncDir makes the names in a folder last.
 	SyncDir(name string) error
-	// Names lists the names in a folder, sorted.
-	Names(dir string) ([]string, error)
+	// List lists the names in a folder, sorted.
+	List(dir string) ([]string, error)
 }
 
-// Handle is a file that is being written.
-type Handle interface {
+// WritableFile is a file that is being written.
+type WritableFile interface {
 	io.WriteCloser
 	Sync() error
 }
@@ -48,7 +48,7 @@
 type OS struct{}
 
 // Create opens a file for writing, anew.
-func (OS) Create(name string) (Handle, error) {
+func (OS) Create(name string) (WritableFile, error) {
 	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return nil, err
@@ -76,8 +76,8 @@
 // Remove removes a file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// Names lists the names in a folder, sorted.
-func (OS) Names(dir string) ([]string, error) {
+// List lists the names in a folder, sorted.
+func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	names := make([]string, 0, len(entries))
 	for _, e := range entries {
@@ -103,9 +103,9 @@
 
 // Errors that callers tell apart.
 var (
-	ErrNone   = errors.New("there is no document yet")
-	ErrBroken = errors.New("the document on disk is not whole")
-	ErrLocked = errors.New("another process has it")
+	ErrNotFound = errors.New("there is no document yet")
+	ErrCorrupt  = errors.New("the document on disk is not whole")
+	ErrLocked   = errors.New("another process has it")
 )
 
 // magic begins the first line, which goes on with the document's SHA-256 in hexadecimal and its length.
@@ -116,27 +116,27 @@
 	return fmt.Sprintf("%s%s %d\n", magic, hex.EncodeToString(sum[:]), len(doc))
 }
 
-// Load reads the document. The error is ErrNone where there is none and ErrBroken where it is not as it was written.
+// Load reads the document. The error is ErrNotFound where there is none and ErrCorrupt where it is not as it was written.
 func (f File) Load() ([]byte, error) {
 	r, err := f.FS.Open(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, ErrNone
+		return nil, ErrNotFound
 	}
 	if err != nil {
 		return nil, err
 	}
 	defer besteffort.Close(r)
-	data, err := io.ReadAll(io.LimitReader(r, Most+1024))
+	data, err := io.ReadAll(io.LimitReader(r, MaxDocumentBytes+1024))
 	if err != nil {
 		return nil, err
 	}
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 || !bytes.HasPrefix(data, []byte(magic)) {
-		return nil, fmt.Errorf("%s: %w: its first line is not one of ours", f.Path, ErrBroken)
+		return nil, fmt.Errorf("%s: %w: its first line is not one of ours", f.Path, ErrCorrupt)
 	}
 	doc := data[end+1:]
 	if string(data[:end+1]) != head(doc) {
-		return nil, fmt.Errorf("%s: %w: it does not have the length and hash of its first line", f.Path, ErrBroken)
+		return nil, fmt.Errorf("%s: %w: it does not have the length and hash of its first line", f.Path, ErrCorrupt)
 	}
 	return doc, nil
 }
@@ -144,8 +144,8 @@
 // Save puts a document in place of the one there is. When it returns without an error the new one lasts; with an error the old
 // one is still there, unless only the last sync failed, and then it is one of the two.
 func (f File) Save(doc []byte) (err error) {
-	if len(doc) > Most {
-		return fmt.Errorf("a document has %d bytes at most", Most)
+	if len(doc) > MaxDocumentBytes {
+		return fmt.Errorf("a document has %d bytes at most", MaxDocumentBytes)
 	}
 	next := f.Path + ".next"
 	defer func() {
@@ -178,8 +178,8 @@
 	return errors.Join(err, h.Close())
 }
 
-// SetAside gives a broken document another name, so that it can be looked at, and returns the name.
-func (f File) SetAside(now time.Time) (string, error) {
+// Quarantine gives a broken document another name, so that it can be looked at, and returns the name.
+func (f File) Quarantine(now time.Time) (string, error) {
 	name := f.Path + ".broken-" + now.UTC().Format("20060102T150405")
 	if err := f.FS.Rename(f.Path, name); err != nil {
 		return "", fmt.Errorf("setting %s aside: %w", f.Path, err)
--- a/internal/atomicfile/store_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -29,13 +29,13 @@
 				if err := (File{"f", d}).Save(old); err != nil {
 					t.Fatal(err)
 				}
-				d.Left, d.Fault = at, fault
+				d.OperationsUntilFault, d.FaultError = at, fault
 				err := File{"f", d}.Save(fresh)
 				if acknowledged = err == nil; !acknowledged && fault != nil && !errors.Is(err, fault) {
 					t.Fatalf("the error at %d is %v", at, err)
 				}
-				d.Left = -1
-				after := d.Restart()
+				d.OperationsUntilFault = -1
+				after := d.Reboot()
 				got, loadErr := File{"f", after}.Load()
 				if loadErr != nil || !bytes.Equal(got, fresh) && (acknowledged || !bytes.Equal(got, old)) {
 					t.Fatalf("fault %v at operation %d, seed %d: acknowledged %v, and then %q, %v", fault, at, seed, acknowledged, got, loadErr)
@@ -59,7 +59,7 @@
 func TestBrokenDocuments(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	f := File{path, OS{}}
-	if _, err := f.Load(); !errors.Is(err, ErrNone) {
+	if _, err := f.Load(); !errors.Is(err, ErrNotFound) {
 		t.Fatalf("with no file: %v", err)
 	}
 	if err := f.Save([]byte("a document")); err != nil {
@@ -76,16 +76,16 @@
 			if err := os.WriteFile(path, bad, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if doc, err := f.Load(); !errors.Is(err, ErrBroken) {
+			if doc, err := f.Load(); !errors.Is(err, ErrCorrupt) {
 				t.Fatalf("%s at %d: %q, %v", what, i, doc, err)
 			}
 		}
 	}
-	name, err := f.SetAside(time.Unix(0, 0))
-	if _, gone := f.Load(); err != nil || !strings.Contains(name, "broken") || !errors.Is(gone, ErrNone) {
+	name, err := f.Quarantine(time.Unix(0, 0))
+	if _, gone := f.Load(); err != nil || !strings.Contains(name, "broken") || !errors.Is(gone, ErrNotFound) {
 		t.Errorf("set aside as %q, %v; then %v", name, err, gone)
 	}
-	if err := f.Save(make([]byte, Most+1)); err == nil {
+	if err := f.Save(make([]byte, MaxDocumentBytes+1)); err == nil {
 		t.Error("a document of any length is taken")
 	}
 }
--- a/internal/atomicfile/faultfs/faultfs.go
+++ b/internal/atomicfile/faultfs/faultfs.go
@@ -16,8 +16,8 @@
 // Disk is a file system that forgets what was not synced when its machine stops: the contents of files, and the names in
 // folders. It stops, or fails, at a chosen one of its operations. It is not safe for concurrent use.
 type Disk struct {
-	Left  int   // operations until the fault; below 0 there is none
-	Fault error // nil: the machine stops
+	OperationsUntilFault int   // operations until the fault; below 0 there is none
+	FaultError           error // nil: the machine stops
 
 	now, lasting map[string]*content // by name
 	stopped      bool
@@ -26,32 +26,32 @@
 
 type content struct{ now, lasting []byte }
 
-// ErrStopped says that the machine has stopped.
-var ErrStopped = errors.New("the machine has stopped")
+// ErrCrashed says that the machine has stopped.
+var ErrCrashed = errors.New("the machine has stopped")
 
 // New returns an empty disk. The seed says what is left of what was not synced.
 func New(seed uint64) *Disk {
-	return &Disk{now: map[string]*content{}, lasting: map[string]*content{}, Left: -1, rng: rand.New(rand.NewPCG(seed, 0))}
+	return &Disk{now: map[string]*content{}, lasting: map[string]*content{}, OperationsUntilFault: -1, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
 // step counts an operation, and says whether it is the one that goes wrong.
 func (d *Disk) step() error {
 	if d.stopped {
-		return ErrStopped
+		return ErrCrashed
 	}
-	if d.Left--; d.Left == -1 {
-		if d.Fault != nil {
-			return d.Fault
+	if d.OperationsUntilFault--; d.OperationsUntilFault == -1 {
+		if d.FaultError != nil {
+			return d.FaultError
 		}
 		d.stopped = true
-		return ErrStopped
+		return ErrCrashed
 	}
 	return nil
 }
 
-// Restart is the machine after it has stopped: of what was not synced any part may be there. Bytes that were never synced are
+// Reboot is the machine after it has stopped: of what was not synced any part may be there. Bytes that were never synced are
 // cut anywhere, and names that were not are old or new.
-func (d *Disk) Restart() *Disk {
+func (d *Disk) Reboot() *Disk {
 	fresh := New(d.rng.Uint64())
 	pick := d.now
 	if d.rng.IntN(2) == 0 {
@@ -77,7 +77,7 @@
 }
 
 // Create opens a file for writing, anew.
-func (d *Disk) Create(name string) (atomicfile.Handle, error) {
+func (d *Disk) Create(name string) (atomicfile.WritableFile, error) {
 	if err := d.step(); err != nil {
 		return nil, err
 	}
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// Names lists the names in a folder, sorted.
-func (d *Disk) Names(dir string) (names []string, err error) {
+// List lists the names in a folder, sorted.
+func (d *Disk) List(dir string) (names []string, err error) {
 	for name := range d.now {
 		if filepath.Dir(name) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(name))
--- a/internal/atomicfile/golden_test.go
+++ b/internal/atomicfile/golden_test.go
@@ -19,7 +19,7 @@
 	created *[]string
 }
 
-func (n noting) Create(name string) (Handle, error) {
+func (n noting) Create(name string) (WritableFile, error) {
 	*n.created = append(*n.created, name)
 	return n.OS.Create(name)
 }
@@ -49,10 +49,10 @@
 		t.Fatal(err)
 	}
 	defer func() { besteffort.Ignore(release()) }()
-	if _, err := committed.SetAside(time.Date(2026, 1, 2, 3, 4, 5, 6, time.FixedZone("", 3600))); err != nil {
+	if _, err := committed.Quarantine(time.Date(2026, 1, 2, 3, 4, 5, 6, time.FixedZone("", 3600))); err != nil {
 		t.Fatal(err)
 	}
-	names, err := OS{}.Names(dir)
+	names, err := OS{}.List(dir)
 	if want := []string{"read.broken-20260102T020405", "written", "written.lock"}; err != nil || !slices.Equal(names, want) {
 		t.Errorf("the folder holds %v, want %v; %v", names, want, err)
 	}
--- a/internal/harness/cluster/disk.go
+++ b/internal/harness/cluster/disk.go
@@ -92,7 +92,7 @@
 }
 
 // Create is of store.FS.
-func (d *Disk) Create(name string) (atomicfile.Handle, error) {
+func (d *Disk) Create(name string) (atomicfile.WritableFile, error) {
 	end, err := d.begin()
 	if err != nil {
 		return nil, err
@@ -186,8 +186,8 @@
 	return d.note()
 }
 
-// Names is of store.FS.
-func (d *Disk) Names(dir string) (all []string, err error) {
+// List is of store.FS.
+func (d *Disk) List(dir string) (all []string, err error) {
 	end, err := d.begin()
 	if err != nil {
 		return nil, err
