--- a/internal/fleet/overload/overload_test.go
+++ b/internal/fleet/overload/overload_test.go
@@ -44,7 +44,7 @@
 		d.UpdateServer(id, true, true)
 		if own {
 			d.AttemptSent(now, id, false)
-			d.AttemptEnded(now, id, balancer.OK, balancer.Report{Util: use, Rate: use * capacity})
+			d.AttemptEnded(now, id, balancer.OK, balancer.Report{Utilization: use, ServedRate: use * capacity})
 		} else {
 			d.picture.report(now, LoadReport{Server: ServerID(id), Utilization: use, Capacity: capacity}, false)
 		}
--- a/internal/fleet/snapshot/snapshot.go
+++ b/internal/fleet/snapshot/snapshot.go
@@ -37,7 +37,7 @@
 	Capacity       map[string]float64 `json:"capacity,omitempty"` // requests a second when warm, by server
 	ClassRates     map[string]float64 `json:"usual,omitempty"`    // requests a second that the agent is asked, by class
 	Utilization    float64            `json:"use,omitempty"`      // of the servers, from 0 to 1
-	Denylist       denylist.State     `json:"bans"`
+	Denylist       denylist.Snapshot  `json:"bans"`
 }
 
 // Decode reads a document. The error says what is wrong with it; nothing of it is to be used then.
@@ -91,7 +91,7 @@
 // HasSameContent reports whether two documents differ in when they were written alone.
 func (d Document) HasSameContent(o Document) bool {
 	return d.ListVersion == o.ListVersion && slices.Equal(d.Servers, o.Servers) && maps.Equal(d.Capacity, o.Capacity) && maps.Equal(d.ClassRates, o.ClassRates) &&
-		d.Utilization == o.Utilization && maps.Equal(d.Denylist.Out, o.Denylist.Out) && maps.Equal(d.Denylist.Back, o.Denylist.Back) && slices.Equal(d.Denylist.Seen, o.Denylist.Seen)
+		d.Utilization == o.Utilization && maps.Equal(d.Denylist.DeniedSince, o.Denylist.DeniedSince) && maps.Equal(d.Denylist.AllowedSince, o.Denylist.AllowedSince) && slices.Equal(d.Denylist.KnownIDs, o.Denylist.KnownIDs)
 }
 
 // Reader is who reads a document, and when.
--- a/internal/scenario/comeback.go
+++ b/internal/scenario/comeback.go
@@ -78,10 +78,10 @@
 // comeBack puts a recovery before the agent's engine, by what its disk has.
 func (a *simAgent) comeBack(set balancer.Settings) {
 	w := a.w
-	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdCapacityRatio: set.ColdFrom, WarmupTime: set.ColdFor, ColdOverloadFactor: set.Overload,
+	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdCapacityRatio: set.SlowStartInitialRatio, WarmupTime: set.SlowStartDuration, ColdOverloadFactor: set.WarmingOverloadRatio,
 		MaxRetryAfter: set.MaxRetryAfter, Seed: uint64(a.number*1000 + a.life)}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Worth, LatencyObjective: c.Aim, IsIdempotent: c.Effect == balancer.Safe})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, IsIdempotent: c.Effect == balancer.Idempotent})
 	}
 	if a.others != nil {
 		o.PeerPollTime = askFor
@@ -136,7 +136,7 @@
 	}
 	a.disk.members = a.disk.members[:0]
 	for id, k := range a.knows {
-		if s := a.w.byID[id]; s != nil && k.state != balancer.Gone {
+		if s := a.w.byID[id]; s != nil && k.state != balancer.Removed {
 			m := s.listed()
 			m.State, m.Started = k.state, k.started
 			a.disk.members = append(a.disk.members, m)
