--- a/internal/fleet/corroborate/exclusions.go
+++ b/internal/fleet/corroborate/exclusions.go
@@ -1,7 +1,3 @@
-// Package corroborate is the one place that says what the word of other agents is worth. The rule: word may make an agent more careful at
-// once, within bounds; what would make it bolder is confirmed by its own list or its own answers; no server is used that the own list
-// has not named; one that lies, hangs in the past or repeats itself moves nobody further than its bound. It does no I/O and reads no
-// clock.
 package corroborate
 
 import (
@@ -15,155 +11,183 @@
 	"appleledge/internal/fleet/gossip"
 )
 
-// The kinds of facts about servers. The id is that of Server.
+// The kinds of observations about servers, as they stand on the wire. Observation.ID is the server's ServerID.
 const (
-	Draining   gossip.ObservationKind = 1 // the sender's list said that the server drains, or is gone
-	Responding gossip.ObservationKind = 2 // the server answered the sender
+	Draining   gossip.ObservationKind = 1 // the reporter's endpoint list says that the server is draining, or removed it
+	Responding gossip.ObservationKind = 2 // the server answered the reporter
 )
 
-// ServerID is a server's id in facts.
+// ServerID returns the number by which observations name the server with the given id.
 func ServerID(id string) uint64 { return xxhash.Sum64String(id) }
 
+// How many servers remote reports may exclude, as ratios of the servers on the agent's own list.
 const (
-	// One agent's word holds out at most this part of the servers, and that of all together the other.
 	maxExcludedRatioPerAgent = 0.1
 	maxExcludedRatio         = 1.0 / 3
+)
 
-	reportTTL             = 10 * time.Second      // for which word of a drain holds where the own list has been heard since
-	reportTTLBeforeList   = gossip.ObservationTTL // and where it has not
+// How long a report counts, from the time of the observation.
+const (
+	// With a confirmed list a report only bridges the time until the agent's own list catches up.
+	reportTTL = 10 * time.Second
+	// Before the first confirmed list reports are all that the agent knows.
+	reportTTLBeforeList = gossip.ObservationTTL
+	// A report that is newer than the known one by no more than this is the same observation, its age having been rounded on the wire.
+	sameReportTolerance = time.Second
+)
+
+// How much is remembered, whatever other agents send.
+const (
 	maxReportedServers    = 4096
-	maxReportersPerServer = 16 // for one server
+	maxReportersPerServer = 16
 )
 
-// Exclusions are the servers that are held out on the word of others. It is not safe for concurrent use.
+// Exclusions holds the drain reports of other agents and derives from them which servers to exclude. It is not safe for concurrent use.
 //
-// Invariants: a server is held only while some agent's word for it is fresh and within that agent's bound, and within the bound of all;
-// what the own list says at a later time than the word ends it.
+// Invariants: a server is excluded only while the report of at least one agent has not expired and is within the limits for that agent
+// and for all agents; a report older than the agent's own confirmation that the server is ready doesn't count.
 type Exclusions struct {
-	drainReports    map[uint64]map[int]time.Duration // by server, who said it, and since when it holds
-	confirmedReady  map[uint64]time.Duration         // when the own list named the server as ready last, as news
-	isListConfirmed bool                             // the own list was heard in this life
-	listSize        int                              // servers of the own list
-	excluded        map[uint64]bool                  // as of the last Settle
+	// drainReports has the time of each report on the agent's clock, by server and by reporting agent. A time may be negative: the
+	// observation may be older than the agent's clock.
+	drainReports    map[uint64]map[int]time.Duration
+	confirmedReady  map[uint64]time.Duration // when the agent's own list last reported the server as ready
+	isListConfirmed bool                     // the agent's own list was received since it started
+	listSize        int                      // servers on that list
+	excluded        map[uint64]bool          // result of the last Recompute
 	counts          Counts
 }
 
-// Counts are what was done with the word of others.
+// Counts says what became of the reports since the Exclusions were made.
 type Counts struct {
-	Accepted  uint64 // that were news
-	OverLimit uint64 // by a bound
-	Excluded  int
+	Accepted  uint64 // reports that were new
+	OverLimit uint64 // reports that were dropped, or didn't exclude their server, because of a limit
+	Excluded  int    // servers that are excluded now
 }
 
-// New returns nothing held.
+// New returns Exclusions without a report.
 func New() *Exclusions {
 	return &Exclusions{drainReports: map[uint64]map[int]time.Duration{}, confirmedReady: map[uint64]time.Duration{}, excluded: map[uint64]bool{}}
 }
 
-// Observe takes another agent's word that a server drains. It reports whether that may change what is held.
-func (h *Exclusions) Observe(now time.Duration, from int, f gossip.Observation) bool {
-	at := now - f.Age
-	if f.Kind != Draining || f.Age >= reportTTLBeforeList {
+// Observe takes an observation that agent number reporter sent and reports whether it may change which servers are excluded.
+// Observations of a kind other than Draining are ignored.
+func (e *Exclusions) Observe(now time.Duration, reporter int, o gossip.Observation) bool {
+	observedAt := now - o.Age
+	if o.Kind != Draining || o.Age >= reportTTLBeforeList {
 		return false
 	}
-	by := h.drainReports[f.ID]
-	if by == nil {
-		if len(h.drainReports) >= maxReportedServers {
-			h.counts.OverLimit++
+	reports := e.drainReports[o.ID]
+	if reports == nil {
+		if len(e.drainReports) >= maxReportedServers {
+			e.counts.OverLimit++
 			return false
 		}
-		by = map[int]time.Duration{}
-		h.drainReports[f.ID] = by
+		reports = map[int]time.Duration{}
+		e.drainReports[o.ID] = reports
 	}
-	if was, said := by[from]; said && was >= at-time.Second { // the same again, which does not prolong it
+	previous, isKnown := reports[reporter]
+	// A report that is only repeated must not be prolonged: the server would stay excluded for as long as anybody repeats it.
+	if isKnown && previous >= observedAt-sameReportTolerance {
 		return false
 	}
-	if _, said := by[from]; !said && len(by) >= maxReportersPerServer {
-		return false // they say the same
+	if !isKnown && len(reports) >= maxReportersPerServer {
+		return false
 	}
-	by[from] = at
-	h.counts.Accepted++
+	reports[reporter] = observedAt
+	e.counts.Accepted++
 	return true
 }
 
-// SetConfirmedListSize takes that the own list was heard, with so many servers. From then on the word of others only bridges what it is late by.
-func (h *Exclusions) SetConfirmedListSize(servers int) { h.isListConfirmed, h.listSize = true, servers }
+// SetConfirmedListSize is called when the agent's own endpoint list was received, with the number of its servers. From then on reports
+// count only for as long as the own list may be late.
+func (e *Exclusions) SetConfirmedListSize(servers int) { e.isListConfirmed, e.listSize = true, servers }
+
+// SetCachedListSize is called with the number of servers on a cached list, which nothing has confirmed since the agent started.
+func (e *Exclusions) SetCachedListSize(servers int) { e.listSize = servers }
 
-// SetCachedListSize takes how many servers the agent knows from before.
-func (h *Exclusions) SetCachedListSize(servers int) { h.listSize = servers }
+// MarkReady is called when the agent's own list reports a change by which the server is ready. It overrides older reports.
+func (e *Exclusions) MarkReady(now time.Duration, server uint64) { e.confirmedReady[server] = now }
 
-// MarkReady takes that the own list has news of a server, as ready: it was told later than what others said before.
-func (h *Exclusions) MarkReady(now time.Duration, id uint64) {
-	h.confirmedReady[id] = now
+// Forget drops all that is known of a server that is no longer on the agent's own list.
+func (e *Exclusions) Forget(server uint64) {
+	delete(e.confirmedReady, server)
+	delete(e.drainReports, server)
 }
 
-// Forget forgets a server that the own list names no more.
-func (h *Exclusions) Forget(id uint64) {
-	delete(h.confirmedReady, id)
-	delete(h.drainReports, id)
+// report is one agent's report of one server.
+type report struct {
+	server     uint64
+	reporter   int
+	observedAt time.Duration
 }
 
-// Recompute drops what is old and says which servers are held now. The longest told come first, so that what is held does not move
-// with the latest claim.
-func (h *Exclusions) Recompute(now time.Duration) (held map[uint64]bool, changed bool) {
-	lasts := reportTTLBeforeList
-	if h.isListConfirmed {
-		lasts = reportTTL
+// Recompute drops expired reports and returns the servers that are excluded now, and whether they differ from those of the last call.
+// The returned map belongs to the Exclusions and must not be changed.
+func (e *Exclusions) Recompute(now time.Duration) (excluded map[uint64]bool, changed bool) {
+	next, overLimit := e.applyLimits(e.currentReports(now))
+	if changed = len(next) != len(e.excluded); !changed {
+		for server := range next {
+			changed = changed || !e.excluded[server]
+		}
+	}
+	if changed && overLimit > 0 {
+		e.counts.OverLimit += uint64(overLimit)
 	}
-	type claim struct {
-		id   uint64
-		from int
-		at   time.Duration
+	e.excluded, e.counts.Excluded = next, len(next)
+	return next, changed
+}
+
+// currentReports drops the reports that have expired or were overridden and returns the others, the oldest first.
+func (e *Exclusions) currentReports(now time.Duration) (current []report) {
+	ttl := reportTTLBeforeList
+	if e.isListConfirmed {
+		ttl = reportTTL
 	}
-	var order []claim
-	for id, by := range h.drainReports {
-		for from, at := range by {
-			ready, named := h.confirmedReady[id]
-			if now-at >= lasts || named && ready > at {
-				delete(by, from)
+	for server, reports := range e.drainReports {
+		for reporter, observedAt := range reports {
+			readyAt, isConfirmed := e.confirmedReady[server]
+			if now-observedAt >= ttl || isConfirmed && readyAt > observedAt {
+				delete(reports, reporter)
 				continue
 			}
-			order = append(order, claim{id, from, at})
+			current = append(current, report{server, reporter, observedAt})
 		}
-		if len(by) == 0 {
-			delete(h.drainReports, id)
+		if len(reports) == 0 {
+			delete(e.drainReports, server)
 		}
 	}
-	slices.SortFunc(order, func(x, y claim) int {
-		return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.id, y.id), cmp.Compare(x.from, y.from))
+	slices.SortFunc(current, func(x, y report) int {
+		return cmp.Or(cmp.Compare(x.observedAt, y.observedAt), cmp.Compare(x.server, y.server), cmp.Compare(x.reporter, y.reporter))
 	})
-	mostOne, mostAll := exclusionLimit(maxExcludedRatioPerAgent, h.listSize), exclusionLimit(maxExcludedRatio, h.listSize)
-	ofOne, next := map[int]int{}, map[uint64]bool{}
-	dropped := 0
-	for _, c := range order {
+	return current
+}
+
+// applyLimits excludes the servers of reports in their order, as far as the limits allow. The oldest reports come first: if the newest
+// did, each new report over the limit would exchange one excluded server for another, and traffic would move with every message.
+func (e *Exclusions) applyLimits(reports []report) (excluded map[uint64]bool, overLimit int) {
+	limitPerAgent, limit := exclusionLimit(maxExcludedRatioPerAgent, e.listSize), exclusionLimit(maxExcludedRatio, e.listSize)
+	excludedByAgent := map[int]int{}
+	excluded = map[uint64]bool{}
+	for _, r := range reports {
 		switch {
-		case next[c.id]:
-		case ofOne[c.from] >= mostOne || len(next) >= mostAll:
-			dropped++
+		case excluded[r.server]:
+		case excludedByAgent[r.reporter] >= limitPerAgent || len(excluded) >= limit:
+			overLimit++
 		default:
-			ofOne[c.from]++
-			next[c.id] = true
+			excludedByAgent[r.reporter]++
+			excluded[r.server] = true
 		}
 	}
-	if changed = len(next) != len(h.excluded); !changed {
-		for id := range next {
-			changed = changed || !h.excluded[id]
-		}
-	}
-	if changed && dropped > 0 {
-		h.counts.OverLimit += uint64(dropped)
-	}
-	h.excluded, h.counts.Excluded = next, len(next)
-	return next, changed
+	return excluded, overLimit
 }
 
-// bound is a part of so many servers, one at the least where there are several.
-func exclusionLimit(part float64, servers int) int {
+// exclusionLimit returns how many of so many servers may be excluded at a ratio: at least one, but never the only server.
+func exclusionLimit(ratio float64, servers int) int {
 	if servers < 2 {
 		return 0
 	}
-	return max(1, int(math.Floor(part*float64(servers))))
+	return max(1, int(math.Floor(ratio*float64(servers))))
 }
 
-// Counts are the figures.
-func (h *Exclusions) Counts() Counts { return h.counts }
+// Counts returns what became of the reports so far.
+func (e *Exclusions) Counts() Counts { return e.counts }
--- a/internal/fleet/snapshot/golden_test.go
+++ b/internal/fleet/snapshot/golden_test.go
@@ -14,7 +14,7 @@
 	"appleledge/internal/membership/listing"
 )
 
-// full is a document in which each field has a value of its own.
+// fullDocument is a document in which each field has a value of its own.
 func fullDocument() Document {
 	return Document{
 		FormatVersion: 1, Agent: "n0 127.0.0.1:8081", BootID: "5f1c3a52-6c1e-4c0f-9d55-0123456789ab", SinceBoot: 61_000, PreviousWrites: 7, ListVersion: 41, Utilization: 0.51,
@@ -28,11 +28,11 @@
 	}
 }
 
-// The whole file, with the store's first line.
+// The whole file, with package atomicfile's first line, has the committed bytes, and these decode to the same document.
 func TestGoldenFile(t *testing.T) {
-	written := fullDocument()
-	written.FormatVersion = 0 // which is set as it is kept
-	text, err := written.Encode()
+	unversioned := fullDocument()
+	unversioned.FormatVersion = 0 // which Encode sets
+	text, err := unversioned.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,19 +55,19 @@
 	}
 	read, err := Decode(text)
 	if err != nil || !reflect.DeepEqual(read, fullDocument()) {
-		t.Fatalf("the committed document reads as %+v, %v", read, err)
+		t.Fatalf("the committed document decodes to %+v, %v", read, err)
 	}
 	if trust, why := read.Assess(Reader{Agent: read.Agent, BootID: read.BootID, SinceBoot: 62 * time.Second}); trust != TrustEverything || why != "it was written 1s ago" {
-		t.Errorf("it is trusted %v: %s", trust, why)
+		t.Errorf("Assess: %v: %s", trust, why)
 	}
 	want := recovery.Baseline{Utilization: 0.51, ClassRates: []float64{0.75, 40}, Servers: []recovery.BaselineServer{
 		{ID: "s-1", Cell: 2, Ready: true, Capacity: 45}, {ID: "s-2", Cell: 3, Capacity: 46.5}}}
 	if got := read.RecoveryBaseline([]string{"refund-record", "form-check"}); !reflect.DeepEqual(got, want) {
-		t.Errorf("a recovery goes by %+v", got)
+		t.Errorf("RecoveryBaseline: %+v", got)
 	}
 }
 
-// The least document: what may be left out is not written.
+// The smallest document has the committed bytes: values that may be left out are not written.
 func TestGoldenLeastDocument(t *testing.T) {
 	least := Document{FormatVersion: 1, Agent: "n1", BootID: "run"}
 	text, err := least.Encode()
@@ -76,11 +76,11 @@
 	}
 	golden.Equal(t, "kept/least.json", text)
 	if read, err := Decode(golden.Read(t, "kept/least.json")); err != nil || !reflect.DeepEqual(read, least) {
-		t.Errorf("the committed document reads as %+v, %v", read, err)
+		t.Errorf("the committed document decodes to %+v, %v", read, err)
 	}
 }
 
-// What the log says of trust.
+// The words for levels of trust, which logs and operators' tools show, never change.
 func TestGoldenTrust(t *testing.T) {
 	got := ""
 	for trust := TrustNothing; trust <= TrustEverything; trust++ {
--- a/internal/fleet/snapshot/golden_texts_test.go
+++ b/internal/fleet/snapshot/golden_texts_test.go
@@ -8,7 +8,7 @@
 	"appleledge/internal/golden"
 )
 
-// How far a document is trusted, and why, as the agent logs it.
+// The reasons that Assess gives, which the agent logs, never change.
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
 	for i, x := range []Trust{TrustNothing, TrustNames, TrustEverything} {
--- a/internal/fleet/snapshot/snapshot.go
+++ b/internal/fleet/snapshot/snapshot.go
@@ -1,5 +1,16 @@
-// Package snapshot is what an agent keeps of its knowledge on disk, who wrote it and when, and how far it is trusted when it is read
-// again. It does no I/O; internal/atomicfile has the file.
+// Package snapshot defines what an agent saves of its state to disk and how far it trusts a saved state when it starts again.
+//
+// A Document holds the endpoint list, the capacity of each server, the usual request rates and the denylist. Its writer is named by agent
+// and by boot of the machine. After a start the agent decodes the file and calls Assess, which answers one of:
+//
+//   - TrustNothing: another agent wrote it, such as on a copied disk. Nothing of it is used and nothing is written over it.
+//   - TrustNames: the machine has rebooted since, or may have. The servers existed; whether they run, and for how long, isn't known.
+//   - TrustEverything: it was written in this boot. Its age is known, as the time since boot can't be set.
+//
+// No wall clock takes part: after a loss of power it may be years off, and a snapshot restored from a backup would look new.
+//
+// The package does no I/O. Package agent reads and writes the file by package atomicfile; package recovery starts from the Baseline that
+// a Document holds.
 package snapshot
 
 import (
@@ -16,32 +27,35 @@
 	"appleledge/internal/membership/listing"
 )
 
-// Bounds on a document.
+// formatVersion is the only version of the format that this program reads and writes.
+const formatVersion = 1
+
+// What a document may hold. A file that was damaged, or that somebody else wrote, must not cost the agent its memory.
 const (
-	formatVersion  = 1
 	maxServers     = 1 << 17
-	maxNameBytes   = 512 // bytes of an id, an address or any other name
 	maxClasses     = 256
-	maxRequestRate = 1e9
+	maxNameBytes   = 512 // an id, an address or any other name
+	maxRequestRate = 1e9 // requests a second
 )
 
-// Document is all that is kept.
+// Document is a saved state. Its JSON names are the file format and don't follow renamed fields.
 type Document struct {
 	FormatVersion  int                `json:"form"`
-	Agent          string             `json:"agent"`      // who wrote it: name and address
-	BootID         string             `json:"run"`        // of the machine, in which it was written
-	SinceBoot      int64              `json:"since_boot"` // milliseconds of that run, when it was written
-	PreviousWrites uint64             `json:"writes"`     // before it, of this agent
-	ListVersion    int64              `json:"version"`    // of the list
-	Servers        []listing.Entry    `json:"servers"`
-	Capacity       map[string]float64 `json:"capacity,omitempty"` // requests a second when warm, by server
-	ClassRates     map[string]float64 `json:"usual,omitempty"`    // requests a second that the agent is asked, by class
-	Utilization    float64            `json:"use,omitempty"`      // of the servers, from 0 to 1
+	Agent          string             `json:"agent"`              // the writer: name and address
+	BootID         string             `json:"run"`                // of the machine's boot in which it was written
+	SinceBoot      int64              `json:"since_boot"`         // milliseconds from that boot until it was written
+	PreviousWrites uint64             `json:"writes"`             // that the same agent made before
+	ListVersion    int64              `json:"version"`            // of the endpoint list
+	Servers        []listing.Entry    `json:"servers"`            // the endpoint list
+	Capacity       map[string]float64 `json:"capacity,omitempty"` // requests a second of a warm server, by server id
+	ClassRates     map[string]float64 `json:"usual,omitempty"`    // usual requests a second at this agent, by class name
+	Utilization    float64            `json:"use,omitempty"`      // usual utilization of the servers, from 0 to 1
 	Denylist       denylist.Snapshot  `json:"bans"`
 }
 
-// Decode reads a document. The error says what is wrong with it; nothing of it is to be used then.
-func Decode(text []byte) (d Document, err error) {
+// Decode reads a document that Encode wrote. After an error nothing of the document may be used.
+func Decode(text []byte) (Document, error) {
+	var d Document
 	if err := json.Unmarshal(text, &d); err != nil {
 		return Document{}, err
 	}
@@ -61,7 +75,7 @@
 		return fmt.Errorf("it was written %d ms into a run", d.SinceBoot)
 	case len(d.Servers) > maxServers || len(d.Capacity) > maxServers || len(d.ClassRates) > maxClasses:
 		return fmt.Errorf("it has %d servers and %d classes", len(d.Servers), len(d.ClassRates))
-	case !(d.Utilization >= 0 && d.Utilization <= 1):
+	case !(d.Utilization >= 0 && d.Utilization <= 1): // also of NaN
 		return fmt.Errorf("a use of %v", d.Utilization)
 	}
 	for _, rates := range []map[string]float64{d.Capacity, d.ClassRates} {
@@ -79,7 +93,7 @@
 	return nil
 }
 
-// Encode is the document as it is kept.
+// Encode returns the document as it is written to disk, in the current format version. It fails if the document couldn't be decoded.
 func (d Document) Encode() ([]byte, error) {
 	d.FormatVersion = formatVersion
 	if err := d.validate(); err != nil {
@@ -88,70 +102,76 @@
 	return json.Marshal(d)
 }
 
-// HasSameContent reports whether two documents differ in when they were written alone.
-func (d Document) HasSameContent(o Document) bool {
-	return d.ListVersion == o.ListVersion && slices.Equal(d.Servers, o.Servers) && maps.Equal(d.Capacity, o.Capacity) && maps.Equal(d.ClassRates, o.ClassRates) &&
-		d.Utilization == o.Utilization && maps.Equal(d.Denylist.DeniedSince, o.Denylist.DeniedSince) && maps.Equal(d.Denylist.AllowedSince, o.Denylist.AllowedSince) && slices.Equal(d.Denylist.KnownIDs, o.Denylist.KnownIDs)
+// HasSameContent reports whether two documents hold the same state, whoever wrote them and when.
+func (d Document) HasSameContent(other Document) bool {
+	return d.ListVersion == other.ListVersion && slices.Equal(d.Servers, other.Servers) && maps.Equal(d.Capacity, other.Capacity) &&
+		maps.Equal(d.ClassRates, other.ClassRates) && d.Utilization == other.Utilization &&
+		maps.Equal(d.Denylist.DeniedSince, other.Denylist.DeniedSince) && maps.Equal(d.Denylist.AllowedSince, other.Denylist.AllowedSince) &&
+		slices.Equal(d.Denylist.KnownIDs, other.Denylist.KnownIDs)
 }
 
-// Reader is who reads a document, and when.
+// Reader says which agent reads a document, and when.
 type Reader struct {
-	Agent     string
-	BootID    string // of the machine; empty: not known
-	SinceBoot time.Duration
+	Agent     string        // name and address, as in Document.Agent
+	BootID    string        // of the machine's present boot; empty: not known
+	SinceBoot time.Duration // from that boot until now
 }
 
-// Trust is how far a document is trusted.
+// Trust is how much of a document may be used.
 type Trust int
 
-// The kinds of trust.
+// The levels of trust, the lowest first.
 const (
-	TrustNothing    Trust = iota // somebody else's
-	TrustNames                   // the servers were there, nothing more: the machine has lost its run, and with it the time
-	TrustEverything              // it is so old as it says
+	TrustNothing    Trust = iota // another agent wrote it
+	TrustNames                   // the servers existed; their state and the document's age aren't known
+	TrustEverything              // it is as old as it says
 )
 
+// String returns the level's word in the log and for operators.
 func (t Trust) String() string { return [...]string{"none", "names", "complete"}[t] }
 
-// Assess says how far the document is trusted, and why. Wall clocks decide nothing: after a loss of power they may be at 1970, or
-// an hour off. A run of the machine is told by its name, and within one the time since its start cannot be set.
-func (d Document) Assess(now Reader) (Trust, string) {
+// Assess returns how much of the document the reader may use, and the reason as a text for the log. It goes by the boot that the document
+// names and by the time since that boot, never by a wall clock: after a loss of power that may be at 1970 or an hour off, and an old list
+// would be taken for a new one.
+func (d Document) Assess(reader Reader) (Trust, string) {
 	written := time.Duration(d.SinceBoot) * time.Millisecond
 	switch {
-	case d.Agent != now.Agent:
+	case d.Agent != reader.Agent:
 		return TrustNothing, fmt.Sprintf("it is of the agent %q", d.Agent)
-	case now.BootID == "":
+	case reader.BootID == "":
 		return TrustNames, "the run of the machine is not known"
-	case d.BootID != now.BootID:
+	case d.BootID != reader.BootID:
 		return TrustNames, "the machine has started anew since it was written"
-	case written > now.SinceBoot+time.Second:
+	case written > reader.SinceBoot+time.Second:
 		return TrustNames, "it says that it was written later in this run of the machine than now"
 	}
-	return TrustEverything, fmt.Sprintf("it was written %v ago", (now.SinceBoot - written).Round(time.Millisecond))
+	return TrustEverything, fmt.Sprintf("it was written %v ago", (reader.SinceBoot - written).Round(time.Millisecond))
 }
 
-// EndpointList is the list to begin with. Where the names alone are trusted nobody knows when a server has started.
-func (d Document) EndpointList(t Trust) listing.List {
-	if t == TrustNothing {
+// EndpointList returns the list to start with at a level of trust; it is empty for TrustNothing. At TrustNames no server has a start
+// time: with the one in the document a server that has restarted since would be taken for warm and be sent more than it can serve.
+func (d Document) EndpointList(trust Trust) listing.List {
+	if trust == TrustNothing {
 		return listing.List{}
 	}
-	l := listing.List{Version: d.ListVersion, Full: true, Servers: slices.Clone(d.Servers)}
-	if t == TrustNames {
-		for i := range l.Servers {
-			l.Servers[i].StartedMS = 0
+	list := listing.List{Version: d.ListVersion, Full: true, Servers: slices.Clone(d.Servers)}
+	if trust == TrustNames {
+		for i := range list.Servers {
+			list.Servers[i].StartedMS = 0
 		}
 	}
-	return l
+	return list
 }
 
-// RecoveryBaseline is what a recovery goes by; classes are the names of the platform's, by number.
+// RecoveryBaseline returns what a recovery.Controller starts from. classes are the names of the request classes, by number; a class that
+// the document doesn't name has the rate 0.
 func (d Document) RecoveryBaseline(classes []string) recovery.Baseline {
-	b := recovery.Baseline{Utilization: d.Utilization, ClassRates: make([]float64, len(classes))}
+	baseline := recovery.Baseline{Utilization: d.Utilization, ClassRates: make([]float64, len(classes))}
 	for i, name := range classes {
-		b.ClassRates[i] = d.ClassRates[name]
+		baseline.ClassRates[i] = d.ClassRates[name]
 	}
 	for _, e := range d.Servers {
-		b.Servers = append(b.Servers, recovery.BaselineServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.Ready, Capacity: d.Capacity[e.ID]})
+		baseline.Servers = append(baseline.Servers, recovery.BaselineServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.Ready, Capacity: d.Capacity[e.ID]})
 	}
-	return b
+	return baseline
 }
--- a/internal/fleet/snapshot/snapshot_test.go
+++ b/internal/fleet/snapshot/snapshot_test.go
@@ -15,7 +15,8 @@
 		Capacity: map[string]float64{"s-1": 45}, ClassRates: map[string]float64{"form-check": 40, "gone-class": 1}}
 }
 
-// What is kept is trusted by who wrote it in which run of the machine, never by a wall clock.
+// An agent starts and finds a saved state. How much of it is used depends on which agent wrote it and in which boot of the machine, never on
+// a wall clock: after a reboot only the names of the servers count, and their start times don't. Each case is one way to come by the file.
 func TestTrustDependsOnWriterAndBoot(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -24,11 +25,11 @@
 		why  string
 	}{
 		{"a process that ended", Reader{"n0 127.0.0.1:8081", "run-1", 90 * time.Second}, TrustEverything, "30s ago"},
-		{"a machine that lost power", Reader{"n0 127.0.0.1:8081", "run-2", 2 * time.Second}, TrustNames, "started anew"},
+		{"a machine that rebooted", Reader{"n0 127.0.0.1:8081", "run-2", 2 * time.Second}, TrustNames, "started anew"},
 		{"last week's state, from a backup", Reader{"n0 127.0.0.1:8081", "run-9", 9 * time.Hour}, TrustNames, "started anew"},
-		{"a run that cannot be told", Reader{"n0 127.0.0.1:8081", "", 90 * time.Second}, TrustNames, "not known"},
-		{"a state from later in the same run", Reader{"n0 127.0.0.1:8081", "run-1", 30 * time.Second}, TrustNames, "later"},
-		{"a folder of another agent", Reader{"n1 127.0.0.1:8081", "run-1", 90 * time.Second}, TrustNothing, "of the agent"},
+		{"a boot that is not known", Reader{"n0 127.0.0.1:8081", "", 90 * time.Second}, TrustNames, "not known"},
+		{"a state from later in the same boot", Reader{"n0 127.0.0.1:8081", "run-1", 30 * time.Second}, TrustNames, "later"},
+		{"a directory of another agent", Reader{"n1 127.0.0.1:8081", "run-1", 90 * time.Second}, TrustNothing, "of the agent"},
 	} {
 		d := sampleDocument()
 		got, why := d.Assess(c.now)
@@ -44,11 +45,11 @@
 			continue
 		case TrustNames:
 			if l.Servers[0].StartedMS != 0 {
-				t.Errorf("%s: a start is believed", c.name)
+				t.Errorf("%s: a start time of an earlier boot is used", c.name)
 			}
 		case TrustEverything:
 			if l.Servers[0].StartedMS != 1_790_000_000_000 {
-				t.Errorf("%s: a start is lost", c.name)
+				t.Errorf("%s: a start time of the same boot is lost", c.name)
 			}
 		}
 		if len(l.Servers) != 2 || l.Servers[1].State != "Terminating" || !l.Full || b.ClassRates[0] != 40 || b.ClassRates[1] != 0 ||
@@ -58,6 +59,7 @@
 	}
 }
 
+// A document with one value out of its bounds is rejected as a whole; each case breaks one value of a valid document.
 func TestValidateRejectsBadDocument(t *testing.T) {
 	for name, change := range map[string]func(*Document){
 		"form":       func(d *Document) { d.FormatVersion = 2 },
@@ -76,7 +78,8 @@
 	}
 }
 
-// Whatever is on the disk, what is read of it is within bounds and reads the same when it is kept again.
+// Whatever bytes are on the disk, decoding them fails or gives a document within its bounds, every level of trust can be asked of it, and
+// encoding it gives a document with the same content.
 func FuzzDecode(f *testing.F) {
 	text, err := sampleDocument().Encode()
 	if err != nil {
