--- a/internal/affinity/affinity.go
+++ b/internal/affinity/affinity.go
@@ -1,6 +1,21 @@
-// Package affinity remembers which pod a keyed request was sent to first, so that a repeat of it, which clients make under
-// another id, goes to the same pod while that drops repeats, and nowhere else while it may have run. It decides and does no
-// I/O, reads no clock and is not safe for concurrent use; package tielog keeps it over a restart.
+// Package affinity remembers to which pod a request with an idempotency key was sent first, so that a client's retry of it,
+// which comes under another request id, goes to the same pod while that pod drops duplicates, and nowhere else while the
+// first attempt may have run.
+//
+// # States of a key
+//
+// A key is unknown, bound, or remembered without its pod. Bind makes a binding when the first attempt is about to be sent;
+// Unbind takes the attempt back where it certainly had no effect, and the binding goes with the last of them; Complete says
+// how an attempt ended that may have run. A binding is sticky for Options.DedupWindow, during which the pod drops
+// duplicates; for Options.LateRetryPeriod after that it is remembered so that a late retry is not taken for a new request;
+// then it expires. A key that finds no room goes into the overflow filter, which remembers that something may have run but
+// not where: Lookup returns it with PodUnknown, and the caller must not send it anywhere.
+//
+// # Who calls it, and what survives a crash
+//
+// The engine's goroutine owns the Table and calls it with the time of each event. The package decides only: it has no I/O
+// and no clock, and nothing in it is safe for concurrent use. What must survive a crash comes out as a Record, which package
+// bindinglog writes; Restore takes the records of earlier or concurrent processes in. The overflow filter isn't stored.
 package affinity
 
 import (
@@ -8,99 +23,109 @@
 	"math"
 	"time"
 
-	"github.com/bits-and-blooms/bloom/v3"
 	"github.com/dchest/siphash"
 )
 
-// Key is a repeat key's keyed hash (SipHash-2-4 with 128 bits; J.-P. Aumasson and D. J. Bernstein, 2012): the keys themselves
-// are kept nowhere, and whoever doesn't know the secret can't make two of one hash.
+// Key is an idempotency key's keyed hash (SipHash-2-4 with 128 bits; J.-P. Aumasson and D. J. Bernstein, 2012). The keys
+// themselves are stored nowhere, and whoever does not know the secret cannot make two keys of one hash.
 type Key [2]uint64
 
-// Secret is what keys are hashed with. It is an installation's, and the same after a restart.
+// Secret is what keys are hashed with. It belongs to an installation and is the same after a restart.
 type Secret [16]byte
 
-// Key hashes a repeat key.
-func (s Secret) Key(repeatKey string) Key {
-	a, b := siphash.Hash128(binary.LittleEndian.Uint64(s[:8]), binary.LittleEndian.Uint64(s[8:]), []byte(repeatKey))
-	return Key{a, b}
+// Key hashes an idempotency key.
+func (s Secret) Key(idempotencyKey string) Key {
+	high, low := siphash.Hash128(binary.LittleEndian.Uint64(s[:8]), binary.LittleEndian.Uint64(s[8:]), []byte(idempotencyKey))
+	return Key{high, low}
+}
+
+// bytes returns the key in little-endian order, as the overflow filter hashes it.
+func (k Key) bytes() []byte {
+	b := make([]byte, 16)
+	binary.LittleEndian.PutUint64(b, k[0])
+	binary.LittleEndian.PutUint64(b[8:], k[1])
+	return b
 }
 
 // Options bound a Table.
 type Options struct {
-	MaxEntries      int           // entries
-	DedupWindow     time.Duration // for which pods drop repeats; after it a repeat runs again
-	LateRetryPeriod time.Duration // for which it is remembered after that, so that a late repeat is not taken for a new request
+	MaxEntries      int           // bindings held at a time
+	DedupWindow     time.Duration // for which pods drop duplicates; after it a retry would run again
+	LateRetryPeriod time.Duration // for which a binding is remembered after that, so that a late retry is not taken for a new request
 }
 
 // Outcome is how the requests of a key ended, as far as it is known.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes. Their numbers are part of decision traces.
 const (
 	OutcomeUnknown Outcome = iota
 	OutcomeServed
 	OutcomeFailed
 )
 
-// Binding is where a key has gone.
+// Binding says where the first attempt of a key went.
 type Binding struct {
-	Pod, Zone  int
+	Pod, Zone  int           // numbers; -1 where PodUnknown
 	Since      time.Duration // when the first attempt was sent that may have run
-	PodUnknown bool          // that something may have run is all that is known
+	PodUnknown bool          // something may have run, and nothing more is known
 }
 
-// entry is a tie with what is known of its attempts.
-type entry struct {
-	pod, zone int32
-	since     time.Duration
-	out       int32 // attempts under way
-	ran       bool  // one has ended that may have run
-	outcome   Outcome
+// bindingState is a binding with what is known of its attempts.
+type bindingState struct {
+	pod, zone  int32
+	since      time.Duration
+	inFlight   int32 // attempts
+	mayHaveRun bool  // an attempt has ended that may have run
+	outcome    Outcome
 }
 
-// Table remembers ties. It holds at most Most of them, and what finds no room is remembered by a filter, of bounded size as
-// well, as something that may have run: a repeat of it is not sent again. Only when that is full as well is safety lost, and
-// counted (Counts.Unprotected).
-//
-// Invariants: queue holds each key of entries once under its present since, in the order of times; len(entries) <= Most.
+// queuedKey is a key's place in the order of expiry.
+type queuedKey struct {
+	key   Key
+	since time.Duration
+}
+
+// Table remembers bindings, at most Options.MaxEntries of them. What finds no room is remembered by the overflow filter, of
+// bounded size too, as something that may have run: a retry of it is not sent again. Only when that filter is full as well is
+// safety lost, and counted (Counts.Unprotected).
 type Table struct {
 	options Options
-	entries map[Key]*entry
-	queue   []begun // the first ones are dropped from its front
-	lost    filter
-	counts  Counts
-}
 
-type begun struct {
-	key   Key
-	since time.Duration
+	// Invariants: queue holds each key of entries exactly once, under its present since, in the order of those times;
+	// len(entries) <= options.MaxEntries.
+	entries map[Key]*bindingState
+	queue   []queuedKey // expired keys are dropped from its front
+
+	overflow overflowFilter
+	counts   Counts
 }
 
-// Counts are a Table's figures since it was made.
+// Counts are a Table's counters since it was made, and how many bindings it holds.
 type Counts struct {
-	Entries     int    // at present
-	Hits        uint64 // requests whose key was known, and may have run
-	PodUnknown  uint64 // of those, where the pod is not known any more
-	Overflowed  uint64 // keys that found no room within their window
-	Evicted     uint64 // ties that made room, after their window
-	Unprotected uint64 // keys that nothing remembers
-	NotDurable  uint64 // ties that a restart would forget
-	Restored    uint64 // ties that another process has told of
+	Entries     int    // held at present
+	Hits        uint64 // lookups of a key that may have run
+	PodUnknown  uint64 // of those, lookups that could not say in which pod
+	Overflowed  uint64 // keys that found no room, as every binding was within its window
+	Evicted     uint64 // bindings that made room after their window
+	Unprotected uint64 // keys that nothing remembers: the filter was full as well
+	NotDurable  uint64 // bindings that a restart would forget
+	Restored    uint64 // bindings read from the log
 }
 
 // New returns an empty table.
 func New(o Options) *Table {
-	return &Table{options: o, entries: map[Key]*entry{}, lost: newFilter(o.MaxEntries, o.DedupWindow+o.LateRetryPeriod)}
+	return &Table{options: o, entries: map[Key]*bindingState{}, overflow: newOverflowFilter(o.MaxEntries, o.DedupWindow+o.LateRetryPeriod)}
 }
 
-// Lookup says where a key that may have run has gone. Without a tie nothing of it is known to have run.
+// Lookup returns where a key went that may have run; false means that nothing of it is known to have run.
 func (t *Table) Lookup(now time.Duration, k Key) (Binding, bool) {
-	t.age(now)
+	t.expire(now)
 	if e := t.entries[k]; e != nil {
 		t.counts.Hits++
 		return Binding{Pod: int(e.pod), Zone: int(e.zone), Since: e.since}, true
 	}
-	if t.lost.has(now, k) {
+	if t.overflow.contains(now, k) {
 		t.counts.Hits++
 		t.counts.PodUnknown++
 		return Binding{Pod: -1, Zone: -1, Since: now - t.options.DedupWindow, PodUnknown: true}, true
@@ -108,63 +133,46 @@
 	return Binding{}, false
 }
 
-// Bind notes an attempt that is about to be sent. It returns what is to be kept, if this makes a tie.
+// Bind notes an attempt that is about to be sent. The record is to be stored where true is returned: this attempt made a
+// binding. Store it before the attempt is sent, or the process may crash in between and send a retry to another pod.
 func (t *Table) Bind(now time.Duration, k Key, pod, zone int) (Record, bool) {
-	t.age(now)
+	t.expire(now)
 	if e := t.entries[k]; e != nil {
-		e.out++
+		e.inFlight++
 		return Record{}, false
 	}
-	if !t.room(now) {
-		t.forget(now, k)
+	if !t.makeRoom(now) {
+		t.rememberOverflow(now, k)
 		t.counts.Overflowed++
 		return Record{}, false
 	}
-	t.put(k, &entry{pod: int32(pod), zone: int32(zone), since: now, out: 1})
+	t.insert(k, &bindingState{pod: int32(pod), zone: int32(zone), since: now, inFlight: 1})
 	return Record{Kind: RecordBound, Key: k, At: now, Pod: int32(pod), Zone: int32(zone)}, true
 }
 
-// put adds an entry. One that another process has told of may be older than the last: the queue stays in order.
-func (t *Table) put(k Key, e *entry) {
-	t.entries[k] = e
-	t.queue = append(t.queue, begun{k, e.since})
-	for i := len(t.queue) - 1; i > 0 && t.queue[i].since < t.queue[i-1].since; i-- {
-		t.queue[i], t.queue[i-1] = t.queue[i-1], t.queue[i]
-	}
-}
-
-// Unbind takes back an attempt that had no effect. Where none has, the tie is gone; what is returned is to be kept then.
+// Unbind takes back an attempt that had no effect. Where none of the key's attempts had, the binding is gone, and the record is
+// to be stored (true).
 func (t *Table) Unbind(now time.Duration, k Key) (Record, bool) {
 	e := t.entries[k]
 	if e == nil {
-		return Record{}, false // of one that found no room: the filter can't take it back, which errs to the safe side
+		return Record{}, false // the key is in the overflow filter, which cannot take it back: that errs to the safe side
 	}
-	e.out = max(0, e.out-1)
-	if e.out > 0 || e.ran {
+	e.inFlight = max(0, e.inFlight-1)
+	if e.inFlight > 0 || e.mayHaveRun {
 		return Record{}, false
 	}
-	delete(t.entries, k)
-	t.queue = dequeue(t.queue, k)
+	t.remove(k)
 	return Record{Kind: RecordUnbound, Key: k, At: now}, true
 }
 
-// dequeue takes a key out, from the end: what is taken back was begun lately.
-func dequeue(queue []begun, k Key) []begun {
-	for i := len(queue) - 1; i >= 0; i-- {
-		if queue[i].key == k {
-			return append(queue[:i], queue[i+1:]...)
-		}
-	}
-	return queue
-}
-
-// Complete notes how an attempt ended that may have run. What is returned is to be kept.
+// Complete notes how an attempt ended that may have run. The record is to be stored where true is returned. A served outcome
+// stays, whatever another attempt comes to later.
 func (t *Table) Complete(now time.Duration, k Key, o Outcome) (Record, bool) {
 	e := t.entries[k]
 	if e == nil {
 		return Record{}, false
 	}
-	e.out, e.ran = max(0, e.out-1), true
+	e.inFlight, e.mayHaveRun = max(0, e.inFlight-1), true
 	if o == OutcomeUnknown || e.outcome == OutcomeServed {
 		return Record{}, false
 	}
@@ -176,68 +184,49 @@
 	return Record{Kind: kind, Key: k, At: now}, true
 }
 
-// UnknownTime is the time of a record of which nobody knows how long ago it was, as the machine has started anew since.
-const UnknownTime = time.Duration(math.MinInt64)
-
-// Restore takes what another process has kept, in its order. A tie of which is not known how old it is counts as over its
-// window, and is remembered for the whole tail from now.
-func (t *Table) Restore(now time.Duration, records []Record) {
-	t.age(now)
-	for _, r := range records {
-		e := t.entries[r.Key]
-		switch r.Kind {
-		case RecordBound:
-			since := r.At
-			if since == UnknownTime || since > now {
-				since = now - t.options.DedupWindow
-			}
-			if now-since >= t.options.DedupWindow+t.options.LateRetryPeriod || e != nil && (e.out > 0 || e.since >= since) {
-				continue
-			}
-			if e != nil { // the key was used again, after its tie had ended
-				delete(t.entries, r.Key)
-				t.queue = dequeue(t.queue, r.Key)
-			}
-			if !t.room(now) {
-				t.forget(now, r.Key)
-				t.counts.Overflowed++
-				continue
-			}
-			t.counts.Restored++
-			t.put(r.Key, &entry{pod: r.Pod, zone: r.Zone, since: since, ran: true}) // whether it did is not known
-		case RecordUnbound:
-			if e != nil && e.out == 0 {
-				delete(t.entries, r.Key)
-				t.queue = dequeue(t.queue, r.Key)
-			}
-		case RecordServed:
-			if e != nil {
-				e.outcome = OutcomeServed
-			}
-		case RecordFailed:
-			if e != nil && e.outcome == OutcomeUnknown {
-				e.outcome = OutcomeFailed
-			}
-		}
-	}
-}
-
-// NotDurable counts a tie that could not be kept.
+// CountNotDurable counts a binding that could not be stored.
 func (t *Table) CountNotDurable() { t.counts.NotDurable++ }
 
-// Counts are the figures.
+// Counts returns the counters.
 func (t *Table) Counts() Counts {
 	c := t.counts
-	c.Entries, c.Unprotected = len(t.entries), t.lost.full
+	c.Entries, c.Unprotected = len(t.entries), t.overflow.rejectedKeys
 	return c
 }
 
-// age forgets what is over its tail.
-func (t *Table) age(now time.Duration) {
+// insert adds a binding. A restored one may be older than the newest: the queue stays in the order of times.
+func (t *Table) insert(k Key, e *bindingState) {
+	t.entries[k] = e
+	t.queue = append(t.queue, queuedKey{k, e.since})
+	for i := len(t.queue) - 1; i > 0 && t.queue[i].since < t.queue[i-1].since; i-- {
+		t.queue[i], t.queue[i-1] = t.queue[i-1], t.queue[i]
+	}
+}
+
+// remove drops a binding before it expires.
+func (t *Table) remove(k Key) {
+	delete(t.entries, k)
+	t.queue = removeFromQueue(t.queue, k)
+}
+
+// removeFromQueue takes a key out. It searches from the end, as most bindings that are taken back are recent.
+func removeFromQueue(queue []queuedKey, k Key) []queuedKey {
+	for i := len(queue) - 1; i >= 0; i-- {
+		if queue[i].key == k {
+			return append(queue[:i], queue[i+1:]...)
+		}
+	}
+	return queue
+}
+
+// expire drops the bindings whose window and late-retry period are over. A key with an attempt still in flight, which
+// outlasted every deadline, goes to the end of the queue instead: dropped, its retry would be taken for a new request and run
+// a second time beside it.
+func (t *Table) expire(now time.Duration) {
 	for len(t.queue) > 0 && now-t.queue[0].since >= t.options.DedupWindow+t.options.LateRetryPeriod {
-		if e := t.entries[t.queue[0].key]; e != nil && e.out > 0 { // it is under way longer than any deadline: it goes to the end
+		if e := t.entries[t.queue[0].key]; e != nil && e.inFlight > 0 {
 			e.since = now - t.options.DedupWindow
-			t.queue = append(t.queue[1:], begun{t.queue[0].key, e.since})
+			t.queue = append(t.queue[1:], queuedKey{t.queue[0].key, e.since})
 			continue
 		}
 		delete(t.entries, t.queue[0].key)
@@ -245,76 +234,24 @@
 	}
 }
 
-// room makes room for one more: of what is over its window the oldest goes, and is remembered by the filter.
-func (t *Table) room(now time.Duration) bool {
+// makeRoom makes room for one more binding and reports whether there is any: the oldest one is evicted if its window is over,
+// and goes into the overflow filter. One within its window stays, as its retry could still be sent to the right pod.
+func (t *Table) makeRoom(now time.Duration) bool {
 	if len(t.entries) < t.options.MaxEntries {
 		return true
 	}
-	first := t.queue[0]
-	if now-first.since < t.options.DedupWindow || t.entries[first.key].out > 0 {
+	oldest := t.queue[0]
+	if now-oldest.since < t.options.DedupWindow || t.entries[oldest.key].inFlight > 0 {
 		return false
 	}
-	delete(t.entries, first.key)
+	delete(t.entries, oldest.key)
 	t.queue = t.queue[1:]
-	t.forget(now, first.key)
+	t.rememberOverflow(now, oldest.key)
 	t.counts.Evicted++
 	return true
 }
 
-func (t *Table) forget(now time.Duration, k Key) { t.lost.add(now, k) }
-
-// filter remembers keys for one to two of its turns, with few false hits, in bounded memory: two Bloom filters that take
-// turns. It takes no more than it is made for.
-type filter struct {
-	now, before *bloom.BloomFilter
-	held        int
-	most        int
-	turn, next  time.Duration
-	full        uint64 // keys that found no room
-}
+func (t *Table) rememberOverflow(now time.Duration, k Key) { t.overflow.add(now, k) }
 
-const (
-	falseHits  = 0.001 // of the filters, when they are full
-	filterMost = 16    // keys for each of the table's: 1.8 bytes each, where an entry has about a hundred
-)
-
-func newFilter(most int, turn time.Duration) filter {
-	most *= filterMost
-	return filter{most: most, turn: turn, now: bloom.NewWithEstimates(uint(most), falseHits), before: bloom.NewWithEstimates(uint(most), falseHits)}
-}
-
-func (f *filter) pass(now time.Duration) {
-	if f.next == 0 {
-		f.next = now + f.turn
-	}
-	for turns := 0; now >= f.next; f.next += f.turn {
-		if turns++; turns > 2 {
-			f.next = now + f.turn
-			return
-		}
-		f.now, f.before, f.held = f.before.ClearAll(), f.now, 0
-	}
-}
-
-func (f *filter) add(now time.Duration, k Key) {
-	f.pass(now)
-	if f.held == f.most {
-		f.full++
-		return
-	}
-	f.held++
-	f.now.Add(k.bytes())
-}
-
-func (f *filter) has(now time.Duration, k Key) bool {
-	f.pass(now)
-	b := k.bytes()
-	return f.now.Test(b) || f.before.Test(b)
-}
-
-func (k Key) bytes() []byte {
-	b := make([]byte, 16)
-	binary.LittleEndian.PutUint64(b, k[0])
-	binary.LittleEndian.PutUint64(b[8:], k[1])
-	return b
-}
+// UnknownTime is the time of a record of which nobody knows how long ago it was, as the machine has rebooted since.
+const UnknownTime = time.Duration(math.MinInt64)
--- a/internal/affinity/affinity_test.go
+++ b/internal/affinity/affinity_test.go
@@ -10,169 +10,170 @@
 )
 
 const (
-	window = 2 * time.Second
-	tail   = 8 * time.Second
+	dedupWindow     = 2 * time.Second
+	lateRetryPeriod = 8 * time.Second
 )
 
 // fact is all that is true of a key: where its first attempt went that may have run, and what is under way.
-type fact struct {
-	pod   int
-	since time.Duration
-	out   int
-	ran   bool
+type expectedBinding struct {
+	pod        int
+	since      time.Duration
+	inFlight   int
+	mayHaveRun bool
 }
 
-// model holds a Table against plain facts. What it must never do is to say nothing of a key that may have run within the
-// window and the tail, unless it has said that it couldn't remember.
-type model struct {
-	table   *Table
-	now     time.Duration
-	facts   map[int]*fact
-	records []Record // as they are kept, in order
-	most    int
+// tableModel compares a Table with plain facts. What it must never do is to deny a key that may have run within the dedup window
+// and the late-retry period, unless it has counted that key as unprotected.
+type tableModel struct {
+	table      *Table
+	now        time.Duration
+	expected   map[int]*expectedBinding
+	records    []Record // as they are kept, in order
+	maxEntries int
 }
 
-func (m *model) key(i int) Key { return Secret{1}.Key(fmt.Sprint("key-", i)) }
+func (m *tableModel) key(i int) Key { return Secret{1}.Key(fmt.Sprint("key-", i)) }
 
-func (m *model) keep(r Record, ok bool) {
+func (m *tableModel) keepRecord(r Record, ok bool) {
 	if ok {
 		m.records = append(m.records, r)
 	}
 }
 
-func (m *model) begin(t *rapid.T) {
+func (m *tableModel) bind(t *rapid.T) {
 	i := rapid.IntRange(0, 9).Draw(t, "key")
-	tie, tied := m.table.Lookup(m.now, m.key(i))
-	f := m.facts[i]
-	m.compare(t, i, tie, tied)
+	binding, found := m.table.Lookup(m.now, m.key(i))
+	f := m.expected[i]
+	m.compare(t, i, binding, found)
 	pod := rapid.IntRange(0, 3).Draw(t, "pod")
-	if tied {
-		if tie.PodUnknown || m.now-tie.Since >= window {
-			return // the module sends it nowhere
+	if found {
+		if binding.PodUnknown || m.now-binding.Since >= dedupWindow {
+			return // the balancer sends it nowhere
 		}
-		pod = tie.Pod
+		pod = binding.Pod
 	}
 	if f == nil {
-		f = &fact{pod: pod, since: m.now}
-		m.facts[i] = f
+		f = &expectedBinding{pod: pod, since: m.now}
+		m.expected[i] = f
 	}
-	f.out++
+	f.inFlight++
 	r, ok := m.table.Bind(m.now, m.key(i), pod, 0)
-	m.keep(r, ok)
+	m.keepRecord(r, ok)
 }
 
-// compare holds what the table says against the facts.
-func (m *model) compare(t *rapid.T, i int, tie Binding, tied bool) {
-	f := m.facts[i]
-	over := f != nil && f.out == 0 && m.now-f.since >= window+tail
+// compare checks what the table says against the facts.
+func (m *tableModel) compare(t *rapid.T, i int, binding Binding, found bool) {
+	f := m.expected[i]
+	over := f != nil && f.inFlight == 0 && m.now-f.since >= dedupWindow+lateRetryPeriod
 	switch {
 	case f == nil || over:
 		if over {
-			delete(m.facts, i)
+			delete(m.expected, i)
 		}
 		return // it may still be in the filter, which errs to the safe side
-	case !tied:
+	case !found:
 		if m.table.Counts().Unprotected == 0 {
 			t.Fatalf("key %d began at %v in pod %d, and at %v nothing is known of it", i, f.since, f.pod, m.now)
 		}
-	case tie.PodUnknown && m.table.Counts().Overflowed+m.table.Counts().Evicted == 0:
+	case binding.PodUnknown && m.table.Counts().Overflowed+m.table.Counts().Evicted == 0:
 		t.Fatalf("key %d is lost, although all had room", i)
-	case tie.PodUnknown || m.now-tie.Since >= window: // nothing is sent, wherever and whenever it was
-	case tie.Pod != f.pod:
-		t.Fatalf("key %d went to pod %d, and %d is told", i, f.pod, tie.Pod)
-	case tie.Since > f.since:
-		t.Fatalf("key %d began at %v, and %v is told", i, f.since, tie.Since)
+	case binding.PodUnknown || m.now-binding.Since >= dedupWindow: // nothing is sent, wherever and whenever it was
+	case binding.Pod != f.pod:
+		t.Fatalf("key %d went to pod %d, and %d is reported", i, f.pod, binding.Pod)
+	case binding.Since > f.since:
+		t.Fatalf("key %d began at %v, and %v is reported", i, f.since, binding.Since)
 	}
 }
 
-func (m *model) end(t *rapid.T) {
+func (m *tableModel) complete(t *rapid.T) {
 	i := rapid.IntRange(0, 9).Draw(t, "key")
-	f := m.facts[i]
-	if f == nil || f.out == 0 {
+	f := m.expected[i]
+	if f == nil || f.inFlight == 0 {
 		return
 	}
-	f.out--
+	f.inFlight--
 	if rapid.Bool().Draw(t, "never ran") {
-		m.keep(m.table.Unbind(m.now, m.key(i)))
-		if f.out == 0 && !f.ran {
-			delete(m.facts, i)
+		m.keepRecord(m.table.Unbind(m.now, m.key(i)))
+		if f.inFlight == 0 && !f.mayHaveRun {
+			delete(m.expected, i)
 		}
 		return
 	}
-	f.ran = true
-	m.keep(m.table.Complete(m.now, m.key(i), Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))))
+	f.mayHaveRun = true
+	m.keepRecord(m.table.Complete(m.now, m.key(i), Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))))
 }
 
-// restart makes a new table of what was kept: all of it, or as much as was acknowledged.
-func (m *model) restart(t *rapid.T) {
+// restart makes a new table of the stored records, at times after a reboot of the machine, which makes their times unknown.
+func (m *tableModel) restart(t *rapid.T) {
 	fresh := New(m.table.options)
 	if rapid.IntRange(0, 4).Draw(t, "reboot") == 0 {
 		for i := range m.records {
 			m.records[i].At = UnknownTime
 		}
-		for _, f := range m.facts { // it lies back further, but nobody can tell
-			f.since = m.now - window
+		for _, f := range m.expected { // it lies back further, but nobody can tell
+			f.since = m.now - dedupWindow
 		}
 	}
 	fresh.Restore(m.now, m.records)
 	if lost := m.table.Counts(); lost.Overflowed+lost.Evicted > 0 { // the filter is not kept
-		for i := range m.facts {
+		for i := range m.expected {
 			if _, known := fresh.Lookup(m.now, m.key(i)); !known {
-				delete(m.facts, i)
+				delete(m.expected, i)
 			}
 		}
 	}
-	for _, f := range m.facts {
-		f.out, f.ran = 0, true
+	for _, f := range m.expected {
+		f.inFlight, f.mayHaveRun = 0, true
 	}
 	m.table = fresh
-	if c := fresh.Counts(); c.Entries > m.most {
-		t.Fatalf("%d entries, %d at most", c.Entries, m.most)
+	if c := fresh.Counts(); c.Entries > m.maxEntries {
+		t.Fatalf("%d entries, %d at most", c.Entries, m.maxEntries)
 	}
 }
 
-// Whatever comes, in whatever order, with restarts of the process and of the machine: what may have run within the window and the tail is
-// known, with its pod or as lost; the table never holds more than it may.
-func TestTableModel(t *testing.T) {
+// Attempts of ten keys begin, end and are taken back in any order, while the process restarts and the machine reboots. A key that
+// may have run within its window and late-retry period must be found, with its pod or with the pod unknown, or a retry of it would
+// run twice. The table never holds more than its bound.
+func TestTableNeverForgetsWhatMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.SampledFrom([]int{2, 5, 100}).Draw(t, "most")
-		m := &model{table: New(Options{MaxEntries: most, DedupWindow: window, LateRetryPeriod: tail}), now: time.Minute, facts: map[int]*fact{}, most: most}
+		maxEntries := rapid.SampledFrom([]int{2, 5, 100}).Draw(t, "most")
+		m := &tableModel{table: New(Options{MaxEntries: maxEntries, DedupWindow: dedupWindow, LateRetryPeriod: lateRetryPeriod}), now: time.Minute, expected: map[int]*expectedBinding{}, maxEntries: maxEntries}
 		t.Repeat(map[string]func(*rapid.T){
-			"begin": m.begin, "begin too": m.begin, "end": m.end, "restart": m.restart,
+			"begin": m.bind, "begin too": m.bind, "end": m.complete, "restart": m.restart,
 			"pass": func(t *rapid.T) {
 				m.now += time.Duration(rapid.SampledFrom([]int{1, 100, 1999, 2000, 5000, 10001}).Draw(t, "ms")) * time.Millisecond
-				for i, f := range m.facts { // no attempt is out for longer than a client waits
-					for ; f.out > 0 && m.now-f.since > window; f.out-- {
-						f.ran = true
-						m.keep(m.table.Complete(m.now, m.key(i), OutcomeUnknown))
+				for i, f := range m.expected { // no attempt is in flight for longer than a client waits
+					for ; f.inFlight > 0 && m.now-f.since > dedupWindow; f.inFlight-- {
+						f.mayHaveRun = true
+						m.keepRecord(m.table.Complete(m.now, m.key(i), OutcomeUnknown))
 					}
 				}
 			},
 			"": func(t *rapid.T) {
-				if c := m.table.Counts(); c.Entries > most || len(m.table.queue) != c.Entries {
-					t.Fatalf("%d entries and %d in the queue, %d at most", c.Entries, len(m.table.queue), most)
+				if c := m.table.Counts(); c.Entries > maxEntries || len(m.table.queue) != c.Entries {
+					t.Fatalf("%d entries and %d in the queue, %d at most", c.Entries, len(m.table.queue), maxEntries)
 				}
 				for i := range 10 {
-					tie, tied := m.table.Lookup(m.now, m.key(i))
-					m.compare(t, i, tie, tied)
+					binding, found := m.table.Lookup(m.now, m.key(i))
+					m.compare(t, i, binding, found)
 				}
 			},
 		})
 	})
 }
 
-// A flood of a million keys in ten seconds leaves memory bounded, holds nothing up, and every key that nothing remembers is
-// counted.
-func TestFlood(t *testing.T) {
-	table, now := New(Options{MaxEntries: 4096, DedupWindow: window, LateRetryPeriod: tail}), time.Second
+// A client sends a million new keys in ten seconds to a table of 4,096 entries. Memory stays bounded, few keys fail by a false
+// positive of the overflow filter, and every key that nothing remembers is counted.
+func TestFloodOfKeysStaysBounded(t *testing.T) {
+	table, now := New(Options{MaxEntries: 4096, DedupWindow: dedupWindow, LateRetryPeriod: lateRetryPeriod}), time.Second
 	secret := Secret{7}
 	known := uint64(0)
 	for i := range 1_000_000 {
 		now += 10 * time.Microsecond
 		k := secret.Key(fmt.Sprint(i))
-		if _, tied := table.Lookup(now, k); tied {
+		if _, found := table.Lookup(now, k); found {
 			known++
-			continue // by a false hit it fails, as what may have run
+			continue // by a false positive it fails, like one that may have run
 		}
 		if _, ok := table.Bind(now, k, 1, 0); ok {
 			table.Complete(now, k, OutcomeServed)
@@ -188,37 +189,38 @@
 	if c.Unprotected == 0 || c.Overflowed+c.Evicted < c.Unprotected {
 		t.Errorf("%+v", c)
 	}
-	if _, tied := table.Lookup(now, secret.Key("999999")); !tied && c.Unprotected == 0 {
+	if _, found := table.Lookup(now, secret.Key("999999")); !found && c.Unprotected == 0 {
 		t.Error("the last key is not known, and that is not counted")
 	}
 }
 
-// One hot key, tried a thousand times at once and again, is one tie that lasts from the first try on and is let go with the last.
-func TestOneHotKey(t *testing.T) {
-	table, now, k := New(Options{MaxEntries: 4, DedupWindow: window, LateRetryPeriod: tail}), time.Second, Secret{}.Key("hot")
+// One hot key is tried a thousand times at once. That makes one binding and one record, from the time of the first attempt on; it
+// goes when the last attempt is taken back, and not before.
+func TestHotKeyKeepsOneBinding(t *testing.T) {
+	table, now, k := New(Options{MaxEntries: 4, DedupWindow: dedupWindow, LateRetryPeriod: lateRetryPeriod}), time.Second, Secret{}.Key("hot")
 	records := 0
 	for range 1000 {
 		now += time.Millisecond
-		if _, fresh := table.Bind(now, k, 3, 0); fresh {
+		if _, isNew := table.Bind(now, k, 3, 0); isNew {
 			records++
 		}
 	}
-	tie, ok := table.Lookup(now, k)
-	if !ok || tie.Pod != 3 || tie.Since != time.Second+time.Millisecond || records != 1 || len(table.queue) != 1 {
-		t.Errorf("%+v, %v; %d records, %d in the queue", tie, ok, records, len(table.queue))
+	binding, ok := table.Lookup(now, k)
+	if !ok || binding.Pod != 3 || binding.Since != time.Second+time.Millisecond || records != 1 || len(table.queue) != 1 {
+		t.Errorf("%+v, %v; %d records, %d in the queue", binding, ok, records, len(table.queue))
 	}
 	for i := range 1000 {
-		if _, cleared := table.Unbind(now, k); cleared != (i == 999) {
-			t.Fatalf("end %d: the tie is gone: %v", i, cleared)
+		if _, unbound := table.Unbind(now, k); unbound != (i == 999) {
+			t.Fatalf("unbind %d: the binding is gone: %v", i, unbound)
 		}
 	}
 	if _, ok := table.Lookup(now, k); ok {
-		t.Error("nothing of it ran, and it is tied")
+		t.Error("nothing of it ran, and it is found")
 	}
 }
 
-// Records are read as they were written, and no bit of one can change unseen.
-func TestRecords(t *testing.T) {
+// A record is written to disk and read back. It reads as it was written, and a flip of any one bit is detected by the checksum.
+func TestRecordRoundTripDetectsEveryBitFlip(t *testing.T) {
 	unix := func(d time.Duration) int64 { return int64(d) + 1e18 }
 	clock := func(n int64) time.Duration { return time.Duration(n - 1e18) }
 	for _, r := range []Record{{RecordBound, Key{1, ^uint64(0)}, 5 * time.Second, 3, 2}, {RecordUnbound, Key{}, 0, -1, -1}, {RecordServed, Key{9, 9}, 1, 1 << 30, -5}} {
@@ -237,7 +239,7 @@
 }
 
 func BenchmarkTable(b *testing.B) {
-	table, now, secret := New(Options{MaxEntries: 16384, DedupWindow: window, LateRetryPeriod: tail}), time.Second, Secret{1}
+	table, now, secret := New(Options{MaxEntries: 16384, DedupWindow: dedupWindow, LateRetryPeriod: lateRetryPeriod}), time.Second, Secret{1}
 	keys := make([]Key, 1<<16)
 	for i := range keys {
 		keys[i] = secret.Key(fmt.Sprint(i))
@@ -252,15 +254,15 @@
 	}
 }
 
-// BenchmarkFlood is a flood of 5,000 new keys a second for ten minutes, and what the table holds of the heap at its end.
+// BenchmarkFlood measures a flood of 5,000 new keys a second for ten minutes, and what the table holds of the heap at its end.
 func BenchmarkFlood(b *testing.B) {
 	for b.Loop() {
-		table, now, secret := New(Options{MaxEntries: 16384, DedupWindow: window, LateRetryPeriod: tail}), time.Second, Secret{7}
+		table, now, secret := New(Options{MaxEntries: 16384, DedupWindow: dedupWindow, LateRetryPeriod: lateRetryPeriod}), time.Second, Secret{7}
 		middle := uint64(0)
 		for i := range 3_000_000 {
 			now += 200 * time.Microsecond
 			k := secret.Key(fmt.Sprint(i))
-			if _, tied := table.Lookup(now, k); !tied {
+			if _, found := table.Lookup(now, k); !found {
 				table.Bind(now, k, 1, 0)
 				table.Complete(now, k, OutcomeServed)
 			}
--- a/internal/affinity/bindinglog/bench_test.go
+++ b/internal/affinity/bindinglog/bench_test.go
@@ -24,10 +24,10 @@
 func ways(b *testing.B, lasting bool) map[string]func() (keeper, func()) {
 	return map[string]func() (keeper, func()){
 		"log": func() (keeper, func()) {
-			c := &clock{now: time.Minute}
+			c := &testClock{now: time.Minute}
 			o := c.options(atomicfile.OS{}, lasting, "boot")
 			o.Dir = b.TempDir()
-			l, ended, done := open(b, o), make(chan struct{}), make(chan struct{})
+			l, ended, done := openLog(b, o), make(chan struct{}), make(chan struct{})
 			go func() {
 				defer close(done)
 				for {
@@ -94,7 +94,7 @@
 				for i := range b.N {
 					<-tick.C
 					all.Go(func() {
-						r := record(i, time.Duration(i))
+						r := testRecord(i, time.Duration(i))
 						began := time.Now()
 						if err := keep(r); err != nil {
 							b.Error(err)
@@ -111,14 +111,14 @@
 	}
 }
 
-// BenchmarkRecover is how long a million records take to be read into a table.
-func BenchmarkRecover(b *testing.B) {
-	c := &clock{now: time.Minute}
+// BenchmarkRestore is how long a million records take to be read into a table.
+func BenchmarkRestore(b *testing.B) {
+	c := &testClock{now: time.Minute}
 	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = b.TempDir()
-	l := open(b, o)
+	l := openLog(b, o)
 	for i := range 1_000_000 {
-		l.Append(record(i, c.now))
+		l.Append(testRecord(i, c.now))
 		if i%1000 == 999 {
 			if err := l.Flush(); err != nil {
 				b.Fatal(err)
@@ -127,7 +127,7 @@
 	}
 	for b.Loop() {
 		table := affinity.New(affinity.Options{MaxEntries: 1 << 20, DedupWindow: 2 * time.Second, LateRetryPeriod: 8 * time.Second})
-		found, err := open(b, o).ReadNew()
+		found, err := openLog(b, o).ReadNew()
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/affinity/bindinglog/bindinglog.go
+++ b/internal/affinity/bindinglog/bindinglog.go
@@ -38,20 +38,20 @@
 }
 
 // magic begins each file: its last digit is the version. The run of the machine follows, padded to one length.
-const magic = "appleledge-ties 1 "
+const fileMagic = "appleledge-ties 1 "
 
-const headerSize = len(magic) + 65
+const headerSize = len(fileMagic) + 65
 
-func (o Options) header() string { return fmt.Sprintf("%s%-64s\n", magic, o.BootID) }
+func (o Options) header() string { return fmt.Sprintf("%s%-64s\n", fileMagic, o.BootID) }
 
 const (
-	ending       = ".ties"
-	damagedName  = ".damaged"
-	secretName   = "secret"
-	mostFile     = 16 << 20 // bytes; then another file is begun
-	mostWaiting  = 1 << 16  // records that are not written yet; further ones are not kept
-	mostFiles    = 1024     // that are read
-	extraLasting = time.Minute
+	fileSuffix        = ".ties"
+	quarantineSuffix  = ".damaged"
+	secretFileName    = "secret"
+	maxFileBytes      = 16 << 20 // bytes; then another file is begun
+	maxPendingRecords = 1 << 16  // records that are not written yet; further ones are not kept
+	maxFilesRead      = 1024     // that are read
+	retentionMargin   = time.Minute
 )
 
 // Errors that callers tell apart.
@@ -88,27 +88,27 @@
 
 // Log writes records. Append may be called from any goroutine.
 type Log struct {
-	options Options
-	prefix  string // of its files' names
+	options    Options
+	filePrefix string // of its files' names
 
-	mu      sync.Mutex
-	waiting []byte  // records
-	batch   *Commit // theirs
-	wake    chan struct{}
+	mu            sync.Mutex
+	pending       []byte  // records
+	pendingCommit *Commit // theirs
+	flushNeeded   chan struct{}
 
 	// Of the goroutine that writes:
-	file  atomicfile.Handle
-	name  string
-	size  int
-	last  time.Duration // when the file was written last
-	files int
-	spare []byte
-	mine  map[string]time.Duration // files, with the time of their last record, as far as it was looked at
+	file         atomicfile.Handle
+	fileName     string
+	fileBytes    int
+	lastWrite    time.Duration // when the file was written last
+	filesCreated int
+	spareBuffer  []byte
+	lastRecord   map[string]time.Duration // files, with the time of their last record, as far as it was looked at
 
 	// Of the goroutine that reads:
-	read    map[string]int // bytes read of others' files
-	boots   map[string]string
-	damaged map[string]bool
+	readOffset  map[string]int // bytes read of others' files
+	bootIDs     map[string]string
+	quarantined map[string]bool
 }
 
 // Open makes a log in a folder that is there.
@@ -117,13 +117,13 @@
 	if _, err := rand.Read(id[:]); err != nil {
 		return nil, err
 	}
-	return &Log{options: o, prefix: fmt.Sprintf("%016x-%s", o.ToBootTime(o.Now()), hex.EncodeToString(id[:])), wake: make(chan struct{}, 1),
-		mine: map[string]time.Duration{}, read: map[string]int{}, boots: map[string]string{}, damaged: map[string]bool{}}, nil
+	return &Log{options: o, filePrefix: fmt.Sprintf("%016x-%s", o.ToBootTime(o.Now()), hex.EncodeToString(id[:])), flushNeeded: make(chan struct{}, 1),
+		lastRecord: map[string]time.Duration{}, readOffset: map[string]int{}, bootIDs: map[string]string{}, quarantined: map[string]bool{}}, nil
 }
 
 // LoadOrCreateSecret reads the installation's secret, or makes one.
 func LoadOrCreateSecret(o Options) (s affinity.Secret, err error) {
-	f := atomicfile.File{Path: filepath.Join(o.Dir, secretName), FS: o.FS}
+	f := atomicfile.File{Path: filepath.Join(o.Dir, secretFileName), FS: o.FS}
 	doc, err := f.Load()
 	if errors.Is(err, atomicfile.ErrNone) {
 		if _, err := rand.Read(s[:]); err != nil {
@@ -145,31 +145,31 @@
 func (l *Log) Append(r affinity.Record) *Commit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.waiting) >= mostWaiting*affinity.RecordSize {
+	if len(l.pending) >= maxPendingRecords*affinity.RecordSize {
 		return nil
 	}
-	if l.batch == nil {
-		l.batch = &Commit{done: make(chan struct{})}
+	if l.pendingCommit == nil {
+		l.pendingCommit = &Commit{done: make(chan struct{})}
 		select {
-		case l.wake <- struct{}{}:
+		case l.flushNeeded <- struct{}{}:
 		default:
 		}
 	}
-	l.waiting = r.Append(l.waiting, l.options.ToBootTime)
-	return l.batch
+	l.pending = r.Append(l.pending, l.options.ToBootTime)
+	return l.pendingCommit
 }
 
 // FlushNeeded says that there is something to Flush.
-func (l *Log) FlushNeeded() <-chan struct{} { return l.wake }
+func (l *Log) FlushNeeded() <-chan struct{} { return l.flushNeeded }
 
 // Flush writes what waits. One goroutine calls it. After an error the next call begins a file anew.
 func (l *Log) Flush() error {
 	l.mu.Lock()
-	data, batch := l.waiting, l.batch
-	l.waiting, l.batch = l.spare[:0], nil
+	data, batch := l.pending, l.pendingCommit
+	l.pending, l.pendingCommit = l.spareBuffer[:0], nil
 	l.mu.Unlock()
 	if batch == nil {
-		l.spare = data
+		l.spareBuffer = data
 		return nil
 	}
 	err := l.write(data)
@@ -179,44 +179,44 @@
 	}
 	batch.err = err
 	close(batch.done)
-	l.spare = data[:0]
+	l.spareBuffer = data[:0]
 	return err
 }
 
 func (l *Log) write(data []byte) error {
 	now := l.options.Now()
-	if l.file != nil && (l.size > mostFile || now-l.last > l.options.Retention) { // one that was idle for so long may be gone by now
+	if l.file != nil && (l.fileBytes > maxFileBytes || now-l.lastWrite > l.options.Retention) { // one that was idle for so long may be gone by now
 		err := l.file.Close()
 		if l.file = nil; err != nil {
 			return err
 		}
 	}
 	if l.file == nil {
-		if err := l.begin(); err != nil {
+		if err := l.createFile(); err != nil {
 			return err
 		}
 	}
 	if _, err := l.file.Write(data); err != nil {
 		return err
 	}
-	l.size += len(data)
-	l.last = now
-	l.mine[l.name] = now
+	l.fileBytes += len(data)
+	l.lastWrite = now
+	l.lastRecord[l.fileName] = now
 	if l.options.Sync {
 		return l.file.Sync()
 	}
 	return nil
 }
 
-func (l *Log) begin() (err error) {
-	l.files++
-	l.name = fmt.Sprintf("%s-%06d%s", l.prefix, l.files, ending)
-	if l.file, err = l.options.FS.Create(filepath.Join(l.options.Dir, l.name)); err != nil {
+func (l *Log) createFile() (err error) {
+	l.filesCreated++
+	l.fileName = fmt.Sprintf("%s-%06d%s", l.filePrefix, l.filesCreated, fileSuffix)
+	if l.file, err = l.options.FS.Create(filepath.Join(l.options.Dir, l.fileName)); err != nil {
 		l.file = nil
 		return err
 	}
-	l.size = 0
-	l.mine[l.name] = l.options.Now()
+	l.fileBytes = 0
+	l.lastRecord[l.fileName] = l.options.Now()
 	if _, err := io.WriteString(l.file, l.options.header()); err != nil {
 		return err
 	}
@@ -251,20 +251,20 @@
 	if err != nil {
 		return found, err
 	}
-	for name := range l.read { // of a file that is gone nothing needs to be known
+	for name := range l.readOffset { // of a file that is gone nothing needs to be known
 		if _, there := slices.BinarySearch(names, name); !there {
-			delete(l.read, name)
-			delete(l.boots, name)
-			delete(l.damaged, filepath.Join(l.options.Dir, name))
+			delete(l.readOffset, name)
+			delete(l.bootIDs, name)
+			delete(l.quarantined, filepath.Join(l.options.Dir, name))
 		}
 	}
 	files := 0
 	for _, name := range names {
-		if !strings.HasSuffix(name, ending) || strings.HasPrefix(name, l.prefix) {
+		if !strings.HasSuffix(name, fileSuffix) || strings.HasPrefix(name, l.filePrefix) {
 			continue
 		}
-		if files++; files > mostFiles {
-			return found, fmt.Errorf("%s holds more than %d files of ties", l.options.Dir, mostFiles)
+		if files++; files > maxFilesRead {
+			return found, fmt.Errorf("%s holds more than %d files of ties", l.options.Dir, maxFilesRead)
 		}
 		if err := l.readFile(name, &found); err != nil {
 			return found, fmt.Errorf("%s: %w", filepath.Join(l.options.Dir, name), err)
@@ -282,35 +282,35 @@
 	if err != nil {
 		return err
 	}
-	data, err := readFrom(f, l.read[name])
+	data, err := readFrom(f, l.readOffset[name])
 	besteffort.Close(f)
 	if err != nil {
 		return err
 	}
-	if l.read[name] == 0 {
-		boot, ok, err := checkHeader(data)
+	if l.readOffset[name] == 0 {
+		boot, ok, err := parseHeader(data)
 		if err != nil || !ok {
 			return err
 		}
 		data = data[headerSize:]
-		l.read[name], l.boots[name] = headerSize, boot
+		l.readOffset[name], l.bootIDs[name] = headerSize, boot
 	}
 	bad := 0
 	for ; len(data) >= affinity.RecordSize; data = data[affinity.RecordSize:] {
-		l.read[name] += affinity.RecordSize
+		l.readOffset[name] += affinity.RecordSize
 		r, err := affinity.DecodeRecord(data[:affinity.RecordSize], l.options.FromBootTime)
 		if err != nil {
 			bad++
 			continue
 		}
-		if l.boots[name] != l.options.BootID {
+		if l.bootIDs[name] != l.options.BootID {
 			r.At = affinity.UnknownTime
 		}
 		found.Records = append(found.Records, r)
 	}
 	if bad > 0 {
 		found.Corrupt += bad
-		l.setAside(path, found)
+		l.quarantine(path, found)
 	}
 	return nil
 }
@@ -324,29 +324,29 @@
 	} else if _, err := io.CopyN(io.Discard, f, int64(at)); err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(f, 2*mostFile))
+	return io.ReadAll(io.LimitReader(f, 2*maxFileBytes))
 }
 
-// checkHeader reports whether a file has a whole header, which one that was begun when its process was killed has not, and of
+// parseHeader reports whether a file has a whole header, which one that was begun when its process was killed has not, and of
 // which run of the machine it is.
-func checkHeader(data []byte) (boot string, whole bool, err error) {
-	family := magic[:len(magic)-2]
+func parseHeader(data []byte) (boot string, whole bool, err error) {
+	family := fileMagic[:len(fileMagic)-2]
 	switch {
-	case bytes.HasPrefix(data, []byte(family)) && len(data) > len(family) && data[len(family)] > magic[len(family)]:
+	case bytes.HasPrefix(data, []byte(family)) && len(data) > len(family) && data[len(family)] > fileMagic[len(family)]:
 		return "", false, ErrNewerFormat
-	case !bytes.HasPrefix(data, []byte(magic)) || len(data) < headerSize: // cut, or noise: nothing in it can be read
+	case !bytes.HasPrefix(data, []byte(fileMagic)) || len(data) < headerSize: // cut, or noise: nothing in it can be read
 		return "", false, nil
 	}
-	return strings.TrimSpace(string(data[len(magic):headerSize])), true, nil
+	return strings.TrimSpace(string(data[len(fileMagic):headerSize])), true, nil
 }
 
-func (l *Log) setAside(path string, found *ReadResult) {
-	if l.damaged[path] {
+func (l *Log) quarantine(path string, found *ReadResult) {
+	if l.quarantined[path] {
 		return
 	}
-	l.damaged[path] = true
-	if l.options.FS.Rename(path, path+damagedName) == nil { // else it is read on under its own name
-		found.Quarantined = append(found.Quarantined, path+damagedName)
+	l.quarantined[path] = true
+	if l.options.FS.Rename(path, path+quarantineSuffix) == nil { // else it is read on under its own name
+		found.Quarantined = append(found.Quarantined, path+quarantineSuffix)
 	}
 }
 
@@ -358,36 +358,36 @@
 		return err
 	}
 	now := l.options.Now()
-	maps.DeleteFunc(l.mine, func(name string, _ time.Duration) bool {
+	maps.DeleteFunc(l.lastRecord, func(name string, _ time.Duration) bool {
 		_, there := slices.BinarySearch(names, name)
 		return !there
 	})
 	for _, name := range names {
-		if !strings.HasSuffix(name, ending) || name == l.name && l.file != nil {
+		if !strings.HasSuffix(name, fileSuffix) || name == l.fileName && l.file != nil {
 			continue
 		}
-		last, known := l.mine[name]
+		last, known := l.lastRecord[name]
 		if !known { // another's, which may have gone on since: it is looked at once more when its time is over
 			last = now
-		} else if now-last > l.options.Retention+extraLasting {
-			if last, err = l.lastOf(name, last); err != nil {
+		} else if now-last > l.options.Retention+retentionMargin {
+			if last, err = l.latestRecord(name, last); err != nil {
 				return err
 			}
 		}
-		l.mine[name] = last
-		if now-last <= l.options.Retention+extraLasting {
+		l.lastRecord[name] = last
+		if now-last <= l.options.Retention+retentionMargin {
 			continue
 		}
 		if err := l.options.FS.Remove(filepath.Join(l.options.Dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
-		delete(l.mine, name)
+		delete(l.lastRecord, name)
 	}
 	return nil
 }
 
-// lastOf is the time of the latest record in a file of this run of the machine, or else the time that is given.
-func (l *Log) lastOf(name string, last time.Duration) (time.Duration, error) {
+// latestRecord is the time of the latest record in a file of this run of the machine, or else the time that is given.
+func (l *Log) latestRecord(name string, last time.Duration) (time.Duration, error) {
 	f, err := l.options.FS.Open(filepath.Join(l.options.Dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return last, nil
@@ -400,7 +400,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if boot, whole, _ := checkHeader(data); !whole || boot != l.options.BootID {
+	if boot, whole, _ := parseHeader(data); !whole || boot != l.options.BootID {
 		return last, nil
 	}
 	for data = data[headerSize:]; len(data) >= affinity.RecordSize; data = data[affinity.RecordSize:] {
--- a/internal/affinity/bindinglog/bindinglog_test.go
+++ b/internal/affinity/bindinglog/bindinglog_test.go
@@ -18,14 +18,14 @@
 )
 
 // clock is the time of a test, in one run of the machine.
-type clock struct{ now time.Duration }
+type testClock struct{ now time.Duration }
 
-func (c *clock) options(fs atomicfile.FS, sync bool, boot string) Options {
+func (c *testClock) options(fs atomicfile.FS, sync bool, boot string) Options {
 	return Options{Dir: "d", FS: fs, Sync: sync, Retention: 10 * time.Second, Now: func() time.Duration { return c.now }, BootID: boot,
 		ToBootTime: func(t time.Duration) int64 { return int64(t) }, FromBootTime: func(n int64) time.Duration { return time.Duration(n) }}
 }
 
-func open(t testing.TB, o Options) *Log {
+func openLog(t testing.TB, o Options) *Log {
 	t.Helper()
 	l, err := Open(o)
 	if err != nil {
@@ -34,13 +34,13 @@
 	return l
 }
 
-func record(i int, at time.Duration) affinity.Record {
+func testRecord(i int, at time.Duration) affinity.Record {
 	return affinity.Record{Kind: affinity.RecordBound, Key: affinity.Key{uint64(i), 7}, At: at, Pod: int32(i % 3)}
 }
 
-func read(t testing.TB, o Options) ReadResult {
+func readAll(t testing.TB, o Options) ReadResult {
 	t.Helper()
-	found, err := open(t, o).ReadNew()
+	found, err := openLog(t, o).ReadNew()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,19 +49,19 @@
 
 // A machine that stops at any operation, or a disk that fails at it: what is read afterwards is a beginning of what was handed
 // over, and holds all that was acknowledged, in order. Nobody waits longer than the budget.
-func TestWhatIsReadIsAPrefix(t *testing.T) {
-	c := &clock{now: time.Minute}
+func TestAcknowledgedRecordsSurviveCrashAndDiskFaults(t *testing.T) {
+	c := &testClock{now: time.Minute}
 	for _, fault := range []error{nil, syscall.ENOSPC, syscall.EIO} {
 		for at := range 14 {
 			for seed := range uint64(20) {
 				disk := faultfs.New(seed)
 				disk.Left, disk.Fault = at, fault
-				l := open(t, c.options(disk, true, "boot"))
+				l := openLog(t, c.options(disk, true, "boot"))
 				kept, handed := []int{}, 0
 				for batch := range 4 {
 					var commits []*Commit
 					for range 1 + batch {
-						commits = append(commits, l.Append(record(handed, c.now)))
+						commits = append(commits, l.Append(testRecord(handed, c.now)))
 						handed++
 					}
 					err := l.Flush()
@@ -74,7 +74,7 @@
 					}
 				}
 				disk.Left = -1
-				found := read(t, c.options(disk.Restart(), true, "boot"))
+				found := readAll(t, c.options(disk.Restart(), true, "boot"))
 				var got []int
 				for _, r := range found.Records {
 					got = append(got, int(r.Key[0]))
@@ -94,19 +94,19 @@
 
 // Every beginning of a file is read up to its last whole record; a damaged record costs itself alone, is told of, and its file
 // is kept aside.
-func TestCutAndDamagedFiles(t *testing.T) {
+func TestTruncatedAndCorruptFilesAreReadAsFarAsPossible(t *testing.T) {
 	dir := t.TempDir()
-	c := &clock{now: time.Minute}
+	c := &testClock{now: time.Minute}
 	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = dir
-	l := open(t, o)
+	l := openLog(t, o)
 	for i := range 5 {
-		l.Append(record(i, c.now))
+		l.Append(testRecord(i, c.now))
 	}
 	if err := errors.Join(l.Flush(), l.Close()); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(dir, l.name)
+	path := filepath.Join(dir, l.fileName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 			t.Fatal(err)
 		}
 		want := max(0, (n-headerSize)/affinity.RecordSize)
-		if found := read(t, o); len(found.Records) != want || found.Corrupt != 0 {
+		if found := readAll(t, o); len(found.Records) != want || found.Corrupt != 0 {
 			t.Fatalf("of %d bytes %d records are read, want %d; %d damaged", n, len(found.Records), want, found.Corrupt)
 		}
 	}
@@ -125,28 +125,28 @@
 	if err := os.WriteFile(path, bad, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if found := read(t, o); len(found.Records) != 4 || found.Corrupt != 1 || len(found.Quarantined) != 1 {
+	if found := readAll(t, o); len(found.Records) != 4 || found.Corrupt != 1 || len(found.Quarantined) != 1 {
 		t.Errorf("%+v", found)
 	}
-	if _, err := os.Stat(path + damagedName); err != nil {
+	if _, err := os.Stat(path + quarantineSuffix); err != nil {
 		t.Error(err)
 	}
 	newer := bytes.Replace(whole, []byte("ties 1"), []byte("ties 2"), 1)
 	if err := os.WriteFile(path, newer, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := open(t, o).ReadNew(); !errors.Is(err, ErrNewerFormat) {
+	if _, err := openLog(t, o).ReadNew(); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("a newer file: %v", err)
 	}
 }
 
 // Two processes in one folder hear of each other's records, once each; what an earlier run of the machine has kept has no time.
 // Files go when nothing in them is of use, and not before.
-func TestProcessesSideBySide(t *testing.T) {
-	c := &clock{now: time.Minute}
+func TestProcessesReadEachOthersRecordsOnce(t *testing.T) {
+	c := &testClock{now: time.Minute}
 	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = t.TempDir()
-	a, b := open(t, o), open(t, o)
+	a, b := openLog(t, o), openLog(t, o)
 	hear := func(l *Log, want string) {
 		t.Helper()
 		found, err := l.ReadNew()
@@ -160,7 +160,7 @@
 	}
 	keep := func(l *Log, i int) {
 		t.Helper()
-		l.Append(record(i, c.now))
+		l.Append(testRecord(i, c.now))
 		if err := l.Flush(); err != nil {
 			t.Fatal(err)
 		}
@@ -173,7 +173,7 @@
 	hear(a, "[3]")
 	hear(a, "[]")
 	o.BootID = "another"
-	if found := read(t, o); len(found.Records) != 3 || found.Records[0].At != affinity.UnknownTime {
+	if found := readAll(t, o); len(found.Records) != 3 || found.Records[0].At != affinity.UnknownTime {
 		t.Errorf("after a start of the machine %+v", found)
 	}
 	files := func() int {
@@ -197,14 +197,14 @@
 		t.Fatal(err)
 	}
 	hear(b, "[]")
-	if len(b.read) != 1 || len(b.boots) != 1 || len(a.mine) != 1 {
-		t.Errorf("of files that are gone it is known %v, %v, %v", b.read, b.boots, a.mine)
+	if len(b.readOffset) != 1 || len(b.bootIDs) != 1 || len(a.lastRecord) != 1 {
+		t.Errorf("of files that are gone it is known %v, %v, %v", b.readOffset, b.bootIDs, a.lastRecord)
 	}
 }
 
 // The secret is made once, and one that is damaged is not replaced: keys hashed with another one would be strangers.
-func TestSecret(t *testing.T) {
-	c := &clock{}
+func TestSecretIsMadeOnceAndNeverReplaced(t *testing.T) {
+	c := &testClock{}
 	o := c.options(atomicfile.OS{}, false, "boot")
 	o.Dir = t.TempDir()
 	first, err := LoadOrCreateSecret(o)
@@ -214,7 +214,7 @@
 	if again, err := LoadOrCreateSecret(o); err != nil || again != first || first == (affinity.Secret{}) {
 		t.Errorf("%v, then %v, %v", first, again, err)
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, secretName), []byte("x"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(o.Dir, secretFileName), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := LoadOrCreateSecret(o); !errors.Is(err, atomicfile.ErrBroken) {
@@ -223,19 +223,19 @@
 }
 
 // Nobody waits for a disk that stands still: the budget ends the wait, and what waits is bounded.
-func TestADiskThatStandsStill(t *testing.T) {
-	c := &clock{now: time.Minute}
-	l := open(t, c.options(faultfs.New(1), false, "boot"))
-	commit := l.Append(record(0, c.now))
+func TestHungDiskBlocksNobodyBeyondTheBudget(t *testing.T) {
+	c := &testClock{now: time.Minute}
+	l := openLog(t, c.options(faultfs.New(1), false, "boot"))
+	commit := l.Append(testRecord(0, c.now))
 	if began := time.Now(); commit.Wait(time.Millisecond) || time.Since(began) > 10*time.Second {
 		t.Error("it is kept, and nothing was written")
 	}
-	for i := range mostWaiting - 1 {
-		if l.Append(record(i, c.now)) == nil {
+	for i := range maxPendingRecords - 1 {
+		if l.Append(testRecord(i, c.now)) == nil {
 			t.Fatalf("no room for %d", i)
 		}
 	}
-	if l.Append(record(0, c.now)) != nil || l.Append(record(0, c.now)).Wait(time.Second) {
+	if l.Append(testRecord(0, c.now)) != nil || l.Append(testRecord(0, c.now)).Wait(time.Second) {
 		t.Error("records wait without bound")
 	}
 	if err := l.Flush(); err != nil || !commit.Wait(0) {
@@ -245,23 +245,23 @@
 
 // Whatever bytes a file has, reading ends, and only whole records come out.
 func FuzzReadFile(f *testing.F) {
-	c := &clock{now: time.Minute}
+	c := &testClock{now: time.Minute}
 	o := c.options(nil, false, "boot")
-	whole := append([]byte(o.header()), record(1, 5).Append(nil, o.ToBootTime)...)
+	whole := append([]byte(o.header()), testRecord(1, 5).Append(nil, o.ToBootTime)...)
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Add([]byte("appleledge-ties 9"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		o := c.options(atomicfile.OS{}, false, "boot")
 		o.Dir = t.TempDir()
-		if err := os.WriteFile(filepath.Join(o.Dir, "x"+ending), data, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(o.Dir, "x"+fileSuffix), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		found, err := open(t, o).ReadNew()
+		found, err := openLog(t, o).ReadNew()
 		if err != nil && !errors.Is(err, ErrNewerFormat) {
 			t.Fatal(err)
 		}
-		if n := len(found.Records) + found.Corrupt; n > 0 && (!strings.HasPrefix(string(data), magic) || n != (len(data)-headerSize)/affinity.RecordSize) {
+		if n := len(found.Records) + found.Corrupt; n > 0 && (!strings.HasPrefix(string(data), fileMagic) || n != (len(data)-headerSize)/affinity.RecordSize) {
 			t.Fatalf("%d records of %d bytes", n, len(data))
 		}
 	})
--- a/internal/affinity/bindinglog/golden_test.go
+++ b/internal/affinity/bindinglog/golden_test.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	goldenBoot = "5f1c3a52-6c1e-4c0f-9d55-0123456789ab"
-	goldenPast = "01234567-89ab-4cde-8f01-23456789abcd" // an earlier run of the machine
-	goldenName = "000000000df9ea80-a1a2a3a4a5a6a7a8"    // what a log's files begin with
+	goldenBoot        = "5f1c3a52-6c1e-4c0f-9d55-0123456789ab"
+	goldenEarlierBoot = "01234567-89ab-4cde-8f01-23456789abcd" // an earlier run of the machine
+	goldenPrefix      = "000000000df9ea80-a1a2a3a4a5a6a7a8"    // what a log's files begin with
 )
 
 // goldenOptions are of a clock that the machine's is ahead of by a second.
@@ -38,10 +38,10 @@
 }
 
 // goldenFiles are the committed files, by the names that they have in a folder.
-var goldenFiles = map[string]string{goldenName + "-000001.ties": "tielog/first", goldenName + "-000002.ties": "tielog/second"}
+var goldenFiles = map[string]string{goldenPrefix + "-000001.ties": "tielog/first", goldenPrefix + "-000002.ties": "tielog/second"}
 
 // put puts a committed file into a folder.
-func put(t *testing.T, dir, name, from string) {
+func putGoldenFile(t *testing.T, dir, name, from string) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(dir, name), golden.Read(t, from), 0o600); err != nil {
 		t.Fatal(err)
@@ -51,11 +51,11 @@
 // A log's first file has two batches of records and its second one another.
 func TestGoldenFilesAreWritten(t *testing.T) {
 	dir := t.TempDir()
-	l := open(t, goldenOptions(dir, goldenBoot))
-	if !regexp.MustCompile(`^0000000737be7600-[0-9a-f]{16}$`).MatchString(l.prefix) { // 31 s in nanoseconds, and chance
-		t.Errorf("its files' names begin with %q", l.prefix)
+	l := openLog(t, goldenOptions(dir, goldenBoot))
+	if !regexp.MustCompile(`^0000000737be7600-[0-9a-f]{16}$`).MatchString(l.filePrefix) { // 31 s in nanoseconds, and chance
+		t.Errorf("its files' names begin with %q", l.filePrefix)
 	}
-	l.prefix = goldenName
+	l.filePrefix = goldenPrefix
 	for i, batch := range [][]affinity.Record{goldenRecords()[:2], goldenRecords()[2:], goldenRecords()[:1]} {
 		if i == 2 {
 			if err := l.Close(); err != nil {
@@ -88,16 +88,16 @@
 func TestGoldenFilesAreRead(t *testing.T) {
 	dir := t.TempDir()
 	for name, as := range goldenFiles {
-		put(t, dir, name, as)
+		putGoldenFile(t, dir, name, as)
 	}
 	want := append(goldenRecords(), goldenRecords()[0])
-	if got := read(t, goldenOptions(dir, goldenBoot)); !reflect.DeepEqual(got, ReadResult{Records: want}) {
+	if got := readAll(t, goldenOptions(dir, goldenBoot)); !reflect.DeepEqual(got, ReadResult{Records: want}) {
 		t.Errorf("the committed files read as %+v", got)
 	}
 	for i := range want {
 		want[i].At = affinity.UnknownTime
 	}
-	if got := read(t, goldenOptions(dir, goldenPast)); !reflect.DeepEqual(got, ReadResult{Records: want}) {
+	if got := readAll(t, goldenOptions(dir, goldenEarlierBoot)); !reflect.DeepEqual(got, ReadResult{Records: want}) {
 		t.Errorf("in another run of the machine they read as %+v", got)
 	}
 }
@@ -106,7 +106,7 @@
 func TestGoldenInspection(t *testing.T) {
 	dir := t.TempDir()
 	for name, as := range goldenFiles {
-		put(t, dir, name, as)
+		putGoldenFile(t, dir, name, as)
 	}
 	damaged := bytes.Clone(golden.Read(t, "tielog/first"))
 	damaged[headerSize] ^= 1
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 	}
-	found, err := open(t, goldenOptions(dir, goldenBoot)).ReadNew()
+	found, err := openLog(t, goldenOptions(dir, goldenBoot)).ReadNew()
 	if want := []string{filepath.Join(dir, "b.ties.damaged")}; err == nil || found.Corrupt != 1 || !reflect.DeepEqual(found.Quarantined, want) {
 		t.Errorf("before the newer file %+v was read, and then %v", found, err)
 	}
@@ -160,7 +160,7 @@
 		t.Errorf("the secret that was made is kept as %q, %v", data, err)
 	}
 	dir := t.TempDir()
-	put(t, dir, "secret", "tielog/secret")
+	putGoldenFile(t, dir, "secret", "tielog/secret")
 	if got, err := LoadOrCreateSecret(goldenOptions(dir, goldenBoot)); err != nil || got != secret {
 		t.Errorf("the committed secret reads as %x, %v", got, err)
 	}
--- a/internal/affinity/bindinglog/inspect.go
+++ b/internal/affinity/bindinglog/inspect.go
@@ -35,10 +35,10 @@
 		return nil, err
 	}
 	for _, name := range names {
-		if !strings.HasSuffix(name, ending) && !strings.HasSuffix(name, ending+damagedName) {
+		if !strings.HasSuffix(name, fileSuffix) && !strings.HasSuffix(name, fileSuffix+quarantineSuffix) {
 			continue
 		}
-		r, err := inspect(f, dir, name)
+		r, err := inspectFile(f, dir, name)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // its process has removed it
 		}
@@ -50,7 +50,7 @@
 	return reports, nil
 }
 
-func inspect(f atomicfile.FS, dir, name string) (r FileReport, err error) {
+func inspectFile(f atomicfile.FS, dir, name string) (r FileReport, err error) {
 	r.Name = name
 	file, err := f.Open(filepath.Join(dir, name))
 	if err != nil {
@@ -62,7 +62,7 @@
 		return r, err
 	}
 	r.Bytes = len(data)
-	boot, whole, err := checkHeader(data)
+	boot, whole, err := parseHeader(data)
 	switch {
 	case err != nil:
 		r.Problem = err.Error()
@@ -84,13 +84,13 @@
 	return r, nil
 }
 
-// bootID names the present run of the machine (proc(5)).
-const bootID = "/proc/sys/kernel/random/boot_id"
+// bootIDPath names the present run of the machine (proc(5)).
+const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
 // BootTime is the present run of the machine, and for how long it has lasted, by clock_gettime(2)'s CLOCK_BOOTTIME: setting the
 // clock does not change that, and two processes have the same.
 func BootTime() (boot string, now time.Duration, err error) {
-	id, err := os.ReadFile(bootID)
+	id, err := os.ReadFile(bootIDPath)
 	if err != nil {
 		return "", 0, err
 	}
--- a/internal/affinity/decisions_test.go
+++ b/internal/affinity/decisions_test.go
@@ -9,8 +9,8 @@
 	"appleledge/internal/golden"
 )
 
-// decisionTrace is keyed requests that begin, end, never ran, come again within the window, in the tail and after it, in a table that
-// is too small for them at times, and is followed by another process's.
+// decisionTrace drives a table that is at times too small with keyed requests: they are bound, end, are taken back, and come again
+// within the dedup window, in the late-retry period and after it. Another process restores its records now and then.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
 	secret := Secret{1, 2, byte(seed)}
@@ -47,12 +47,12 @@
 		k := secret.Key("key" + strconv.Itoa(rnd.Below(40+step/1000%4*200)))
 		switch rnd.Below(8) {
 		case 0, 1, 2:
-			tie, ok := table.Lookup(now, k)
-			tr.Add(now, ok, tie.Pod, tie.Zone, tie.Since, tie.PodUnknown)
-			tr.CountIf(ok && !tie.PodUnknown, "ties")
-			tr.CountIf(tie.PodUnknown, "ties of which the pod is lost")
+			binding, ok := table.Lookup(now, k)
+			tr.Add(now, ok, binding.Pod, binding.Zone, binding.Since, binding.PodUnknown)
+			tr.CountIf(ok && !binding.PodUnknown, "ties")
+			tr.CountIf(binding.PodUnknown, "ties of which the pod is lost")
 			tr.CountIf(!ok, "no tie")
-			if !tie.PodUnknown {
+			if !binding.PodUnknown {
 				keep(table.Bind(now, k, rnd.Below(12), rnd.Below(3)))
 				out = append(out, k)
 			}
--- a/internal/affinity/golden_test.go
+++ b/internal/affinity/golden_test.go
@@ -8,12 +8,12 @@
 	"appleledge/internal/golden"
 )
 
-// stamped turns the engine's times into ones of the machine, and clocked back.
-func stamped(t time.Duration) int64 { return int64(t) + 1_000_000 }
-func clocked(n int64) time.Duration { return time.Duration(n - 1_000_000) }
+// stamped turns the engine's times into ones of the machine, and fromStamp back.
+func toStamp(t time.Duration) int64   { return int64(t) + 1_000_000 }
+func fromStamp(n int64) time.Duration { return time.Duration(n - 1_000_000) }
 
 // fixed are records of all kinds. The last two have the greatest and the least numbers that a record can hold.
-func fixed() []Record {
+func goldenRecords() []Record {
 	return []Record{
 		{Kind: RecordBound, Key: Key{0x0102030405060708, 0x1112131415161718}, At: 21 * time.Second, Pod: 0x31323334, Zone: 0x414243},
 		{Kind: RecordUnbound, Key: Key{0x0203040506070809, 0x1213141516171819}, At: 22 * time.Second, Pod: 2, Zone: 3},
@@ -24,17 +24,17 @@
 	}
 }
 
-func encoded(records []Record) (out []byte) {
+func encodeAll(records []Record) (out []byte) {
 	for _, r := range records {
-		out = r.Append(out, stamped)
+		out = r.Append(out, toStamp)
 	}
 	return out
 }
 
-func decoded(t *testing.T, data []byte) (records []Record) {
+func decodeAll(t *testing.T, data []byte) (records []Record) {
 	t.Helper()
 	for ; len(data) > 0; data = data[min(RecordSize, len(data)):] {
-		r, err := DecodeRecord(data[:min(RecordSize, len(data))], clocked)
+		r, err := DecodeRecord(data[:min(RecordSize, len(data))], fromStamp)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,15 +43,17 @@
 	return records
 }
 
+// Records of all kinds, with the greatest and least numbers that fit, are written and read as the committed bytes say.
 func TestGoldenRecords(t *testing.T) {
-	golden.Equal(t, "affinity/records", encoded(fixed()))
-	if got := decoded(t, golden.Read(t, "affinity/records")); !reflect.DeepEqual(got, fixed()) {
+	golden.Equal(t, "affinity/records", encodeAll(goldenRecords()))
+	if got := decodeAll(t, golden.Read(t, "affinity/records")); !reflect.DeepEqual(got, goldenRecords()) {
 		t.Errorf("the committed records read as %+v", got)
 	}
 }
 
-// What a table hands over to be kept of each way that an attempt can end, and how another table takes it.
-func TestGoldenRecordsOfATable(t *testing.T) {
+// One key ends in each of the ways that an attempt can. The records of the table are the committed ones, and another table restores them
+// to the same bindings.
+func TestGoldenRecordsOfTableOperations(t *testing.T) {
 	secret := Secret{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
 	table := New(Options{MaxEntries: 10, DedupWindow: 10 * time.Second, LateRetryPeriod: time.Minute})
 	var kept []Record
@@ -77,10 +79,10 @@
 			note(table.Complete(at+1, k, OutcomeUnknown))
 		}
 	}
-	golden.Equal(t, "affinity/records-of-a-table", encoded(kept))
+	golden.Equal(t, "affinity/records-of-a-table", encodeAll(kept))
 
 	other := New(Options{MaxEntries: 10, DedupWindow: 10 * time.Second, LateRetryPeriod: time.Minute})
-	other.Restore(8*time.Second, decoded(t, golden.Read(t, "affinity/records-of-a-table")))
+	other.Restore(8*time.Second, decodeAll(t, golden.Read(t, "affinity/records-of-a-table")))
 	type known struct {
 		Binding
 		found   bool
