--- a/internal/affinity/bindinglog/bench_test.go
+++ b/internal/affinity/bindinglog/bench_test.go
@@ -16,16 +16,16 @@
 	"appleledge/internal/besteffort"
 )
 
-// keeper is a way to keep records; many goroutines call it at a time, and it returns when the record is kept.
-type keeper func(r affinity.Record) error
+// storeFunc stores a record and returns when it is stored; many goroutines call it at a time.
+type storeFunc func(r affinity.Record) error
 
-// ways are those that docs/design/affinity.md compares: this log, bbolt with its group commit, and tidwall/wal, each with and
+// stores are those that docs/design/affinity.md compares: this log, bbolt with its group commit, and tidwall/wal, each with and
 // without a sync to the disk.
-func ways(b *testing.B, lasting bool) map[string]func() (keeper, func()) {
-	return map[string]func() (keeper, func()){
-		"log": func() (keeper, func()) {
+func stores(b *testing.B, syncs bool) map[string]func() (storeFunc, func()) {
+	return map[string]func() (storeFunc, func()){
+		"log": func() (storeFunc, func()) {
 			c := &testClock{now: time.Minute}
-			o := c.options(atomicfile.OS{}, lasting, "boot")
+			o := c.options(atomicfile.OS{}, syncs)
 			o.Dir = b.TempDir()
 			l, ended, done := openLog(b, o), make(chan struct{}), make(chan struct{})
 			go func() {
@@ -43,13 +43,13 @@
 			}()
 			return func(r affinity.Record) error {
 				if !l.Append(r).Wait(time.Minute) {
-					return fmt.Errorf("not kept")
+					return fmt.Errorf("not stored")
 				}
 				return nil
 			}, func() { close(ended); <-done; besteffort.Close(l) }
 		},
-		"bbolt": func() (keeper, func()) {
-			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: !lasting})
+		"bbolt": func() (storeFunc, func()) {
+			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: !syncs})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -63,8 +63,8 @@
 				return db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(name).Put(data[:16], data[16:]) })
 			}, func() { besteffort.Close(db) }
 		},
-		"wal": func() (keeper, func()) {
-			l, err := wal.Open(filepath.Join(b.TempDir(), "wal"), &wal.Options{NoSync: !lasting})
+		"wal": func() (storeFunc, func()) {
+			l, err := wal.Open(filepath.Join(b.TempDir(), "wal"), &wal.Options{NoSync: !syncs})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -80,12 +80,12 @@
 	}
 }
 
-// BenchmarkKeep is how long a record takes to be kept at 1,000 a second, each as its own request.
-func BenchmarkKeep(b *testing.B) {
-	for _, lasting := range []bool{false, true} {
-		for name, open := range ways(b, lasting) {
-			b.Run(fmt.Sprintf("%s/sync=%v", name, lasting), func(b *testing.B) {
-				keep, closeAll := open()
+// BenchmarkStore measures how long a record takes to be stored at 1,000 a second, each for a request of its own.
+func BenchmarkStore(b *testing.B) {
+	for _, syncs := range []bool{false, true} {
+		for name, open := range stores(b, syncs) {
+			b.Run(fmt.Sprintf("%s/sync=%v", name, syncs), func(b *testing.B) {
+				store, closeAll := open()
 				defer closeAll()
 				took := make([]time.Duration, max(b.N, 1))
 				var all sync.WaitGroup
@@ -96,7 +96,7 @@
 					all.Go(func() {
 						r := testRecord(i, time.Duration(i))
 						began := time.Now()
-						if err := keep(r); err != nil {
+						if err := store(r); err != nil {
 							b.Error(err)
 						}
 						took[i] = time.Since(began)
@@ -111,10 +111,10 @@
 	}
 }
 
-// BenchmarkRestore is how long a million records take to be read into a table.
+// BenchmarkRestore measures how long a million records take to be read into a table.
 func BenchmarkRestore(b *testing.B) {
 	c := &testClock{now: time.Minute}
-	o := c.options(atomicfile.OS{}, false, "boot")
+	o := c.options(atomicfile.OS{}, false)
 	o.Dir = b.TempDir()
 	l := openLog(b, o)
 	for i := range 1_000_000 {
--- a/internal/affinity/bindinglog/bindinglog.go
+++ b/internal/affinity/bindinglog/bindinglog.go
@@ -1,117 +1,93 @@
-// Package bindinglog keeps ties over a restart: append-only files of records in a folder. Each process writes files of its own and
-// reads those of all, so that an old process that drains and a new one that serves already tell each other, and two agents
-// that were given one folder by mistake do no harm. Many records are written together (group commit).
+// Package bindinglog stores the bindings of package affinity so that they survive a crash of the process, and with Options.Sync
+// one of the machine.
+//
+// # Files
+//
+// The log is a folder of append-only files of fixed-size records. Each process writes files of its own and reads those of all
+// others. So during a hot restart the draining process and the new one tell each other of their bindings, and two agents that
+// were given one folder by mistake do no harm. A file begins with a header that names the format and the boot of the machine, as
+// record times count from that boot; its last record may be cut off, by a crash or because it is still being written.
+//
+// # Writing and reading
+//
+// Append hands a record over and returns the Commit of its batch; Flush writes the batch (group commit); Wait on the commit says
+// within a budget whether the record is stored. The engine waits before it sends a key's first attempt, and counts a binding that is
+// not stored in time. ReadNew returns what others
+// have appended since its last call, for affinity.Table's Restore. RemoveExpired deletes files in which every record has outlived
+// its use. A corrupt record is skipped and counted, and its file renamed aside for an operator to look at (Inspect).
 package bindinglog
 
 import (
-	"bytes"
 	"crypto/rand"
 	"encoding/hex"
 	"errors"
 	"fmt"
-	"io"
-	"io/fs"
-	"maps"
-	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
-	"appleledge/internal/affinity"
 	"appleledge/internal/atomicfile"
-	"appleledge/internal/besteffort"
 )
 
-// Options say where and how ties are kept.
+// Options say where and how bindings are stored.
 type Options struct {
 	Dir       string
 	FS        atomicfile.FS
-	Sync      bool                 // to the disk itself; else a machine that stops forgets, and only a process that is killed does not
-	Retention time.Duration        // for which a record is of use: the window and the tail
+	Sync      bool                 // each batch, to the disk itself; without it a killed process loses nothing, a machine that stops does
+	Retention time.Duration        // for which a record is of use: the dedup window and the late-retry period
 	Now       func() time.Duration // on the engine's clock
-	// BootID names the present run of the machine, in at most 64 bytes. Stamp and Clock turn the engine's times into nanoseconds
-	// since it began, and back: setting the wall clock changes nothing then. Times of another run mean nothing.
+
+	// BootID names the present boot of the machine, in at most 64 bytes. ToBootTime turns the engine's times into nanoseconds since
+	// that boot, and FromBootTime back, so that setting the wall clock changes nothing. Times of another boot mean nothing.
 	BootID       string
 	ToBootTime   func(time.Duration) int64
-	FromBootTime func(stamp int64) time.Duration
+	FromBootTime func(nanoseconds int64) time.Duration
 }
 
-// magic begins each file: its last digit is the version. The run of the machine follows, padded to one length.
-const fileMagic = "appleledge-ties 1 "
-
-const headerSize = len(fileMagic) + 65
-
-func (o Options) header() string { return fmt.Sprintf("%s%-64s\n", fileMagic, o.BootID) }
-
+// Names of files in the folder. Other processes, and agents of other versions, go by them too.
 const (
-	fileSuffix        = ".ties"
-	quarantineSuffix  = ".damaged"
-	secretFileName    = "secret"
-	maxFileBytes      = 16 << 20 // bytes; then another file is begun
-	maxPendingRecords = 1 << 16  // records that are not written yet; further ones are not kept
-	maxFilesRead      = 1024     // that are read
-	retentionMargin   = time.Minute
+	fileSuffix       = ".ties"
+	quarantineSuffix = ".damaged"
+	secretFileName   = "secret"
 )
 
-// Errors that callers tell apart.
-var (
-	ErrNewerFormat = errors.New("it is of a newer form; it is left as it is")
-	ErrNotDurable  = errors.New("too many ties wait to be kept")
+// Bounds.
+const (
+	maxFileBytes      = 16 << 20 // then another file is created
+	maxPendingRecords = 1 << 16  // not written yet; further ones are not stored
+	maxFilesRead      = 1024
+	retentionMargin   = time.Minute // past Retention, after which a file is removed
 )
 
-// Commit is a batch of records on its way to the disk.
-type Commit struct {
-	done chan struct{}
-	err  error // once done is closed
-}
+// ErrNewerFormat says that a file is of a later version of this package. It is left as it is.
+var ErrNewerFormat = errors.New("it is of a newer form; it is left as it is")
 
-// Wait waits until the batch is kept, and for no longer than that. It reports whether it is.
-func (c *Commit) Wait(budget time.Duration) bool {
-	if c == nil {
-		return false
-	}
-	select {
-	case <-c.done:
-		return c.err == nil
-	default:
-	}
-	t := time.NewTimer(budget)
-	defer t.Stop()
-	select {
-	case <-c.done:
-		return c.err == nil
-	case <-t.C:
-		return false
-	}
-}
-
-// Log writes records. Append may be called from any goroutine.
+// Log writes the records of one process and reads those of the others. Append may be called from any goroutine; Flush, Close and
+// RemoveExpired belong to the goroutine that writes, ReadNew to the one that reads. The two may be the same.
 type Log struct {
 	options    Options
-	filePrefix string // of its files' names
+	filePrefix string // of this process's files: the time of Open and random digits
 
 	mu            sync.Mutex
-	pending       []byte  // records
-	pendingCommit *Commit // theirs
+	pending       []byte  // encoded records that the next Flush writes; mu guards it and pendingCommit
+	pendingCommit *Commit // of pending; nil exactly while pending is empty
 	flushNeeded   chan struct{}
 
 	// Of the goroutine that writes:
-	file         atomicfile.Handle
+	file         atomicfile.Handle // nil where the next write creates one
 	fileName     string
 	fileBytes    int
-	lastWrite    time.Duration // when the file was written last
+	lastWrite    time.Duration
 	filesCreated int
-	spareBuffer  []byte
-	lastRecord   map[string]time.Duration // files, with the time of their last record, as far as it was looked at
+	spareBuffer  []byte                   // the buffer that pending does not use at present
+	lastRecord   map[string]time.Duration // by file: the time of its last record, as far as it was looked at
 
-	// Of the goroutine that reads:
-	readOffset  map[string]int // bytes read of others' files
+	// Of the goroutine that reads, by file name:
+	readOffset  map[string]int // up to which others' files have been read
 	bootIDs     map[string]string
-	quarantined map[string]bool
+	quarantined map[string]bool // by path
 }
 
-// Open makes a log in a folder that is there.
+// Open makes a log in a folder that exists. It reads and writes nothing yet.
 func Open(o Options) (*Log, error) {
 	var id [8]byte
 	if _, err := rand.Read(id[:]); err != nil {
@@ -120,293 +96,3 @@
 	return &Log{options: o, filePrefix: fmt.Sprintf("%016x-%s", o.ToBootTime(o.Now()), hex.EncodeToString(id[:])), flushNeeded: make(chan struct{}, 1),
 		lastRecord: map[string]time.Duration{}, readOffset: map[string]int{}, bootIDs: map[string]string{}, quarantined: map[string]bool{}}, nil
 }
-
-// LoadOrCreateSecret reads the installation's secret, or makes one.
-func LoadOrCreateSecret(o Options) (s affinity.Secret, err error) {
-	f := atomicfile.File{Path: filepath.Join(o.Dir, secretFileName), FS: o.FS}
-	doc, err := f.Load()
-	if errors.Is(err, atomicfile.ErrNone) {
-		if _, err := rand.Read(s[:]); err != nil {
-			return s, err
-		}
-		return s, f.Save(s[:])
-	}
-	if err == nil && len(doc) != len(s) {
-		err = atomicfile.ErrBroken
-	}
-	if err != nil {
-		return s, fmt.Errorf("the secret of ties: %w", err)
-	}
-	copy(s[:], doc)
-	return s, nil
-}
-
-// Append hands records over to be written. The result is nil where too many wait: those are not kept.
-func (l *Log) Append(r affinity.Record) *Commit {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.pending) >= maxPendingRecords*affinity.RecordSize {
-		return nil
-	}
-	if l.pendingCommit == nil {
-		l.pendingCommit = &Commit{done: make(chan struct{})}
-		select {
-		case l.flushNeeded <- struct{}{}:
-		default:
-		}
-	}
-	l.pending = r.Append(l.pending, l.options.ToBootTime)
-	return l.pendingCommit
-}
-
-// FlushNeeded says that there is something to Flush.
-func (l *Log) FlushNeeded() <-chan struct{} { return l.flushNeeded }
-
-// Flush writes what waits. One goroutine calls it. After an error the next call begins a file anew.
-func (l *Log) Flush() error {
-	l.mu.Lock()
-	data, batch := l.pending, l.pendingCommit
-	l.pending, l.pendingCommit = l.spareBuffer[:0], nil
-	l.mu.Unlock()
-	if batch == nil {
-		l.spareBuffer = data
-		return nil
-	}
-	err := l.write(data)
-	if err != nil && l.file != nil {
-		besteffort.Close(l.file) // what is in it is read up to where it is whole
-		l.file = nil
-	}
-	batch.err = err
-	close(batch.done)
-	l.spareBuffer = data[:0]
-	return err
-}
-
-func (l *Log) write(data []byte) error {
-	now := l.options.Now()
-	if l.file != nil && (l.fileBytes > maxFileBytes || now-l.lastWrite > l.options.Retention) { // one that was idle for so long may be gone by now
-		err := l.file.Close()
-		if l.file = nil; err != nil {
-			return err
-		}
-	}
-	if l.file == nil {
-		if err := l.createFile(); err != nil {
-			return err
-		}
-	}
-	if _, err := l.file.Write(data); err != nil {
-		return err
-	}
-	l.fileBytes += len(data)
-	l.lastWrite = now
-	l.lastRecord[l.fileName] = now
-	if l.options.Sync {
-		return l.file.Sync()
-	}
-	return nil
-}
-
-func (l *Log) createFile() (err error) {
-	l.filesCreated++
-	l.fileName = fmt.Sprintf("%s-%06d%s", l.filePrefix, l.filesCreated, fileSuffix)
-	if l.file, err = l.options.FS.Create(filepath.Join(l.options.Dir, l.fileName)); err != nil {
-		l.file = nil
-		return err
-	}
-	l.fileBytes = 0
-	l.lastRecord[l.fileName] = l.options.Now()
-	if _, err := io.WriteString(l.file, l.options.header()); err != nil {
-		return err
-	}
-	if l.options.Sync {
-		return l.options.FS.SyncDir(l.options.Dir)
-	}
-	return nil
-}
-
-// Close ends the file.
-func (l *Log) Close() error {
-	if l.file == nil {
-		return nil
-	}
-	err := l.file.Close()
-	l.file = nil
-	return err
-}
-
-// ReadResult is what a look into the folder has brought.
-type ReadResult struct {
-	Records     []affinity.Record
-	Corrupt     int      // records that could not be read, of files that are kept aside
-	Quarantined []string // those
-}
-
-// ReadNew reads what others have written since the last call. It may run beside Append and Flush, and is called by one goroutine.
-// What is damaged is passed over and its file kept under another name; the end of a file may be a record that is still being
-// written, or was when its process was killed, and is no damage.
-func (l *Log) ReadNew() (found ReadResult, err error) {
-	names, err := l.options.FS.Names(l.options.Dir)
-	if err != nil {
-		return found, err
-	}
-	for name := range l.readOffset { // of a file that is gone nothing needs to be known
-		if _, there := slices.BinarySearch(names, name); !there {
-			delete(l.readOffset, name)
-			delete(l.bootIDs, name)
-			delete(l.quarantined, filepath.Join(l.options.Dir, name))
-		}
-	}
-	files := 0
-	for _, name := range names {
-		if !strings.HasSuffix(name, fileSuffix) || strings.HasPrefix(name, l.filePrefix) {
-			continue
-		}
-		if files++; files > maxFilesRead {
-			return found, fmt.Errorf("%s holds more than %d files of ties", l.options.Dir, maxFilesRead)
-		}
-		if err := l.readFile(name, &found); err != nil {
-			return found, fmt.Errorf("%s: %w", filepath.Join(l.options.Dir, name), err)
-		}
-	}
-	return found, nil
-}
-
-func (l *Log) readFile(name string, found *ReadResult) error {
-	path := filepath.Join(l.options.Dir, name)
-	f, err := l.options.FS.Open(path)
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil // it was old, and another process has removed it
-	}
-	if err != nil {
-		return err
-	}
-	data, err := readFrom(f, l.readOffset[name])
-	besteffort.Close(f)
-	if err != nil {
-		return err
-	}
-	if l.readOffset[name] == 0 {
-		boot, ok, err := parseHeader(data)
-		if err != nil || !ok {
-			return err
-		}
-		data = data[headerSize:]
-		l.readOffset[name], l.bootIDs[name] = headerSize, boot
-	}
-	bad := 0
-	for ; len(data) >= affinity.RecordSize; data = data[affinity.RecordSize:] {
-		l.readOffset[name] += affinity.RecordSize
-		r, err := affinity.DecodeRecord(data[:affinity.RecordSize], l.options.FromBootTime)
-		if err != nil {
-			bad++
-			continue
-		}
-		if l.bootIDs[name] != l.options.BootID {
-			r.At = affinity.UnknownTime
-		}
-		found.Records = append(found.Records, r)
-	}
-	if bad > 0 {
-		found.Corrupt += bad
-		l.quarantine(path, found)
-	}
-	return nil
-}
-
-// readFrom reads a file from an offset on.
-func readFrom(f io.Reader, at int) ([]byte, error) {
-	if s, ok := f.(io.Seeker); ok {
-		if _, err := s.Seek(int64(at), io.SeekStart); err != nil {
-			return nil, err
-		}
-	} else if _, err := io.CopyN(io.Discard, f, int64(at)); err != nil {
-		return nil, err
-	}
-	return io.ReadAll(io.LimitReader(f, 2*maxFileBytes))
-}
-
-// parseHeader reports whether a file has a whole header, which one that was begun when its process was killed has not, and of
-// which run of the machine it is.
-func parseHeader(data []byte) (boot string, whole bool, err error) {
-	family := fileMagic[:len(fileMagic)-2]
-	switch {
-	case bytes.HasPrefix(data, []byte(family)) && len(data) > len(family) && data[len(family)] > fileMagic[len(family)]:
-		return "", false, ErrNewerFormat
-	case !bytes.HasPrefix(data, []byte(fileMagic)) || len(data) < headerSize: // cut, or noise: nothing in it can be read
-		return "", false, nil
-	}
-	return strings.TrimSpace(string(data[len(fileMagic):headerSize])), true, nil
-}
-
-func (l *Log) quarantine(path string, found *ReadResult) {
-	if l.quarantined[path] {
-		return
-	}
-	l.quarantined[path] = true
-	if l.options.FS.Rename(path, path+quarantineSuffix) == nil { // else it is read on under its own name
-		found.Quarantined = append(found.Quarantined, path+quarantineSuffix)
-	}
-}
-
-// RemoveExpired removes files of which no record is of use any more, own ones and others'. A file is begun by a time, and no process
-// writes to one for longer than Lasts without another record; so one is of no use Lasts after its last.
-func (l *Log) RemoveExpired() error {
-	names, err := l.options.FS.Names(l.options.Dir)
-	if err != nil {
-		return err
-	}
-	now := l.options.Now()
-	maps.DeleteFunc(l.lastRecord, func(name string, _ time.Duration) bool {
-		_, there := slices.BinarySearch(names, name)
-		return !there
-	})
-	for _, name := range names {
-		if !strings.HasSuffix(name, fileSuffix) || name == l.fileName && l.file != nil {
-			continue
-		}
-		last, known := l.lastRecord[name]
-		if !known { // another's, which may have gone on since: it is looked at once more when its time is over
-			last = now
-		} else if now-last > l.options.Retention+retentionMargin {
-			if last, err = l.latestRecord(name, last); err != nil {
-				return err
-			}
-		}
-		l.lastRecord[name] = last
-		if now-last <= l.options.Retention+retentionMargin {
-			continue
-		}
-		if err := l.options.FS.Remove(filepath.Join(l.options.Dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return err
-		}
-		delete(l.lastRecord, name)
-	}
-	return nil
-}
-
-// latestRecord is the time of the latest record in a file of this run of the machine, or else the time that is given.
-func (l *Log) latestRecord(name string, last time.Duration) (time.Duration, error) {
-	f, err := l.options.FS.Open(filepath.Join(l.options.Dir, name))
-	if errors.Is(err, fs.ErrNotExist) {
-		return last, nil
-	}
-	if err != nil {
-		return 0, err
-	}
-	defer besteffort.Close(f)
-	data, err := readFrom(f, 0)
-	if err != nil {
-		return 0, err
-	}
-	if boot, whole, _ := parseHeader(data); !whole || boot != l.options.BootID {
-		return last, nil
-	}
-	for data = data[headerSize:]; len(data) >= affinity.RecordSize; data = data[affinity.RecordSize:] {
-		if r, err := affinity.DecodeRecord(data[:affinity.RecordSize], l.options.FromBootTime); err == nil {
-			last = max(last, r.At)
-		}
-	}
-	return last, nil
-}
--- a/internal/affinity/bindinglog/bindinglog_test.go
+++ b/internal/affinity/bindinglog/bindinglog_test.go
@@ -20,8 +20,8 @@
 // clock is the time of a test, in one run of the machine.
 type testClock struct{ now time.Duration }
 
-func (c *testClock) options(fs atomicfile.FS, sync bool, boot string) Options {
-	return Options{Dir: "d", FS: fs, Sync: sync, Retention: 10 * time.Second, Now: func() time.Duration { return c.now }, BootID: boot,
+func (c *testClock) options(fs atomicfile.FS, sync bool) Options {
+	return Options{Dir: "d", FS: fs, Sync: sync, Retention: 10 * time.Second, Now: func() time.Duration { return c.now }, BootID: "boot",
 		ToBootTime: func(t time.Duration) int64 { return int64(t) }, FromBootTime: func(n int64) time.Duration { return time.Duration(n) }}
 }
 
@@ -47,8 +47,8 @@
 	return found
 }
 
-// A machine that stops at any operation, or a disk that fails at it: what is read afterwards is a beginning of what was handed
-// over, and holds all that was acknowledged, in order. Nobody waits longer than the budget.
+// Four batches are written, and the machine stops at one of their disk operations, or the disk fails at it. What is read after the
+// restart is in order and without duplicates, and holds every record whose commit was acknowledged. Nobody waits longer than the budget.
 func TestAcknowledgedRecordsSurviveCrashAndDiskFaults(t *testing.T) {
 	c := &testClock{now: time.Minute}
 	for _, fault := range []error{nil, syscall.ENOSPC, syscall.EIO} {
@@ -56,25 +56,25 @@
 			for seed := range uint64(20) {
 				disk := faultfs.New(seed)
 				disk.Left, disk.Fault = at, fault
-				l := openLog(t, c.options(disk, true, "boot"))
-				kept, handed := []int{}, 0
+				l := openLog(t, c.options(disk, true))
+				acknowledged, appended := []int{}, 0
 				for batch := range 4 {
 					var commits []*Commit
 					for range 1 + batch {
-						commits = append(commits, l.Append(testRecord(handed, c.now)))
-						handed++
+						commits = append(commits, l.Append(testRecord(appended, c.now)))
+						appended++
 					}
 					err := l.Flush()
 					for i, commit := range commits {
 						if ok := commit.Wait(time.Millisecond); ok != (err == nil) {
 							t.Fatalf("flushed with %v, and the wait says %v", err, ok)
 						} else if ok {
-							kept = append(kept, handed-len(commits)+i)
+							acknowledged = append(acknowledged, appended-len(commits)+i)
 						}
 					}
 				}
 				disk.Left = -1
-				found := readAll(t, c.options(disk.Restart(), true, "boot"))
+				found := readAll(t, c.options(disk.Restart(), true))
 				var got []int
 				for _, r := range found.Records {
 					got = append(got, int(r.Key[0]))
@@ -82,7 +82,7 @@
 				if found.Corrupt > 0 || !slices.IsSorted(got) || len(slices.Compact(slices.Clone(got))) != len(got) {
 					t.Fatalf("%v at %d, seed %d: read %v, %d damaged", fault, at, seed, got, found.Corrupt)
 				}
-				for _, i := range kept {
+				for _, i := range acknowledged {
 					if !slices.Contains(got, i) {
 						t.Fatalf("%v at %d, seed %d: %d was acknowledged, and %v are read", fault, at, seed, i, got)
 					}
@@ -92,12 +92,12 @@
 	}
 }
 
-// Every beginning of a file is read up to its last whole record; a damaged record costs itself alone, is told of, and its file
-// is kept aside.
+// A file is cut at each of its bytes, as by a crash: it reads up to its last whole record, and counts as undamaged. Then one bit of
+// a record is flipped: that record alone is skipped and counted, and the file is quarantined. A file of a newer format is an error.
 func TestTruncatedAndCorruptFilesAreReadAsFarAsPossible(t *testing.T) {
 	dir := t.TempDir()
 	c := &testClock{now: time.Minute}
-	o := c.options(atomicfile.OS{}, false, "boot")
+	o := c.options(atomicfile.OS{}, false)
 	o.Dir = dir
 	l := openLog(t, o)
 	for i := range 5 {
@@ -140,14 +140,14 @@
 	}
 }
 
-// Two processes in one folder hear of each other's records, once each; what an earlier run of the machine has kept has no time.
-// Files go when nothing in them is of use, and not before.
+// An old process and a new one share a folder, as during a hot restart. Each reads the other's records, once; after a reboot their
+// time is unknown. Files are removed once no record in them is of use, and not before; the file that is open stays.
 func TestProcessesReadEachOthersRecordsOnce(t *testing.T) {
 	c := &testClock{now: time.Minute}
-	o := c.options(atomicfile.OS{}, false, "boot")
+	o := c.options(atomicfile.OS{}, false)
 	o.Dir = t.TempDir()
 	a, b := openLog(t, o), openLog(t, o)
-	hear := func(l *Log, want string) {
+	expectRead := func(l *Log, want string) {
 		t.Helper()
 		found, err := l.ReadNew()
 		got := []uint64{}
@@ -155,26 +155,26 @@
 			got = append(got, r.Key[0])
 		}
 		if err != nil || fmt.Sprint(got) != want {
-			t.Errorf("heard %v, %v; want %s", got, err, want)
+			t.Errorf("read %v, %v; want %s", got, err, want)
 		}
 	}
-	keep := func(l *Log, i int) {
+	appendAndFlush := func(l *Log, i int) {
 		t.Helper()
 		l.Append(testRecord(i, c.now))
 		if err := l.Flush(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	keep(a, 1)
-	hear(b, "[1]")
-	keep(a, 2)
-	keep(b, 3)
-	hear(b, "[2]")
-	hear(a, "[3]")
-	hear(a, "[]")
+	appendAndFlush(a, 1)
+	expectRead(b, "[1]")
+	appendAndFlush(a, 2)
+	appendAndFlush(b, 3)
+	expectRead(b, "[2]")
+	expectRead(a, "[3]")
+	expectRead(a, "[]")
 	o.BootID = "another"
 	if found := readAll(t, o); len(found.Records) != 3 || found.Records[0].At != affinity.UnknownTime {
-		t.Errorf("after a start of the machine %+v", found)
+		t.Errorf("after a reboot %+v", found)
 	}
 	files := func() int {
 		names, err := atomicfile.OS{}.Names(o.Dir)
@@ -191,21 +191,22 @@
 			t.Errorf("at %v there are %d files, want %d", c.now, files(), step.want)
 		}
 	}
-	keep(a, 4)
-	hear(b, "[4]")
+	appendAndFlush(a, 4)
+	expectRead(b, "[4]")
 	if err := a.RemoveExpired(); err != nil { // its first file, which was open until then
 		t.Fatal(err)
 	}
-	hear(b, "[]")
+	expectRead(b, "[]")
 	if len(b.readOffset) != 1 || len(b.bootIDs) != 1 || len(a.lastRecord) != 1 {
-		t.Errorf("of files that are gone it is known %v, %v, %v", b.readOffset, b.bootIDs, a.lastRecord)
+		t.Errorf("of removed files it is still known %v, %v, %v", b.readOffset, b.bootIDs, a.lastRecord)
 	}
 }
 
-// The secret is made once, and one that is damaged is not replaced: keys hashed with another one would be strangers.
+// The first start makes the secret and a second one reads it. Damaged on disk, it is an error and is not replaced: keys hashed with
+// another secret would look new, and their retries would run twice.
 func TestSecretIsMadeOnceAndNeverReplaced(t *testing.T) {
 	c := &testClock{}
-	o := c.options(atomicfile.OS{}, false, "boot")
+	o := c.options(atomicfile.OS{}, false)
 	o.Dir = t.TempDir()
 	first, err := LoadOrCreateSecret(o)
 	if err != nil {
@@ -222,13 +223,14 @@
 	}
 }
 
-// Nobody waits for a disk that stands still: the budget ends the wait, and what waits is bounded.
+// The disk hangs, so that nothing is flushed. A waiter gives up after its budget, and pending records are bounded: further ones are
+// turned down at once. When the disk goes on, what was pending is written.
 func TestHungDiskBlocksNobodyBeyondTheBudget(t *testing.T) {
 	c := &testClock{now: time.Minute}
-	l := openLog(t, c.options(faultfs.New(1), false, "boot"))
+	l := openLog(t, c.options(faultfs.New(1), false))
 	commit := l.Append(testRecord(0, c.now))
-	if began := time.Now(); commit.Wait(time.Millisecond) || time.Since(began) > 10*time.Second {
-		t.Error("it is kept, and nothing was written")
+	if start := time.Now(); commit.Wait(time.Millisecond) || time.Since(start) > 10*time.Second {
+		t.Error("the commit is acknowledged, and nothing was written")
 	}
 	for i := range maxPendingRecords - 1 {
 		if l.Append(testRecord(i, c.now)) == nil {
@@ -243,16 +245,16 @@
 	}
 }
 
-// Whatever bytes a file has, reading ends, and only whole records come out.
+// A file may hold any bytes. Reading ends, returns whole records only, and fails for nothing but a newer format.
 func FuzzReadFile(f *testing.F) {
 	c := &testClock{now: time.Minute}
-	o := c.options(nil, false, "boot")
+	o := c.options(nil, false)
 	whole := append([]byte(o.header()), testRecord(1, 5).Append(nil, o.ToBootTime)...)
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Add([]byte("appleledge-ties 9"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		o := c.options(atomicfile.OS{}, false, "boot")
+		o := c.options(atomicfile.OS{}, false)
 		o.Dir = t.TempDir()
 		if err := os.WriteFile(filepath.Join(o.Dir, "x"+fileSuffix), data, 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/affinity/bindinglog/golden_test.go
+++ b/internal/affinity/bindinglog/golden_test.go
@@ -18,11 +18,11 @@
 
 const (
 	goldenBoot        = "5f1c3a52-6c1e-4c0f-9d55-0123456789ab"
-	goldenEarlierBoot = "01234567-89ab-4cde-8f01-23456789abcd" // an earlier run of the machine
+	goldenEarlierBoot = "01234567-89ab-4cde-8f01-23456789abcd" // an earlier boot of the machine
 	goldenPrefix      = "000000000df9ea80-a1a2a3a4a5a6a7a8"    // what a log's files begin with
 )
 
-// goldenOptions are of a clock that the machine's is ahead of by a second.
+// goldenOptions have a clock that runs a second behind the time since the boot.
 func goldenOptions(dir, boot string) Options {
 	return Options{Dir: dir, FS: atomicfile.OS{}, Sync: true, Retention: 10 * time.Second, Now: func() time.Duration { return 30 * time.Second }, BootID: boot,
 		ToBootTime: func(t time.Duration) int64 { return int64(t + time.Second) }, FromBootTime: func(n int64) time.Duration { return time.Duration(n) - time.Second }}
@@ -48,7 +48,7 @@
 	}
 }
 
-// A log's first file has two batches of records and its second one another.
+// A log writes two batches to one file and, after Close, a third to another. Their bytes are the committed ones.
 func TestGoldenFilesAreWritten(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, goldenOptions(dir, goldenBoot))
@@ -85,6 +85,7 @@
 	}
 }
 
+// The committed files read as the records that were written; in another boot of the machine, with unknown times.
 func TestGoldenFilesAreRead(t *testing.T) {
 	dir := t.TempDir()
 	for name, as := range goldenFiles {
@@ -98,11 +99,12 @@
 		want[i].At = affinity.UnknownTime
 	}
 	if got := readAll(t, goldenOptions(dir, goldenEarlierBoot)); !reflect.DeepEqual(got, ReadResult{Records: want}) {
-		t.Errorf("in another run of the machine they read as %+v", got)
+		t.Errorf("in another boot of the machine they read as %+v", got)
 	}
 }
 
-// What an inspection says in JSON of whole files, of one that is damaged and cut, and was kept aside, and of a newer and a foreign one.
+// A folder holds whole files, one that is corrupt and cut off and was quarantined, one of a newer format and a foreign one. Inspect
+// reports each, in the committed JSON.
 func TestGoldenInspection(t *testing.T) {
 	dir := t.TempDir()
 	for name, as := range goldenFiles {
@@ -135,7 +137,7 @@
 	golden.Equal(t, "tielog/inspection", append(text, '\n'))
 }
 
-// The secret that is made is chance; what is written of it has the form of the committed one.
+// A new secret is random; its file has the form of the committed one, and the committed one reads as the secret that it holds.
 func TestGoldenSecret(t *testing.T) {
 	secret := affinity.Secret{0xf1, 0xf2, 0xf3, 0xf4, 0xf5, 0xf6, 0xf7, 0xf8, 0xf9, 0xfa, 0xfb, 0xfc, 0xfd, 0xfe, 0xff, '\n'}
 	save := func(s affinity.Secret) []byte {
--- a/internal/affinity/bindinglog/inspect.go
+++ b/internal/affinity/bindinglog/inspect.go
@@ -2,33 +2,29 @@
 
 import (
 	"errors"
-	"fmt"
 	"io/fs"
-	"os"
 	"path/filepath"
 	"strings"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"appleledge/internal/affinity"
 	"appleledge/internal/atomicfile"
 	"appleledge/internal/besteffort"
 )
 
-// FileReport is what a file of ties holds.
+// FileReport says what a file of the log holds. Its JSON keys are part of the output of appleledgectl.
 type FileReport struct {
 	Name           string `json:"name"`
-	BootID         string `json:"boot,omitempty"` // the run of the machine that it is of
+	BootID         string `json:"boot,omitempty"` // the boot that its times count from
 	Bytes          int    `json:"bytes"`
-	Corrupt        int    `json:"damaged,omitempty"` // records that can't be read
-	TruncatedBytes int    `json:"cut,omitempty"`     // bytes at its end that are no whole record
+	Corrupt        int    `json:"damaged,omitempty"` // records
+	TruncatedBytes int    `json:"cut,omitempty"`     // at its end, which are no whole record
 	Problem        string `json:"problem,omitempty"`
 
-	Records []affinity.Record `json:"-"` // with times since that run began
+	Records []affinity.Record `json:"-"` // with times since that boot
 }
 
-// Inspect reads the files of a folder, without a process that serves; those that were kept aside as well.
+// Inspect reads the files of a folder, quarantined ones too, and changes nothing. It needs no running agent.
 func Inspect(f atomicfile.FS, dir string) (reports []FileReport, err error) {
 	names, err := f.Names(dir)
 	if err != nil {
@@ -40,7 +36,7 @@
 		}
 		r, err := inspectFile(f, dir, name)
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // its process has removed it
+			continue // it has expired, and its process has removed it
 		}
 		if err != nil {
 			return nil, err
@@ -50,6 +46,7 @@
 	return reports, nil
 }
 
+// inspectFile reads one file. What is wrong with it goes into the report; an error is one of the disk.
 func inspectFile(f atomicfile.FS, dir, name string) (r FileReport, err error) {
 	r.Name = name
 	file, err := f.Open(filepath.Join(dir, name))
@@ -62,16 +59,16 @@
 		return r, err
 	}
 	r.Bytes = len(data)
-	boot, whole, err := parseHeader(data)
+	bootID, isComplete, err := parseHeader(data)
 	switch {
 	case err != nil:
 		r.Problem = err.Error()
 		return r, nil
-	case !whole:
+	case !isComplete:
 		r.Problem = "its first line is not whole, or not one of ours"
 		return r, nil
 	}
-	r.BootID = boot
+	r.BootID = bootID
 	for data = data[headerSize:]; len(data) >= affinity.RecordSize; data = data[affinity.RecordSize:] {
 		record, err := affinity.DecodeRecord(data[:affinity.RecordSize], func(stamp int64) time.Duration { return time.Duration(stamp) })
 		if err != nil {
@@ -84,33 +81,17 @@
 	return r, nil
 }
 
-// bootIDPath names the present run of the machine (proc(5)).
-const bootIDPath = "/proc/sys/kernel/random/boot_id"
-
-// BootTime is the present run of the machine, and for how long it has lasted, by clock_gettime(2)'s CLOCK_BOOTTIME: setting the
-// clock does not change that, and two processes have the same.
-func BootTime() (boot string, now time.Duration, err error) {
-	id, err := os.ReadFile(bootIDPath)
-	if err != nil {
-		return "", 0, err
-	}
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return "", 0, fmt.Errorf("reading the time since the machine has started: %w", err)
-	}
-	return strings.TrimSpace(string(id)), time.Duration(t.Nano()), nil
-}
-
-// Obsolete reports whether nothing in a file is of use any more: of another run of the machine, or older than lasts.
-func (r FileReport) Obsolete(boot string, now, lasts time.Duration) bool {
+// Obsolete reports whether no record of the file is of use any more: it is of another boot, or each is older than the retention.
+// A file that cannot be read is never obsolete, as whoever knows its format may want it.
+func (r FileReport) Obsolete(bootID string, now, retention time.Duration) bool {
 	if r.Problem != "" {
-		return false // whoever knows its form may want it
+		return false
 	}
-	if r.BootID != boot {
+	if r.BootID != bootID {
 		return true
 	}
 	for _, record := range r.Records {
-		if now-record.At <= lasts {
+		if now-record.At <= retention {
 			return false
 		}
 	}
