--- a/internal/engine/joins.go
+++ b/internal/engine/joins.go
@@ -22,9 +22,9 @@
 	answer Answer
 }
 
-// Join makes the engine join calls that ask the same, where their front says what they ask. Whose time runs out while it
+// SetCoalescing makes the engine join calls that ask the same, where their front says what they ask. Whose time runs out while it
 // waits is told to come back after that long, or nothing where that is 0. It is called before Run.
-func (e *Engine) Join(o coalesce.Options, after time.Duration) {
+func (e *Engine) SetCoalescing(o coalesce.Options, after time.Duration) {
 	e.joins = &joins{table: coalesce.New[*Call](o), after: after}
 }
 
@@ -33,7 +33,7 @@
 	if c.chooser != nil || c.Upload != nil || c.Effect != balancer.Idempotent || c.bound.ServerIDs() != nil {
 		return false // what is bound to a pool asks of other servers than what is not
 	}
-	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Request[*Call]{Owner: c, Digest: *c.Like, Class: c.Class, Tenant: c.Tenant,
+	m, verdict := e.joins.table.Arrive(e.clock.Now(), coalesce.Request[*Call]{Owner: c, Digest: *c.CoalesceDigest, Class: c.Class, Tenant: c.Tenant,
 		Deadline: c.Deadline})
 	if verdict == coalesce.NotCoalesced {
 		return false
@@ -49,8 +49,8 @@
 // lead starts the flight that a member leads.
 func (e *Engine) lead(c *Call) {
 	f := c.member.Flight()
-	f.Payload = &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: f.Deadline, Again: c.Again,
-		Payload: c.Payload, Carrier: c.Carrier, Settings: c.Settings, Attempts: c.Attempts, Caller: flight{e.joins, f}, flies: true}
+	f.Payload = &Call{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Key: c.Key, Deadline: f.Deadline, ClientRetry: c.ClientRetry,
+		Payload: c.Payload, Transport: c.Transport, SettingsVersion: c.SettingsVersion, MaxAttempts: c.MaxAttempts, Responder: flight{e.joins, f}, flies: true}
 	e.ask(f.Payload)
 }
 
@@ -95,7 +95,7 @@
 		return coalesce.OutcomePrivate
 	case a.Kind == Served:
 		return coalesce.OutcomeServed
-	case a.Kind == Refused:
+	case a.Kind == Rejected:
 		return coalesce.OutcomeRejected
 	}
 	return coalesce.OutcomeFailed
@@ -110,7 +110,7 @@
 		e.finish(m.Owner, answer)
 	}
 	for _, m := range c.Expired { // only calls that may be repeated at will are joined: trying again is harmless
-		e.finish(m.Owner, Answer{Kind: Refused, RetryAfter: e.joins.after})
+		e.finish(m.Owner, Answer{Kind: Rejected, RetryAfter: e.joins.after})
 	}
 	for _, f := range c.Abandoned { // nobody waits for it, as if its client had left
 		if !f.Payload.closed.Swap(true) {
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -34,16 +34,16 @@
 func goldenPeers() *gossip.Status {
 	return &gossip.Status{Listening: true, Alive: 2, States: []gossip.State{gossip.Unknown, gossip.Alive, gossip.Alive, gossip.Suspect, gossip.Suspect, gossip.Suspect,
 		gossip.Dead, gossip.Dead, gossip.Dead, gossip.Dead, gossip.Left, gossip.Left, gossip.Left, gossip.Left, gossip.Left},
-		Counts: gossip.Counts{Probes: 401, Unanswered: 402, Suspected: 403, Died: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Taken: 408,
+		Counts: gossip.Counts{Probes: 401, Unanswered: 402, Suspected: 403, DeclaredDead: 404, Refuted: 405}, Sent: 406, SentBytes: 407, Received: 408,
 		Dropped: map[string]uint64{"forged": 409, "not of now": 410}}
 }
 
 func goldenShares() *overload.Status {
-	return &overload.Status{Trust: 0.51, Limit: 502, Capacity: 503, Use: 0.54, Gain: 0.55, Chances: []float64{0.56, 0.57}, Refused: 0.58,
-		Asked: overload.Asked{All: 509, LetIn: 510, Open: 511, Extra: 512, Good: 513, Late: 514, Heard: 515, Alive: 516},
-		Held:  []string{"s-1", "s-2", "s-3"},
-		Counts: overload.Counts{Refused: [][2]uint64{{517, 518}, {519, 520}}, Alone: 521, Late: 522, Unsent: 523, Told: 524,
-			Picture: overload.PictureCounts{Bounded: 525, Malformed: 526}}}
+	return &overload.Status{Trust: 0.51, Limit: 502, Capacity: 503, Utilization: 0.54, Gain: 0.55, AdmitProbabilities: []float64{0.56, 0.57}, RejectedRatio: 0.58,
+		Demand:   overload.Demand{Requests: 509, Admitted: 510, InFlight: 511, ExtraAttempts: 512, ServedInTime: 513, LateOrFailed: 514, KnownAgents: 515, AliveAgents: 516},
+		Excluded: []string{"s-1", "s-2", "s-3"},
+		Counts: overload.Counts{Rejected: [][2]uint64{{517, 518}, {519, 520}}, DecidedLocally: 521, PastDeadline: 522, RejectedRetries: 523, PayloadsSent: 524,
+			View: overload.ViewCounts{Capped: 525, Malformed: 526}}}
 }
 
 // Each part of the page from fixed counts, none of which is zero; maps come in any order, so the lines of a part are sorted.
@@ -58,17 +58,17 @@
 	part(func(p page) {
 		s.pool(p, connpool.Counts{Open: 30, Idle: 12, Dials: 103, Failed: 104, Reused: 105, Dead: 106, NoRoom: 107})
 	})
-	times := func(from time.Duration) engine.Times {
-		return engine.Times{Count: uint64(from), Sum: from * time.Second, Quantiles: map[float64]time.Duration{
+	times := func(from time.Duration) engine.LatencyStats {
+		return engine.LatencyStats{Count: uint64(from), Sum: from * time.Second, Quantiles: map[float64]time.Duration{
 			0.5: from * time.Millisecond, 0.9: 2 * from * time.Millisecond, 0.99: 3 * from * time.Millisecond}}
 	}
 	part(func(p page) {
-		s.tally(p, engine.Tally{Classes: goldenClasses, Answers: [][4]uint64{{111, 112, 113, 114}, {115, 116, 117, 118}}, Left: []uint64{119, 120},
-			Open: 121, Written: 122, Attempts: [8]uint64{131, 132, 133, 134, 135, 136, 137, 138}, Sends: [3]uint64{141, 142, 143}, Cold: 144,
-			GivenUp: [5]uint64{151, 152, 153, 154, 155}, Times: []engine.Times{times(161), times(171)}})
+		s.tally(p, engine.Counters{Classes: goldenClasses, Answers: [][4]uint64{{111, 112, 113, 114}, {115, 116, 117, 118}}, Left: []uint64{119, 120},
+			Open: 121, Written: 122, Attempts: [8]uint64{131, 132, 133, 134, 135, 136, 137, 138}, Sends: [3]uint64{141, 142, 143}, SlowStart: 144,
+			GivenUp: [5]uint64{151, 152, 153, 154, 155}, Latencies: []engine.LatencyStats{times(161), times(171)}})
 	})
 	part(func(p page) {
-		s.joins(p, engine.Load{Joins: coalesce.Counts{Flights: 181, Followers: 182, NotCoalesced: 183, LateFlights: 184, NextFlights: 185, Private: 186, Shared: 187,
+		s.joins(p, engine.Stats{Coalescing: coalesce.Counts{Flights: 181, Followers: 182, NotCoalesced: 183, LateFlights: 184, NextFlights: 185, Private: 186, Shared: 187,
 			Waiting: 188, Groups: 189}})
 	})
 	for state := admission.Normal; state <= admission.Recovering; state++ {
@@ -84,10 +84,10 @@
 	part(func(p page) {
 		s.ties(p, affinity.Counts{Entries: 241, Hits: 242, PodUnknown: 243, Overflowed: 244, Evicted: 245, Unprotected: 246, NotDurable: 247, Restored: 248})
 	})
-	for phase := recovery.Full; phase <= recovery.Proving; phase++ {
+	for phase := recovery.FullService; phase <= recovery.Ramping; phase++ {
 		part(func(p page) {
-			s.recovery(p, &recovery.Status{Phase: phase, Why: "why", Since: 261, Rate: 262, Warm: 0.63, Servers: 264, Heard: 265,
-				Counts: recovery.Counts{Recoveries: 266, Trials: 267, Vain: 268, Refused: []uint64{269, 270}, LetIn: []uint64{271, 272}}}, goldenClasses)
+			s.recovery(p, &recovery.Status{Phase: phase, Reason: "why", Since: 261, AdmissionRate: 262, WarmCapacityRatio: 0.63, Servers: 264, RespondingServers: 265,
+				Counts: recovery.Counts{Recoveries: 266, Trials: 267, FailedTrials: 268, Rejected: []uint64{269, 270}, Admitted: []uint64{271, 272}}}, goldenClasses)
 		})
 	}
 	part(s.peers)
@@ -107,10 +107,10 @@
 	}
 	core, conns, _ := newEngine(t, site)
 	member := engine.Member{Server: balancer.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}
-	core.Tell(engine.Listed{Members: []engine.Member{member}})
+	core.Post(engine.EndpointUpdate{Members: []engine.Member{member}})
 	agenttest.Eventually(t, "the engine is ready", core.Ready)
-	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Caller: make(ear, 1), Carrier: waits{}})
-	agenttest.Eventually(t, "the attempt is out", func() bool { return core.Load().InFlight["s-1"] == 1 })
+	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Responder: make(ear, 1), Transport: waits{}})
+	agenttest.Eventually(t, "the attempt is out", func() bool { return core.Stats().InFlight["s-1"] == 1 })
 	s := &Server{Engine: core, Pool: conns, Peers: goldenPeers, Shares: goldenShares, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error, 1)
@@ -142,7 +142,7 @@
 // waits is a carrier whose attempts end with the engine.
 type waits struct{}
 
-func (waits) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (waits) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	<-ctx.Done()
 	return engine.Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport}
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -32,7 +32,7 @@
 	}
 	core, conns, ended := newEngine(t, site)
 	others := &gossip.Status{States: []gossip.State{gossip.Alive, gossip.Dead, gossip.Alive}, Sent: 7, Dropped: map[string]uint64{"forged": 3}}
-	shares := &overload.Status{Trust: 0.5, Capacity: 120, Chances: []float64{0.25}, Counts: overload.Counts{Refused: [][2]uint64{{7, 2}}}}
+	shares := &overload.Status{Trust: 0.5, Capacity: 120, AdmitProbabilities: []float64{0.25}, Counts: overload.Counts{Rejected: [][2]uint64{{7, 2}}}}
 	s := &Server{Engine: core, Pool: conns, Peers: func() *gossip.Status { return others }, Shares: func() *overload.Status { return shares }, Log: slog.New(slog.DiscardHandler)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,8 +42,8 @@
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(ctx, l) }()
 	heard := make(ear, 1)
-	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Caller: heard})
-	if a := <-heard; a.Kind != engine.Refused { // there is no server
+	core.Arrive(&engine.Call{ID: "r", Class: 0, Deadline: engine.NewClock().Now() + time.Minute, Responder: heard})
+	if a := <-heard; a.Kind != engine.Rejected { // there is no server
 		t.Fatalf("%+v", a)
 	}
 	text := get(t, "http://"+l.Addr().String()+"/metrics", http.StatusOK)
@@ -83,9 +83,9 @@
 	}
 	conns = connpool.New(time.Second, time.Minute, 10)
 	core = engine.New(policy, engine.NewClock(), conns, slog.New(slog.DiscardHandler))
-	core.Count(site.Logic.Classes)
+	core.TrackLatency(site.Logic.Classes)
 	behind := admission.New(admission.Options{Classes: make([]admission.Class, len(site.Logic.Classes)), MaxRemembered: 1})
-	core.Return(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Logic.Classes))}, behind), func() bool { return true }, func() {})
+	core.SetRecovery(recovery.New(recovery.Options{Classes: make([]recovery.Class, len(site.Logic.Classes))}, behind), func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
