--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,9 +1,10 @@
-// Package membership says who the servers are. Sources find out, each in its own way (the platform's list, xDS, a file on
-// disk), and a Hub makes one list of what they say, of which the engine is told what changes. The engine does not know
-// which sources there are.
+// Package membership makes one endpoint list for the engine out of what several sources say. A Source finds endpoints in its own
+// way (the platform's discovery, xDS, a file on disk) and reports to a Sink; a Hub merges the reports and delivers the changes
+// to the engine in batches. The engine does not know which sources there are.
 //
-// What is decided (which source counts, what a drain told by one of them means, whether an empty list is believed) is
-// decided by Table, which does no I/O and reads no clock.
+// The decisions are Table's, a state machine without I/O or a clock: which source is active, what happens to servers that
+// another source has as draining, and whether a list that is empty all at once is believed. The Hub is the shell around it: lock,
+// timer and log. Nothing here is stored; package fleet/snapshot keeps the last list over a restart.
 package membership
 
 import (
@@ -18,84 +19,88 @@
 
 // Update is what a source says: the whole list, or the members that changed.
 type Update struct {
-	Full      bool
-	Members   []engine.Member // those whose State is Gone in changes only
-	Retained  []string        // ids of members of whom what was said before stands, such as those that could not be read
-	DropRatio float64         // the share of requests that the source wants turned away now, from 0 to 1
+	Full      bool            // Members is the whole list: whoever is not named in it or in Retained is removed
+	Members   []engine.Member // with State Removed only in changes
+	Retained  []string        // ids of members that stay as they were, such as entries that could not be read
+	DropRatio float64         // share of requests that the source wants shed now, from 0 to 1
 }
 
-// Sink takes what a source says. Its methods may be called from any goroutine and do not block for long.
+// Sink takes what a source reports. Its methods may be called from any goroutine, and block for no longer than a lock is held.
 type Sink interface {
+	// Update reports a list or a change of it. The sink does not keep the slices' backing arrays.
 	Update(Update)
-	// Disconnected says that the source can't be reached any more, or not yet. What it said before stands; the next Update
-	// ends it.
+	// Disconnected reports that the source can't be reached any more, or not yet. What it said before stays in force; the next
+	// Update ends the state. An error that is ErrUnsubscribed makes the engine decide when to subscribe again.
 	Disconnected(error)
 }
 
-// Source is a way to find out who the servers are.
+// Source finds endpoints.
 type Source interface {
-	// Run follows the source until the context ends and tells what it learns to the sink.
+	// Run follows the source and reports what it learns to the sink. It blocks until the context ends, and is called once.
 	Run(ctx context.Context, to Sink)
 }
 
-// ErrUnsubscribed is what a source is Lost by that waits to be asked: the module is told, and decides when to ask again.
+// ErrUnsubscribed is wrapped by the error with which a source disconnects that waits for a subscription: the balancer decides when to
+// subscribe again.
 var ErrUnsubscribed = errors.New("the subscription has ended")
 
-// Bounds on what the engine is told at a time. Requests are handled between two parts of a large change, and small
-// changes that come faster than the gap are told together: a drain waits for no longer than that.
+// Bounds on what is delivered to the engine at a time. The engine handles requests between two batches of a large change, and small
+// changes that come faster than the interval are delivered together: a drain waits for no longer than that.
 const (
-	partMost = 128 // members
-	leastGap = 10 * time.Millisecond
+	maxBatchMembers  = 128
+	minBatchInterval = 10 * time.Millisecond
 )
 
-// Hub carries what sources say to the engine. It holds the sockets' side of a Table: locks, timers and the log.
+// Hub delivers what sources report to the engine. Its Sinks may be used from any goroutine; Run owns the deliveries.
 type Hub struct {
-	clock   engine.Clock
-	deliver func(engine.Event)
-	log     *slog.Logger
-	names   []string
-	wake    chan struct{} // holds one wake-up
-
-	mu    sync.Mutex
-	table *Table
-	heard bool // an update came that the engine has not been told of
-	lost  bool // a subscription ended
-	shown int  // the source that the log last named
+	clock       engine.Clock
+	deliver     func(engine.Event)
+	log         *slog.Logger
+	sourceNames []string
+	wake        chan struct{} // holds one wake-up
+
+	mu                sync.Mutex // guards what follows
+	table             *Table
+	updateReceived    bool // an update came of which the engine has not heard yet
+	subscriptionEnded bool // and so did the end of a subscription
+	loggedSource      int  // the active source that the log last named
 }
 
-// NewHub returns a hub for sources of these names, the preferred first, that hands events to deliver.
+// NewHub returns a hub for the sources of these names, the preferred first. It calls deliver from Run alone, one call at a time.
 func NewHub(o Options, names []string, c engine.Clock, deliver func(engine.Event), log *slog.Logger) *Hub {
-	return &Hub{clock: c, deliver: deliver, log: log, names: names, wake: make(chan struct{}, 1),
-		table: NewTable(o, len(names)), shown: none}
+	return &Hub{clock: c, deliver: deliver, log: log, sourceNames: names, wake: make(chan struct{}, 1),
+		table: NewTable(o, len(names)), loggedSource: noSource}
 }
 
-// Sink is the one for a source, by its place among the names.
-func (h *Hub) Sink(source int) Sink { return sink{h, source} }
+// Sink returns the sink of a source, by its index among the names.
+func (h *Hub) Sink(source int) Sink { return sourceSink{h, source} }
 
-type sink struct {
+// sourceSink is the Sink of one source.
+type sourceSink struct {
 	hub    *Hub
 	source int
 }
 
-func (s sink) Update(u Update) {
-	s.hub.change(func(now time.Duration) {
-		s.hub.heard = true
+func (s sourceSink) Update(u Update) {
+	s.hub.apply(func(now time.Duration) {
+		s.hub.updateReceived = true
 		s.hub.table.Update(now, s.source, u)
 	})
 }
 
-func (s sink) Disconnected(err error) {
-	s.hub.change(func(now time.Duration) {
+func (s sourceSink) Disconnected(err error) {
+	s.hub.apply(func(now time.Duration) {
 		if errors.Is(err, ErrUnsubscribed) {
-			s.hub.lost = true
+			s.hub.subscriptionEnded = true
 		}
 		s.hub.table.Disconnected(now, s.source)
 	})
 }
 
-func (h *Hub) change(f func(now time.Duration)) {
+// apply changes the table under the lock and wakes Run.
+func (h *Hub) apply(change func(now time.Duration)) {
 	h.mu.Lock()
-	f(h.clock.Now())
+	change(h.clock.Now())
 	h.mu.Unlock()
 	select {
 	case h.wake <- struct{}{}:
@@ -103,7 +108,7 @@
 	}
 }
 
-// Run tells the engine of changes until the context ends.
+// Run delivers changes to the engine until the context ends.
 func (h *Hub) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -114,48 +119,49 @@
 		case <-h.wake:
 		case <-timer.C:
 		}
-		for h.tell() {
+		for h.deliverBatch() {
 			if ctx.Err() != nil {
 				return
 			}
 		}
 		h.mu.Lock()
-		due, ok := h.table.NextTimer()
+		next, ok := h.table.NextTimer()
 		h.mu.Unlock()
 		if ok {
-			timer.Reset(max(due-h.clock.Now(), leastGap))
+			timer.Reset(max(next-h.clock.Now(), minBatchInterval))
 		}
-		Sleep(ctx, leastGap) // what comes meanwhile is told together
+		Sleep(ctx, minBatchInterval) // what comes meanwhile is delivered together
 	}
 }
 
-// tell hands the engine one part of what has changed. It reports whether there was any.
-func (h *Hub) tell() bool {
+// deliverBatch delivers one batch of changes and reports whether there was any. An update without a change is delivered too, as the
+// balancer counts lists.
+func (h *Hub) deliverBatch() bool {
 	h.mu.Lock()
 	h.table.Tick(h.clock.Now())
-	members := h.table.TakeChanges(partMost)
-	heard, lost, drop := h.heard, h.lost, h.table.DropRatio()
-	h.heard, h.lost = false, false
-	if active := h.table.Active(); active != h.shown {
-		h.shown = active
-		h.log.Info("the list of servers counts as told by", "source", h.names[active])
+	members := h.table.TakeChanges(maxBatchMembers)
+	hasUpdate, hasEnded, dropRatio := h.updateReceived, h.subscriptionEnded, h.table.DropRatio()
+	h.updateReceived, h.subscriptionEnded = false, false
+	if active := h.table.Active(); active != h.loggedSource {
+		h.loggedSource = active
+		h.log.Info("the list of servers counts as told by", "source", h.sourceNames[active])
 	}
 	h.mu.Unlock()
-	if heard || len(members) > 0 { // also without a change: the module counts lists
-		h.deliver(engine.EndpointUpdate{Members: members, Drop: drop})
+	if hasUpdate || len(members) > 0 {
+		h.deliver(engine.EndpointUpdate{Members: members, Drop: dropRatio})
 	}
-	if lost {
+	if hasEnded {
 		h.deliver(engine.EndpointsUnavailable{})
 	}
 	return len(members) > 0
 }
 
-// Sleep waits, or until the context ends.
+// Sleep waits for a time, or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,35 +13,36 @@
 	"appleledge/internal/engine"
 )
 
-// told is an event that a hub delivered, and when.
-type told struct {
+// deliveredEvent is an event that a hub delivered, and when.
+type deliveredEvent struct {
 	engine.Event
 	at time.Duration
 }
 
-// hub runs a hub in a bubble of driven time until the test ends.
-func hub(t *testing.T, sources ...string) (*Hub, func() []told, engine.Clock) {
+// startHub runs a hub in a bubble of driven time until the test ends.
+func startHub(t *testing.T, sources ...string) (*Hub, func() []deliveredEvent, engine.Clock) {
 	clock := engine.NewClock()
-	var events []told
-	h := NewHub(Options{}, sources, clock, func(ev engine.Event) { events = append(events, told{ev, clock.Now()}) }, slog.New(slog.DiscardHandler))
+	var events []deliveredEvent
+	h := NewHub(Options{}, sources, clock, func(ev engine.Event) { events = append(events, deliveredEvent{ev, clock.Now()}) }, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go h.Run(ctx)
-	return h, func() []told { synctest.Wait(); return events }, clock
+	return h, func() []deliveredEvent { synctest.Wait(); return events }, clock
 }
 
-// 1,000 small pushes a second are told together, and a drain among them waits no longer than the gap.
-func TestSmallPushesAreToldTogether(t *testing.T) {
+// A source pushes 1,000 small changes a second, one of which drains a server. They are delivered in batches, and the drain waits no
+// longer than the interval between two of them.
+func TestSmallUpdatesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, events, clock := hub(t, "s")
+		h, events, clock := startHub(t, "s")
 		to := h.Sink(0)
 		to.Update(Update{Full: true, Members: []engine.Member{member("drains", "d", balancer.Ready)}})
-		var drained time.Duration
+		var drainedAt time.Duration
 		for i := range 1000 {
 			time.Sleep(time.Millisecond)
 			to.Update(Update{Members: []engine.Member{member(fmt.Sprint("s", i), "a", balancer.Ready)}})
 			if i == 500 {
-				drained = clock.Now()
+				drainedAt = clock.Now()
 				to.Update(Update{Members: []engine.Member{member("drains", "d", balancer.Draining)}})
 			}
 		}
@@ -51,24 +52,24 @@
 		for _, ev := range all {
 			for _, m := range ev.Event.(engine.EndpointUpdate).Members {
 				if members++; m.State == balancer.Draining {
-					waited = ev.at - drained
+					waited = ev.at - drainedAt
 				}
 			}
 		}
 		if len(all) > 120 || members != 1002 {
 			t.Errorf("1,001 pushes in a second became %d events with %d members", len(all), members)
 		}
-		if waited < 0 || waited > 2*leastGap {
-			t.Errorf("the drain was told after %v", waited)
+		if waited < 0 || waited > 2*minBatchInterval {
+			t.Errorf("the drain was delivered after %v", waited)
 		}
 	})
 }
 
-// 10,000 changes in one push come in parts, between which requests are handled, and what ends comes first, also of an
-// earlier push that is not told yet.
-func TestLargePushComesInParts(t *testing.T) {
+// A source pushes 10,000 servers at once, then changes all of them, drains one and removes another. Each push is delivered in
+// batches, between which the engine handles requests. The drain and the removal come in the first batch.
+func TestLargeUpdateIsSplitAndEndingsComeFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, events, _ := hub(t, "s")
+		h, events, _ := startHub(t, "s")
 		var all []engine.Member
 		for i := range 10_000 {
 			all = append(all, member(fmt.Sprint("s", i), fmt.Sprint("a", i), balancer.Ready))
@@ -83,25 +84,26 @@
 		h.Sink(0).Update(Update{Full: true, Members: all[1:]})
 		time.Sleep(time.Second)
 		second := events()[first:]
-		if parts := (len(all) + partMost - 1) / partMost; first != parts && first != parts+1 || len(second) < parts {
-			t.Fatalf("%d and %d parts", first, len(second))
+		if batches := (len(all) + maxBatchMembers - 1) / maxBatchMembers; first != batches && first != batches+1 || len(second) < batches {
+			t.Fatalf("%d and %d batches", first, len(second))
 		}
 		for i, ev := range second {
-			part := ev.Event.(engine.EndpointUpdate).Members
-			if len(part) > partMost {
-				t.Errorf("%d members at a time", len(part))
+			batch := ev.Event.(engine.EndpointUpdate).Members
+			if len(batch) > maxBatchMembers {
+				t.Errorf("%d members at a time", len(batch))
 			}
-			if i == 0 && (part[0].State == balancer.Ready || part[1].State == balancer.Ready) {
-				t.Errorf("the part begins with %v and %v", part[0], part[1])
+			if i == 0 && (batch[0].State == balancer.Ready || batch[1].State == balancer.Ready) {
+				t.Errorf("the batch begins with %v and %v", batch[0], batch[1])
 			}
 		}
 	})
 }
 
-// What the module has to hear of lists comes through: also one without a change, and the end of a subscription.
-func TestSubscriptionsAreToldOf(t *testing.T) {
+// A source reports a list without a change, then a failed call, then the end of its subscription. The engine hears of the list and
+// of the end of the subscription; the failed call is the source's own matter.
+func TestHubDeliversUnchangedListsAndEndedSubscriptions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h, events, _ := hub(t, "s")
+		h, events, _ := startHub(t, "s")
 		h.Sink(0).Update(Update{Full: true})
 		time.Sleep(time.Second)
 		h.Sink(0).Disconnected(errors.New("a call failed"))
