--- a/internal/membership/platform/golden_test.go
+++ b/internal/membership/platform/golden_test.go
@@ -84,7 +84,8 @@
 	return head, nil
 }
 
-// A pushed list from the committed answers: what the sink is told, what is asked, and what is logged.
+// A pushed list goes through a change, a drain, a removal and invalid entries, as in the committed answers. The sink receives each as
+// an update; the bytes of the calls and the log are the committed ones.
 func TestGoldenPushedList(t *testing.T) {
 	addr, asked := goldenAnswers(t, map[string]string{"": "full", "41": "change", "42": "drain", "43": "removal", "44": "malformed"})
 	var log agenttest.LockedBuffer
@@ -92,7 +93,7 @@
 	to := agenttest.NewSink()
 	d := New(Options{Addr: addr, Zones: []string{"edinburgh-dc", "lerwick-dc"}}, engine.ManualClock(&now),
 		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
-	follow(t, d, to)
+	runUntilTestEnds(t, d, to)
 	first := engine.Member{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: balancer.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000123 * time.Millisecond}}
 	second := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5, Started: 1764580000456 * time.Millisecond}}
 	third := engine.Member{Addr: "10.0.0.3:8003", Kind: "octo-core", Server: balancer.Server{ID: "s-3", State: balancer.Draining, Zone: -1, Cell: 3, Weight: 3.5}}
@@ -106,7 +107,7 @@
 		{Members: []engine.Member{{Server: balancer.Server{ID: "s-2", State: balancer.Removed, Zone: -1}}}},
 		{Members: []engine.Member{second}, Retained: []string{"s-5", "s-6", "s-7"}},
 	} {
-		if got := next(t, to); !reflect.DeepEqual(got, want) {
+		if got := nextUpdate(t, to); !reflect.DeepEqual(got, want) {
 			t.Errorf("update %d:\n got  %+v\n want %+v", i, got, want)
 		}
 	}
@@ -115,40 +116,40 @@
 	golden.Equal(t, "platform/pushed.log", []byte(log.String()))
 }
 
-// An asked list: how long a watch waits is drawn, so the number is left out.
-func TestGoldenAskedList(t *testing.T) {
+// An on-demand list is fetched and polled. The bytes of the calls are the committed ones, but for the waits of polls, which are random.
+func TestGoldenOnDemandList(t *testing.T) {
 	addr, asked := goldenAnswers(t, map[string]string{"": "full", "41": "nothing"})
 	var now time.Duration
 	d := New(Options{Addr: addr, OnDemand: true}, engine.ManualClock(&now), slog.New(slog.DiscardHandler))
-	follow(t, d, agenttest.NewSink())
+	runUntilTestEnds(t, d, agenttest.NewSink())
 	d.Subscribe()
 	agenttest.Eventually(t, "the call that gets no answer", func() bool { return strings.Contains(asked(), "since=44") })
 	golden.Equal(t, "platform/asked_requests.txt", []byte(regexp.MustCompile(`timeout_ms=\d+`).ReplaceAllString(asked(), "timeout_ms=N")))
 }
 
-// What is logged when discovery is out of reach and back, when the clock is off, and when nothing is said of a whole list.
+// What is logged when discovery is out of reach and back, when the clock is off, and when a call for a whole list brings changes.
 func TestGoldenLog(t *testing.T) {
 	var log agenttest.LockedBuffer
 	var now time.Duration
 	d := New(Options{Addr: "127.0.0.1:1", UsesServerClock: true, CachedList: listing.List{Version: 40}}, engine.ManualClock(&now),
 		slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})))
-	d.to = agenttest.NewSink()
-	d.outOfReach(context.DeadlineExceeded)
+	d.sink = agenttest.NewSink()
+	d.logUnreachable(context.DeadlineExceeded)
 	full, err := listing.Parse(golden.Read(t, "listing/full.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, a := range []answer{
-		{whole: true, list: full, date: "Thu, 01 Jan 1970 01:00:00 GMT"},
-		{whole: true, list: listing.List{Version: 42}},
+	for _, a := range []response{
+		{isFullListCall: true, list: full, date: "Thu, 01 Jan 1970 01:00:00 GMT"},
+		{isFullListCall: true, list: listing.List{Version: 42}},
 		{list: listing.List{Version: 40}},
 		{err: http.ErrServerClosed},
 	} {
-		if err := d.taken(a); err != nil {
+		if err := d.handleResponse(a); err != nil {
 			fmt.Fprintln(&log, err)
 		}
 	}
-	fmt.Fprintln(&log, d.catchUp()) // the query of a call for what is new now
+	fmt.Fprintln(&log, d.catchUpQuery()) // the query of a call for what is new now
 	golden.Equal(t, "platform/outage.log", []byte(log.String()))
 }
 
--- /dev/null
+++ b/internal/membership/platform/ondemand.go
@@ -0,0 +1,96 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"appleledge/internal/membership"
+)
+
+// Times of an on-demand list. What discovery lists counts as told 4 s after a new configuration and 6 s after any other call that
+// failed, and an answer may take 2 s.
+const (
+	defaultMaxWatchTimeout       = 20 * time.Second        // a poll waits from a fifth of it up to all of it, at random
+	onDemandWatchResponseTimeout = 800 * time.Millisecond  // for an answer, past that wait
+	repeatedCallResponseTimeout  = 1600 * time.Millisecond // for an answer to a poll that is repeated at once
+	defaultMaxBackoff            = 3500 * time.Millisecond // after a call that failed
+)
+
+// runOnDemand polls whenever the balancer subscribes, until the context ends.
+func (d *Discovery) runOnDemand(ctx context.Context) {
+	for ctx.Err() == nil {
+		if !d.repeatsCall && !d.awaitSubscription(ctx) {
+			return
+		}
+		err := d.followOnDemand(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		if errors.Is(err, errPossiblyMissed) && !d.repeatsCall {
+			d.repeatsCall = true
+			continue
+		}
+		d.repeatsCall = false
+		d.logUnreachable(err)
+		d.sink.Disconnected(fmt.Errorf("%w: %w", membership.ErrUnsubscribed, err))
+	}
+}
+
+// awaitSubscription waits until the list is to be polled: when the balancer subscribes, or, after a call that failed, by the time at
+// which a change would count as told. False means that the context has ended.
+func (d *Discovery) awaitSubscription(ctx context.Context) bool {
+	var backoffOver <-chan time.Time
+	if d.isUnreachable && d.hasEndpoints {
+		timer := time.NewTimer(d.onDemandBackoff())
+		defer timer.Stop()
+		backoffOver = timer.C
+	}
+	select {
+	case <-d.subscriptions:
+	case <-backoffOver:
+	case <-ctx.Done():
+		return false
+	}
+	return true
+}
+
+// onDemandBackoff draws how long an on-demand list is left alone after a call that failed. Most agents then poll for changes alone, which
+// costs discovery little. The first pause after an address change is the half, as the whole list counts as told sooner there.
+func (d *Discovery) onDemandBackoff() time.Duration {
+	limit := d.maxBackoff
+	if d.isFirstCallAfterMove {
+		limit, d.isFirstCallAfterMove = limit/2, false
+	}
+	return limit/2 + rand.N(limit/2)
+}
+
+// followOnDemand fetches the whole list, unless changes of the one that is held are enough, then polls for changes until a call fails
+// or a change was missed.
+func (d *Discovery) followOnDemand(ctx context.Context) error {
+	if d.watchVersion < 0 {
+		if err := d.call(ctx, "", 0); err != nil {
+			return err
+		}
+	}
+	if d.repeatsCall {
+		if err := d.call(ctx, watchQuery(d.watchVersion, 0), 0); err != nil {
+			return err
+		}
+	}
+	for {
+		previous, start, wait := d.watchVersion, time.Now(), d.drawWatchTimeout()
+		if err := d.call(ctx, watchQuery(d.watchVersion, wait), wait); err != nil {
+			return err
+		}
+		d.delayEarlyWatch(ctx, previous, start, wait)
+	}
+}
+
+// drawWatchTimeout draws how long the next poll may wait for changes. Polls that begin together, as the first ones of all agents may, must
+// not end together: if they all fell silent, all agents would call again at the same moment.
+func (d *Discovery) drawWatchTimeout() time.Duration {
+	return d.maxWatchTimeout/5 + rand.N(d.maxWatchTimeout*4/5)
+}
--- a/internal/membership/platform/platform_test.go
+++ b/internal/membership/platform/platform_test.go
@@ -22,24 +22,25 @@
 	"appleledge/internal/membership/listing"
 )
 
-// follower is a discovery client whose updates a test reads.
-func follower(t *testing.T, url string, log io.Writer) (*Discovery, agenttest.Sink) {
+// newTestDiscovery returns a client whose updates a test reads.
+func newTestDiscovery(t *testing.T, url string, log io.Writer) (*Discovery, agenttest.Sink) {
 	t.Helper()
 	h := agenttest.NewSink()
 	d := New(Options{Addr: url, Zones: []string{"edinburgh-dc"}}, engine.NewClock(), slog.New(slog.NewTextHandler(log, nil)))
-	d.to = h
+	d.sink = h
 	return d, h
 }
 
-// follow runs it until the test ends.
-func follow(t *testing.T, d *Discovery, to agenttest.Sink) {
+// runUntilTestEnds runs a client until the test ends.
+func runUntilTestEnds(t *testing.T, d *Discovery, to agenttest.Sink) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { d.Run(ctx, to); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
 }
 
-func next(t *testing.T, h agenttest.Sink) membership.Update {
+// nextUpdate waits for the next update.
+func nextUpdate(t *testing.T, h agenttest.Sink) membership.Update {
 	t.Helper()
 	select {
 	case u := <-h.Updates:
@@ -50,20 +51,21 @@
 	return membership.Update{}
 }
 
-func TestFollowsChanges(t *testing.T) {
+// A list of two servers changes: one drains, then is removed. Each change is delivered by a poll, and the whole list is fetched once.
+func TestWatchDeliversChanges(t *testing.T) {
 	f := agenttest.NewDiscovery(t, 41, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0), agenttest.EntryText("s-2", "127.0.0.1:2", "Ready", 5))
-	d, events := follower(t, f.Addr().String(), io.Discard)
-	follow(t, d, events)
-	if l := next(t, events); !l.Full || len(l.Members) != 2 || l.Members[0].Addr != "127.0.0.1:1" || l.Members[1].Started == 0 ||
+	d, events := newTestDiscovery(t, f.Addr().String(), io.Discard)
+	runUntilTestEnds(t, d, events)
+	if l := nextUpdate(t, events); !l.Full || len(l.Members) != 2 || l.Members[0].Addr != "127.0.0.1:1" || l.Members[1].Started == 0 ||
 		l.Members[0].Started != 0 {
 		t.Errorf("%+v", l)
 	}
 	f.Set(43, false, agenttest.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
-	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Draining {
+	if l := nextUpdate(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Draining {
 		t.Errorf("%+v", l)
 	}
 	f.Set(44, false, agenttest.EntryText("s-1", "", "Gone", 0))
-	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Removed {
+	if l := nextUpdate(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != balancer.Removed {
 		t.Errorf("%+v", l)
 	}
 	if wholes, _ := f.Calls(); wholes != 1 {
@@ -71,25 +73,27 @@
 	}
 }
 
-// Watches go on back to back: a later call would be a new watch, and what changed meanwhile might be missed.
-func TestWatchesGoOn(t *testing.T) {
+// Nothing changes for a while. Polls go on back to back and deliver nothing: discovery would take a later call for a new poll, and what
+// changed in between might be missed.
+func TestWatchesFollowWithoutAGap(t *testing.T) {
 	f := agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
-	d, events := follower(t, f.Addr().String(), io.Discard)
-	follow(t, d, events)
-	next(t, events)
+	d, events := newTestDiscovery(t, f.Addr().String(), io.Discard)
+	runUntilTestEnds(t, d, events)
+	nextUpdate(t, events)
 	agenttest.Eventually(t, "a second watch", func() bool { _, n := f.Calls(); return n > 1 })
 	if len(events.Updates) > 0 {
 		t.Error("a watch without news brought some")
 	}
 }
 
-// In an outage the last list stands; the silence is noticed, and the first list after it is a whole one.
-func TestOutage(t *testing.T) {
+// Discovery falls silent and comes back with another list. Meanwhile the last list stays in force and the outage is logged; the first
+// list after it is a whole one.
+func TestListStaysInForceDuringOutage(t *testing.T) {
 	f := agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	var log agenttest.LockedBuffer
-	d, events := follower(t, f.Addr().String(), &log)
-	follow(t, d, events)
-	next(t, events)
+	d, events := newTestDiscovery(t, f.Addr().String(), &log)
+	runUntilTestEnds(t, d, events)
+	nextUpdate(t, events)
 	f.Silence(true)
 	agenttest.Eventually(t, "the silence is noticed", func() bool { return log.Count("out of reach") == 1 })
 	if len(events.Updates) > 0 {
@@ -97,7 +101,7 @@
 	}
 	f.Set(5, true, agenttest.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
 	f.Silence(false)
-	if l := next(t, events); !l.Full || len(l.Members) != 1 || l.Members[0].ID != "s-2" {
+	if l := nextUpdate(t, events); !l.Full || len(l.Members) != 1 || l.Members[0].ID != "s-2" {
 		t.Errorf("%+v", l)
 	}
 	if log.Count("discovery is back") != 1 {
@@ -105,16 +109,17 @@
 	}
 }
 
-// An older list than the one held, such as a late answer or an agent restored from a newer one, changes nothing.
-func TestVersionsOnlyGoForward(t *testing.T) {
-	d, events := follower(t, agenttest.Refusing(t), io.Discard)
+// Lists come with versions that go up and down, as from a late answer or a discovery that was restored from a backup. One that is older
+// than the list held changes nothing.
+func TestOlderVersionsAreIgnored(t *testing.T) {
+	d, events := newTestDiscovery(t, agenttest.Refusing(t), io.Discard)
 	takes := func(text string, whole bool) error {
 		t.Helper()
 		l, err := listing.Parse([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return d.take(l, whole)
+		return d.applyList(l, whole)
 	}
 	ready := agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
 	for _, step := range []struct {
@@ -140,26 +145,26 @@
 			<-events.Updates
 		}
 	}
-	if d.version != 9 {
-		t.Errorf("version %d", d.version)
+	if d.heldVersion != 9 {
+		t.Errorf("version %d", d.heldVersion)
 	}
 }
 
-// After a restart discovery's list comes before the known one, which may name what has gone; the known one is used
-// where discovery does not answer, and any list from discovery is newer then, whatever its version.
-func TestKnownListIsTheSecondChoice(t *testing.T) {
+// An agent restarts with a cached list, which may name servers that have gone. Discovery's list comes first where it answers. The cached
+// one is used where it does not, and any list of discovery is newer then, whatever its version.
+func TestCachedListIsUsedOnlyWithoutAnAnswer(t *testing.T) {
 	f := agenttest.NewDiscovery(t, 3, agenttest.EntryText("s-new", "127.0.0.1:1", "Ready", 0))
-	known, err := listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:2", "Ready", 0))))
+	cachedList, err := listing.Parse([]byte(agenttest.ListText(41, true, agenttest.EntryText("s-old", "127.0.0.1:2", "Ready", 0))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, ids := range map[string][]string{"answers": {"s-new"}, "is silent at first": {"s-old", "s-new"}} {
-		d, events := follower(t, f.Addr().String(), io.Discard)
-		d.known = known
+		d, events := newTestDiscovery(t, f.Addr().String(), io.Discard)
+		d.cachedList = cachedList
 		f.Silence(len(ids) > 1)
-		follow(t, d, events)
+		runUntilTestEnds(t, d, events)
 		for _, want := range ids {
-			if l := next(t, events); len(l.Members) != 1 || l.Members[0].ID != want {
+			if l := nextUpdate(t, events); len(l.Members) != 1 || l.Members[0].ID != want {
 				t.Errorf("%s: %+v, want %s", name, l, want)
 			}
 			f.Silence(false)
@@ -167,10 +172,11 @@
 	}
 }
 
-// A malformed entry neither spoils the list nor takes its backend from it, and is logged once.
-func TestMalformedEntries(t *testing.T) {
+// A list has entries with unknown states, no address and wrong types. The valid entries are used, the endpoints of the invalid ones
+// stay as they were, and one line is logged.
+func TestInvalidEntriesAreSkippedAndRetained(t *testing.T) {
 	var log agenttest.LockedBuffer
-	d, events := follower(t, agenttest.Refusing(t), &log)
+	d, events := newTestDiscovery(t, agenttest.Refusing(t), &log)
 	for i, entries := range [][]string{
 		{agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0), agenttest.EntryText("s-2", "127.0.0.1:2", "Ready", 0)},
 		{agenttest.EntryText("s-1", "127.0.0.1:1", "Asleep", 0), agenttest.EntryText("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
@@ -180,29 +186,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := d.take(l, true); err != nil {
+		if err := d.applyList(l, true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	<-events.Updates
 	var ids []string
-	u := next(t, events)
+	u := nextUpdate(t, events)
 	for _, m := range u.Members {
 		ids = append(ids, m.ID)
 	}
 	if got := strings.Join(ids, " "); got != "s-4" || !slices.Contains(u.Retained, "s-1") {
-		t.Errorf("the list is %q, and %q stand", got, u.Retained)
+		t.Errorf("the list is %q, and %q are retained", got, u.Retained)
 	}
 	if n := log.Count("malformed"); n != 1 {
 		t.Errorf("%d lines in the log", n)
 	}
 }
 
-// Where the list must be asked for, the module says when; a failed call is told to it.
-func TestAskedDiscovery(t *testing.T) {
-	d, events := follower(t, agenttest.Refusing(t), io.Discard)
-	d.asked = true
-	follow(t, d, events)
+// The balancer subscribes and the call fails. The sink hears that the subscription has ended, as the balancer decides when to call again.
+func TestOnDemandFailureEndsSubscription(t *testing.T) {
+	d, events := newTestDiscovery(t, agenttest.Refusing(t), io.Discard)
+	d.onDemand = true
+	runUntilTestEnds(t, d, events)
 	d.Subscribe()
 	select {
 	case err := <-events.Losses:
@@ -210,24 +216,24 @@
 			t.Error(err)
 		}
 	case <-time.After(agenttest.Patience):
-		t.Fatal("the failure was not told")
+		t.Fatal("the failure was not reported")
 	}
 }
 
-// Where the list is subscribed to, the new discovery is asked without waiting for the module, whose subscription
-// was with the old one.
-func TestMoveOfAnAskedDiscovery(t *testing.T) {
+// Discovery moves while the agent is subscribed. The new one is called without waiting for the balancer, whose subscription was with
+// the old one.
+func TestAddressChangeKeepsOnDemandSubscription(t *testing.T) {
 	f := agenttest.NewDiscovery(t, 1, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
-	d, events := follower(t, agenttest.Refusing(t), &agenttest.LockedBuffer{})
-	d.asked = true
-	follow(t, d, events)
+	d, events := newTestDiscovery(t, agenttest.Refusing(t), &agenttest.LockedBuffer{})
+	d.onDemand = true
+	runUntilTestEnds(t, d, events)
 	d.SetAddress(f.Addr().String())
-	if l := next(t, events); len(l.Members) != 1 {
+	if l := nextUpdate(t, events); len(l.Members) != 1 {
 		t.Errorf("%+v", l)
 	}
 }
 
-// A discovery that answers every watch at once with the same list is told on, and fills no log.
+// A discovery answers every poll at once with the same list. It is delivered each time, and logged once.
 func TestSameListIsLoggedOnce(t *testing.T) {
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		besteffort.IgnoreResult(io.WriteString(w, agenttest.ListText(1, true, agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0))))
@@ -236,19 +242,19 @@
 	go func() { besteffort.Ignore(srv.Serve(l)) }()
 	t.Cleanup(func() { besteffort.Close(srv) })
 	var log agenttest.LockedBuffer
-	d, events := follower(t, l.Addr().String(), &log)
-	follow(t, d, events)
+	d, events := newTestDiscovery(t, l.Addr().String(), &log)
+	runUntilTestEnds(t, d, events)
 	for range 4 {
-		next(t, events)
+		nextUpdate(t, events)
 	}
 	if n := log.Count("list of backends"); n != 1 {
 		t.Errorf("logged %d times", n)
 	}
 }
 
-// A call that began in an outage hangs on when that is over, as far as a call may. The next one begins beside it, so that the list is not
-// late by what the first one has left.
-func TestCallsThatHangAreNotWaitedFor(t *testing.T) {
+// Discovery hangs, and calls of that time hang on when it is back. The next call begins beside them, so that the new list comes at once;
+// calls that are not needed any more are ended.
+func TestHungCallDoesNotDelayTheNext(t *testing.T) {
 	var mu sync.Mutex
 	mute, hang, most := false, 0, 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -278,9 +284,9 @@
 		besteffort.IgnoreResult(io.WriteString(w, agenttest.ListText(version, true, agenttest.EntryText(fmt.Sprint("s-", version), "127.0.0.1:1", "Ready", 0))))
 	}))
 	t.Cleanup(server.Close)
-	d, events := follower(t, strings.TrimPrefix(server.URL, "http://"), io.Discard)
-	follow(t, d, events)
-	next(t, events)
+	d, events := newTestDiscovery(t, strings.TrimPrefix(server.URL, "http://"), io.Discard)
+	runUntilTestEnds(t, d, events)
+	nextUpdate(t, events)
 	set := func(is bool) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -293,7 +299,7 @@
 		return most > 1
 	})
 	set(false)
-	agenttest.Eventually(t, "the list of now", func() bool { l := next(t, events); return l.Members[0].ID == "s-5" })
+	agenttest.Eventually(t, "the list of now", func() bool { l := nextUpdate(t, events); return l.Members[0].ID == "s-5" })
 	agenttest.Eventually(t, "calls that are not wanted any more end", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
@@ -304,47 +310,47 @@
 	}
 }
 
-// hanging is a discovery of which some calls hang until they are given up, and which says whether another one came beside them.
-type hanging struct {
+// hangingDiscovery lets one call hang until it is given up, and records the calls beside it.
+type hangingDiscovery struct {
 	*httptest.Server
-	mu     sync.Mutex
-	hangs  func(query string) bool // the first such call does, however many others a slow machine brings
-	answer func(query string) string
-	hung   bool
-	told   bool // changes were asked for and told
-	open   int  // calls that hang
-	beside []string
-	slowly bool // an answer's head comes, and nothing behind it
+	mu               sync.Mutex
+	hangs            func(query string) bool // the first such call does, however many others a slow machine brings
+	answer           func(query string) string
+	hasHung          bool
+	hasAnsweredWatch bool // a poll has been answered
+	hangingCalls     int  // calls that hang
+	concurrentCalls  []string
+	sendsPartOfBody  bool // the first byte of a body comes, and no more
 }
 
-func newHanging(t *testing.T, hangs func(query string) bool, answer func(query string) string) *hanging {
-	h := &hanging{hangs: hangs, answer: answer}
+func newHangingDiscovery(t *testing.T, hangs func(query string) bool, answer func(query string) string) *hangingDiscovery {
+	h := &hangingDiscovery{hangs: hangs, answer: answer}
 	h.Server = httptest.NewServer(h)
 	t.Cleanup(h.Close)
 	return h
 }
 
-func (h *hanging) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *hangingDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
-	hangs := !h.hung && h.hangs(r.URL.RawQuery)
-	h.hung = h.hung || hangs
-	over := h.told
-	h.told = h.told || !hangs && r.URL.RawQuery != ""
-	if h.open > 0 {
-		h.beside = append(h.beside, r.URL.RawQuery)
+	hangs := !h.hasHung && h.hangs(r.URL.RawQuery)
+	h.hasHung = h.hasHung || hangs
+	over := h.hasAnsweredWatch
+	h.hasAnsweredWatch = h.hasAnsweredWatch || !hangs && r.URL.RawQuery != ""
+	if h.hangingCalls > 0 {
+		h.concurrentCalls = append(h.concurrentCalls, r.URL.RawQuery)
 	}
 	if hangs {
-		h.open++
+		h.hangingCalls++
 	}
 	h.mu.Unlock()
 	if hangs {
-		if h.slowly {
+		if h.sendsPartOfBody {
 			besteffort.IgnoreResult(io.WriteString(w, "{"))
 			besteffort.Ignore(http.NewResponseController(w).Flush())
 		}
 		<-r.Context().Done()
 		h.mu.Lock()
-		h.open--
+		h.hangingCalls--
 		h.mu.Unlock()
 		return
 	}
@@ -355,17 +361,16 @@
 	besteffort.IgnoreResult(io.WriteString(w, h.answer(r.URL.RawQuery)))
 }
 
-// asked are the calls that came while another one hung.
-func (h *hanging) asked() []string {
+// recordedConcurrentCalls returns the queries of calls that came while another one hung.
+func (h *hangingDiscovery) recordedConcurrentCalls() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.beside)
+	return slices.Clone(h.concurrentCalls)
 }
 
-// A pushed list is asked for anew while a call hangs, whichever call that is: the first one of a process, the first one after a
-// move, a watch that was open when discovery fell silent, or an answer that has begun and does not go on. What is new counts as
-// told at once.
-func TestNoCallThatHangsIsWaitedFor(t *testing.T) {
+// One call hangs: the first of a process or after an address change, a poll, or an answer whose body never comes. The next call begins
+// beside it and brings the drain that discovery lists meanwhile.
+func TestEveryKindOfHungCallIsOvertaken(t *testing.T) {
 	ready := agenttest.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
 	whole, drains := agenttest.ListText(7, true, ready), agenttest.ListText(8, false, agenttest.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
 	for name, tt := range map[string]struct {
@@ -382,37 +387,37 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHanging(t, func(query string) bool { return (query == "since=7&timeout_ms=300") == tt.watch }, func(query string) string {
+			h := newHangingDiscovery(t, func(query string) bool { return (query == "since=7&timeout_ms=300") == tt.watch }, func(query string) string {
 				if query == "" {
 					return whole
 				}
 				return drains
 			})
-			h.slowly = tt.slowly
+			h.sendsPartOfBody = tt.slowly
 			at := strings.TrimPrefix(h.URL, "http://")
-			d, events := follower(t, at, io.Discard)
-			d.answerIn, d.bodyIn = time.Hour, time.Hour // the call hangs on, however late the machine runs
+			d, events := newTestDiscovery(t, at, io.Discard)
+			d.responseTimeout, d.bodyTimeout = time.Hour, time.Hour // the call hangs on, however late the machine runs
 			if tt.moved {
-				d.addr, d.at = agenttest.Refusing(t), "" // where it is before
-				follow(t, d, events)
+				d.targetAddr, d.sessionAddr = agenttest.Refusing(t), "" // where it is before
+				runUntilTestEnds(t, d, events)
 				d.SetAddress(at)
 			} else {
-				follow(t, d, events)
+				runUntilTestEnds(t, d, events)
 			}
 			for {
-				if u := next(t, events); !u.Full && u.Members[0].State == balancer.Draining {
+				if u := nextUpdate(t, events); !u.Full && u.Members[0].State == balancer.Draining {
 					break
 				}
 			}
-			if got := h.asked(); !slices.Contains(got, tt.want) {
+			if got := h.recordedConcurrentCalls(); !slices.Contains(got, tt.want) {
 				t.Errorf("beside the call that hung came %q, want %q", got, tt.want)
 			}
 		})
 	}
 }
 
-// Calls that fail at once come no faster than the pause allows, and those that hang are few beside each other.
-func TestCallsInAnOutageAreBounded(t *testing.T) {
+// Every call hangs. Calls begin no faster than the backoff allows, and only a few hang beside each other.
+func TestRetriesDuringOutageAreBounded(t *testing.T) {
 	var mu sync.Mutex
 	open, most := 0, 0
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -426,16 +431,16 @@
 		mu.Unlock()
 	}))
 	t.Cleanup(server.Close)
-	d, events := follower(t, strings.TrimPrefix(server.URL, "http://"), io.Discard)
+	d, events := newTestDiscovery(t, strings.TrimPrefix(server.URL, "http://"), io.Discard)
 	began := time.Now()
-	follow(t, d, events)
+	runUntilTestEnds(t, d, events)
 	agenttest.Eventually(t, "some calls are given up", func() bool { return d.Counts().Failed >= 4 })
 	mu.Lock()
 	defer mu.Unlock()
-	if beside := int(callTimeout/retryPause) + 1; most > beside || most < 2 {
+	if beside := int(defaultResponseTimeout/minRetryBackoff) + 1; most > beside || most < 2 {
 		t.Errorf("%d calls beside each other, %d at the most", most, beside)
 	}
-	if n, could := d.Counts().FullLists, uint64(time.Since(began)/retryPause)+1; n > could {
+	if n, could := d.Counts().FullLists, uint64(time.Since(began)/minRetryBackoff)+1; n > could {
 		t.Errorf("%d calls in a time for %d", n, could)
 	}
 }
--- a/internal/membership/platform/dated_test.go
+++ b/internal/membership/platform/serverclock_test.go
@@ -11,14 +11,14 @@
 	"appleledge/internal/membership/listing"
 )
 
-// Whatever the wall clock says after a loss of power, a start is as long ago as discovery's clock has it; without a date, or on the
-// platform's own days, the own clock counts.
-func TestStartsByDiscoverysClock(t *testing.T) {
+// After a loss of power the agent's wall clock is off. A server's start is as long ago as discovery's clock has it; where the answers
+// have no date, or the option is off, the own clock counts.
+func TestStartTimesUseServerClock(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		off       time.Duration
 		date      bool
-		dated     bool
+		isEnabled bool
 		corrected bool
 	}{
 		{"the clock is right", 0, true, true, true},
@@ -27,18 +27,18 @@
 		{"an hour behind", -time.Hour, true, true, true},
 		{"at 1970", -time.Since(time.Unix(0, 0)), true, true, true},
 		{"an hour ahead, and no date", time.Hour, false, true, false},
-		{"an hour ahead, on the platform's days", time.Hour, true, false, false},
+		{"an hour ahead, option off", time.Hour, true, false, false},
 	} {
 		clk := engine.NewClock().WithOffset(c.off)
-		d := New(Options{Addr: "127.0.0.1:1", UsesServerClock: c.dated}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		d := New(Options{Addr: "127.0.0.1:1", UsesServerClock: c.isEnabled}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		now := time.Now()
 		if c.date {
-			d.time(now.UTC().Format(http.TimeFormat))
-			d.time(now.Add(time.Hour).UTC().Format(http.TimeFormat)) // the first one stands
+			d.adoptServerClock(now.UTC().Format(http.TimeFormat))
+			d.adoptServerClock(now.Add(time.Hour).UTC().Format(http.TimeFormat)) // the first one counts
 		} else {
-			d.time("")
+			d.adoptServerClock("")
 		}
-		members, _ := d.reader.Decode(listing.List{Servers: []listing.Entry{{ID: "s", Addr: "127.0.0.1:2", State: listing.StateReady,
+		members, _ := d.decoder.Decode(listing.List{Servers: []listing.Entry{{ID: "s", Addr: "127.0.0.1:2", State: listing.StateReady,
 			StartedMS: now.Add(-20 * time.Second).UnixMilli()}}})
 		ago := clk.Now() - members[0].Started
 		if !c.corrected {
@@ -50,18 +50,19 @@
 	}
 }
 
-// AgentCount that are all without discovery do not call it more often together than it can answer, and none forgets it.
-func TestCallsInAnOutageAreSpread(t *testing.T) {
+// All agents are without discovery at once. Together they call it no more often than it can answer, and none waits so long that it
+// misses its return.
+func TestRetryBackoffScalesWithAgentCount(t *testing.T) {
 	for _, agents := range []int{0, 1, 20, 300, 10_000} {
 		d := New(Options{Addr: "127.0.0.1:1", AgentCount: agents}, engine.NewClock(), slog.New(slog.DiscardHandler))
 		var sum, longest time.Duration
 		const looks = 2000
 		for range looks {
-			p := d.retry()
+			p := d.retryBackoff()
 			sum, longest = sum+p, max(longest, p)
 		}
 		mean := sum / looks
-		if rate := float64(agents) / mean.Seconds(); agents <= 80 && rate > 1.1*retryRate || longest > 2*retryMost || mean < retryPause*9/10 {
+		if rate := float64(agents) / mean.Seconds(); agents <= 80 && rate > 1.1*maxRetriesPerSecond || longest > 2*maxMeanRetryBackoff || mean < minRetryBackoff*9/10 {
 			t.Errorf("%d agents: %.0f calls a second, the longest pause is %v", agents, rate, longest)
 		}
 	}
