--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -144,7 +144,7 @@
 		took := now - c.arrivedAt
 		t.totals.Latencies[c.Class].Count++
 		t.totals.Latencies[c.Class].Sum += took
-		t.windows[c.Class].Add(now, took)
+		t.windows[c.Class].Record(now, took)
 	}
 }
 
