--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -6,6 +6,7 @@
 
 	"appleledge/internal/admission"
 	"appleledge/internal/balancer"
+	"appleledge/internal/fleet/recovery"
 )
 
 // AdmissionController decides which calls are let in to the balancer. Its methods are called on the engine's goroutine and must
@@ -22,6 +23,12 @@
 // classRetuner is an AdmissionController that takes the classes, by number, when they change.
 type classRetuner interface{ Retune([]admission.Class) }
 
+// The engine looks for Retune at run time: a controller without it would keep the old classes unnoticed.
+var (
+	_ classRetuner = (*admission.Controller)(nil)
+	_ classRetuner = (*recovery.Controller)(nil)
+)
+
 // SetAdmission sets what is asked before the balancer. It is called before Run.
 func (e *Engine) SetAdmission(a AdmissionController) { e.admission = a }
 
--- a/internal/engine/affinity_test.go
+++ b/internal/engine/affinity_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"log/slog"
+	"slices"
 	"testing"
 	"time"
 
@@ -13,7 +14,7 @@
 	"appleledge/internal/generation"
 )
 
-// recordingLog keeps what it is told.
+// recordingLog records what is appended, and makes nothing durable.
 type recordingLog struct{ records []affinity.Record }
 
 func (l *recordingLog) Append(r affinity.Record) BindingCommit {
@@ -21,7 +22,7 @@
 	return nil
 }
 
-// bindingFixture is an engine with ties, in front of two servers in each of two pods.
+// bindingFixture is an engine with bindings, in front of two servers in each of two pods.
 type bindingFixture struct {
 	*Engine
 	now       time.Duration
@@ -57,19 +58,16 @@
 }
 
 // call brings a refund, and returns its attempt, if it has one, and its answers.
-func (x *bindingFixture) call(key string, caller Responder) (*Attempt, *recordingResponder) {
-	heard := &recordingResponder{}
-	if caller == nil {
-		caller = heard
-	}
+func (x *bindingFixture) call(key string) (*Attempt, *recordingResponder) {
+	answers := &recordingResponder{}
 	x.lastID++
 	before := len(x.transport.attempts)
 	x.Handle(CallArrived(&Call{ID: fmt.Sprint(x.lastID), Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: x.now + deadline, IdempotencyKey: key,
-		Transport: x.transport, Responder: caller}))
+		Transport: x.transport, Responder: answers}))
 	if len(x.transport.attempts) == before {
-		return nil, heard
+		return nil, answers
 	}
-	return x.transport.attempts[before], heard
+	return x.transport.attempts[before], answers
 }
 
 // setEndpoints brings the list, as an EndpointUpdate event does, without firing timers.
@@ -81,8 +79,9 @@
 
 func cellOf(a *Attempt) int { return int(a.Server[1]-'0') / 2 }
 
-// A repeat under another id goes to the pod of the first try while that may have run, and is failed, never refused, where it
-// can't: after the window, when the pod drains or is gone, when a limit, a door or a full processor would turn it away.
+// A client repeats a request under another id while its first attempt may have run. The repeat goes to the pod of the first. Where
+// it can't (after the window, when the pod drains or is gone, when a limit would reject it) it is failed, never rejected: a
+// rejection would promise that trying again is harmless.
 func TestRepeatGoesToPodOfEarlierAttempt(t *testing.T) {
 	zero := 0
 	limited := func(x *bindingFixture) {
@@ -108,15 +107,15 @@
 		first            balancer.Result
 		want             string
 	}{
-		"at once":                       {nothing, nothing, balancer.TimedOut, "same pod"},
-		"while the first is out":        {nothing, nothing, -1, "same pod"},
-		"of one that was served":        {nothing, nothing, balancer.OK, "same pod"},
-		"of one that never ran":         {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Draining)[:2]}) }, balancer.Rejected, "other pod"},
-		"after the window":              {nothing, func(x *bindingFixture) { x.now += window }, balancer.TimedOut, "failed"},
-		"whose pod drains":              {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Draining)[:2]}) }, balancer.TimedOut, "failed"},
-		"whose pod is gone":             {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Removed)[:2]}) }, balancer.TimedOut, "failed"},
-		"that the door would turn away": {func(x *bindingFixture) { x.SetAdmission(x.admission) }, func(x *bindingFixture) { x.admission.closed = true }, balancer.TimedOut, "same pod"},
-		"that a limit would turn away":  {limited, limit, balancer.TimedOut, "failed"},
+		"at once":                     {nothing, nothing, balancer.TimedOut, "same pod"},
+		"while the first is out":      {nothing, nothing, -1, "same pod"},
+		"of one that was served":      {nothing, nothing, balancer.OK, "same pod"},
+		"of one that never ran":       {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Draining)[:2]}) }, balancer.Rejected, "other pod"},
+		"after the window":            {nothing, func(x *bindingFixture) { x.now += window }, balancer.TimedOut, "failed"},
+		"whose pod drains":            {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Draining)[:2]}) }, balancer.TimedOut, "failed"},
+		"whose pod is gone":           {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Removed)[:2]}) }, balancer.TimedOut, "failed"},
+		"that admission would reject": {func(x *bindingFixture) { x.SetAdmission(x.admission) }, func(x *bindingFixture) { x.admission.closed = true }, balancer.TimedOut, "same pod"},
+		"that a limit would reject":   {limited, limit, balancer.TimedOut, "failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 8 { // draws are by chance
@@ -128,30 +127,30 @@
 					far[i].State = balancer.Draining
 				}
 				x.setEndpoints(EndpointUpdate{Members: far})
-				first, _ := x.call("k", nil)
+				first, _ := x.call("k")
 				if first == nil || cellOf(first) != 0 {
 					t.Fatalf("the first went to %+v", first)
 				}
 				x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Ready)[2:]})
 				if tt.first >= 0 {
-					first.Call.Close() // its client has left: no further attempt of its own
+					first.Call.Close() // its client has left: no retry of its own
 					x.endAttempt(first, tt.first)
 				}
 				tt.meanwhile(x)
-				again, heard := x.call("k", nil)
+				again, answers := x.call("k")
 				got := "nothing"
 				switch {
 				case again != nil && cellOf(again) == 0:
 					got = "same pod"
 				case again != nil:
 					got = "other pod"
-				case len(*heard) == 1 && (*heard)[0].Kind == Failed:
+				case len(*answers) == 1 && (*answers)[0].Kind == Failed:
 					got = "failed"
 				}
 				if got != tt.want {
-					t.Fatalf("%s, want %s; answers %+v", got, tt.want, *heard)
+					t.Fatalf("%s, want %s; answers %+v", got, tt.want, *answers)
 				}
-				if stranger, _ := x.call("another key", nil); tt.want != "failed" && stranger == nil && !x.admission.closed {
+				if stranger, _ := x.call("another key"); tt.want != "failed" && stranger == nil && !x.admission.closed {
 					t.Error("another key is held up")
 				}
 			}
@@ -159,10 +158,10 @@
 	}
 }
 
-// A full processor refuses what is new, and fails what may have run under another id.
+// A server at capacity rejects what is new, and fails what may have run under another id.
 func TestCallAtCapacityFailsIfBoundElseIsRejected(t *testing.T) {
 	x := newBindingFixture(t, func(x *bindingFixture) { x.SetOutcomeCache(10, time.Minute) })
-	first, _ := x.call("k", nil)
+	first, _ := x.call("k")
 	first.Call.Close()
 	x.endAttempt(first, balancer.TimedOut)
 	for key, want := range map[string]AnswerKind{"k": Failed, "new": Rejected} {
@@ -174,30 +173,30 @@
 	}
 }
 
-// What is kept: a tie before it is sent, and that it never ran.
+// A binding is logged before its attempt is sent, and again when the attempt can't have run.
 func TestBindingsAreLoggedBeforeSendAndAfterEnd(t *testing.T) {
 	x := newBindingFixture(t, func(*bindingFixture) {})
-	a, _ := x.call("k", nil)
+	a, _ := x.call("k")
 	if len(x.log.records) != 1 || x.log.records[0].Kind != affinity.RecordBound || int(x.log.records[0].Pod) != cellOf(a) {
 		t.Fatalf("%+v", x.log.records)
 	}
 	a.Call.Close()
 	x.endAttempt(a, balancer.ConnectFailed)
-	b, _ := x.call("k", nil)
+	b, _ := x.call("k")
 	x.endAttempt(b, balancer.OK)
 	var kinds []affinity.RecordKind
 	for _, r := range x.log.records {
 		kinds = append(kinds, r.Kind)
 	}
-	if fmt.Sprint(kinds) != fmt.Sprint([]affinity.RecordKind{affinity.RecordBound, affinity.RecordUnbound, affinity.RecordBound, affinity.RecordServed}) {
-		t.Errorf("kept are %v", kinds)
+	if !slices.Equal(kinds, []affinity.RecordKind{affinity.RecordBound, affinity.RecordUnbound, affinity.RecordBound, affinity.RecordServed}) {
+		t.Errorf("logged are %v", kinds)
 	}
 	y := newBindingFixture(t, func(*bindingFixture) {})
 	y.Handle(BindingsRestored{x.log.records})
-	if again, _ := y.call("k", nil); again == nil || cellOf(again) != cellOf(b) {
+	if again, _ := y.call("k"); again == nil || cellOf(again) != cellOf(b) {
 		t.Errorf("after a restart %+v, and it went to %s", again, b.Server)
 	}
-	if c := y.stats().Affinity; c.Restored != 2 || c.Hits != 1 || c.Entries != 1 { // two have begun, one of which never ran
+	if c := y.stats().Affinity; c.Restored != 2 || c.Hits != 1 || c.Entries != 1 { // two were bound, one of which was unbound
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/engine/answers.go
+++ b/internal/engine/answers.go
@@ -69,7 +69,7 @@
 // forget drops a call that is closed. While attempts are in flight it is kept: the balancer still learns from their outcomes.
 func (e *Engine) forget(c *Call) {
 	if c.closed.Load() && c.inFlight == 0 && e.calls[c.ID] == c {
-		e.releaseGeneration(c, generation.ClientCanceled) // one that was closed by Call.Close has told nobody
+		e.releaseGeneration(c, generation.ClientCanceled) // one that was closed by Call.Close still holds its binding
 		e.counters.forgotten(c)
 		delete(e.calls, c.ID)
 		c.release()
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -50,7 +50,7 @@
 	mayHaveRunSince time.Duration  // when the first attempt was sent that may have run; 0 without one
 	external        ExternalCaller // the responder, where it is one
 	lastAttempt     *Attempt       // the latest attempt of an external caller's call
-	arrivedAt       time.Duration  // when the engine was told of it
+	arrivedAt       time.Duration  // when the engine got its arrival
 	isCountedOpen   bool           // counters has it as open
 	isFlight        bool           // it stands for coalesced calls, and is no client's own
 	member          *coalesce.Member[*Call]
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -42,7 +42,7 @@
 	Latencies []LatencyStats                    // of served calls, by class, where they are kept
 }
 
-// LatencyStats says how long calls took, from when the engine was told of them.
+// LatencyStats says how long calls took, from when the engine got their arrival.
 type LatencyStats struct {
 	Count     uint64 // since the engine was made
 	Sum       time.Duration
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,8 +8,8 @@
 	"appleledge/internal/balancer"
 )
 
-// Backends drop a keyed request's repeats for its window only, counted from the first attempt that may have run:
-// a later one whose dial outlasts the window must not be written any more.
+// Servers drop repeats under an idempotency key for its window only, counted from the first attempt that may have run. A retry
+// whose dial outlasts the window must not be written any more: it would run twice.
 func TestRetryWriteDeadlineEndsWithIdempotencyWindow(t *testing.T) {
 	const deadline, window = 9 * time.Second, 2 * time.Second
 	for name, c := range map[string]struct {
@@ -19,8 +19,8 @@
 	}{
 		"may have run": {window, balancer.Reset, time.Second + window},
 		"never ran":    {window, balancer.ConnectFailed, deadline},
-		"turned away":  {window, balancer.Rejected, deadline},
-		"not keyed":    {0, balancer.Reset, deadline},
+		"rejected":     {window, balancer.Rejected, deadline},
+		"no window":    {0, balancer.Reset, deadline},
 	} {
 		r := &Call{Deadline: deadline, IdempotencyWindow: c.window}
 		first := r.newAttempt(balancer.Action{Server: "b"}, time.Second)
@@ -30,7 +30,7 @@
 		r.attemptEnded(first, c.first)
 		second := r.newAttempt(balancer.Action{Server: "b"}, 2*time.Second)
 		if second.WriteDeadline != c.want || second.Number != 1 || second.Deadline != deadline || r.inFlight != 1 {
-			t.Errorf("%s: %+v with %d out", name, second, r.inFlight)
+			t.Errorf("%s: %+v with %d in flight", name, second, r.inFlight)
 		}
 	}
 }
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -11,7 +11,7 @@
 	"appleledge/internal/generation"
 )
 
-// Event is something that the engine's goroutine is told. The set of types is closed: those of this file, and Outcome.
+// Event is a message to the engine's goroutine. The set of types is closed: those of this file, and Outcome.
 type Event interface{ event() }
 
 // Events of calls.
--- a/internal/engine/external.go
+++ b/internal/engine/external.go
@@ -188,7 +188,7 @@
 }
 
 // abandon ends what an external caller has left. As long as no attempt was handed over nothing is gained by keeping the call;
-// else a further attempt may come, and must be told from a new request.
+// else a further attempt may come, and must be distinguished from a new request.
 func (x *externalCalls) abandon(left abandoned) {
 	c := x.engine.calls[left.id]
 	if c == nil || c.external != left.by {
--- a/internal/engine/external_test.go
+++ b/internal/engine/external_test.go
@@ -23,25 +23,25 @@
 
 func (incarnation) IsIncarnation() {}
 
-// noPool is a fleet that needs no connections.
+// noPool is a ServerPool without connections.
 type noPool struct{}
 
 func (noPool) Update(_ bool, members []Member) int   { return len(members) }
 func (noPool) Incarnation(server string) Incarnation { return incarnation(server) }
 func (noPool) Close()                                {}
 
-// proxied is a chooser that keeps what it is told.
+// fakeProxy is an ExternalCaller that records what it is told, and checks each attempt against the model.
 type fakeProxy struct {
 	model    *lifecycleModel
 	id       string
-	attempt  *Attempt // out with it
+	attempt  *Attempt // the latest that was handed over
 	answers  []Answer
 	released int
 }
 
 func (p *fakeProxy) HandOver(a *Attempt) {
 	if p.attempt != nil && !p.attempt.ended {
-		p.model.t.Fatalf("%s: a second attempt while one is out", p.id)
+		p.model.t.Fatalf("%s: a second attempt while one is in flight", p.id)
 	}
 	if len(p.answers) > 0 {
 		p.model.t.Fatalf("%s: an attempt after the final answer", p.id)
@@ -53,14 +53,14 @@
 func (p *fakeProxy) Answer(a Answer) { p.answers = append(p.answers, a) }
 func (p *fakeProxy) Released()       { p.released++ }
 
-// run is an attempt that may have had its effect. An attempt counts as one from when it was made until it is known not to
-// have been sent or not to have run.
+// possibleRun is an attempt that may have had its effect. An attempt counts as one from when it was made until it is known not
+// to have been sent or not to have run.
 type possibleRun struct {
 	attempt       *Attempt
 	serverUnknown bool // at another server, nobody knows which
 }
 
-// machine drives an engine by hand, without its goroutine, and checks the rules as it goes.
+// lifecycleModel drives an engine by hand, without its goroutine, and checks what is sent against what may have run.
 type lifecycleModel struct {
 	t          *rapid.T
 	engine     *Engine
@@ -68,7 +68,7 @@
 	mayHaveRun map[string][]*possibleRun // by id
 	class      map[string]int
 
-	pools   map[uint64][]int // cells that requests may go to, by generation; without an entry all
+	pools   map[uint64][]int // cells that requests may go to, by generation; all where there is no entry
 	boundTo map[*Call]uint64 // generations
 }
 
@@ -95,7 +95,7 @@
 	e.SetOutcomeCache(1000, retention)
 	e.Start()
 	m := &lifecycleModel{t: t, engine: e, mayHaveRun: map[string][]*possibleRun{}, class: map[string]int{}, pools: map[uint64][]int{}, boundTo: map[*Call]uint64{}}
-	if rapid.Bool().Draw(t, "governed") {
+	if rapid.Bool().Draw(t, "generations") {
 		names := generation.Names{}
 		for _, c := range testClasses() {
 			names.Classes = append(names.Classes, generation.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
@@ -181,7 +181,7 @@
 	}
 }
 
-// sent checks an attempt against what may have run before.
+// checkAttempt checks an attempt against what may have run before, and records it.
 func (m *lifecycleModel) checkAttempt(p *fakeProxy, a *Attempt) {
 	m.checkBinding(a)
 	for _, before := range m.mayHaveRun[p.id] {
@@ -197,14 +197,14 @@
 	m.mayHaveRun[p.id] = append(m.mayHaveRun[p.id], &possibleRun{attempt: a})
 }
 
-// forgetAttempt takes an attempt back, unless its end was told before.
+// forgetAttempt records that a proxy's attempt can't have run, unless its outcome was known before.
 func (m *lifecycleModel) forgetAttempt(p *fakeProxy) {
 	if a := p.attempt; a != nil && !a.ended {
 		m.mayHaveRun[p.id] = slices.DeleteFunc(m.mayHaveRun[p.id], func(r *possibleRun) bool { return r.attempt == a })
 	}
 }
 
-// settle lets what is due come in.
+// settle lets the engine handle what is queued and due.
 func (m *lifecycleModel) settle() {
 	synctest.Wait()
 	for len(m.engine.events) > 0 {
@@ -213,7 +213,7 @@
 	m.engine.fireTimers()
 }
 
-// pass lets time go by, in steps as the engine would wake.
+// advance lets time go by, in steps as the engine would wake.
 func (m *lifecycleModel) advance(d time.Duration) {
 	for ; d > 0; d -= 25 * time.Millisecond {
 		time.Sleep(min(d, 25*time.Millisecond))
@@ -221,7 +221,7 @@
 	}
 }
 
-// arrive brings a try under an id: a new one, or one that was there.
+// arrive brings a call under a new id or a known one.
 func (m *lifecycleModel) arrive() {
 	id := fmt.Sprint(rapid.IntRange(0, 5).Draw(m.t, "id"))
 	class, known := m.class[id]
@@ -240,7 +240,7 @@
 	m.engine.dispatch(callArrived{call})
 }
 
-// any returns a try that was there, or nil.
+// anyProxy returns one of the proxies so far, or nil.
 func (m *lifecycleModel) anyProxy() *fakeProxy {
 	if len(m.proxies) == 0 {
 		return nil
@@ -248,7 +248,7 @@
 	return rapid.SampledFrom(m.proxies).Draw(m.t, "which")
 }
 
-// end ends the attempt that a try has, in any way.
+// endAttempt ends the attempt of a proxy, with any outcome.
 func (m *lifecycleModel) endAttempt() {
 	p := m.anyProxy()
 	if p == nil || p.attempt == nil {
@@ -256,17 +256,17 @@
 	}
 	result := rapid.SampledFrom([]balancer.Result{balancer.OK, balancer.Failed, balancer.Rejected, balancer.ConnectFailed, balancer.Reset,
 		balancer.Cancelled, balancer.TimedOut}).Draw(m.t, "result")
-	elsewhere := rapid.IntRange(0, 9).Draw(m.t, "elsewhere") == 0
+	fromOther := rapid.IntRange(0, 9).Draw(m.t, "elsewhere") == 0
 	switch {
 	case p.attempt.ended:
-	case elsewhere:
+	case fromOther:
 		for _, r := range m.mayHaveRun[p.id] {
 			r.serverUnknown = r.serverUnknown || r.attempt == p.attempt
 		}
 	case result == balancer.Rejected, result == balancer.ConnectFailed:
 		m.forgetAttempt(p)
 	}
-	m.engine.dispatch(Outcome{Attempt: p.attempt, Result: result, Report: balancer.NoReport, FromOtherServer: elsewhere})
+	m.engine.dispatch(Outcome{Attempt: p.attempt, Result: result, Report: balancer.NoReport, FromOtherServer: fromOther})
 }
 
 func (m *lifecycleModel) check() {
@@ -277,14 +277,15 @@
 	}
 	for id, c := range m.engine.calls {
 		if c.inFlight > 1 {
-			m.t.Fatalf("%s has %d attempts out", id, c.inFlight)
+			m.t.Fatalf("%s has %d attempts in flight", id, c.inFlight)
 		}
 	}
 }
 
-// However tries, ends, give-ups, lists and time follow each other: one attempt at a time; what may have run is sent again
-// only within its class, group and window, also when it comes again after its final answer; each chooser is answered at
-// most once and released exactly once; and when the time of all is over nothing is held any more.
+// Proxies send calls under a few ids, end, reject and abandon attempts, while the endpoint list and the configuration change and
+// time passes, in any order. A request has one attempt at a time. One that may have run is sent again only as its class allows:
+// in the same pod and window, or never, also when it comes again after its final answer. Each proxy is answered at most once and
+// released exactly once, and when every deadline has passed the engine holds nothing.
 func TestExternalCallsNeverRunTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
@@ -292,7 +293,7 @@
 			rt.Repeat(map[string]func(*rapid.T){
 				"arrive": func(rt *rapid.T) { m.t = rt; m.arrive() },
 				"end":    func(rt *rapid.T) { m.t = rt; m.endAttempt() },
-				"unusable": func(rt *rapid.T) {
+				"reject": func(rt *rapid.T) {
 					if m.t = rt; len(m.proxies) > 0 {
 						if p := m.anyProxy(); p.attempt != nil && !p.attempt.ended {
 							m.forgetAttempt(p)
@@ -300,11 +301,11 @@
 						}
 					}
 				},
-				"give up": func(rt *rapid.T) {
+				"abandon": func(rt *rapid.T) {
 					if m.t = rt; len(m.proxies) > 0 {
 						p := m.anyProxy()
 						if c := m.engine.calls[p.id]; c != nil && c.external == p {
-							m.forgetAttempt(p) // else another try has taken over, and what it has goes on
+							m.forgetAttempt(p) // else another proxy has taken over, and its attempt goes on
 						}
 						m.engine.dispatch(abandoned{p.id, p})
 					}
@@ -334,28 +335,29 @@
 	})
 }
 
-// A request of which one try may have run stays known when the next try gives up before it holds an attempt: as a new
-// request it could run again anywhere.
+// One attempt of a request may have run. The proxy that retries it is gone before it gets its attempt. The request must stay
+// known: as a new request it could run again anywhere.
 func TestAbandonedRetryKeepsEarlierAttempt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newLifecycleModel(rt)
 		m.class["0"] = 1
-		call := func(p *fakeProxy, try int) *Call {
-			return &Call{ID: "0", Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: m.engine.clock.Now() + deadline, Responder: p, CallerAttempt: try}
+		call := func(p *fakeProxy, attempt int) *Call {
+			return &Call{ID: "0", Class: 1, Effect: balancer.IdempotentByKey, IdempotencyWindow: window, Deadline: m.engine.clock.Now() + deadline, Responder: p, CallerAttempt: attempt}
 		}
 		first, second, third := &fakeProxy{model: m, id: "0"}, &fakeProxy{model: m, id: "0"}, &fakeProxy{model: m, id: "0"}
 		m.engine.dispatch(callArrived{call(first, 1)})
 		if first.attempt == nil {
 			return // no server was ready
 		}
-		m.engine.dispatch(callArrived{call(second, 2)}) // the first is overtaken, and may have run
+		m.engine.dispatch(callArrived{call(second, 2)}) // takes over from the first, whose attempt may have run
 		m.forgetAttempt(second)
 		m.engine.dispatch(abandoned{"0", second})
 		m.engine.dispatch(callArrived{call(third, 3)})
 	})
 }
 
-// What another server did teaches nothing of the chosen one: a proxy that goes its own way must not get a server shunned.
+// A proxy sends requests to another server than the chosen one, and reports that this failed. The chosen server must not be ejected
+// for it: it still gets its part of the requests.
 func TestOutcomeOfOtherServerIsNotCountedForChosenServer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newLifecycleModel(rt)
--- a/internal/engine/golden_texts_test.go
+++ b/internal/engine/golden_texts_test.go
@@ -7,7 +7,7 @@
 	"appleledge/internal/golden"
 )
 
-// Names of what is counted by kind, and the quantiles of a tally.
+// Names of what is counted by kind, and the latency quantiles.
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
 	for i, kind := range []AnswerKind{Served, Rejected, Failed, Conflict} {
--- a/internal/outcomecache/outcomecache.go
+++ b/internal/outcomecache/outcomecache.go
@@ -1,105 +1,103 @@
 // Package outcomecache remembers how requests ended, for a while and in bounded memory. It decides what is forgotten and
-// when; it does no I/O and reads no clock.
+// when; it does no I/O and reads no clock: each call says what time it is.
 package outcomecache
 
 import "time"
 
-// Table remembers a value for each id. It holds at most so many ids and each for as long as it was told to; when it is
-// full the one that was put first goes, and Evicted counts it if its time was not over. It is not safe for concurrent
-// use.
+// Table remembers a value for each id, each until a stated time. It holds at most its capacity of ids: when it is full, the one
+// that was put longest ago is evicted. It is not safe for concurrent use.
 //
-// Invariants: order holds the ids of entries in the order of their puts, each with the number of its put; an entry
-// whose number differs was put again later. len(entries) <= most.
+// Invariants: insertions holds the ids of entries in the order in which they were put, each with the sequence number of its
+// put; an insertion whose sequence differs from its entry's is stale, as the id was put again later. len(entries) <= capacity.
 type Table[V any] struct {
-	most    int
-	number  uint64
-	entries map[string]entry[V]
-	order   []put // a queue; the first ones are dropped from its front
-	evicted uint64
+	capacity   int
+	sequence   uint64 // of the latest put
+	entries    map[string]entry[V]
+	insertions []insertion // a queue, oldest first
+	evicted    uint64
 }
 
 type entry[V any] struct {
-	value  V
-	until  time.Duration
-	number uint64
+	value    V
+	expires  time.Duration
+	sequence uint64
 }
 
-type put struct {
-	id     string
-	number uint64
+type insertion struct {
+	id       string
+	sequence uint64
 }
 
-// New returns a table of at most so many ids, at least 1.
-func New[V any](most int) *Table[V] {
-	return &Table[V]{most: max(1, most), entries: map[string]entry[V]{}}
+// New returns a table for at most capacity ids, at least 1.
+func New[V any](capacity int) *Table[V] {
+	return &Table[V]{capacity: max(1, capacity), entries: map[string]entry[V]{}}
 }
 
-// Put remembers the value until that time. What was remembered under the id is replaced.
-func (t *Table[V]) Put(now time.Duration, id string, value V, until time.Duration) {
-	t.age(now)
-	if _, known := t.entries[id]; !known && len(t.entries) >= t.most {
+// Put remembers the value until it expires, in the place of what was remembered under the id.
+func (t *Table[V]) Put(now time.Duration, id string, value V, expires time.Duration) {
+	t.dropExpired(now)
+	if _, known := t.entries[id]; !known && len(t.entries) >= t.capacity {
 		t.evicted++
-		t.dropFirst()
+		t.evictOldest()
 	}
-	t.number++
-	t.entries[id] = entry[V]{value, until, t.number}
-	t.order = append(t.order, put{id, t.number})
-	if len(t.order) > 2*t.most { // ids put again and again leave more stale puts than entries
-		t.compact()
+	t.sequence++
+	t.entries[id] = entry[V]{value, expires, t.sequence}
+	t.insertions = append(t.insertions, insertion{id, t.sequence})
+	if len(t.insertions) > 2*t.capacity { // ids that are put again and again leave more stale insertions than entries
+		t.dropStale()
 	}
 }
 
-// Get returns what is remembered of the id, if its time is not over.
+// Get returns what is remembered of the id, if it has not expired.
 func (t *Table[V]) Get(now time.Duration, id string) (value V, ok bool) {
-	t.age(now)
+	t.dropExpired(now)
 	e, ok := t.entries[id]
-	if !ok || now >= e.until {
+	if !ok || now >= e.expires {
 		return value, false
 	}
 	return e.value, true
 }
 
-// Len counts the ids.
+// Len returns the number of ids that are held.
 func (t *Table[V]) Len() int { return len(t.entries) }
 
-// Evicted counts the ids that were forgotten before their time, because the table was full.
+// Evicted counts the ids that were forgotten before they expired, because the table was full.
 func (t *Table[V]) Evicted() uint64 { return t.evicted }
 
-// age drops what is over from the front. An entry behind one that lasts longer waits for it, so that no put costs
-// more than what it drops.
-func (t *Table[V]) age(now time.Duration) {
-	for len(t.order) > 0 {
-		first := t.order[0]
-		e, ok := t.entries[first.id]
-		if ok && e.number == first.number {
-			if now < e.until {
+// dropExpired drops expired entries from the front of the queue. An entry behind one that expires later stays until that is
+// gone, so that a call costs no more than what it drops.
+func (t *Table[V]) dropExpired(now time.Duration) {
+	for len(t.insertions) > 0 {
+		oldest := t.insertions[0]
+		if e, ok := t.entries[oldest.id]; ok && e.sequence == oldest.sequence {
+			if now < e.expires {
 				return
 			}
-			delete(t.entries, first.id)
+			delete(t.entries, oldest.id)
 		}
-		t.order = t.order[1:]
+		t.insertions = t.insertions[1:]
 	}
 }
 
-// dropFirst forgets the id that was put first.
-func (t *Table[V]) dropFirst() {
-	for len(t.order) > 0 {
-		first := t.order[0]
-		t.order = t.order[1:]
-		if e, ok := t.entries[first.id]; ok && e.number == first.number {
-			delete(t.entries, first.id)
+// evictOldest forgets the id that was put longest ago.
+func (t *Table[V]) evictOldest() {
+	for len(t.insertions) > 0 {
+		oldest := t.insertions[0]
+		t.insertions = t.insertions[1:]
+		if e, ok := t.entries[oldest.id]; ok && e.sequence == oldest.sequence {
+			delete(t.entries, oldest.id)
 			return
 		}
 	}
 }
 
-// compact leaves only the puts that are in force.
-func (t *Table[V]) compact() {
-	kept := make([]put, 0, t.most)
-	for _, p := range t.order {
-		if e, ok := t.entries[p.id]; ok && e.number == p.number {
-			kept = append(kept, p)
+// dropStale leaves only the insertions of present entries.
+func (t *Table[V]) dropStale() {
+	current := make([]insertion, 0, t.capacity)
+	for _, p := range t.insertions {
+		if e, ok := t.entries[p.id]; ok && e.sequence == p.sequence {
+			current = append(current, p)
 		}
 	}
-	t.order = kept
+	t.insertions = current
 }
