--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -31,17 +31,17 @@
 	cli.Main("appleledge-extproc", extras)
 }
 
-func extras(f settings.File) (agent.Extras, error) {
+func extras(f settings.File) (agent.Features, error) {
 	with, err := cli.Membership(f, func(string) (agent.Source, error) { return controlPlane(f.Membership.XDS), nil })
 	if f.ExternalProcessor != nil {
-		with.Fronts = append(with.Fronts, processor(f, *f.ExternalProcessor))
+		with.DownstreamServers = append(with.DownstreamServers, processor(f, *f.ExternalProcessor))
 	}
 	return with, err
 }
 
 // controlPlane is the membership source of xDS, the one that package program does not hold.
 func controlPlane(set settings.XDS) agent.Source {
-	return agent.Source{Name: settings.SourceXDS, Sockets: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
+	return agent.Source{Name: settings.SourceXDS, Descriptors: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
 		return xds.New(xds.Options{
 			Server:              set.Server,
 			NodeID:              cmp.Or(set.Node, os.Getenv("PROXY_NAME"), "appleledge"),
@@ -61,17 +61,17 @@
 	}}
 }
 
-func processor(f settings.File, set settings.ExternalProcessor) agent.Front {
-	return agent.Front{
-		Name:    "external processor",
-		Sockets: set.MaxConnections + 1,
+func processor(f settings.File, set settings.ExternalProcessor) agent.DownstreamServer {
+	return agent.DownstreamServer{
+		Name:        "external processor",
+		Descriptors: set.MaxConnections + 1,
 		Open: func(c agent.Core) (func(context.Context) error, error) {
 			l, err := net.Listen("tcp", set.Listen)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", f.Where("external_processor.listen"), err)
 			}
 			s := extproc.New(extproc.Options{Settings: set, Engine: c.Engine, Clock: c.Clock, Rules: c.Rules, Pool: c.Pool,
-				ReportFields: c.Site.ReportFields, MaxDeadline: c.Longest, Log: c.Log})
+				ReportFields: c.Site.ReportFields, MaxDeadline: c.MaxDeadline, Log: c.Log})
 			return func(ctx context.Context) error { return s.Serve(ctx, l) }, nil
 		},
 	}
--- a/cmd/appleledge/main.go
+++ b/cmd/appleledge/main.go
@@ -12,7 +12,7 @@
 func main() { cli.Main("appleledge", extras) }
 
 // extras refuses what this command does not hold: merely to link gRPC takes 8 MB, and an agent may have 32.
-func extras(f settings.File) (with agent.Extras, err error) {
+func extras(f settings.File) (with agent.Features, err error) {
 	if f.ExternalProcessor != nil {
 		return with, fmt.Errorf("%s: the external processor is not a part of this command; run appleledge-extproc in its place",
 			f.Where("external_processor"))
--- a/cmd/appleledge/main_test.go
+++ b/cmd/appleledge/main_test.go
@@ -33,15 +33,15 @@
 		main()
 		return
 	}
-	cli.Main("appleledge", func(f settings.File) (agent.Extras, error) {
+	cli.Main("appleledge", func(f settings.File) (agent.Features, error) {
 		disk, err := cluster.OpenDisk(at)
 		if err != nil {
-			return agent.Extras{}, err
+			return agent.Features{}, err
 		}
 		with, err := extras(f)
-		with.Disk = disk
+		with.FS = disk
 		if err == nil {
-			with.ClockOff, err = time.ParseDuration(os.Getenv(cluster.ClockOff))
+			with.ClockOffset, err = time.ParseDuration(os.Getenv(cluster.ClockOff))
 		}
 		return with, err
 	})
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -31,7 +31,7 @@
 // TestMain lets the test binary stand in for the agent, in a process of its own that can be killed.
 func TestMain(m *testing.M) {
 	if os.Getenv("APPLELEDGE_AS_AGENT") != "" {
-		cli.Main("appleledge", func(settings.File) (agent.Extras, error) { return agent.Extras{}, nil })
+		cli.Main("appleledge", func(settings.File) (agent.Features, error) { return agent.Features{}, nil })
 		return
 	}
 	os.Exit(m.Run())
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -34,44 +34,44 @@
 const (
 	// New connections come for up to 0.4 s after the signal to end, and the platform kills 0.7 s after the longest
 	// deadline at the soonest, of which it counts 3 s (terms.LameDuck). The drain accepts for longer than the one and ends before the other.
-	acceptOn  = 550 * time.Millisecond
-	drainMost = 50 * time.Millisecond // past that deadline
+	drainAcceptDuration = 550 * time.Millisecond
+	drainMargin         = 50 * time.Millisecond // past that deadline
 
-	sweepEvery   = time.Second
-	spareSockets = 24 // for the listener, discovery, the runtime and files
-	backendShare = 0.45
-	silentMost   = 500 * time.Millisecond // for which a client may be silent before it makes room for others
-	largePart    = 4                      // of the memory limit, which large bodies may hold
-	leastSockets = 100                    // with fewer there is no point in running
-	mostSockets  = 4096                   // more are never needed, whatever the limit allows
+	idleSweepInterval      = time.Second
+	reservedDescriptors    = 24 // for the listener, discovery, the runtime and files
+	backendConnectionRatio = 0.45
+	silentClientTimeout    = 500 * time.Millisecond // for which a client may be silent before it makes room for others
+	largeBodyMemoryDivisor = 4                      // of the memory limit, which large bodies may hold
+	minDescriptors         = 100                    // with fewer there is no point in running
+	maxDescriptors         = 4096                   // more are never needed, whatever the limit allows
 )
 
 // Core is what further fronts are built on.
 type Core struct {
-	Engine   *engine.Engine
-	Clock    engine.Clock
-	Rules    requesthead.Checker
-	Pool     *connpool.Pool
-	Site     simwire.Site
-	Longest  func() time.Duration    // that any client waits, as the settings have it now
-	Peers    func() *gossip.Status   // how the other agents are seen; nil without [peers]
-	Overload func() *overload.Status // how it is handled together; nil without [overload]
-	Beside   func() bool             // another process of the agent lives, which may hold what this one needs
-	Log      *slog.Logger
+	Engine         *engine.Engine
+	Clock          engine.Clock
+	Rules          requesthead.Checker
+	Pool           *connpool.Pool
+	Site           simwire.Site
+	MaxDeadline    func() time.Duration    // that any client waits, as the settings have it now
+	GossipStatus   func() *gossip.Status   // how the other agents are seen; nil without [peers]
+	OverloadStatus func() *overload.Status // how it is handled together; nil without [overload]
+	HasSibling     func() bool             // another process of the agent lives, which may hold what this one needs
+	Log            *slog.Logger
 }
 
-// Front is a way in beside the platform's own.
-type Front struct {
-	Name    string
-	Sockets int // descriptors that it needs
+// DownstreamServer is a way in beside the platform's own.
+type DownstreamServer struct {
+	Name        string
+	Descriptors int // descriptors that it needs
 	// Open builds the front before the engine runs. What it returns serves until the context ends, and drains then.
 	Open func(Core) (serve func(context.Context) error, err error)
 }
 
 // Source is a way to find out who the servers are.
 type Source struct {
-	Name    string
-	Sockets int // descriptors that it needs
+	Name        string
+	Descriptors int // descriptors that it needs
 	// Open builds the source, which runs as long as the agent does. It is nil of the platform's list.
 	Open func(engine.Clock, simwire.Site, *slog.Logger) membership.Source
 }
@@ -79,74 +79,74 @@
 // Platform is the platform's own list as a Source. Without any other it is the only one.
 const Platform = "platform"
 
-// Extras are what the agent's own settings switch on beside what the platform wants.
-type Extras struct {
-	Fronts     []Front
-	Sources    []Source // the preferred first; none: the platform's list alone
-	Membership membership.Options
-	// Join says, for the classes of the platform's configuration, which requests are answered together; nil: none. An
+// Features are what the agent's own settings switch on beside what the platform wants.
+type Features struct {
+	DownstreamServers []DownstreamServer
+	Sources           []Source // the preferred first; none: the platform's list alone
+	Membership        membership.Options
+	// Coalescing says, for the classes of the platform's configuration, which requests are answered together; nil: none. An
 	// error is a setting that does not fit them.
-	Join     func([]balancer.Class) (Joins, error)
-	Storm    *Storm        // nil: storms are not noticed
-	Ties     *Ties         // nil: where refunds go is not remembered
-	Figures  time.Duration // between two lines of the log with what is counted; 0: none
-	Disk     atomicfile.FS // for what is kept; nil: the machine's
-	ClockOff time.Duration // of the wall clock, for tests: a loss of power may leave it anywhere
-	Peers    *Peers        // nil: the agent knows of no other
-	Overload *Overload     // nil: overload is handled alone
-	Recovery *Recovery     // nil: nothing is kept over a loss of power, and service returns by no plan
-	// Generations are configurations of the fleet that operators plan and apply; nil: none is in force.
-	Generations *Generations
-	// Memory limits the process to a part of the agent's memory, while another process of the agent runs; nil: nothing does.
-	Memory func(part float64)
+	Coalescing       func([]balancer.Class) (CoalescingOptions, error)
+	Admission        *AdmissionOptions // nil: storms are not noticed
+	Affinity         *AffinityOptions  // nil: where refunds go is not remembered
+	StatsLogInterval time.Duration     // between two lines of the log with what is counted; 0: none
+	FS               atomicfile.FS     // for what is kept; nil: the machine's
+	ClockOffset      time.Duration     // of the wall clock, for tests: a loss of power may leave it anywhere
+	Gossip           *GossipOptions    // nil: the agent knows of no other
+	Overload         *OverloadOptions  // nil: overload is handled alone
+	Recovery         *RecoveryOptions  // nil: nothing is kept over a loss of power, and service returns by no plan
+	// GenerationOptions are configurations of the fleet that operators plan and apply; nil: none is in force.
+	Generations *GenerationOptions
+	// SetMemoryShare limits the process to a part of the agent's memory, while another process of the agent runs; nil: nothing does.
+	SetMemoryShare func(part float64)
 
-	link *hotrestart.Link // to other processes of the agent; nil where there can be none
+	hotRestart *hotrestart.Link // to other processes of the agent; nil where there can be none
 }
 
-// Storm says how retry storms are noticed.
-type Storm struct {
-	Remember int           // requests that were not served, to know their repeats by
-	LogEvery time.Duration // between two lines while it is not calm
+// AdmissionOptions says how retry storms are noticed.
+type AdmissionOptions struct {
+	MaxRemembered int           // requests that were not served, to know their repeats by
+	LogInterval   time.Duration // between two lines while it is not calm
 }
 
-// Joins says which requests are answered together.
-type Joins struct {
-	Options  coalesce.Options
-	Apart    bool          // those of two tenants never are
-	LogEvery time.Duration // between two lines on what was joined
+// CoalescingOptions says which requests are answered together.
+type CoalescingOptions struct {
+	Groups       coalesce.Options
+	TenantsApart bool          // those of two tenants never are
+	LogInterval  time.Duration // between two lines on what was joined
 }
 
-func (x Extras) sockets() (n int) {
-	for _, f := range x.Fronts {
-		n += f.Sockets
+func (x Features) descriptors() (n int) {
+	for _, f := range x.DownstreamServers {
+		n += f.Descriptors
 	}
 	for _, s := range x.Sources {
-		n += s.Sockets
+		n += s.Descriptors
 	}
 	if x.Generations != nil {
 		n += admin.Sockets
 	}
-	if x.Ties != nil {
-		n += tieFiles
+	if x.Affinity != nil {
+		n += affinityDescriptors
 	}
 	if x.Recovery != nil {
-		n += recoveryFiles
+		n += recoveryDescriptors
 	}
-	if x.Peers != nil {
-		n += peerSockets
+	if x.Gossip != nil {
+		n += gossipDescriptors
 	}
 	return n
 }
 
 // Run serves until the context ends, then drains as the platform's restarts want it.
-func Run(ctx context.Context, cfg Config, reloads Reloads, log *slog.Logger, with Extras) error {
+func Run(ctx context.Context, cfg Config, reloads Reloads, log *slog.Logger, with Features) error {
 	if cfg.Operator != "" { // where operators call, they put new versions beside old ones
-		link, err := joinOthers(cfg, log)
+		link, err := joinSiblings(cfg, log)
 		if err != nil {
 			return fmt.Errorf("listening for clients: %w", err)
 		}
 		defer link.Close() // also where it never came to serving
-		with.link = link
+		with.hotRestart = link
 		return serve(ctx, cfg, reloads, link.Gate(), log, with)
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
@@ -157,7 +157,7 @@
 }
 
 // serve is Run on a listener that is open.
-func serve(ctx context.Context, cfg Config, reloads Reloads, listener net.Listener, log *slog.Logger, with Extras) error {
+func serve(ctx context.Context, cfg Config, reloads Reloads, listener net.Listener, log *slog.Logger, with Features) error {
 	defer besteffort.Close(listener)
 	policy, err := balancer.New(cfg.Site.Balancer, cfg.Seed)
 	if err != nil {
@@ -171,116 +171,116 @@
 	leaving, left := context.WithCancel(ctx) // from the beginning of the drain on, or where it never comes to serving
 	defer left()
 
-	toBackends, fromClients := shareSockets(cfg.Sockets - with.sockets() - cfg.operatorSockets())
-	clk := engine.NewClock().WithOffset(with.ClockOff)
+	toBackends, fromClients := splitConnections(cfg.Sockets - with.descriptors() - cfg.operatorDescriptors())
+	clk := engine.NewClock().WithOffset(with.ClockOffset)
 	conns := connpool.New(cfg.Site.ConnectTimeout, cfg.Site.ConnectionIdleTimeout, toBackends)
 	core := engine.New(policy, clk, conns, log)
-	keep, err := with.openKept(cfg, clk, log)
+	keep, err := with.openSnapshotStore(cfg, clk, log)
 	if err != nil {
 		return err
 	}
-	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, CachedList: keep.known(cfg.known), FirstListTimeout: keep.wait(),
+	seek := platform.Options{Addr: cfg.Discovery, Zones: cfg.Site.Zones, CachedList: keep.startupList(cfg.cachedList), FirstListTimeout: keep.firstListTimeout(),
 		OnDemand: cfg.Site.Balancer.Subscribe}
 	if with.Recovery != nil {
 		seek.UsesServerClock, seek.AgentCount = true, cfg.Site.Balancer.Balancers
 	}
 	disco := platform.New(seek, clk, log)
 	core.OnSubscribe(disco.Subscribe)
-	sources, names := with.open(disco, clk, cfg.Site, log)
+	sources, names := with.openSources(disco, clk, cfg.Site, log)
 	hub := membership.NewHub(with.Membership, names, clk, core.Post, log)
 	settled, rules := platformconfig.New(cfg.Site), &requesthead.ActiveRules{}
 	rules.Replace(settled.Rules())
-	others, err := with.openPeers(cfg, clk, log)
+	others, err := with.openGossip(cfg, clk, log)
 	if err != nil {
 		return err
 	}
-	var together *sharing // opened below
-	beside, err := open(with.Fronts, Core{Engine: core, Peers: statusOf(others), Overload: func() *overload.Status { return together.look() }, Clock: clk, Rules: rules, Pool: conns, Site: cfg.Site,
-		Longest: rules.MaxDeadline, Beside: func() bool { return with.link != nil && !with.link.Alone() }, Log: log})
+	var together *overloadComponent // opened below
+	beside, err := openDownstreamServers(with.DownstreamServers, Core{Engine: core, GossipStatus: statusOf(others), OverloadStatus: func() *overload.Status { return together.statusOrNil() }, Clock: clk, Rules: rules, Pool: conns, Site: cfg.Site,
+		MaxDeadline: rules.MaxDeadline, HasSibling: func() bool { return with.hotRestart != nil && !with.hotRestart.Alone() }, Log: log})
 	if err != nil {
 		return err
 	}
-	joined, err := with.join(core, cfg.Site.Balancer)
+	joined, err := with.openCoalescing(core, cfg.Site.Balancer)
 	if err != nil {
 		return err
 	}
-	tying, err := with.tie(core, clk, cfg, log)
+	tying, err := with.openAffinity(core, clk, cfg, log)
 	if err != nil {
 		return err
 	}
-	own := newSections(cfg.Site, with.Join)
-	own.atFront = joined
-	governed, err := with.govern(core, clk, cfg, own, log)
+	own := newClassUsers(cfg.Site, with.Coalescing)
+	own.coalescing = joined
+	governed, err := with.openGenerations(core, clk, cfg, own, log)
 	if err != nil {
 		return err
 	}
 	if tying != nil {
-		parts.Go(func() { tying.write(core.Done()) })
-		parts.Go(func() { tying.follow(inner) })
+		parts.Go(func() { tying.run(core.Done()) })
+		parts.Go(func() { tying.readSiblings(inner) })
 	}
 	if governed != nil {
 		parts.Go(func() { governed.run(ctx, core.Done(), log) })
 	}
 	var door recovery.Admitter
-	if with.Storm != nil {
-		door = newStorm(cfg, *with.Storm)
+	if with.Admission != nil {
+		door = newAdmissionController(cfg, *with.Admission)
 		core.SetAdmission(door)
-		parts.Go(func() { logStorms(inner, core, clk, with.Storm.LogEvery, log) })
+		parts.Go(func() { logAdmission(inner, core, clk, with.Admission.LogInterval, log) })
 	}
 	var rekey func() error
 	if others != nil {
-		core.SetGossip(with.heard(disco), others.Broadcast)
+		core.SetGossip(with.listIsCurrent(disco), others.Broadcast)
 		parts.Go(func() { others.Run(leaving, core) })
-		rekey = func() error { return others.ReloadKeys(with.Peers.KeyFile) }
+		rekey = func() error { return others.ReloadKeys(with.Gossip.KeyFile) }
 	}
-	together = with.openSharing(core, cfg, log)
+	together = with.openOverload(core, cfg, log)
 	if together != nil {
-		door = together.door
+		door = together.admission
 		if err := together.attach(others); err != nil {
 			return err
 		}
-		parts.Go(func() { together.tell(leaving, others) })
-		parts.Go(func() { together.say(inner, clk) })
+		parts.Go(func() { together.sendPayloads(leaving, others) })
+		parts.Go(func() { together.logChanges(inner, clk) })
 	}
 	if keep != nil {
-		keep.attach(core, clk, cfg, door, with.heard(disco), with.askFor())
+		keep.openRecovery(core, clk, cfg, door, with.listIsCurrent(disco), with.peerPollTime())
 	}
 	core.SetClassNames(cfg.Site.Balancer.Classes)
-	reloading := reload{clock: clk, core: core, disco: disco, terms: settled, rules: rules, keys: cfg.keys, own: own, peers: rekey, log: log}
+	reloading := reloader{clock: clk, core: core, discovery: disco, settings: settled, rules: rules, statedKeys: cfg.statedKeys, classUsers: own, reloadKeys: rekey, log: log}
 	var large *downstreamhttp1.LargeBodies
 	var crowd connlimit.Options
 	if cfg.Operator != "" { // the days on which operators call are those on which bodies are large
-		large = downstreamhttp1.NewLargeBodies(int64(cfg.MemoryMB<<20) / largePart)
+		large = downstreamhttp1.NewLargeBodies(int64(cfg.MemoryMB<<20) / largeBodyMemoryDivisor)
 		listener = large.TrackFraming(listener)
-		crowd.FirstRequestTimeout = silentMost
+		crowd.FirstRequestTimeout = silentClientTimeout
 	}
 	clients := connlimit.New(listener, fromClients, crowd)
 	ready := func() bool { return core.Ready() && ctx.Err() == nil }
-	var twin *upgrade
-	if with.link != nil {
-		twin = &upgrade{link: with.link, core: core, clock: clk, conns: conns, clients: clients, toBackends: toBackends, large: large,
-			fromClients: fromClients, memory: with.Memory, keep: keep}
+	var twin *restartHost
+	if with.hotRestart != nil {
+		twin = &restartHost{link: with.hotRestart, core: core, clock: clk, pool: conns, clients: clients, toBackends: toBackends, largeBodies: large,
+			fromClients: fromClients, setMemoryShare: with.SetMemoryShare, snapshots: keep}
 		ready = func() bool { return core.Ready() && ctx.Err() == nil && twin.serving.Load() }
 	}
-	operators, err := openToOperators(cfg, operating{core: core, reloads: &reloading.counts, link: with.link, ready: ready, keep: keep,
-		fleet: fleetView{cfg.Name, core, clk, keep, others, together}.calls()}, clk, log)
+	operators, err := openOperatorServer(cfg, operatedAgent{core: core, reloads: &reloading.counts, link: with.hotRestart, ready: ready, snapshots: keep,
+		fleetView: fleetView{cfg.Name, core, clk, keep, others, together}.handler()}, clk, log)
 	if err != nil {
 		return err
 	}
-	if with.Figures > 0 {
+	if with.StatsLogInterval > 0 {
 		core.TrackLatency(cfg.Site.Balancer.Classes)
-		look := counters{core, conns, disco}
-		parts.Go(func() { look.log(inner, with.Figures, log) })
+		look := statSources{core, conns, disco}
+		parts.Go(func() { look.logEvery(inner, with.StatsLogInterval, log) })
 	}
 	if keep != nil {
 		parts.Go(func() { keep.run(leaving) })
-		parts.Go(func() { keep.say(inner, clk) })
+		parts.Go(func() { keep.logRecovery(inner, clk) })
 	}
 	parts.Go(func() { core.Run(inner) })
 	if joined != nil {
-		parts.Go(func() { logJoins(inner, core, joined.logEvery, log) })
+		parts.Go(func() { logCoalescing(inner, core, joined.logInterval, log) })
 	}
-	parts.Go(func() { every(inner, sweepEvery, conns.Sweep) })
+	parts.Go(func() { callEvery(inner, idleSweepInterval, conns.Sweep) })
 	parts.Go(func() { hub.Run(inner) })
 	for i, source := range sources {
 		parts.Go(func() { source.Run(inner, hub.Sink(i)) })
@@ -288,8 +288,8 @@
 	parts.Go(func() { reloads.follow(inner, &reloading) })
 	var leave func() bool
 	if twin != nil {
-		leave = twin.leave
-		parts.Go(func() { with.link.Run(inner, twin) })
+		leave = twin.onDrain
+		parts.Go(func() { with.hotRestart.Run(inner, twin) })
 		parts.Go(func() { twin.becomeReady(inner, disco, log) })
 	}
 	if operators != nil {
@@ -309,23 +309,23 @@
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}},
 		MaxInFlight:         cfg.Site.MaxInFlight,
-		DrainAcceptDuration: cfg.acceptFor,
+		DrainAcceptDuration: cfg.drainAcceptDuration,
 		OnDrain:             leave,
 		LargeBodies:         large,
 		Log:                 log,
-		Coalescing:          joined.front(),
+		Coalescing:          joined.downstreamOptions(),
 	}, clients)
 	var fronts sync.WaitGroup
 	defer fronts.Wait() // before the engine stops: what they hold is still answered
 	for i, serveFront := range beside {
 		fronts.Go(func() {
 			if err := serveFront(ctx); err != nil { // the platform's own front goes on
-				log.Error("a front has ended", "front", with.Fronts[i].Name, "error", err)
+				log.Error("a front has ended", "front", with.DownstreamServers[i].Name, "error", err)
 			}
 		})
 	}
 	return front.Serve(ctx, func() (usually, longest time.Duration) {
-		if longest = platformconfig.LameDuck(rules.MaxDeadline()) + drainMost; cfg.linger {
+		if longest = platformconfig.LameDuck(rules.MaxDeadline()) + drainMargin; cfg.servesKeptConnections {
 			return rules.LatencyObjective(), longest
 		}
 		return longest, longest
@@ -333,7 +333,7 @@
 }
 
 // heard says whether the list is one of now: a source other than the platform's tells nothing from before.
-func (x Extras) heard(disco *platform.Discovery) func() bool {
+func (x Features) listIsCurrent(disco *platform.Discovery) func() bool {
 	if len(x.Sources) > 0 && x.Sources[0].Name != Platform {
 		return func() bool { return true }
 	}
@@ -341,7 +341,7 @@
 }
 
 // open opens the sources of members, the platform's list among them.
-func (x Extras) open(platform membership.Source, c engine.Clock, site simwire.Site, log *slog.Logger) (sources []membership.Source, names []string) {
+func (x Features) openSources(platform membership.Source, c engine.Clock, site simwire.Site, log *slog.Logger) (sources []membership.Source, names []string) {
 	if len(x.Sources) == 0 {
 		return []membership.Source{platform}, []string{Platform}
 	}
@@ -356,7 +356,7 @@
 }
 
 // open opens the fronts beside the platform's own. Their listeners close when they have served, or with the process.
-func open(fronts []Front, core Core) (serves []func(context.Context) error, err error) {
+func openDownstreamServers(fronts []DownstreamServer, core Core) (serves []func(context.Context) error, err error) {
 	for _, f := range fronts {
 		serveFront, err := f.Open(core)
 		if err != nil {
@@ -367,15 +367,15 @@
 	return serves, nil
 }
 
-// shareSockets says how many connections to backends and from clients there may be, within a limit on descriptors.
-func shareSockets(limit int) (toBackends, fromClients int) {
-	room := min(max(limit, leastSockets), mostSockets) - spareSockets
-	toBackends = int(float64(room) * backendShare)
+// splitConnections says how many connections to backends and from clients there may be, within a limit on descriptors.
+func splitConnections(limit int) (toBackends, fromClients int) {
+	room := min(max(limit, minDescriptors), maxDescriptors) - reservedDescriptors
+	toBackends = int(float64(room) * backendConnectionRatio)
 	return toBackends, room - toBackends
 }
 
 // every calls f at intervals until the context ends.
-func every(ctx context.Context, interval time.Duration, f func()) {
+func callEvery(ctx context.Context, interval time.Duration, f func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -135,14 +135,14 @@
 // between the times that the platform states: 0.4 s and 0.7 s past the longest deadline.
 func TestLimitsOfThePlatform(t *testing.T) {
 	for _, limit := range []int{256, 1024, 4096} {
-		if to, from := shareSockets(limit); to < 1 || from < 1 || to+from > limit-spareSockets {
+		if to, from := splitConnections(limit); to < 1 || from < 1 || to+from > limit-reservedDescriptors {
 			t.Errorf("of %d: %d to backends, %d from clients", limit, to, from)
 		} else if third := limit / 3; to < third || int(http1.MaxInFlightRatio*float64(from)) < third {
 			t.Errorf("of %d: usual clients can't hold the third that is theirs", limit)
 		}
 	}
-	if acceptOn <= 400*time.Millisecond || acceptOn+drainMost >= 700*time.Millisecond {
-		t.Errorf("accepts for %v, ends %v past the deadline", acceptOn, acceptOn+drainMost)
+	if drainAcceptDuration <= 400*time.Millisecond || drainAcceptDuration+drainMargin >= 700*time.Millisecond {
+		t.Errorf("accepts for %v, ends %v past the deadline", drainAcceptDuration, drainAcceptDuration+drainMargin)
 	}
 }
 
@@ -245,7 +245,7 @@
 		return says(served)(c, r, n)
 	})
 	a := startWith(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), time.Millisecond, func(c *Config) {
-		c.linger = true
+		c.servesKeptConnections = true
 		for i := range c.Site.Balancer.Classes {
 			c.Site.Balancer.Classes[i].Deadline = deadline
 		}
@@ -362,7 +362,7 @@
 		l := listen(t)
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- serve(ctx, cfg, Reloads{}, l, slog.New(slog.DiscardHandler), Extras{}) }()
+		go func() { done <- serve(ctx, cfg, Reloads{}, l, slog.New(slog.DiscardHandler), Features{}) }()
 		a := &running{url: "http://" + l.Addr().String()}
 		eventually(t, "the answer to /ready", func() bool { return a.readyStatus(t) == want })
 		stop()
@@ -402,7 +402,7 @@
 func TestADrainTakesNoLongerThanItHasTo(t *testing.T) {
 	b := newBackend(t, says(served))
 	change := func(c *Config) {
-		c.linger, c.Operator = true, refusing(t)
+		c.servesKeptConnections, c.Operator = true, refusing(t)
 		for i := range c.Site.Balancer.Classes {
 			c.Site.Balancer.Classes[i].Deadline = time.Minute
 		}
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -461,7 +461,7 @@
 		return err == nil
 	})
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
-	a := startOn(t, d, 0, func(c *Config) { c.Operator, c.MemoryMB = agenttest.Refusing(t), 1 }, Extras{}, slog.New(slog.DiscardHandler))
+	a := startOn(t, d, 0, func(c *Config) { c.Operator, c.MemoryMB = agenttest.Refusing(t), 1 }, Features{}, slog.New(slog.DiscardHandler))
 	var holding []*raw
 	for range 2 { // which is all that 256 KB have room for
 		c := a.raw(t)
@@ -504,7 +504,7 @@
 func TestHalfWrittenHeadsMakeRoom(t *testing.T) {
 	b := newBackend(t, says(served))
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
-	a := startOn(t, d, 0, func(c *Config) { c.Operator, c.Sockets = agenttest.Refusing(t), leastSockets }, Extras{}, slog.New(slog.DiscardHandler))
+	a := startOn(t, d, 0, func(c *Config) { c.Operator, c.Sockets = agenttest.Refusing(t), minDescriptors }, Features{}, slog.New(slog.DiscardHandler))
 	slow := a.raw(t)
 	text := head("POST", "/pay", "HTTP/1.1", "Content-Length: 2") + "hi"
 	slow.send(text[:1])
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -48,9 +48,9 @@
 func TestSilentClientsMakeRoom(t *testing.T) {
 	b := newBackend(t, says(served))
 	a := startWith(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *Config) {
-		cfg.Sockets = leastSockets
+		cfg.Sockets = minDescriptors
 	})
-	_, places := shareSockets(leastSockets)
+	_, places := splitConnections(minDescriptors)
 	for i := range 4 * places {
 		c := a.dial(t)
 		if i%2 == 0 {
@@ -71,12 +71,12 @@
 func TestCrowdedConnectionsClose(t *testing.T) {
 	b := newBackend(t, says(served))
 	a := startWith(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *Config) {
-		cfg.Sockets = leastSockets
+		cfg.Sockets = minDescriptors
 	})
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.close {
 		t.Error("closed with hardly any open")
 	}
-	_, places := shareSockets(leastSockets)
+	_, places := splitConnections(minDescriptors)
 	for range places / 2 {
 		a.dial(t)
 	}
@@ -203,7 +203,7 @@
 		return says(served)(c, r, n)
 	})
 	var log agenttest.LockedBuffer
-	a := startOn(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(*Config) {}, Extras{}, slog.New(slog.NewTextHandler(&log, nil)))
+	a := startOn(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(*Config) {}, Features{}, slog.New(slog.NewTextHandler(&log, nil)))
 	begun := log.Count("\n")
 	const check = "GET /form-check HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: rude\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 900m\r\n"
 	const refund = "POST /refund-record HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: rude\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 900m\r\nIdempotency-Key: 1\r\n"
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -27,14 +27,14 @@
 	Sockets   int // file descriptors that the process may hold
 	Site      simwire.Site
 
-	PeerListen string   // where other agents' datagrams come; empty: nowhere
-	Peers      []string // all agents' addresses, by number
-	MayTell    bool     // the platform lets agents send each other datagrams
+	PeerListen   string   // where other agents' datagrams come; empty: nowhere
+	Peers        []string // all agents' addresses, by number
+	AllowsGossip bool     // the platform lets agents send each other datagrams
 
-	known     listing.List
-	keys      keys // that the file states
-	acceptFor time.Duration
-	linger    bool // kept connections are served through a drain
+	cachedList            listing.List
+	statedKeys            statedKeys // that the file states
+	drainAcceptDuration   time.Duration
+	servesKeptConnections bool // kept connections are served through a drain
 }
 
 // configFile is the form of the file that PROXY_CONFIG names.
@@ -92,7 +92,7 @@
 	if err := json.Unmarshal(data, &f); err != nil {
 		return cfg, err
 	}
-	if cfg.keys, err = keysOf(data); err != nil {
+	if cfg.statedKeys, err = parseStatedKeys(data); err != nil {
 		return cfg, err
 	}
 	prefer := func(variable, text string) string {
@@ -101,9 +101,9 @@
 		}
 		return text
 	}
-	cfg = Config{keys: cfg.keys, Name: prefer("PROXY_NAME", f.Name), Listen: prefer("PROXY_LISTEN", f.Listen),
+	cfg = Config{statedKeys: cfg.statedKeys, Name: prefer("PROXY_NAME", f.Name), Listen: prefer("PROXY_LISTEN", f.Listen),
 		Discovery: prefer("PROXY_DISCOVERY", f.Discovery), Operator: prefer("PROXY_OPERATOR", f.Operator), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, acceptFor: acceptOn, linger: true}
+		Sockets: f.Limits.Sockets, drainAcceptDuration: drainAcceptDuration, servesKeptConnections: true}
 	if cfg.Sockets <= 0 {
 		cfg.Sockets = defaultSockets
 	}
@@ -129,9 +129,9 @@
 	if err := json.Unmarshal(f.Settings, &may); err != nil {
 		return cfg, fmt.Errorf("settings: %w", err)
 	}
-	cfg.PeerListen, cfg.Peers, cfg.MayTell = f.PeerListen, f.Peers, may.Ceilings.Peers
+	cfg.PeerListen, cfg.Peers, cfg.AllowsGossip = f.PeerListen, f.Peers, may.Ceilings.Peers
 	if len(f.Known) > 0 {
-		if cfg.known, err = listing.Parse(f.Known); err != nil {
+		if cfg.cachedList, err = listing.Parse(f.Known); err != nil {
 			return cfg, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -155,8 +155,8 @@
 	return site, nil
 }
 
-// operatorSockets are the descriptors that operators' calls and upgrades need.
-func (c Config) operatorSockets() int {
+// operatorDescriptors are the descriptors that operators' calls and upgrades need.
+func (c Config) operatorDescriptors() int {
 	if c.Operator == "" {
 		return 0
 	}
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -12,7 +12,7 @@
 		t.Fatal(err)
 	}
 	if cfg.Name != "n0" || cfg.Listen != "127.0.0.1:0" || cfg.Discovery != "127.0.0.1:8500" || cfg.Seed != 0x8c1f30d27a5be964 ||
-		cfg.Cores != 1 || cfg.MemoryMB != 192 || cfg.Sockets != 1024 || cfg.known.Version != 41 || len(cfg.known.Servers) != 1 {
+		cfg.Cores != 1 || cfg.MemoryMB != 192 || cfg.Sockets != 1024 || cfg.cachedList.Version != 41 || len(cfg.cachedList.Servers) != 1 {
 		t.Errorf("%+v", cfg)
 	}
 	if s := cfg.Site; s.ConnectionIdleTimeout != 15*time.Second || s.ConnectTimeout != 5*time.Second || s.MaxInFlight != 1000 ||
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -14,45 +14,45 @@
 )
 
 // counters are the parts of an agent that count.
-type counters struct {
-	core  *engine.Engine
-	conns *connpool.Pool
-	disco *platform.Discovery
+type statSources struct {
+	core      *engine.Engine
+	pool      *connpool.Pool
+	discovery *platform.Discovery
 }
 
 // log logs what has been counted since the last line, at intervals, and how much is held; what is 0 is left out. A line
 // has as many figures as there are kinds of them, whatever comes.
-func (f counters) log(ctx context.Context, interval time.Duration, log *slog.Logger) {
+func (f statSources) logEvery(ctx context.Context, interval time.Duration, log *slog.Logger) {
 	last := map[string]uint64{}
-	every(ctx, interval, func() {
+	callEvery(ctx, interval, func() {
 		var attrs []any
 		for _, c := range f.counts() {
-			if n := c.n - last[c.name]; n > 0 {
+			if n := c.value - last[c.name]; n > 0 {
 				attrs = append(attrs, c.name, n)
 			}
-			last[c.name] = c.n
+			last[c.name] = c.value
 		}
-		log.Info(logstats.Message, append(attrs, f.held()...)...)
+		log.Info(logstats.Message, append(attrs, f.gauges()...)...)
 	})
 }
 
 // held is what the agent holds and believes now. Shares are in thousandths, so that their sum over agents is one.
-func (f counters) held() []any {
-	c, p := f.conns.Stats(), f.core.Stats().Balancer
+func (f statSources) gauges() []any {
+	c, p := f.pool.Stats(), f.core.Stats().Balancer
 	share := func(x float64) int { return int(math.Round(1000 * x)) }
 	return []any{"held_open", c.Open, "held_idle", c.Idle, "held_agents", 1, "held_use", share(p.Utilization), "held_late", share(p.LatencyRatio),
 		"held_waiting", share(p.InFlightLatencyRatio), "held_shed", share(p.ShedRatio), "held_view", p.SubsetSize, "held_cold", p.WarmingUp, "held_ejected", p.Ejected}
 }
 
 // count is a figure that only grows.
-type count struct {
-	name string
-	n    uint64
+type counter struct {
+	name  string
+	value uint64
 }
 
-func (f counters) counts() (all []count) {
-	t, p, d := f.core.Stats().Counters, f.conns.Stats(), f.disco.Counts()
-	add := func(name string, n uint64) { all = append(all, count{name, n}) }
+func (f statSources) counts() (all []counter) {
+	t, p, d := f.core.Stats().Counters, f.pool.Stats(), f.discovery.Counts()
+	add := func(name string, n uint64) { all = append(all, counter{name, n}) }
 	for kind, name := range engine.AnswerKinds {
 		var n uint64
 		for _, class := range t.Answers {
--- a/internal/agent/figures_test.go
+++ b/internal/agent/figures_test.go
@@ -16,7 +16,7 @@
 	b := newBackend(t, says(served))
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
 	log := &agenttest.LockedBuffer{}
-	a := startOn(t, d, 0, func(*Config) {}, Extras{Figures: 20 * time.Millisecond}, slog.New(slog.NewTextHandler(log, nil)))
+	a := startOn(t, d, 0, func(*Config) {}, Features{StatsLogInterval: 20 * time.Millisecond}, slog.New(slog.NewTextHandler(log, nil)))
 	const requests = 3
 	for range requests {
 		if r := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); r.status != http.StatusOK {
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -12,29 +12,29 @@
 
 // fleetView is the fleet as this agent sees it.
 type fleetView struct {
-	name  string
-	core  *engine.Engine
-	clock engine.Clock
-	keep  *keeping     // nil: nothing is kept
-	peers *gossip.Node // nil: no others are known
-	share *sharing     // nil: overload is handled alone
+	name      string
+	core      *engine.Engine
+	clock     engine.Clock
+	snapshots *snapshotStore     // nil: nothing is kept
+	peers     *gossip.Node       // nil: no others are known
+	overload  *overloadComponent // nil: overload is handled alone
 }
 
 // calls is what operators may ask; nil where there is nothing to see.
-func (v fleetView) calls() func(context.Context) (operator.FleetView, error) {
-	if v.keep == nil && v.peers == nil {
+func (v fleetView) handler() func(context.Context) (operator.FleetView, error) {
+	if v.snapshots == nil && v.peers == nil {
 		return nil
 	}
-	return v.see
+	return v.view
 }
 
-func (v fleetView) see(ctx context.Context) (operator.FleetView, error) {
+func (v fleetView) view(ctx context.Context) (operator.FleetView, error) {
 	f := operator.FleetView{Agent: v.name}
 	load := v.core.Stats()
-	if st := load.Recovery; st != nil && v.keep != nil {
-		r := operator.Recovery{Phase: st.Phase.String(), Why: st.Reason, DurationS: operator.Seconds(v.clock.Now() - st.Since), AdmittedRate: rounded(st.AdmissionRate),
-			WarmRatio: rounded(st.WarmCapacityRatio), Servers: st.Servers, Answered: st.RespondingServers, Trials: st.Counts.Trials, FailedTrials: st.Counts.FailedTrials,
-			Rejected: map[string]uint64{}, Trust: v.keep.trust.String(), Persistence: v.keep.standing()}
+	if st := load.Recovery; st != nil && v.snapshots != nil {
+		r := operator.Recovery{Phase: st.Phase.String(), Why: st.Reason, DurationS: operator.Seconds(v.clock.Now() - st.Since), AdmittedRate: twoDigits(st.AdmissionRate),
+			WarmRatio: twoDigits(st.WarmCapacityRatio), Servers: st.Servers, Answered: st.RespondingServers, Trials: st.Counts.Trials, FailedTrials: st.Counts.FailedTrials,
+			Rejected: map[string]uint64{}, Trust: v.snapshots.trust.String(), Persistence: v.snapshots.persistence()}
 		for class, n := range st.Counts.Rejected {
 			if class < len(load.Counters.Classes) {
 				r.Rejected[load.Counters.Classes[class]] = n
@@ -55,25 +55,25 @@
 		}
 		f.Peers = &p
 	}
-	if v.share != nil {
-		st, err := v.share.status(ctx)
+	if v.overload != nil {
+		st, err := v.overload.status(ctx)
 		if err != nil {
 			return f, err
 		}
-		f.Overload = overloadOf(st, load.Counters.Classes)
+		f.Overload = overloadView(st, load.Counters.Classes)
 	}
 	return f, nil
 }
 
-func overloadOf(st overload.Status, classes []string) *operator.Overload {
-	o := &operator.Overload{Trust: rounded(st.Trust), Limit: rounded(st.Limit), Capacity: rounded(st.Capacity), Utilization: rounded(st.Utilization),
-		RejectedRatio: rounded(st.RejectedRatio), OfferedRate: rounded(st.Demand.Requests), AdmittedRate: rounded(st.Demand.Admitted), InFlight: rounded(st.Demand.InFlight), ServedInTimeRate: rounded(st.Demand.ServedInTime),
-		LateOrFailedRate: rounded(st.Demand.LateOrFailed), RetryRate: rounded(st.Demand.ExtraAttempts), KnownAgents: st.Demand.KnownAgents, Classes: map[string]operator.OverloadClass{}, ExcludedServers: st.Excluded,
+func overloadView(st overload.Status, classes []string) *operator.Overload {
+	o := &operator.Overload{Trust: twoDigits(st.Trust), Limit: twoDigits(st.Limit), Capacity: twoDigits(st.Capacity), Utilization: twoDigits(st.Utilization),
+		RejectedRatio: twoDigits(st.RejectedRatio), OfferedRate: twoDigits(st.Demand.Requests), AdmittedRate: twoDigits(st.Demand.Admitted), InFlight: twoDigits(st.Demand.InFlight), ServedInTimeRate: twoDigits(st.Demand.ServedInTime),
+		LateOrFailedRate: twoDigits(st.Demand.LateOrFailed), RetryRate: twoDigits(st.Demand.ExtraAttempts), KnownAgents: st.Demand.KnownAgents, Classes: map[string]operator.OverloadClass{}, ExcludedServers: st.Excluded,
 		DecidedAlone: st.Counts.DecidedLocally, RejectedTooLate: st.Counts.PastDeadline, SuppressedRetries: st.Counts.RejectedRetries, DigestsSent: st.Counts.PayloadsSent, DigestsReceived: st.Counts.View.Digests + st.Counts.View.Reports + st.Counts.View.Observations,
 		ClaimsOutOfBounds: st.Counts.View.Capped, Malformed: st.Counts.View.Malformed}
 	for c, chance := range st.AdmitProbabilities {
 		if c < len(classes) {
-			o.Classes[classes[c]] = operator.OverloadClass{FirstAttemptRate: rounded(st.Demand.NewRequests[c]), RetryRate: rounded(st.Demand.ClientRetries[c]), AdmissionProbability: rounded(chance),
+			o.Classes[classes[c]] = operator.OverloadClass{FirstAttemptRate: twoDigits(st.Demand.NewRequests[c]), RetryRate: twoDigits(st.Demand.ClientRetries[c]), AdmissionProbability: twoDigits(chance),
 				Rejected: st.Counts.Rejected[c][0], RejectedRetries: st.Counts.Rejected[c][1]}
 		}
 	}
@@ -81,16 +81,16 @@
 }
 
 // standing says since when what is known is on disk, or why it is not.
-func (k *keeping) standing() string {
+func (k *snapshotStore) persistence() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case k.off != "":
-		return "nothing: " + k.off
-	case k.trouble != nil:
-		return "not what is known now: " + k.trouble.Error()
-	case k.written.IsZero():
+	case k.disabledReason != "":
+		return "nothing: " + k.disabledReason
+	case k.writeError != nil:
+		return "not what is known now: " + k.writeError.Error()
+	case k.writtenAt.IsZero():
 		return "nothing yet"
 	}
-	return "written " + time.Since(k.written).Round(time.Millisecond).String() + " ago"
+	return "written " + time.Since(k.writtenAt).Round(time.Millisecond).String() + " ago"
 }
--- a/internal/agent/followed.go
+++ b/internal/agent/followed.go
@@ -11,22 +11,22 @@
 	"appleledge/internal/generation"
 )
 
-// keepUpEvery is how soon a process follows what another one of its agent puts in force, and takes over when that has ended.
-const keepUpEvery = 100 * time.Millisecond
+// followInterval is how soon a process follows what another one of its agent puts in force, and takes over when that has ended.
+const followInterval = 100 * time.Millisecond
 
 // kept is the state that another process of the agent keeps. That one changes it, by a rename each time; this one reads.
-type kept struct {
-	file atomicfile.File
-	seen os.FileInfo // as it was read last; nil: there was none
+type followedState struct {
+	file     atomicfile.File
+	lastRead os.FileInfo // as it was read last; nil: there was none
 }
 
 // read returns the state if it has changed since it was read last, or nil.
-func (k *kept) read() (*generation.State, error) {
+func (k *followedState) read() (*generation.State, error) {
 	info, err := os.Stat(k.file.Path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil // none is kept before the first change
 	}
-	if err != nil || k.seen != nil && os.SameFile(info, k.seen) && info.ModTime().Equal(k.seen.ModTime()) {
+	if err != nil || k.lastRead != nil && os.SameFile(info, k.lastRead) && info.ModTime().Equal(k.lastRead.ModTime()) {
 		return nil, err
 	}
 	doc, err := k.file.Load() // it may be newer than info, and is read again then
@@ -35,13 +35,13 @@
 	}
 	s, err := generation.DecodeState(doc)
 	if err == nil {
-		k.seen = info
+		k.lastRead = info
 	}
 	return s, err
 }
 
 // first takes up the state before the engine runs.
-func (k *kept) first(m *generation.Manager, names generation.Names, now time.Duration) error {
+func (k *followedState) adopt(m *generation.Manager, names generation.Names, now time.Duration) error {
 	s, err := k.read()
 	if err != nil || s == nil {
 		return err
@@ -56,9 +56,9 @@
 
 // follow keeps up with the other process until that has ended and the state is this one's, which it reports: else the context
 // has ended before.
-func (g *governing) follow(ctx context.Context, engine <-chan struct{}, log *slog.Logger) bool {
-	log.Info("the configuration in force is another process' of the agent, until that ends", "state", g.with.State)
-	tick := time.NewTicker(keepUpEvery)
+func (g *generationService) follow(ctx context.Context, engine <-chan struct{}, log *slog.Logger) bool {
+	log.Info("the configuration in force is another process' of the agent, until that ends", "state", g.options.StateFile)
+	tick := time.NewTicker(followInterval)
 	defer tick.Stop()
 	failing := false
 	for {
@@ -67,8 +67,8 @@
 			return false
 		case <-tick.C:
 		}
-		err := g.keepUp(context.WithoutCancel(ctx), log)
-		if g.kept == nil {
+		err := g.syncFollowed(context.WithoutCancel(ctx), log)
+		if g.followed == nil {
 			return true
 		}
 		if is := err != nil; is != failing {
@@ -81,15 +81,15 @@
 	}
 }
 
-// keepUp takes over from the other process if it has ended, or brings in force what it has put in force meanwhile.
-func (g *governing) keepUp(ctx context.Context, log *slog.Logger) error {
-	release, locked := atomicfile.Lock(g.with.State)
+// syncFollowed takes over from the other process if it has ended, or brings in force what it has put in force meanwhile.
+func (g *generationService) syncFollowed(ctx context.Context, log *slog.Logger) error {
+	release, locked := atomicfile.Lock(g.options.StateFile)
 	if locked == nil {
-		g.release, g.kept.seen = release, nil // whatever it wrote last is this one's now
+		g.release, g.followed.lastRead = release, nil // whatever it wrote last is this one's now
 	} else if !errors.Is(locked, atomicfile.ErrLocked) {
 		return locked
 	}
-	s, err := g.kept.read()
+	s, err := g.followed.read()
 	if err == nil && s != nil {
 		err = g.changes.Adopt(ctx, s, locked == nil)
 	}
@@ -97,13 +97,13 @@
 	case err != nil && locked == nil: // nobody else will mend it
 		log.Error("the state that the other process has left can't be used; this one keeps what is in force", "error", err)
 	case err != nil:
-		g.kept.seen = nil // it is read again
+		g.followed.lastRead = nil // it is read again
 		return err
 	case s != nil:
 		log.Info("configuration taken over", "generation", s.Number, "hash", s.Hash[:min(12, len(s.Hash))], "followed", locked != nil)
 	}
 	if locked == nil {
-		g.kept = nil
+		g.followed = nil
 	}
 	return nil
 }
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -19,35 +19,35 @@
 	"appleledge/internal/simwire"
 )
 
-// Generations says how configurations of the fleet are taken and kept.
-type Generations struct {
-	Socket string // of operators
-	State  string // file that keeps what is in force; empty: nothing is kept
+// GenerationOptions says how configurations of the fleet are taken and kept.
+type GenerationOptions struct {
+	Socket    string // of operators
+	StateFile string // file that keeps what is in force; empty: nothing is kept
 }
 
 // governing is what switched-on generations are at work with.
-type governing struct {
-	with    Generations
-	changes *admin.Changes
-	server  *admin.Server
-	socket  net.Listener
-	release func() error // of the state's lock; nil without a state
-	kept    *kept        // another process' state, which this one follows until that ends; nil: it has its own
+type generationService struct {
+	options  GenerationOptions
+	changes  *admin.Changes
+	server   *admin.Server
+	socket   net.Listener
+	release  func() error   // of the state's lock; nil without a state
+	followed *followedState // another process' state, which this one follows until that ends; nil: it has its own
 }
 
 // govern puts the configuration in force that the state has, and opens the operators' socket. It is called before the engine
 // runs; the result is nil where nothing is switched on.
-func (x Extras) govern(core *engine.Engine, clk engine.Clock, cfg Config, s *sections, log *slog.Logger) (*governing, error) {
+func (x Features) openGenerations(core *engine.Engine, clk engine.Clock, cfg Config, s *classUsers, log *slog.Logger) (*generationService, error) {
 	if x.Generations == nil {
 		return nil, nil
 	}
-	names := namesOf(cfg.Site, cfg.Site.Balancer.Classes)
+	names := platformNames(cfg.Site, cfg.Site.Balancer.Classes)
 	manager := generation.New(generation.Options{Names: names, MaxRetryAfter: cfg.Site.Balancer.MaxRetryAfter,
 		UnixMS: func(t time.Duration) int64 { return clk.At(t).UnixMilli() }, OnRecord: func(r generation.Record) { logRecord(log, r) }})
 	changes := &admin.Changes{Agent: cfg.Name, Engine: core, Names: s.names, Log: log, Now: time.Now,
 		Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}
-	g := &governing{with: *x.Generations, changes: changes, server: &admin.Server{Changes: changes, Log: log}}
-	if err := g.open(manager, x.link != nil && !x.link.Alone(), clk, log); err != nil {
+	g := &generationService{options: *x.Generations, changes: changes, server: &admin.Server{Changes: changes, Log: log}}
+	if err := g.open(manager, x.hotRestart != nil && !x.hotRestart.Alone(), clk, log); err != nil {
 		g.close()
 		return nil, err
 	}
@@ -55,8 +55,8 @@
 	return g, nil
 }
 
-// namesOf are the platform's names, with these classes by their numbers. Those that were dropped keep theirs.
-func namesOf(site simwire.Site, classes []balancer.Class) generation.Names {
+// platformNames are the platform's names, with these classes by their numbers. Those that were dropped keep theirs.
+func platformNames(site simwire.Site, classes []balancer.Class) generation.Names {
 	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, RoutableHeaders: requesthead.RoutingHeaders}
 	for _, c := range classes {
 		names.Classes = append(names.Classes, generation.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
@@ -68,14 +68,14 @@
 }
 
 // open takes up the state and opens the socket. Where another process of the agent has them, its state is followed until it ends.
-func (g *governing) open(m *generation.Manager, beside bool, clk engine.Clock, log *slog.Logger) (err error) {
-	if g.with.State != "" {
-		file := atomicfile.File{Path: g.with.State, FS: atomicfile.OS{}}
+func (g *generationService) open(m *generation.Manager, beside bool, clk engine.Clock, log *slog.Logger) (err error) {
+	if g.options.StateFile != "" {
+		file := atomicfile.File{Path: g.options.StateFile, FS: atomicfile.OS{}}
 		g.changes.Keeper = file
-		switch g.release, err = atomicfile.Lock(g.with.State); {
+		switch g.release, err = atomicfile.Lock(g.options.StateFile); {
 		case errors.Is(err, atomicfile.ErrLocked) && beside:
-			g.kept = &kept{file: file}
-			if err := g.kept.first(m, g.changes.Names(), clk.Now()); err != nil {
+			g.followed = &followedState{file: file}
+			if err := g.followed.adopt(m, g.changes.Names(), clk.Now()); err != nil {
 				return fmt.Errorf("the configuration of the process that runs already: %w", err)
 			}
 			return nil
@@ -86,7 +86,7 @@
 			return err
 		}
 	}
-	if g.socket, err = admin.Listen(g.with.Socket); err != nil && !beside {
+	if g.socket, err = admin.Listen(g.options.Socket); err != nil && !beside {
 		return fmt.Errorf("the operators' socket: %w", err)
 	}
 	return nil
@@ -122,8 +122,8 @@
 }
 
 // run serves operators until the context ends, and keeps what changes by itself until the engine does.
-func (g *governing) run(ctx context.Context, engine <-chan struct{}, log *slog.Logger) {
-	if g.kept != nil && !g.follow(ctx, engine, log) {
+func (g *generationService) run(ctx context.Context, engine <-chan struct{}, log *slog.Logger) {
+	if g.followed != nil && !g.follow(ctx, engine, log) {
 		return
 	}
 	keeping, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -140,16 +140,16 @@
 	stop()
 	select {
 	case <-done:
-	case <-time.After(lastKeep): // a disk that hangs must not keep the agent from ending
+	case <-time.After(finalWriteTimeout): // a disk that hangs must not keep the agent from ending
 	}
 	g.close()
 }
 
 // serve serves operators until the context ends, as soon as the socket is to be had: another process of the agent lets go of it
 // when it is told to end.
-func (g *governing) serve(ctx context.Context, log *slog.Logger) (err error) {
+func (g *generationService) serve(ctx context.Context, log *slog.Logger) (err error) {
 	for told := false; g.socket == nil; told = true {
-		if g.socket, err = admin.Listen(g.with.Socket); err == nil {
+		if g.socket, err = admin.Listen(g.options.Socket); err == nil {
 			break
 		}
 		if !told {
@@ -158,16 +158,16 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(keepUpEvery):
+		case <-time.After(followInterval):
 		}
 	}
 	return g.server.Serve(ctx, g.socket)
 }
 
-// lastKeep is how long the end of the agent waits for a disk.
-const lastKeep = time.Second
+// finalWriteTimeout is how long the end of the agent waits for a disk.
+const finalWriteTimeout = time.Second
 
-func (g *governing) close() {
+func (g *generationService) close() {
 	if g.socket != nil {
 		besteffort.Close(g.socket)
 	}
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -86,7 +86,7 @@
 func (o *operated) start(t *testing.T, state string) {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "s")
-	o.running = startOn(t, o.disco, time.Millisecond, func(*Config) {}, Extras{Generations: &Generations{Socket: socket, State: state}},
+	o.running = startOn(t, o.disco, time.Millisecond, func(*Config) {}, Features{Generations: &GenerationOptions{Socket: socket, StateFile: state}},
 		slog.New(slog.NewTextHandler(o.log, nil)))
 	o.client = admin.NewClient(socket)
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
@@ -300,7 +300,7 @@
 	}
 	second := func() error {
 		return serve(context.Background(), cfg, Reloads{}, listen(t), slog.New(slog.DiscardHandler),
-			Extras{Generations: &Generations{Socket: filepath.Join(t.TempDir(), "s"), State: state}})
+			Features{Generations: &GenerationOptions{Socket: filepath.Join(t.TempDir(), "s"), StateFile: state}})
 	}
 	if err := second(); err == nil || !strings.Contains(err.Error(), "another process has it") {
 		t.Errorf("a second agent on the state: %v", err)
--- a/internal/agent/golden_fleet_test.go
+++ b/internal/agent/golden_fleet_test.go
@@ -19,7 +19,7 @@
 		Excluded: []string{"s-32", "s-33"},
 		Counts: overload.Counts{Rejected: [][2]uint64{{34, 35}, {36, 37}}, DecidedLocally: 38, PastDeadline: 39, RejectedRetries: 40, PayloadsSent: 41,
 			View: overload.ViewCounts{Digests: 1000, Reports: 200, Observations: 30, Capped: 42, Malformed: 43}}}
-	data, err := json.Marshal(overloadOf(st, []string{"form-check", "refund-record"}))
+	data, err := json.Marshal(overloadView(st, []string{"form-check", "refund-record"}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if cfg.MayTell != may || cfg.PeerListen != "10.0.0.4:7946" || !slices.Equal(cfg.Peers, []string{"10.0.0.4:7946", "10.0.0.5:7947"}) ||
+		if cfg.AllowsGossip != may || cfg.PeerListen != "10.0.0.4:7946" || !slices.Equal(cfg.Peers, []string{"10.0.0.4:7946", "10.0.0.5:7947"}) ||
 			cfg.Name != "n7" || cfg.Listen != "127.0.0.1:8001" || cfg.Discovery != "127.0.0.1:8002" || cfg.Operator != "127.0.0.1:8003" ||
 			cfg.Seed != 0x0123456789abcdef || cfg.Cores != 1.5 || cfg.MemoryMB != 193 || cfg.Sockets != 1025 {
 			t.Errorf("read as %+v", cfg)
--- a/internal/agent/golden_kept_test.go
+++ b/internal/agent/golden_kept_test.go
@@ -49,14 +49,14 @@
 			t.Fatal(err)
 		}
 	}
-	x := Extras{Recovery: &Recovery{Dir: dir, RunFile: filepath.Join(dir, "run")}}
-	k, err := x.openKept(Config{Name: "n0", Listen: "127.0.0.1:8081"}, engine.NewClock(), slog.New(slog.DiscardHandler))
+	x := Features{Recovery: &RecoveryOptions{Dir: dir, BootIDFile: filepath.Join(dir, "run")}}
+	k, err := x.openSnapshotStore(Config{Name: "n0", Listen: "127.0.0.1:8081"}, engine.NewClock(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	// The document was written 61 s into its run: where this machine has run for less its starts are not believed.
-	if k.trust == ondisk.TrustNothing || len(k.before.Servers) != 2 || k.before.PreviousWrites != 7 || k.bans().DeniedSince["s-3"] != 1_790_000_000_003 {
-		t.Errorf("trusted %v: %+v", k.trust, k.before)
+	if k.trust == ondisk.TrustNothing || len(k.previous.Servers) != 2 || k.previous.PreviousWrites != 7 || k.previousDenylist().DeniedSince["s-3"] != 1_790_000_000_003 {
+		t.Errorf("trusted %v: %+v", k.trust, k.previous)
 	}
 }
 
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -41,25 +41,25 @@
 	}
 	want := Config{Name: "n7", Listen: "127.0.0.1:8400", Discovery: "127.0.0.1:8500", Operator: "127.0.0.1:8600", Seed: 0x8c1f30d27a5be964,
 		Cores: 1.5, MemoryMB: 190, Sockets: 1023, Site: site, PeerListen: "127.0.0.1:8700", Peers: []string{"127.0.0.1:8701", "127.0.0.1:8702"},
-		MayTell: true, keys: got.keys, acceptFor: acceptOn, linger: true,
-		known: listing.List{Version: 41, Full: true, Servers: []listing.Entry{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "edinburgh-dc",
+		AllowsGossip: true, statedKeys: got.statedKeys, drainAcceptDuration: drainAcceptDuration, servesKeptConnections: true,
+		cachedList: listing.List{Version: 41, Full: true, Servers: []listing.Entry{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "edinburgh-dc",
 			Kind: "twin-core", Cell: 3, State: "Ready", Weight: 1.5, StartedMS: 1764580000123}}}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	golden.Equal(t, "agent/config_keys.txt", []byte(strings.Join(slices.Sorted(maps.Keys(got.keys)), "\n")+"\n"))
+	golden.Equal(t, "agent/config_keys.txt", []byte(strings.Join(slices.Sorted(maps.Keys(got.statedKeys)), "\n")+"\n"))
 
 	env = map[string]string{"PROXY_CONFIG": path, "PROXY_NAME": "n8", "PROXY_LISTEN": "127.0.0.1:9", "PROXY_DISCOVERY": "127.0.0.1:10",
 		"PROXY_OPERATOR": "127.0.0.1:11"}
 	got, err = LoadConfig(func(name string) string { return env[name] })
-	want.keys, want.Name, want.Listen, want.Discovery, want.Operator = got.keys, "n8", "127.0.0.1:9", "127.0.0.1:10", "127.0.0.1:11"
+	want.statedKeys, want.Name, want.Listen, want.Discovery, want.Operator = got.statedKeys, "n8", "127.0.0.1:9", "127.0.0.1:10", "127.0.0.1:11"
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("with the environment set: %v\ngot  %+v\nwant %+v", err, got, want)
 	}
 }
 
 // goldenCounters count one answer, one dial in vain, and calls to a discovery that refuses.
-func goldenCounters(t *testing.T) counters {
+func goldenCounters(t *testing.T) statSources {
 	t.Helper()
 	clock, quiet := engine.NewClock(), slog.New(slog.DiscardHandler)
 	site, err := simwire.DecodeSettings([]byte(agenttest.SettingsText))
@@ -82,7 +82,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-done })
-	return counters{core: core, conns: conns, disco: platform.New(platform.Options{Addr: "127.0.0.1:1"}, clock, quiet)}
+	return statSources{core: core, pool: conns, discovery: platform.New(platform.Options{Addr: "127.0.0.1:1"}, clock, quiet)}
 }
 
 // The names of all figures in the order of the line, counted ones first, whether or not they are 0.
@@ -92,7 +92,7 @@
 	for _, c := range f.counts() {
 		names.WriteString(c.name + "\n")
 	}
-	for i, part := range f.held() {
+	for i, part := range f.gauges() {
 		if i%2 == 0 {
 			names.WriteString(part.(string) + "\n")
 		}
@@ -108,7 +108,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.log(ctx, time.Millisecond, slog.New(slog.NewTextHandler(log, nil)))
+		f.logEvery(ctx, time.Millisecond, slog.New(slog.NewTextHandler(log, nil)))
 	}()
 	agenttest.Eventually(t, "two lines", func() bool { return log.Count("\n") > 1 })
 	stop()
--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -20,7 +20,7 @@
 
 // The keys that the platform may leave out of a configuration.
 func TestGoldenOptionalKeys(t *testing.T) {
-	golden.Equal(t, "agent/optional_keys.txt", fmt.Appendf(nil, "%q\n", optional))
+	golden.Equal(t, "agent/optional_keys.txt", fmt.Appendf(nil, "%q\n", optionalKeys))
 }
 
 // stormy is a door that counts what the test says.
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	f, clock := goldenCounters(t), engine.NewClock()
-	core := engine.New(policy, clock, f.conns, slog.New(slog.DiscardHandler))
+	core := engine.New(policy, clock, f.pool, slog.New(slog.DiscardHandler))
 	core.TrackLatency(site.Balancer.Classes)
 	core.SetAdmission(stormy{})
 	ctx, stop := context.WithCancel(context.Background())
@@ -56,7 +56,7 @@
 	logged := make(chan struct{})
 	go func() {
 		defer close(logged)
-		logStorms(ctx, core, clock, time.Hour, slog.New(slog.NewTextHandler(log, nil)))
+		logAdmission(ctx, core, clock, time.Hour, slog.New(slog.NewTextHandler(log, nil)))
 	}()
 	agenttest.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
 	stop()
@@ -78,7 +78,7 @@
 	}
 	now := 20 * time.Second
 	clock := engine.ManualClock(&now)
-	core := engine.New(policy, clock, goldenCounters(t).conns, slog.New(slog.DiscardHandler))
+	core := engine.New(policy, clock, goldenCounters(t).pool, slog.New(slog.DiscardHandler))
 	core.TrackLatency(site.Balancer.Classes)
 	var classes []recovery.Class
 	for _, c := range site.Balancer.Classes {
@@ -96,9 +96,9 @@
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
 	log := &agenttest.LockedBuffer{}
-	k := &keeping{set: Recovery{LogEvery: time.Hour}, core: core, log: slog.New(slog.NewTextHandler(log, nil))}
+	k := &snapshotStore{options: RecoveryOptions{LogInterval: time.Hour}, core: core, log: slog.New(slog.NewTextHandler(log, nil))}
 	said := make(chan struct{})
-	go func() { defer close(said); k.say(ctx, clock) }()
+	go func() { defer close(said); k.logRecovery(ctx, clock) }()
 	agenttest.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
 	stop()
 	<-done
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -54,17 +54,17 @@
 // startWith is start with a changed configuration.
 func startWith(t *testing.T, d *agenttest.Discovery, acceptFor time.Duration, change func(*Config)) *running {
 	t.Helper()
-	return startOn(t, d, acceptFor, change, Extras{}, slog.New(slog.DiscardHandler))
+	return startOn(t, d, acceptFor, change, Features{}, slog.New(slog.DiscardHandler))
 }
 
 // startOn is startWith with what an agent's own settings switch on, and a log.
-func startOn(t testing.TB, d *agenttest.Discovery, acceptFor time.Duration, change func(*Config), with Extras, log *slog.Logger) *running {
+func startOn(t testing.TB, d *agenttest.Discovery, acceptFor time.Duration, change func(*Config), with Features, log *slog.Logger) *running {
 	t.Helper()
 	cfg, err := parseConfig(configText(d.Addr().String(), "null"), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.acceptFor, cfg.linger = acceptFor, false
+	cfg.drainAcceptDuration, cfg.servesKeptConnections = acceptFor, false
 	change(&cfg)
 	l := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/agent/join.go
+++ b/internal/agent/join.go
@@ -13,17 +13,17 @@
 )
 
 // joining is what switched-on joins are at work with.
-type joining struct {
-	atFront  http1.Coalescing
-	logEvery time.Duration
+type coalescing struct {
+	downstream  http1.Coalescing
+	logInterval time.Duration
 }
 
 // join switches on what the settings say; the result is nil where that is nothing.
-func (x Extras) join(core *engine.Engine, site balancer.Settings) (*joining, error) {
-	if x.Join == nil {
+func (x Features) openCoalescing(core *engine.Engine, site balancer.Settings) (*coalescing, error) {
+	if x.Coalescing == nil {
 		return nil, nil
 	}
-	set, err := x.Join(site.Classes)
+	set, err := x.Coalescing(site.Classes)
 	if err != nil {
 		return nil, err
 	}
@@ -31,18 +31,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("joining like requests: %w", err)
 	}
-	j := &joining{logEvery: set.LogEvery, atFront: http1.Coalescing{Identity: identity, TenantsApart: set.Apart}}
-	j.atFront.Classes.Store(joined(set.Options.Classes))
+	j := &coalescing{logInterval: set.LogInterval, downstream: http1.Coalescing{Identity: identity, TenantsApart: set.TenantsApart}}
+	j.downstream.Classes.Store(coalescedClasses(set.Groups.Classes))
 	after := site.MaxRetryAfter
 	for _, c := range site.Classes { // as the module words its refusals
 		after = min(after, c.LatencyObjective/2)
 	}
-	core.SetCoalescing(set.Options, after)
+	core.SetCoalescing(set.Groups, after)
 	return j, nil
 }
 
 // joined says of classes, by number, whether they are.
-func joined(classes []coalesce.Class) *[]bool {
+func coalescedClasses(classes []coalesce.Class) *[]bool {
 	out := make([]bool, len(classes))
 	for i, c := range classes {
 		out[i] = c.Coalesces
@@ -50,17 +50,17 @@
 	return &out
 }
 
-func (j *joining) front() *http1.Coalescing {
+func (j *coalescing) downstreamOptions() *http1.Coalescing {
 	if j == nil {
 		return nil
 	}
-	return &j.atFront
+	return &j.downstream
 }
 
-// logJoins logs what was joined, if anything was since the last line.
-func logJoins(ctx context.Context, core *engine.Engine, interval time.Duration, log *slog.Logger) {
+// logCoalescing logs what was joined, if anything was since the last line.
+func logCoalescing(ctx context.Context, core *engine.Engine, interval time.Duration, log *slog.Logger) {
 	var last coalesce.Counts
-	every(ctx, interval, func() {
+	callEvery(ctx, interval, func() {
 		c := core.Stats().Coalescing
 		if c.Flights == last.Flights && c.NotCoalesced == last.NotCoalesced {
 			return
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -20,11 +20,11 @@
 )
 
 // joinAll is a [join] section for every class, the ones that must not run twice too: the engine has to keep those out.
-func joinAll(apart bool) Extras {
-	return Extras{Join: func(classes []balancer.Class) (Joins, error) {
-		j := Joins{Apart: apart, LogEvery: time.Hour, Options: coalesce.Options{MaxGroups: 64, MaxFollowers: 64, PauseAfterPrivate: time.Hour}}
+func joinAll(apart bool) Features {
+	return Features{Coalescing: func(classes []balancer.Class) (CoalescingOptions, error) {
+		j := CoalescingOptions{TenantsApart: apart, LogInterval: time.Hour, Groups: coalesce.Options{MaxGroups: 64, MaxFollowers: 64, PauseAfterPrivate: time.Hour}}
 		for _, c := range classes {
-			j.Options.Classes = append(j.Options.Classes, coalesce.Class{Coalesces: true, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
+			j.Groups.Classes = append(j.Groups.Classes, coalesce.Class{Coalesces: true, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
 		}
 		return j, nil
 	}}
@@ -57,9 +57,9 @@
 
 // startJoining starts an agent that joins, with a backend, and returns its engine as well. Aims are far off, so that nobody
 // leads a flight of his own because the machine is slow.
-func startJoining(t *testing.T, b *agenttest.Backend, with Extras) (*running, *engine.Engine) {
+func startJoining(t *testing.T, b *agenttest.Backend, with Features) (*running, *engine.Engine) {
 	var core *engine.Engine
-	with.Fronts = []Front{{Name: "look-out", Open: func(c Core) (func(context.Context) error, error) {
+	with.DownstreamServers = []DownstreamServer{{Name: "look-out", Open: func(c Core) (func(context.Context) error, error) {
 		core = c.Engine
 		return func(ctx context.Context) error { <-ctx.Done(); return nil }, nil
 	}}}
@@ -192,7 +192,7 @@
 			time.Sleep(20 * time.Millisecond)
 			return says(served)(c, r, n)
 		})
-		with := Extras{}
+		with := Features{}
 		if on {
 			with = joinAll(false)
 		}
--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -9,37 +9,37 @@
 )
 
 // keys are the names of what a configuration states, as paths. An entry of a list counts where all entries state it.
-type keys map[string]bool
+type statedKeys map[string]bool
 
 // optional are names that the platform may leave out at any time.
-var optional = []string{"known", "operator", "AimStretch", "PassesDeadline", "WarmKeys"}
+var optionalKeys = []string{"known", "operator", "AimStretch", "PassesDeadline", "WarmKeys"}
 
-// keysOf reads the names from a configuration's text.
-func keysOf(data []byte) (keys, error) {
+// parseStatedKeys reads the names from a configuration's text.
+func parseStatedKeys(data []byte) (statedKeys, error) {
 	var all map[string]any
 	if err := json.Unmarshal(data, &all); err != nil {
 		return nil, err
 	}
-	k := keys{}
-	k.walk("", all)
+	k := statedKeys{}
+	k.collect("", all)
 	return k, nil
 }
 
-func (k keys) walk(path string, v any) {
+func (k statedKeys) collect(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, part := range v {
-			if slices.Contains(optional, name) || part == nil {
+			if slices.Contains(optionalKeys, name) || part == nil {
 				continue
 			}
 			k[path+name] = true
-			k.walk(path+name+".", part)
+			k.collect(path+name+".", part)
 		}
 	case []any:
-		var common keys
+		var common statedKeys
 		for _, entry := range v {
-			of := keys{}
-			of.walk(path+"*.", entry)
+			of := statedKeys{}
+			of.collect(path+"*.", entry)
 			if common == nil {
 				common = of
 			}
@@ -50,7 +50,7 @@
 }
 
 // lacks says which of the names of another configuration are missing.
-func (k keys) lacks(before keys) error {
+func (k statedKeys) checkStates(before statedKeys) error {
 	var missing []string
 	for name := range before {
 		if !k[name] {
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -43,9 +43,9 @@
 	}
 	d := newFakeDiscovery(t, 1, entries...)
 	var log agenttest.LockedBuffer
-	with := Extras{
+	with := Features{
 		Membership: membership.Options{FailoverDelay: 200 * time.Millisecond, FailbackDelay: 200 * time.Millisecond},
-		Sources: []Source{{Name: "xds", Sockets: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
+		Sources: []Source{{Name: "xds", Descriptors: 2, Open: func(c engine.Clock, site simwire.Site, log *slog.Logger) membership.Source {
 			return xds.New(xds.Options{Server: plane.Addr(), NodeID: "n0", Incremental: true, Clusters: []string{"c"}, Zones: site.Zones,
 				InitialFetchTimeout: patience, MinBackoff: 20 * time.Millisecond, MaxBackoff: time.Second, KeepaliveInterval: 10 * time.Second,
 				MaxMessageBytes: 1 << 20, LogInterval: time.Minute}, c, log)
--- a/internal/agent/operator_test.go
+++ b/internal/agent/operator_test.go
@@ -29,7 +29,7 @@
 // withOperators is an agent that operators can call.
 func withOperators(t *testing.T, d *agenttest.Discovery) (*running, operators) {
 	addr := agenttest.Refusing(t)
-	a := startOn(t, d, 0, func(c *Config) { c.Operator = addr }, Extras{}, slog.New(slog.DiscardHandler))
+	a := startOn(t, d, 0, func(c *Config) { c.Operator = addr }, Features{}, slog.New(slog.DiscardHandler))
 	o := operators{t, addr}
 	a.wait(t, "operators can call", func() bool { status, _ := o.call("GET", "/ops/readiness"); return status == 200 })
 	return a, o
@@ -152,7 +152,7 @@
 	}
 }
 
-// Figures follow what clients got.
+// StatsLogInterval follow what clients got.
 func TestFiguresOfWhatWasNotServed(t *testing.T) {
 	b := newBackend(t, says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	a, o := withOperators(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)))
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -12,39 +12,39 @@
 	"appleledge/internal/fleet/gossip"
 )
 
-// Peers says how agents tell each other what they know.
-type Peers struct {
-	Listen  string   // where datagrams come; empty: as the platform says
-	Members []string // all agents' addresses, by number; none: as the platform says
-	KeyFile string
-	Period  time.Duration // between two probes
-	AskFor  time.Duration // for which others are asked after a loss of power
+// GossipOptions says how agents tell each other what they know.
+type GossipOptions struct {
+	Listen        string   // where datagrams come; empty: as the platform says
+	Members       []string // all agents' addresses, by number; none: as the platform says
+	KeyFile       string
+	ProbeInterval time.Duration // between two probes
+	PeerPollTime  time.Duration // for which others are asked after a loss of power
 }
 
-const peerSockets = 2 // descriptors: the socket, and the file of the key
+const gossipDescriptors = 2 // descriptors: the socket, and the file of the key
 
-// openPeers is the agent's place among the others; nil where there is none.
-func (x Extras) openPeers(cfg Config, clk engine.Clock, log *slog.Logger) (*gossip.Node, error) {
-	if x.Peers == nil {
+// openGossip is the agent's place among the others; nil where there is none.
+func (x Features) openGossip(cfg Config, clk engine.Clock, log *slog.Logger) (*gossip.Node, error) {
+	if x.Gossip == nil {
 		return nil, nil
 	}
-	listen, members := x.Peers.Listen, x.Peers.Members
+	listen, members := x.Gossip.Listen, x.Gossip.Members
 	var self int
 	if listen == "" {
-		if !cfg.MayTell || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
+		if !cfg.AllowsGossip || cfg.PeerListen == "" || len(cfg.Peers) == 0 {
 			return nil, errors.New("peers: the platform's configuration does not let agents send each other datagrams, or names none; see listen and members")
 		}
 		listen, members, self = cfg.PeerListen, cfg.Peers, cfg.Site.Balancer.Index
 	} else if self = slices.Index(members, listen); self < 0 {
 		return nil, fmt.Errorf("peers: %s is not among the members", listen)
 	}
-	keys, err := gossip.ReadKeys(x.Peers.KeyFile)
+	keys, err := gossip.ReadKeys(x.Gossip.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("peers: the key: %w", err)
 	}
-	o := gossip.NodeOptions{Self: self, Keys: keys, ProbeInterval: x.Peers.Period, Now: clk.Now, Log: log}
-	if x.link != nil {
-		o.HasSuccessor = x.link.Succeeded
+	o := gossip.NodeOptions{Self: self, Keys: keys, ProbeInterval: x.Gossip.ProbeInterval, Now: clk.Now, Log: log}
+	if x.hotRestart != nil {
+		o.HasSuccessor = x.hotRestart.Succeeded
 	}
 	for _, m := range members {
 		at, err := netip.ParseAddrPort(m)
@@ -71,10 +71,10 @@
 	}
 }
 
-// askFor is for how long others are asked after a loss of power.
-func (x Extras) askFor() time.Duration {
-	if x.Peers == nil {
+// peerPollTime is for how long others are asked after a loss of power.
+func (x Features) peerPollTime() time.Duration {
+	if x.Gossip == nil {
 		return 0
 	}
-	return x.Peers.AskFor
+	return x.Gossip.PeerPollTime
 }
--- a/internal/agent/recovery_test.go
+++ b/internal/agent/recovery_test.go
@@ -36,14 +36,14 @@
 	}
 }
 
-func (m *machine) file() string { return filepath.Join(m.dir, knowledge) }
+func (m *machine) file() string { return filepath.Join(m.dir, snapshotFileName) }
 
 // start starts an agent that keeps what it knows, with operators, and waits until it answers them.
 func (m *machine) start(d *agenttest.Discovery) (*running, operators) {
 	m.t.Helper()
 	addr := agenttest.Refusing(m.t)
-	with := Extras{Disk: m.fs, Recovery: &Recovery{Dir: m.dir, RunFile: filepath.Join(m.dir, "run"), Every: 100 * time.Millisecond,
-		ListWait: 50 * time.Millisecond, LogEvery: time.Second}}
+	with := Features{FS: m.fs, Recovery: &RecoveryOptions{Dir: m.dir, BootIDFile: filepath.Join(m.dir, "run"), WriteInterval: 100 * time.Millisecond,
+		FirstListTimeout: 50 * time.Millisecond, LogInterval: time.Second}}
 	a := startOn(m.t, d, 0, func(c *Config) { c.Operator, c.Listen = addr, "127.0.0.1:0" }, with, slog.New(slog.NewTextHandler(m.log, nil)))
 	o := operators{m.t, addr}
 	a.wait(m.t, "operators can call", func() bool { status, _ := o.call("GET", "/ops/readiness"); return status == 200 })
@@ -175,7 +175,7 @@
 	}
 	l := listen(t)
 	err = serve(context.Background(), cfg, Reloads{}, l, slog.New(slog.DiscardHandler),
-		Extras{Recovery: &Recovery{Dir: m.dir, RunFile: filepath.Join(m.dir, "nowhere")}})
+		Features{Recovery: &RecoveryOptions{Dir: m.dir, BootIDFile: filepath.Join(m.dir, "nowhere")}})
 	if err == nil || !strings.Contains(err.Error(), "run of the machine") {
 		t.Error(err)
 	}
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -19,62 +19,62 @@
 }
 
 // reload is what a new configuration changes in a running agent.
-type reload struct {
-	clock  engine.Clock
-	core   *engine.Engine
-	disco  *platform.Discovery
-	terms  *platformconfig.Terms
-	rules  *requesthead.ActiveRules
-	keys   keys // of the file in force
-	own    *sections
-	peers  func() error // reads the keys of [peers] again; nil without the section
-	counts reloadCounts
-	log    *slog.Logger
+type reloader struct {
+	clock      engine.Clock
+	core       *engine.Engine
+	discovery  *platform.Discovery
+	settings   *platformconfig.Terms
+	rules      *requesthead.ActiveRules
+	statedKeys statedKeys // of the file in force
+	classUsers *classUsers
+	reloadKeys func() error // reads the keys of [peers] again; nil without the section
+	counts     reloadCounts
+	log        *slog.Logger
 }
 
 // follow reads the configuration again at each signal and puts it in force. A file that can't be used changes nothing: the
 // agent goes on with what it has.
-func (r Reloads) follow(ctx context.Context, to *reload) {
+func (r Reloads) follow(ctx context.Context, to *reloader) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.Signals:
 		}
-		if to.peers != nil {
-			if err := to.peers(); err != nil {
+		if to.reloadKeys != nil {
+			if err := to.reloadKeys(); err != nil {
 				to.log.Error("the keys of [peers] are not reloaded, keeping the old ones", "error", err)
 			}
 		}
 		fresh, err := r.Load()
 		if err == nil {
-			err = to.take(fresh)
+			err = to.apply(fresh)
 		}
 		if err != nil {
-			to.counts.refused.Add(1)
+			to.counts.rejected.Add(1)
 			to.log.Error("configuration not reloaded, keeping the old one", "error", err)
 			continue
 		}
-		to.counts.taken.Add(1)
+		to.counts.applied.Add(1)
 	}
 }
 
 // take puts a configuration in force. The module hears of it before the first request comes under it.
-func (r *reload) take(c Config) error {
-	if err := c.keys.lacks(r.keys); err != nil {
+func (r *reloader) apply(c Config) error {
+	if err := c.statedKeys.checkStates(r.statedKeys); err != nil {
 		return err
 	}
-	tell, later, err := r.terms.Change(r.clock.Now(), c.Site)
+	tell, later, err := r.settings.Change(r.clock.Now(), c.Site)
 	if err != nil {
 		return err
 	}
-	r.keys = c.keys
-	rules := r.terms.Rules()
+	r.statedKeys = c.statedKeys
+	rules := r.settings.Rules()
 	r.core.SetClassNames(tell.Classes)
-	changed, misfit := r.own.tell(engine.SettingsChanged{ClassUpdate: tell, Version: rules.Version})
+	changed, misfit := r.classUsers.update(engine.SettingsChanged{ClassUpdate: tell, Version: rules.Version})
 	r.core.Post(changed)
 	r.rules.Replace(rules)
-	r.disco.SetAddress(c.Discovery)
+	r.discovery.SetAddress(c.Discovery)
 	var names []string
 	for _, class := range tell.Classes {
 		if !class.Retired {
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -28,11 +28,11 @@
 }
 
 func startReloading(t *testing.T, discovery string) *reloading {
-	return startReloadingFor(t, discovery, "", Extras{})
+	return startReloadingFor(t, discovery, "", Features{})
 }
 
 // startReloadingFor is startReloading with an address for operators, and what the agent's own settings switch on.
-func startReloadingFor(t *testing.T, discovery, operator string, with Extras) *reloading {
+func startReloadingFor(t *testing.T, discovery, operator string, with Features) *reloading {
 	t.Helper()
 	a := &reloading{running: &running{done: make(chan error, 1)}, t: t, file: filepath.Join(t.TempDir(), "config.json"),
 		hup: make(chan os.Signal, 1)}
@@ -167,13 +167,13 @@
 	}
 }
 
-// Figures that are read while classes come and go are whole and never go back; of two signals that come together the later
+// StatsLogInterval that are read while classes come and go are whole and never go back; of two signals that come together the later
 // file holds.
 func TestFiguresWhileClassesChange(t *testing.T) {
 	b := newBackend(t, says(served))
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
 	o := operators{t, agenttest.Refusing(t)}
-	a := startReloadingFor(t, d.Addr().String(), o.addr, Extras{})
+	a := startReloadingFor(t, d.Addr().String(), o.addr, Features{})
 	text := string(configText(d.Addr().String(), "null"))
 	named := func(i int) []byte {
 		return []byte(strings.Replace(text, `"Name":"pay"`, fmt.Sprintf(`"Name":"pay-%d"`, i), 1))
@@ -230,7 +230,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	r := Reloads{Load: func() (Config, error) { return Config{}, errors.New("never asked for") }}
-	go func() { r.follow(ctx, &reload{}); close(done) }()
+	go func() { r.follow(ctx, &reloader{}); close(done) }()
 	stop()
 	select {
 	case <-done:
--- a/internal/agent/sections.go
+++ b/internal/agent/sections.go
@@ -10,34 +10,34 @@
 )
 
 // sections are the parts that the agent's own settings switch on and that know of the platform's classes, as these change.
-type sections struct {
-	site    simwire.Site
-	joins   func([]balancer.Class) (Joins, error) // nil: none is joined
-	atFront *joining                              // nil: likewise
-	current atomic.Pointer[generation.Names]
+type classUsers struct {
+	site              simwire.Site
+	coalescingOptions func([]balancer.Class) (CoalescingOptions, error) // nil: none is joined
+	coalescing        *coalescing                                       // nil: likewise
+	current           atomic.Pointer[generation.Names]
 }
 
-func newSections(site simwire.Site, joins func([]balancer.Class) (Joins, error)) *sections {
-	s := &sections{site: site, joins: joins}
-	names := namesOf(site, site.Balancer.Classes)
+func newClassUsers(site simwire.Site, joins func([]balancer.Class) (CoalescingOptions, error)) *classUsers {
+	s := &classUsers{site: site, coalescingOptions: joins}
+	names := platformNames(site, site.Balancer.Classes)
 	s.current.Store(&names)
 	return s
 }
 
 // names are the platform's names as they are now.
-func (s *sections) names() generation.Names { return *s.current.Load() }
+func (s *classUsers) names() generation.Names { return *s.current.Load() }
 
 // tell adds what the sections have to hear of classes that change. The error names a setting that does not fit them any more:
 // it says what is not done for that.
-func (s *sections) tell(r engine.SettingsChanged) (engine.SettingsChanged, error) {
-	r.Names = namesOf(s.site, r.Classes)
+func (s *classUsers) update(r engine.SettingsChanged) (engine.SettingsChanged, error) {
+	r.Names = platformNames(s.site, r.Classes)
 	s.current.Store(&r.Names)
-	r.Admission = stormClasses(r.Classes)
-	if s.joins == nil {
+	r.Admission = admissionClasses(r.Classes)
+	if s.coalescingOptions == nil {
 		return r, nil
 	}
-	set, err := s.joins(r.Classes)
-	r.Coalescing = set.Options.Classes
-	s.atFront.atFront.Classes.Store(joined(r.Coalescing))
+	set, err := s.coalescingOptions(r.Classes)
+	r.Coalescing = set.Groups.Classes
+	s.coalescing.downstream.Classes.Store(coalescedClasses(r.Coalescing))
 	return r, err
 }
--- a/internal/agent/sections_test.go
+++ b/internal/agent/sections_test.go
@@ -19,9 +19,9 @@
 	b := newGate(t, "")
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
 	with := joinAll(false)
-	with.Storm = &Storm{Remember: 100, LogEvery: time.Hour}
+	with.Admission = &AdmissionOptions{MaxRemembered: 100, LogInterval: time.Hour}
 	socket := filepath.Join(t.TempDir(), "s")
-	with.Generations = &Generations{Socket: socket}
+	with.Generations = &GenerationOptions{Socket: socket}
 	a := startReloadingFor(t, d.Addr().String(), "", with)
 	client := admin.NewClient(socket)
 	limited := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Class: "refund-status", InFlight: new(int), ComeBack: fleetconfig.Time(200 * time.Millisecond)}}}
--- a/internal/agent/storm.go
+++ b/internal/agent/storm.go
@@ -11,15 +11,15 @@
 	"appleledge/internal/engine"
 )
 
-// newStorm is a watch for storms by the platform's settings.
-func newStorm(cfg Config, set Storm) *admission.Controller {
+// newAdmissionController is a watch for storms by the platform's settings.
+func newAdmissionController(cfg Config, set AdmissionOptions) *admission.Controller {
 	site := cfg.Site.Balancer
-	o := admission.Options{Quotas: site.Quotas, MaxRetryAfter: site.MaxRetryAfter, MaxRemembered: set.Remember, Seed: cfg.Seed}
-	o.Classes = stormClasses(site.Classes)
+	o := admission.Options{Quotas: site.Quotas, MaxRetryAfter: site.MaxRetryAfter, MaxRemembered: set.MaxRemembered, Seed: cfg.Seed}
+	o.Classes = admissionClasses(site.Classes)
 	return admission.New(o)
 }
 
-func stormClasses(classes []balancer.Class) (out []admission.Class) {
+func admissionClasses(classes []balancer.Class) (out []admission.Class) {
 	for _, c := range classes {
 		if c.Retired {
 			c.Priority = 0
@@ -29,12 +29,12 @@
 	return out
 }
 
-const stormLook = 250 * time.Millisecond // between two looks at the state, for the log
+const admissionLogPoll = 250 * time.Millisecond // between two looks at the state, for the log
 
-// logStorms logs each change of state, and every so often how it stands while it is not calm.
-func logStorms(ctx context.Context, core *engine.Engine, clk engine.Clock, interval time.Duration, log *slog.Logger) {
+// logAdmission logs each change of state, and every so often how it stands while it is not calm.
+func logAdmission(ctx context.Context, core *engine.Engine, clk engine.Clock, interval time.Duration, log *slog.Logger) {
 	last, logged := admission.Counts{}, time.Duration(0)
-	every(ctx, stormLook, func() {
+	callEvery(ctx, admissionLogPoll, func() {
 		c, now := core.Stats().Admission, clk.Now()
 		changed := c.State != last.State || c.Since != last.Since
 		if changed && (c.State != admission.Normal || last.State != admission.Normal) || c.State != admission.Normal && now-logged >= interval {
--- a/internal/agent/ties.go
+++ b/internal/agent/ties.go
@@ -13,37 +13,37 @@
 	"appleledge/internal/engine"
 )
 
-// Ties says how it is remembered where keyed requests went.
-type Ties struct {
-	Dir    string        // that keeps them over a restart; empty: nothing does
-	Sync   bool          // to the disk itself
-	Most   int           // ties
-	Tail   time.Duration // for which a tie lasts after its window
-	Budget time.Duration // for which an attempt waits until its tie is kept
+// AffinityOptions says how it is remembered where keyed requests went.
+type AffinityOptions struct {
+	Dir             string        // that keeps them over a restart; empty: nothing does
+	Sync            bool          // to the disk itself
+	MaxBindings     int           // ties
+	LateRetryPeriod time.Duration // for which a tie lasts after its window
+	CommitTimeout   time.Duration // for which an attempt waits until its tie is kept
 }
 
 const (
-	tieFiles      = 8 // descriptors: the file that is written, and what is looked at
-	followEvery   = 100 * time.Millisecond
-	removeEvery   = time.Minute
-	tieTroubleLog = 10 * time.Second // between two lines on what can't be kept
+	affinityDescriptors      = 8 // descriptors: the file that is written, and what is looked at
+	siblingReadInterval      = 100 * time.Millisecond
+	expiryInterval           = time.Minute
+	affinityErrorLogInterval = 10 * time.Second // between two lines on what can't be kept
 )
 
 // tying is what keeps ties.
-type tying struct {
-	log    *bindinglog.Log
-	core   *engine.Engine
-	budget time.Duration
-	out    *slog.Logger
+type affinityLog struct {
+	log           *bindinglog.Log
+	core          *engine.Engine
+	commitTimeout time.Duration
+	logger        *slog.Logger
 }
 
 // tie switches ties on. What is kept of them is read before the first client is heard. The result is nil where nothing is kept
 // over a restart.
-func (x Extras) tie(core *engine.Engine, clk engine.Clock, cfg Config, log *slog.Logger) (*tying, error) {
-	if x.Ties == nil {
+func (x Features) openAffinity(core *engine.Engine, clk engine.Clock, cfg Config, log *slog.Logger) (*affinityLog, error) {
+	if x.Affinity == nil {
 		return nil, nil
 	}
-	set := *x.Ties
+	set := *x.Affinity
 	window := time.Duration(0)
 	for _, c := range cfg.Site.Balancer.Classes {
 		if c.Effect == balancer.IdempotentByKey {
@@ -53,14 +53,14 @@
 	if window == 0 {
 		log.Warn("no class is keyed: there are no ties to remember")
 	}
-	table := affinity.New(affinity.Options{MaxEntries: set.Most, DedupWindow: window, LateRetryPeriod: set.Tail})
+	table := affinity.New(affinity.Options{MaxEntries: set.MaxBindings, DedupWindow: window, LateRetryPeriod: set.LateRetryPeriod})
 	if set.Dir == "" {
 		var secret affinity.Secret // nobody else's table has to be the same
 		core.SetAffinity(table, secret, nil)
 		return nil, nil
 	}
-	o := bindinglog.Options{Dir: set.Dir, FS: x.disk(), Sync: set.Sync, Retention: window + set.Tail, Now: clk.Now}
-	if err := x.sinceBoot(&o, clk); err != nil {
+	o := bindinglog.Options{Dir: set.Dir, FS: x.fileSystem(), Sync: set.Sync, Retention: window + set.LateRetryPeriod, Now: clk.Now}
+	if err := x.setBootClock(&o, clk); err != nil {
 		return nil, fmt.Errorf("ties: %w", err)
 	}
 	secret, err := bindinglog.LoadOrCreateSecret(o)
@@ -78,17 +78,17 @@
 	}
 	table.Restore(clk.Now(), found.Records)
 	log.Info("ties of earlier processes read", "records", len(found.Records), "ties", table.Counts().Entries, "took", time.Since(began))
-	t := &tying{log: l, core: core, budget: set.Budget, out: log}
-	t.damaged(found)
+	t := &affinityLog{log: l, core: core, commitTimeout: set.CommitTimeout, logger: log}
+	t.logCorrupt(found)
 	core.SetAffinity(table, secret, t)
 	return t, nil
 }
 
-// sinceBoot sets times since the machine has started, which two processes have in common.
-func (x Extras) sinceBoot(o *bindinglog.Options, clk engine.Clock) error {
+// setBootClock sets times since the machine has started, which two processes have in common.
+func (x Features) setBootClock(o *bindinglog.Options, clk engine.Clock) error {
 	boot, now, err := bindinglog.BootTime()
 	if err == nil && x.Recovery != nil {
-		boot, err = x.Recovery.run()
+		boot, err = x.Recovery.bootID()
 	}
 	if err != nil {
 		return err
@@ -101,34 +101,34 @@
 }
 
 // damaged logs what could not be read.
-func (t *tying) damaged(found bindinglog.ReadResult) {
+func (t *affinityLog) logCorrupt(found bindinglog.ReadResult) {
 	if found.Corrupt > 0 {
-		t.out.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Corrupt, "kept_as", found.Quarantined)
+		t.logger.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Corrupt, "kept_as", found.Quarantined)
 	}
 }
 
 // Append hands a record over to be kept.
-func (t *tying) Append(r affinity.Record) engine.BindingCommit {
-	return commit{t.log.Append(r), t.budget}
+func (t *affinityLog) Append(r affinity.Record) engine.BindingCommit {
+	return commit{t.log.Append(r), t.commitTimeout}
 }
 
 type commit struct {
 	*bindinglog.Commit
-	budget time.Duration
+	timeout time.Duration
 }
 
 // Wait waits for it for as long as the settings allow.
-func (c commit) Wait() bool { return c.Commit.Wait(c.budget) }
+func (c commit) Wait() bool { return c.Commit.Wait(c.timeout) }
 
 // write keeps what is handed over until the engine has ended, and removes what is of no use any more.
-func (t *tying) write(ended <-chan struct{}) {
-	remove := time.NewTicker(removeEvery)
+func (t *affinityLog) run(ended <-chan struct{}) {
+	remove := time.NewTicker(expiryInterval)
 	defer remove.Stop()
 	logged := time.Time{}
 	trouble := func(err error) {
-		if err != nil && time.Since(logged) > tieTroubleLog {
+		if err != nil && time.Since(logged) > affinityErrorLogInterval {
 			logged = time.Now()
-			t.out.Error("ties can't be kept: a restart now would forget where refunds under way have gone", "error", err)
+			t.logger.Error("ties can't be kept: a restart now would forget where refunds under way have gone", "error", err)
 		}
 	}
 	for {
@@ -145,15 +145,15 @@
 }
 
 // follow hears what other processes keep: one that drains while this one serves already, or the other way round.
-func (t *tying) follow(ctx context.Context) {
+func (t *affinityLog) readSiblings(ctx context.Context) {
 	failed := false
-	every(ctx, followEvery, func() {
+	callEvery(ctx, siblingReadInterval, func() {
 		found, err := t.log.ReadNew()
 		if err != nil && !failed {
-			t.out.Error("ties of other processes can't be read", "error", err)
+			t.logger.Error("ties of other processes can't be read", "error", err)
 		}
 		failed = err != nil
-		t.damaged(found)
+		t.logCorrupt(found)
 		if len(found.Records) > 0 {
 			t.core.Post(engine.BindingsRestored{Records: found.Records})
 		}
--- a/internal/agent/ties_test.go
+++ b/internal/agent/ties_test.go
@@ -44,7 +44,7 @@
 	d := newFakeDiscovery(t, 1, entries...)
 	dir, log := t.TempDir(), &agenttest.LockedBuffer{}
 	begin := func() *running {
-		return startOn(t, d, time.Millisecond, func(*Config) {}, Extras{Ties: &Ties{Dir: dir, Most: 1000, Tail: 10 * time.Second, Budget: time.Second}},
+		return startOn(t, d, time.Millisecond, func(*Config) {}, Features{Affinity: &AffinityOptions{Dir: dir, MaxBindings: 1000, LateRetryPeriod: 10 * time.Second, CommitTimeout: time.Second}},
 			slog.New(slog.NewTextHandler(log, nil)))
 	}
 	refund := func(a *running, key, attrs string) (status int, pods []int) {
@@ -67,7 +67,7 @@
 		if status == http.StatusOK || len(first) != 1 {
 			t.Fatalf("the first: status %d, at the pods %v", status, first)
 		}
-		time.Sleep(3 * followEvery)
+		time.Sleep(3 * siblingReadInterval)
 		if status, again := refund(fresh, key, ""); status != http.StatusOK || fmt.Sprint(again) != fmt.Sprint(first) {
 			t.Fatalf("by way of another process: status %d, at the pods %v, and the first went to %v", status, again, first)
 		}
@@ -104,8 +104,8 @@
 	d := newFakeDiscovery(b, 1, entryText("s-1", servers.Addr().String(), "Ready", 0))
 	log := slog.New(slog.DiscardHandler)
 	cfg := func(c *Config) { c.Sockets = 4096 }
-	off := startOn(b, d, time.Millisecond, cfg, Extras{}, log)
-	on := startOn(b, d, time.Millisecond, cfg, Extras{Ties: &Ties{Dir: b.TempDir(), Most: 16384, Tail: 10 * time.Second, Budget: 2 * time.Millisecond}}, log)
+	off := startOn(b, d, time.Millisecond, cfg, Features{}, log)
+	on := startOn(b, d, time.Millisecond, cfg, Features{Affinity: &AffinityOptions{Dir: b.TempDir(), MaxBindings: 16384, LateRetryPeriod: 10 * time.Second, CommitTimeout: 2 * time.Millisecond}}, log)
 	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: patience}
 	defer client.CloseIdleConnections()
 	took := map[*running][]time.Duration{}
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	readyLook = 5 * time.Millisecond // between two looks whether the process is ready
-	// unheardMost is how long a process that starts beside another one waits for discovery itself. Then the list that it
+	readyPoll = 5 * time.Millisecond // between two looks whether the process is ready
+	// discoveryTimeout is how long a process that starts beside another one waits for discovery itself. Then the list that it
 	// started with has to do, as the platform waits for its yes for 6 s at most.
-	unheardMost = 3 * time.Second
+	discoveryTimeout = 3 * time.Second
 )
 
-// joinOthers opens the listener for clients, or takes it over from a process of the agent that runs already.
-func joinOthers(cfg Config, log *slog.Logger) (*hotrestart.Link, error) {
+// joinSiblings opens the listener for clients, or takes it over from a process of the agent that runs already.
+func joinSiblings(cfg Config, log *slog.Logger) (*hotrestart.Link, error) {
 	return hotrestart.Join(os.TempDir(), cfg.Name+" "+cfg.Listen, func() (net.Listener, error) { return listenShared(cfg.Listen) }, log)
 }
 
@@ -46,21 +46,21 @@
 }
 
 // upgrade is a process among others of the same agent.
-type upgrade struct {
+type restartHost struct {
 	link                    *hotrestart.Link
 	core                    *engine.Engine
 	clock                   engine.Clock
-	conns                   *connpool.Pool
+	pool                    *connpool.Pool
 	clients                 *connlimit.Listener
-	large                   *http1.LargeBodies
+	largeBodies             *http1.LargeBodies
 	toBackends, fromClients int                // connections of the whole agent
-	memory                  func(part float64) // limits the process to a part of the agent's memory; nil: nothing does
-	keep                    *keeping           // nil: nothing is kept over a loss of power
+	setMemoryShare          func(part float64) // limits the process to a part of the agent's memory; nil: nothing does
+	snapshots               *snapshotStore     // nil: nothing is kept over a loss of power
 	serving                 atomic.Bool
 }
 
 // Bans is for handover.Host.
-func (u *upgrade) Bans(ctx context.Context) (st denylist.Snapshot, err error) {
+func (u *restartHost) Bans(ctx context.Context) (st denylist.Snapshot, err error) {
 	err = u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
 		st = s.Snapshot(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
 		return nil
@@ -69,41 +69,41 @@
 }
 
 // Obey is for handover.Host. The other process may know of a server that this one has not been told of yet.
-func (u *upgrade) Obey(ctx context.Context, o hotrestart.Order) error {
+func (u *restartHost) Obey(ctx context.Context, o hotrestart.Order) error {
 	if err := u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
 		s.Restore(denylist.Snapshot{KnownIDs: []string{o.Server}}, u.clock.FromUnix)
 		return nil
 	}); err != nil {
 		return err
 	}
-	err := hold(ctx, u.core, o.Server, o.Out)
-	if err == nil && u.keep != nil {
-		u.keep.save(ctx)
+	err := setDenied(ctx, u.core, o.Server, o.Out)
+	if err == nil && u.snapshots != nil {
+		u.snapshots.writeAndLog(ctx)
 	}
 	return err
 }
 
 // Share is for handover.Host.
-func (u *upgrade) Share(part float64) {
-	u.conns.SetMaxConnections(int(part * float64(u.toBackends)))
+func (u *restartHost) Share(part float64) {
+	u.pool.SetMaxConnections(int(part * float64(u.toBackends)))
 	u.clients.SetLimit(int(part * float64(u.fromClients)))
-	u.large.SetBudgetRatio(part)
-	if u.memory != nil {
-		u.memory(part)
+	u.largeBodies.SetBudgetRatio(part)
+	if u.setMemoryShare != nil {
+		u.setMemoryShare(part)
 	}
 }
 
 // leave is told that the process is to end. It reports whether another one serves.
-func (u *upgrade) leave() bool {
+func (u *restartHost) onDrain() bool {
 	u.link.Enter(context.Background(), hotrestart.Leaving)
 	return u.link.Succeeded()
 }
 
 // becomeReady waits until the process could serve all that comes, and takes new connections from then on.
-func (u *upgrade) becomeReady(ctx context.Context, d *platform.Discovery, log *slog.Logger) {
+func (u *restartHost) becomeReady(ctx context.Context, d *platform.Discovery, log *slog.Logger) {
 	began := time.Now()
-	for ctx.Err() == nil && (!u.core.Ready() || !d.HasAnswered() && !u.link.Alone() && time.Since(began) <= unheardMost) {
-		time.Sleep(readyLook)
+	for ctx.Err() == nil && (!u.core.Ready() || !d.HasAnswered() && !u.link.Alone() && time.Since(began) <= discoveryTimeout) {
+		time.Sleep(readyPoll)
 	}
 	if ctx.Err() != nil {
 		return
--- a/internal/cli/join.go
+++ b/internal/cli/join.go
@@ -14,18 +14,18 @@
 
 // joins is what the section [join] switches on: a function, as only the platform's configuration names the classes. Its
 // errors name the file and the line.
-func joins(f settings.File) func([]balancer.Class) (agent.Joins, error) {
+func joins(f settings.File) func([]balancer.Class) (agent.CoalescingOptions, error) {
 	set := f.Join
 	if set == nil {
 		return nil
 	}
-	return func(classes []balancer.Class) (agent.Joins, error) {
-		with := agent.Joins{Apart: set.Tenants == settings.TenantsApart, LogEvery: time.Duration(set.LogEvery),
-			Options: coalesce.Options{MaxGroups: set.MaxGroups, MaxFollowers: set.MaxWaiting, PauseAfterPrivate: time.Duration(set.Pause)}}
+	return func(classes []balancer.Class) (agent.CoalescingOptions, error) {
+		with := agent.CoalescingOptions{TenantsApart: set.Tenants == settings.TenantsApart, LogInterval: time.Duration(set.LogEvery),
+			Groups: coalesce.Options{MaxGroups: set.MaxGroups, MaxFollowers: set.MaxWaiting, PauseAfterPrivate: time.Duration(set.Pause)}}
 		var safe []string
 		for _, c := range classes {
 			joined := !c.Retired && c.Effect == balancer.Idempotent && slices.Contains(set.Classes, c.Name)
-			with.Options.Classes = append(with.Options.Classes, coalesce.Class{Coalesces: joined, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
+			with.Groups.Classes = append(with.Groups.Classes, coalesce.Class{Coalesces: joined, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
 			if c.Effect == balancer.Idempotent {
 				safe = append(safe, c.Name)
 			}
--- a/internal/cli/join_test.go
+++ b/internal/cli/join_test.go
@@ -27,7 +27,7 @@
 			}
 			continue
 		}
-		if err != nil || len(with.Options.Classes) != 3 || !with.Options.Classes[0].Coalesces || with.Options.Classes[1].Coalesces {
+		if err != nil || len(with.Groups.Classes) != 3 || !with.Groups.Classes[0].Coalesces || with.Groups.Classes[1].Coalesces {
 			t.Errorf("%+v, %v", with, err)
 		}
 	}
--- a/internal/cli/membership.go
+++ b/internal/cli/membership.go
@@ -15,7 +15,7 @@
 
 // Membership is what the section [membership] switches on, for a command that may hold further kinds of sources: others
 // makes one of a name that this package does not know.
-func Membership(f settings.File, others func(name string) (agent.Source, error)) (with agent.Extras, err error) {
+func Membership(f settings.File, others func(name string) (agent.Source, error)) (with agent.Features, err error) {
 	m := f.Membership
 	if m == nil {
 		return with, nil
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -25,7 +25,7 @@
 const heapPart = 0.6
 
 // Extras says what the settings switch on. An error is a section that the command can't carry out.
-type Extras func(settings.File) (agent.Extras, error)
+type Extras func(settings.File) (agent.Features, error)
 
 const usage = `%[1]s is a client-side load balancer agent. It takes HTTP/1.1 requests where PROXY_LISTEN says and sends
 each to one of the backends that discovery names.
@@ -75,35 +75,35 @@
 	if err != nil {
 		return err
 	}
-	with.Join = joins(own)
+	with.Coalescing = joins(own)
 	if own.Telemetry != nil {
-		with.Fronts = append(with.Fronts, telemetryFront(own))
+		with.DownstreamServers = append(with.DownstreamServers, telemetryFront(own))
 	}
 	if s := own.Figures; s != nil {
-		with.Figures = time.Duration(s.Every)
+		with.StatsLogInterval = time.Duration(s.Every)
 	}
 	if s := own.Storm; s != nil {
-		with.Storm = &agent.Storm{Remember: s.Remember, LogEvery: time.Duration(s.LogEvery)}
+		with.Admission = &agent.AdmissionOptions{MaxRemembered: s.Remember, LogInterval: time.Duration(s.LogEvery)}
 	}
 	if s := own.Affinity; s != nil {
-		with.Ties = &agent.Ties{Dir: s.Dir, Sync: s.Sync, Most: s.Most, Tail: time.Duration(s.Tail), Budget: time.Duration(s.Budget)}
+		with.Affinity = &agent.AffinityOptions{Dir: s.Dir, Sync: s.Sync, MaxBindings: s.Most, LateRetryPeriod: time.Duration(s.Tail), CommitTimeout: time.Duration(s.Budget)}
 	}
 	if s := own.Peers; s != nil {
-		with.Peers = &agent.Peers{Listen: s.Listen, Members: s.Members, KeyFile: s.KeyFile, Period: time.Duration(s.Period), AskFor: time.Duration(s.AskFor)}
+		with.Gossip = &agent.GossipOptions{Listen: s.Listen, Members: s.Members, KeyFile: s.KeyFile, ProbeInterval: time.Duration(s.Period), PeerPollTime: time.Duration(s.AskFor)}
 	}
 	if s := own.Overload; s != nil {
-		with.Overload = &agent.Overload{Remember: s.Remember, LogEvery: time.Duration(s.LogEvery)}
+		with.Overload = &agent.OverloadOptions{MaxRemembered: s.Remember, LogInterval: time.Duration(s.LogEvery)}
 	}
 	if s := own.Recovery; s != nil {
-		with.Recovery = &agent.Recovery{Dir: s.Dir, RunFile: s.RunFile, Every: time.Duration(s.Every), ListWait: time.Duration(s.ListWait),
-			LogEvery: time.Duration(s.LogEvery)}
+		with.Recovery = &agent.RecoveryOptions{Dir: s.Dir, BootIDFile: s.RunFile, WriteInterval: time.Duration(s.Every), FirstListTimeout: time.Duration(s.ListWait),
+			LogInterval: time.Duration(s.LogEvery)}
 	}
 	if s := own.Generations; s != nil {
-		with.Generations = &agent.Generations{Socket: s.Socket, State: s.State}
+		with.Generations = &agent.GenerationOptions{Socket: s.Socket, StateFile: s.State}
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
-	with.Memory = func(part float64) { debug.SetMemoryLimit(int64(part * heapPart * float64(cfg.MemoryMB<<20))) }
-	with.Memory(1)
+	with.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapPart * float64(cfg.MemoryMB<<20))) }
+	with.SetMemoryShare(1)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	reloads := agent.Reloads{Signals: hangups, Load: func() (agent.Config, error) {
--- a/internal/downstream/extproc/measure_test.go
+++ b/internal/downstream/extproc/measure_test.go
@@ -207,15 +207,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := agent.Front{Name: "external processor", Sockets: 17, Open: func(c agent.Core) (func(context.Context) error, error) {
+	front := agent.DownstreamServer{Name: "external processor", Descriptors: 17, Open: func(c agent.Core) (func(context.Context) error, error) {
 		s := New(Options{Settings: testSet(), Engine: c.Engine, Clock: c.Clock, Rules: c.Rules, Pool: c.Pool,
-			ReportFields: c.Site.ReportFields, MaxDeadline: c.Longest, Log: c.Log})
+			ReportFields: c.Site.ReportFields, MaxDeadline: c.MaxDeadline, Log: c.Log})
 		return func(ctx context.Context) error { return s.Serve(ctx, l) }, nil
 	}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- agent.Run(ctx, cfg, agent.Reloads{}, slog.New(slog.DiscardHandler), agent.Extras{Fronts: []agent.Front{front}})
+		ended <- agent.Run(ctx, cfg, agent.Reloads{}, slog.New(slog.DiscardHandler), agent.Features{DownstreamServers: []agent.DownstreamServer{front}})
 	}()
 	t.Cleanup(func() {
 		stop()
--- a/internal/scenario/quickstart.go
+++ b/internal/scenario/quickstart.go
@@ -129,9 +129,9 @@
 }
 
 // extras are what the agent has beside what the platform wants.
-func (q Quickstart) extras() (with agent.Extras) {
+func (q Quickstart) extras() (with agent.Features) {
 	if q.Socket != "" {
-		with.Generations = &agent.Generations{Socket: q.Socket, State: q.State}
+		with.Generations = &agent.GenerationOptions{Socket: q.Socket, StateFile: q.State}
 	}
 	return with
 }
