--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -147,7 +147,7 @@
 		}
 		defer link.Close() // also where it never came to serving
 		with.link = link
-		return serve(ctx, cfg, reloads, link.Gate(), log, with)
+		return serve(ctx, cfg, reloads, link.Listener(), log, with)
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -196,7 +196,7 @@
 	}
 	var together *sharing // opened below
 	beside, err := open(with.Fronts, Core{Engine: core, Peers: statusOf(others), Overload: func() *overload.Status { return together.look() }, Clock: clk, Rules: rules, Pool: conns, Site: cfg.Site,
-		Longest: rules.Longest, Beside: func() bool { return with.link != nil && !with.link.Alone() }, Log: log})
+		Longest: rules.Longest, Beside: func() bool { return with.link != nil && !with.link.IsAlone() }, Log: log})
 	if err != nil {
 		return err
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -160,5 +160,5 @@
 	if c.Operator == "" {
 		return 0
 	}
-	return operator.Sockets + hotrestart.Sockets
+	return operator.Sockets + hotrestart.MaxDescriptors
 }
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -47,7 +47,7 @@
 	changes := &admin.Changes{Agent: cfg.Name, Engine: core, Names: s.names, Log: log, Now: time.Now,
 		Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}
 	g := &governing{with: *x.Generations, changes: changes, server: &admin.Server{Changes: changes, Log: log}}
-	if err := g.open(manager, x.link != nil && !x.link.Alone(), clk, log); err != nil {
+	if err := g.open(manager, x.link != nil && !x.link.IsAlone(), clk, log); err != nil {
 		g.close()
 		return nil, err
 	}
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -48,12 +48,12 @@
 	if o.link == nil {
 		err = do()
 	} else {
-		err = o.link.Give(ctx, hotrestart.Order{Server: server, Out: out}, do)
+		err = o.link.ApplyEverywhere(ctx, hotrestart.DenylistCommand{Server: server, Deny: out}, do)
 	}
 	if err != nil || o.keep == nil {
 		return err
 	}
-	if err := o.keep.keep(ctx); err != nil && (!errors.Is(err, errElsewhere) || o.link == nil || o.link.Alone()) {
+	if err := o.keep.keep(ctx); err != nil && (!errors.Is(err, errElsewhere) || o.link == nil || o.link.IsAlone()) {
 		return fmt.Errorf("the order is in force, and a loss of power would end it: %w", err)
 	}
 	return nil
@@ -80,7 +80,7 @@
 	}
 	set := denylist.New(mostBans)
 	if o.link != nil {
-		set.Restore(o.link.Inherited(), clk.FromUnix)
+		set.Restore(o.link.InheritedDenylist(), clk.FromUnix)
 	}
 	set.Restore(o.keep.bans(), clk.FromUnix)
 	o.core.SetDenylist(set)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -44,7 +44,7 @@
 	}
 	o := gossip.NodeOptions{Self: self, Keys: keys, ProbeInterval: x.Peers.Period, Now: clk.Now, Log: log}
 	if x.link != nil {
-		o.HasSuccessor = x.link.Succeeded
+		o.HasSuccessor = x.link.HasSuccessor
 	}
 	for _, m := range members {
 		at, err := netip.ParseAddrPort(m)
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -59,8 +59,8 @@
 	serving                 atomic.Bool
 }
 
-// Bans is for handover.Host.
-func (u *upgrade) Bans(ctx context.Context) (st denylist.Snapshot, err error) {
+// DenylistSnapshot is for handover.Host.
+func (u *upgrade) DenylistSnapshot(ctx context.Context) (st denylist.Snapshot, err error) {
 	err = u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
 		st = s.Snapshot(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
 		return nil
@@ -68,23 +68,23 @@
 	return st, err
 }
 
-// Obey is for handover.Host. The other process may know of a server that this one has not been told of yet.
-func (u *upgrade) Obey(ctx context.Context, o hotrestart.Order) error {
+// ApplyCommand is for handover.Host. The other process may know of a server that this one has not been told of yet.
+func (u *upgrade) ApplyCommand(ctx context.Context, o hotrestart.DenylistCommand) error {
 	if err := u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
 		s.Restore(denylist.Snapshot{KnownIDs: []string{o.Server}}, u.clock.FromUnix)
 		return nil
 	}); err != nil {
 		return err
 	}
-	err := hold(ctx, u.core, o.Server, o.Out)
+	err := hold(ctx, u.core, o.Server, o.Deny)
 	if err == nil && u.keep != nil {
 		u.keep.save(ctx)
 	}
 	return err
 }
 
-// Share is for handover.Host.
-func (u *upgrade) Share(part float64) {
+// SetLimitShare is for handover.Host.
+func (u *upgrade) SetLimitShare(part float64) {
 	u.conns.Limit(int(part * float64(u.toBackends)))
 	u.clients.SetLimit(int(part * float64(u.fromClients)))
 	u.large.Share(part)
@@ -95,20 +95,20 @@
 
 // leave is told that the process is to end. It reports whether another one serves.
 func (u *upgrade) leave() bool {
-	u.link.Enter(context.Background(), hotrestart.Leaving)
-	return u.link.Succeeded()
+	u.link.AnnouncePhase(context.Background(), hotrestart.Draining)
+	return u.link.HasSuccessor()
 }
 
 // becomeReady waits until the process could serve all that comes, and takes new connections from then on.
 func (u *upgrade) becomeReady(ctx context.Context, d *platform.Discovery, log *slog.Logger) {
 	began := time.Now()
-	for ctx.Err() == nil && (!u.core.Ready() || !d.HasAnswered() && !u.link.Alone() && time.Since(began) <= unheardMost) {
+	for ctx.Err() == nil && (!u.core.Ready() || !d.HasAnswered() && !u.link.IsAlone() && time.Since(began) <= unheardMost) {
 		time.Sleep(readyLook)
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	u.link.Enter(ctx, hotrestart.Serving)
+	u.link.AnnouncePhase(ctx, hotrestart.Serving)
 	u.serving.Store(true)
-	log.Info("ready to serve", "discovery heard", d.HasAnswered(), "alone", u.link.Alone(), "after", time.Since(began).Round(time.Millisecond))
+	log.Info("ready to serve", "discovery heard", d.HasAnswered(), "alone", u.link.IsAlone(), "after", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/hotrestart/gate.go
+++ b/internal/hotrestart/gate.go
@@ -8,9 +8,9 @@
 	"appleledge/internal/besteffort"
 )
 
-// Gate is a listener whose connections wait in its queue while it is shut, where another process that shares the socket may
+// Listener is a listener whose connections wait in its queue while it is shut, where another process that shares the socket may
 // take them.
-type Gate struct {
+type GatedListener struct {
 	*net.TCPListener
 
 	mu     sync.Mutex
@@ -19,9 +19,9 @@
 	closed bool
 }
 
-// NewGate returns a listener that is shut.
-func NewGate(l *net.TCPListener) *Gate {
-	g := &Gate{TCPListener: l}
+// NewGatedListener returns a listener that is shut.
+func NewGatedListener(l *net.TCPListener) *GatedListener {
+	g := &GatedListener{TCPListener: l}
 	g.moved = sync.NewCond(&g.mu)
 	return g
 }
@@ -29,8 +29,8 @@
 // past ends a call to accept that waits.
 var past = time.Unix(1, 0)
 
-// Set opens or shuts it.
-func (g *Gate) Set(open bool) {
+// SetOpen opens or shuts it.
+func (g *GatedListener) SetOpen(open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if open == g.open || g.closed {
@@ -46,7 +46,7 @@
 }
 
 // Accept waits until the gate is open and a connection comes.
-func (g *Gate) Accept() (net.Conn, error) {
+func (g *GatedListener) Accept() (net.Conn, error) {
 	for {
 		g.mu.Lock()
 		for !g.open && !g.closed {
@@ -71,7 +71,7 @@
 }
 
 // Close closes it in this process; the socket lives on where another one holds it.
-func (g *Gate) Close() error {
+func (g *GatedListener) Close() error {
 	g.mu.Lock()
 	g.closed = true
 	g.moved.Broadcast()
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -29,11 +29,11 @@
 		{Phase: Starting, Ask: 11},
 		{Phase: Starting, Bans: &state},
 		{Phase: Serving, Ask: 12},
-		{Phase: Serving, Order: &Order{Server: "d", Out: true}, Ask: 13},
-		{Phase: Serving, Order: &Order{Server: "e"}, Ask: 14},
+		{Phase: Serving, Order: &DenylistCommand{Server: "d", Deny: true}, Ask: 13},
+		{Phase: Serving, Order: &DenylistCommand{Server: "e"}, Ask: 14},
 		{Phase: Serving, Reply: 15},
-		{Phase: Leaving, Ask: 16},
-		{Phase: Leaving, Bans: &state, Order: &Order{Server: "f", Out: true}, Ask: 17, Reply: 18},
+		{Phase: Draining, Ask: 16},
+		{Phase: Draining, Bans: &state, Order: &DenylistCommand{Server: "f", Deny: true}, Ask: 17, Reply: 18},
 	}
 }
 
@@ -63,7 +63,7 @@
 	link, p, got := alone(), newPeer(near), make([]byte, 1<<16)
 	size := 0
 	for _, m := range goldenMessages() {
-		link.process.Enter(m.Phase)
+		link.process.SetPhase(m.Phase)
 		if err := link.send(p, m); err != nil {
 			t.Fatal(err)
 		}
@@ -96,10 +96,10 @@
 	defer besteffort.Close(l)
 	near, far := connection(t)
 	link, set := alone(), denylist.New(10)
-	link.user, link.gate = os.Geteuid(), NewGate(l.(*net.TCPListener))
+	link.user, link.gate = os.Geteuid(), NewGatedListener(l.(*net.TCPListener))
 	set.Restore(goldenState(), func(ms int64) time.Duration { return time.Duration(ms) })
 	link.host = &host{Link: link, set: set}
-	link.process.Enter(Serving)
+	link.process.SetPhase(Serving)
 	if err := link.welcome(t.Context(), newPeer(near)); err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 	for _, agent := range []string{"n0 127.0.0.1:8081", "another with a long name of many words 0.0.0.0:80"} {
 		fmt.Fprintf(&got, "%s: %s*%s\n", agent, prefix(agent), suffix)
 	}
-	for phase := Starting - 1; phase <= Leaving+1; phase++ {
+	for phase := Starting - 1; phase <= Draining+1; phase++ {
 		fmt.Fprintf(&got, "%d: %v\n", phase, phase)
 	}
 	golden.Equal(t, "handover/names", []byte(got.String()))
--- a/internal/hotrestart/golden_texts_test.go
+++ b/internal/hotrestart/golden_texts_test.go
@@ -9,7 +9,7 @@
 
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
-	for i, p := range []Phase{Starting, Serving, Leaving, Leaving + 1} {
+	for i, p := range []Phase{Starting, Serving, Draining, Draining + 1} {
 		out = fmt.Appendf(out, "phase %d %d %v\n", i, p, p)
 	}
 	golden.Equal(t, "texts/handover.txt", out)
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -36,30 +36,30 @@
 	acceptPause = 50 * time.Millisecond  // after a connection that could not be taken
 )
 
-// Sockets is how many descriptors a Link needs at the most.
-const Sockets = mostPeers + 3
+// MaxDescriptors is how many descriptors a Link needs at the most.
+const MaxDescriptors = mostPeers + 3
 
-// Order is what an operator wants of a server.
-type Order struct {
+// DenylistCommand is what an operator wants of a server.
+type DenylistCommand struct {
 	Server string `json:"server"`
-	Out    bool   `json:"out"` // hold it out, or take it back
+	Deny   bool   `json:"out"` // hold it out, or take it back
 }
 
 // Host is the process that a Link connects with others.
 type Host interface {
-	// Bans returns what operators hold out now.
-	Bans(context.Context) (denylist.Snapshot, error)
-	// Obey carries out an order that was told to another process.
-	Obey(context.Context, Order) error
-	// Share says which part of the agent's limits the process may use from now on.
-	Share(float64)
+	// DenylistSnapshot returns what operators hold out now.
+	DenylistSnapshot(context.Context) (denylist.Snapshot, error)
+	// ApplyCommand carries out an order that was told to another process.
+	ApplyCommand(context.Context, DenylistCommand) error
+	// SetLimitShare says which part of the agent's limits the process may use from now on.
+	SetLimitShare(float64)
 }
 
 // message is a line between two processes.
 type message struct {
 	Phase Phase              `json:"phase"` // of the sender
 	Bans  *denylist.Snapshot `json:"bans,omitempty"`
-	Order *Order             `json:"order,omitempty"`
+	Order *DenylistCommand   `json:"order,omitempty"`
 	Ask   int                `json:"ask,omitempty"`   // the number under which a reply is wanted
 	Reply int                `json:"reply,omitempty"` // the number that is replied to
 }
@@ -70,7 +70,7 @@
 	dir  *os.File          // where the sockets are
 	own  *net.UnixListener // nil: nobody can join
 	user int               // whose processes may join
-	gate *Gate
+	gate *GatedListener
 	host Host // set by Run
 
 	order sync.Mutex // one order at a time, so that all carry them out in the same order
@@ -132,7 +132,7 @@
 		l.Close()
 		return nil, fmt.Errorf("a listener of kind %T can't be shared", passed)
 	}
-	l.gate = NewGate(tcp)
+	l.gate = NewGatedListener(tcp)
 	return l, nil
 }
 
@@ -249,24 +249,24 @@
 	return net.FileListener(f)
 }
 
-// Gate is the listener for clients.
-func (l *Link) Gate() *Gate { return l.gate }
+// Listener is the listener for clients.
+func (l *Link) Listener() *GatedListener { return l.gate }
 
-// Inherited is what the other processes held out at the start.
-func (l *Link) Inherited() denylist.Snapshot { return l.bans }
+// InheritedDenylist is what the other processes held out at the start.
+func (l *Link) InheritedDenylist() denylist.Snapshot { return l.bans }
 
-// Alone reports whether there is no other process.
-func (l *Link) Alone() bool {
+// IsAlone reports whether there is no other process.
+func (l *Link) IsAlone() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.peers) == 0
 }
 
-// Succeeded reports whether another process serves.
-func (l *Link) Succeeded() bool {
+// HasSuccessor reports whether another process serves.
+func (l *Link) HasSuccessor() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.process.Succeeded()
+	return l.process.HasSuccessor()
 }
 
 // add takes up another process with what it said first.
@@ -276,7 +276,7 @@
 	l.number++
 	p.number = l.number
 	l.peers[p.number] = p
-	l.process.Met(p.number, first.Phase)
+	l.process.ObservePeer(p.number, first.Phase)
 	if first.Bans != nil {
 		l.bans.KnownIDs = append(l.bans.KnownIDs, first.Bans.KnownIDs...)
 		l.bans.DeniedSince = merged(l.bans.DeniedSince, first.Bans.DeniedSince)
@@ -329,17 +329,17 @@
 func (l *Link) settle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gate.Set(l.process.Accepts())
+	l.gate.SetOpen(l.process.ShouldAccept())
 	if l.host != nil {
-		l.host.Share(l.process.Share())
+		l.host.SetLimitShare(l.process.LimitShare())
 	}
 }
 
-// Enter brings the process into a phase. When it returns the others know, or have not said so in time: a process may be told to
+// AnnouncePhase brings the process into a phase. When it returns the others know, or have not said so in time: a process may be told to
 // end as soon as another one says that it serves, and has to know by then that it has a successor.
-func (l *Link) Enter(ctx context.Context, phase Phase) {
+func (l *Link) AnnouncePhase(ctx context.Context, phase Phase) {
 	l.mu.Lock()
-	l.process.Enter(phase)
+	l.process.SetPhase(phase)
 	l.mu.Unlock()
 	l.settle()
 	if !l.tell(ctx, message{}) {
@@ -356,15 +356,15 @@
 	return all
 }
 
-// Give carries an order out by do, tells the others, and waits until they have carried it out or it is no use to wait.
-func (l *Link) Give(ctx context.Context, o Order, do func() error) error {
+// ApplyEverywhere carries an order out by do, tells the others, and waits until they have carried it out or it is no use to wait.
+func (l *Link) ApplyEverywhere(ctx context.Context, o DenylistCommand, do func() error) error {
 	l.order.Lock()
 	defer l.order.Unlock()
 	if err := do(); err != nil {
 		return err
 	}
 	if !l.tell(ctx, message{Order: &o}) {
-		l.log.Warn("another process of the agent has not taken an order in time", "server", o.Server, "out", o.Out)
+		l.log.Warn("another process of the agent has not taken an order in time", "server", o.Server, "out", o.Deny)
 	}
 	return nil
 }
@@ -439,7 +439,7 @@
 	if len(l.others()) >= mostPeers {
 		return fmt.Errorf("there are %d processes of the agent already", 1+mostPeers)
 	}
-	state, err := l.host.Bans(ctx)
+	state, err := l.host.DenylistSnapshot(ctx)
 	if err != nil {
 		return err
 	}
@@ -533,7 +533,7 @@
 			return
 		}
 		l.mu.Lock()
-		l.process.Met(p.number, m.Phase)
+		l.process.ObservePeer(p.number, m.Phase)
 		reply := l.wait[m.Reply]
 		delete(l.wait, m.Reply)
 		l.mu.Unlock()
@@ -542,7 +542,7 @@
 			reply <- struct{}{} // has room for all that were asked
 		}
 		if m.Order != nil {
-			if err := l.host.Obey(ctx, *m.Order); err != nil {
+			if err := l.host.ApplyCommand(ctx, *m.Order); err != nil {
 				l.log.Warn("an order that another process took could not be carried out", "server", m.Order.Server, "error", err)
 			}
 		}
@@ -560,7 +560,7 @@
 	besteffort.Close(p.conn)
 	l.mu.Lock()
 	delete(l.peers, p.number)
-	l.process.Lost(p.number)
+	l.process.RemovePeer(p.number)
 	l.mu.Unlock()
 	l.settle()
 }
--- a/internal/hotrestart/link_test.go
+++ b/internal/hotrestart/link_test.go
@@ -31,7 +31,7 @@
 	told  chan struct{}
 }
 
-func (h *host) Bans(context.Context) (denylist.Snapshot, error) {
+func (h *host) DenylistSnapshot(context.Context) (denylist.Snapshot, error) {
 	h.mu.Lock()
 	state, asked, told := h.state(), h.asked, h.told
 	h.mu.Unlock()
@@ -46,16 +46,16 @@
 	return h.set.Snapshot(func(d time.Duration) int64 { return int64(d) })
 }
 
-func (h *host) Obey(_ context.Context, o Order) error {
+func (h *host) ApplyCommand(_ context.Context, o DenylistCommand) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if o.Out {
+	if o.Deny {
 		return h.set.Deny(time.Second, o.Server)
 	}
 	return h.set.Allow(time.Second, o.Server)
 }
 
-func (h *host) Share(part float64) {
+func (h *host) SetLimitShare(part float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.share = part
@@ -78,8 +78,8 @@
 // give is an operator's order to this process.
 func (h *host) give(t *testing.T, server string, out bool) {
 	t.Helper()
-	o := Order{server, out}
-	if err := h.Give(t.Context(), o, func() error { return h.Obey(t.Context(), o) }); err != nil {
+	o := DenylistCommand{server, out}
+	if err := h.ApplyEverywhere(t.Context(), o, func() error { return h.ApplyCommand(t.Context(), o) }); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -101,7 +101,7 @@
 	for _, id := range []string{"a", "b"} {
 		h.set.MarkListed(id, 0)
 	}
-	h.set.Restore(link.Inherited(), func(ms int64) time.Duration { return time.Duration(ms) })
+	h.set.Restore(link.InheritedDenylist(), func(ms int64) time.Duration { return time.Duration(ms) })
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); link.Run(ctx, h) }()
@@ -113,7 +113,7 @@
 func TestTwoProcessesAreOneAgent(t *testing.T) {
 	dir := t.TempDir()
 	old := process(t, dir, true)
-	old.Enter(t.Context(), Serving)
+	old.AnnouncePhase(t.Context(), Serving)
 	old.give(t, "a", true)
 	fresh := process(t, dir, false)
 	agenttest.Eventually(t, "each has half", func() bool { return old.has(0.5)() && fresh.has(0.5)() })
@@ -127,20 +127,20 @@
 			t.Errorf("the %s process holds out %v", name, got)
 		}
 	}
-	if fresh.Gate().Addr().String() != old.Gate().Addr().String() {
+	if fresh.Listener().Addr().String() != old.Listener().Addr().String() {
 		t.Error("they listen at two addresses")
 	}
-	fresh.Enter(t.Context(), Serving)
-	if !old.Succeeded() { // it may be told to end at once
+	fresh.AnnouncePhase(t.Context(), Serving)
+	if !old.HasSuccessor() { // it may be told to end at once
 		t.Error("the old one does not know of it")
 	}
-	old.Enter(t.Context(), Leaving)
-	far, err := net.Dial("tcp", old.Gate().Addr().String())
+	old.AnnouncePhase(t.Context(), Draining)
+	far, err := net.Dial("tcp", old.Listener().Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer besteffort.Close(far)
-	c, err := fresh.Gate().Accept() // the old one, whose gate is shut, would keep it
+	c, err := fresh.Listener().Accept() // the old one, whose gate is shut, would keep it
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,17 +195,17 @@
 	both.Go(func() { second.Run(ctx, &host{Link: second, set: denylist.New(10)}) })
 	defer besteffort.Close(second.gate)
 	defer besteffort.Close(first.gate)
-	if second.Alone() || second.Gate().Addr().String() != first.Gate().Addr().String() {
+	if second.IsAlone() || second.Listener().Addr().String() != first.Listener().Addr().String() {
 		t.Error("the second one does not know of the first")
 	}
-	agenttest.Eventually(t, "nor is the first one alone", func() bool { return !first.Alone() })
+	agenttest.Eventually(t, "nor is the first one alone", func() bool { return !first.IsAlone() })
 }
 
 // An order that comes while a process joins, behind the moment in which the bans were written down for it, is not missed.
 func TestAnOrderCrossesAProcessThatJoins(t *testing.T) {
 	dir := t.TempDir()
 	old := process(t, dir, true)
-	old.Enter(t.Context(), Serving)
+	old.AnnouncePhase(t.Context(), Serving)
 	asked, told := make(chan struct{}), make(chan struct{})
 	old.mu.Lock()
 	old.asked, old.told = asked, told
@@ -238,7 +238,7 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	if h := process(t, dir, true); !h.Alone() {
+	if h := process(t, dir, true); !h.IsAlone() {
 		t.Error("it is not alone")
 	}
 	if took := time.Since(began); took < lockMost || took > agenttest.Patience {
@@ -253,8 +253,8 @@
 		t.Fatal(err)
 	}
 	old := process(t, dir, true)
-	old.Enter(t.Context(), Serving)
-	if fresh := process(t, dir, false); fresh.Alone() {
+	old.AnnouncePhase(t.Context(), Serving)
+	if fresh := process(t, dir, false); fresh.IsAlone() {
 		t.Error("the new one is alone")
 	}
 	old.end()
@@ -276,7 +276,7 @@
 	if _, err := os.Lstat(stale); err == nil {
 		t.Error("the file of a process that is gone is still there")
 	}
-	if !h.Alone() {
+	if !h.IsAlone() {
 		t.Error("it is not alone")
 	}
 }
@@ -296,12 +296,12 @@
 	done := make(chan struct{})
 	go func() { defer close(done); link.Run(ctx, h) }()
 	defer func() { stop(); <-done; besteffort.Close(link.gate) }()
-	link.Enter(t.Context(), Serving)
-	if stranger := process(t, dir, true); !stranger.Alone() || stranger.Gate().Addr().String() == link.Gate().Addr().String() {
+	link.AnnouncePhase(t.Context(), Serving)
+	if stranger := process(t, dir, true); !stranger.IsAlone() || stranger.Listener().Addr().String() == link.Listener().Addr().String() {
 		t.Error("it was let in")
 	}
 	agenttest.Eventually(t, "the log says why", func() bool { return log.Count("is not the agent's") == 1 })
-	if !link.Alone() || !h.has(1)() {
+	if !link.IsAlone() || !h.has(1)() {
 		t.Error("it counts as a process of the agent")
 	}
 }
@@ -315,7 +315,7 @@
 	}
 	defer besteffort.Close(l)
 	began := time.Now()
-	if h := process(t, dir, true); !h.Alone() {
+	if h := process(t, dir, true); !h.IsAlone() {
 		t.Error("it counts as a process")
 	}
 	if took := time.Since(began); took > 5*joinTime {
@@ -339,7 +339,7 @@
 			t.Fatal(err)
 		}
 		defer besteffort.Close(l)
-		link.gate = NewGate(l.(*net.TCPListener))
+		link.gate = NewGatedListener(l.(*net.TCPListener))
 		h := &host{Link: link, set: denylist.New(2)}
 		link.host = h
 		p := newPeer(near)
@@ -350,7 +350,7 @@
 		if n := len(h.out()); n > 2 {
 			t.Errorf("%d are held out", n)
 		}
-		if !link.Alone() {
+		if !link.IsAlone() {
 			t.Error("it is still there")
 		}
 	})
@@ -392,7 +392,7 @@
 		t.Fatal(err)
 	}
 	defer besteffort.Close(other)
-	g := NewGate(l.(*net.TCPListener))
+	g := NewGatedListener(l.(*net.TCPListener))
 	accept := func(l net.Listener) chan error {
 		accepted := make(chan error, 1)
 		go func() {
@@ -422,9 +422,9 @@
 			t.Fatal("nobody takes the connection")
 		}
 	}
-	g.Set(true)
+	g.SetOpen(true)
 	here := accept(g)
-	g.Set(false)
+	g.SetOpen(false)
 	dial()
 	there := accept(other)
 	select {
@@ -453,7 +453,7 @@
 	}
 	besteffort.Close(other)
 	besteffort.Ignore(<-there)
-	g.Set(true)
+	g.SetOpen(true)
 	dial()
 	comes(here)
 	here = accept(g)
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -9,10 +9,10 @@
 const (
 	Starting Phase = iota // can't serve yet
 	Serving
-	Leaving // told to end
+	Draining // told to end
 )
 
-var phases = [...]string{Starting: "starting", Serving: "serving", Leaving: "leaving"}
+var phases = [...]string{Starting: "starting", Serving: "serving", Draining: "leaving"}
 
 func (p Phase) String() string {
 	if p < 0 || int(p) >= len(phases) {
@@ -33,31 +33,31 @@
 // NewProcess returns a process that starts, beside no other.
 func NewProcess() *Process { return &Process{peers: map[int]Phase{}} }
 
-// Enter notes a phase of the process itself.
-func (p *Process) Enter(to Phase) { p.phase = max(p.phase, to) }
+// AnnouncePhase notes a phase of the process itself.
+func (p *Process) SetPhase(to Phase) { p.phase = max(p.phase, to) }
 
-// Met notes another process, or a new phase of it.
-func (p *Process) Met(link int, phase Phase) { p.peers[link] = max(p.peers[link], phase) }
+// ObservePeer notes another process, or a new phase of it.
+func (p *Process) ObservePeer(link int, phase Phase) { p.peers[link] = max(p.peers[link], phase) }
 
-// Lost notes that another one has ended.
-func (p *Process) Lost(link int) { delete(p.peers, link) }
+// RemovePeer notes that another one has ended.
+func (p *Process) RemovePeer(link int) { delete(p.peers, link) }
 
 // Phase is the process' own.
 func (p *Process) Phase() Phase { return p.phase }
 
-// Accepts reports whether the process takes new connections.
-func (p *Process) Accepts() bool {
+// ShouldAccept reports whether the process takes new connections.
+func (p *Process) ShouldAccept() bool {
 	switch p.phase {
 	case Serving:
 		return true
 	case Starting: // the others serve, until this one is ready; a process alone says itself that it is not
 		return len(p.peers) == 0
 	}
-	return !p.Succeeded()
+	return !p.HasSuccessor()
 }
 
-// Succeeded reports whether another process serves.
-func (p *Process) Succeeded() bool {
+// HasSuccessor reports whether another process serves.
+func (p *Process) HasSuccessor() bool {
 	for _, phase := range p.peers {
 		if phase == Serving {
 			return true
@@ -66,5 +66,5 @@
 	return false
 }
 
-// Share is the part of the agent's limits that the process may use.
-func (p *Process) Share() float64 { return 1 / float64(1+len(p.peers)) }
+// SetLimitShare is the part of the agent's limits that the process may use.
+func (p *Process) LimitShare() float64 { return 1 / float64(1+len(p.peers)) }
--- a/internal/hotrestart/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -26,10 +26,10 @@
 			return rapid.SampledFrom(ids).Draw(t, "process")
 		}
 		enter := func(id int, phase Phase) {
-			live[id].Enter(phase)
+			live[id].SetPhase(phase)
 			for other, p := range live {
 				if other != id {
-					p.Met(id, live[id].Phase())
+					p.ObservePeer(id, live[id].Phase())
 				}
 			}
 		}
@@ -40,19 +40,19 @@
 				}
 				p := NewProcess()
 				for id, other := range live {
-					p.Met(id, other.Phase())
-					other.Met(next, Starting)
+					p.ObservePeer(id, other.Phase())
+					other.ObservePeer(next, Starting)
 				}
 				live[next] = p
 				next++
 			},
 			"ready": func(t *rapid.T) { enter(some(t), Serving) },
-			"leave": func(t *rapid.T) { enter(some(t), Leaving) },
+			"leave": func(t *rapid.T) { enter(some(t), Draining) },
 			"an old word comes late": func(t *rapid.T) {
 				id := some(t)
 				for other, p := range live {
 					if other != id {
-						p.Met(id, Phase(rapid.IntRange(0, int(live[id].Phase())).Draw(t, "phase")))
+						p.ObservePeer(id, Phase(rapid.IntRange(0, int(live[id].Phase())).Draw(t, "phase")))
 					}
 				}
 			},
@@ -60,20 +60,20 @@
 				id := some(t)
 				delete(live, id)
 				for _, p := range live {
-					p.Lost(id)
+					p.RemovePeer(id)
 				}
 			},
 			"": func(t *rapid.T) {
 				accepting, serving, ready, shares := 0, 0, 0, 0.0
 				for _, p := range live {
-					shares += p.Share()
+					shares += p.LimitShare()
 					if p.Phase() != Starting {
 						ready++
 					}
 					if p.Phase() == Serving {
 						serving++
 					}
-					if p.Accepts() {
+					if p.ShouldAccept() {
 						accepting++
 						if p.Phase() == Starting && len(live) > 1 {
 							t.Fatal("one that is not ready takes connections from others")
@@ -96,14 +96,14 @@
 // A word that is older than one that was heard changes nothing: the process that serves goes on taking what connects.
 func TestAnOldWordChangesNothing(t *testing.T) {
 	a, b := NewProcess(), NewProcess()
-	a.Met(1, Starting)
-	b.Met(0, a.Phase())
-	b.Enter(Leaving)
-	a.Met(1, b.Phase())
-	a.Enter(Serving)
-	b.Met(0, a.Phase())
-	b.Met(0, Starting) // which a said before
-	if !a.Accepts() || b.Accepts() {
-		t.Errorf("the one that serves takes new connections: %v, the one that leaves: %v", a.Accepts(), b.Accepts())
+	a.ObservePeer(1, Starting)
+	b.ObservePeer(0, a.Phase())
+	b.SetPhase(Draining)
+	a.ObservePeer(1, b.Phase())
+	a.SetPhase(Serving)
+	b.ObservePeer(0, a.Phase())
+	b.ObservePeer(0, Starting) // which a said before
+	if !a.ShouldAccept() || b.ShouldAccept() {
+		t.Errorf("the one that serves takes new connections: %v, the one that leaves: %v", a.ShouldAccept(), b.ShouldAccept())
 	}
 }
