--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -189,7 +189,7 @@
 	sources, names := with.open(disco, clk, cfg.Site, log)
 	hub := membership.NewHub(with.Membership, names, clk, core.Post, log)
 	settled, rules := platformconfig.New(cfg.Site), &requesthead.InForce{}
-	rules.Put(settled.Rules())
+	rules.Put(settled.RequestRules())
 	others, err := with.openPeers(cfg, clk, log)
 	if err != nil {
 		return err
@@ -325,7 +325,7 @@
 		})
 	}
 	return front.Serve(ctx, func() (usually, longest time.Duration) {
-		if longest = platformconfig.LameDuck(rules.Longest()) + drainMost; cfg.linger {
+		if longest = platformconfig.LameDuckDuration(rules.Longest()) + drainMost; cfg.linger {
 			return rules.Aim(), longest
 		}
 		return longest, longest
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -23,7 +23,7 @@
 	clock  engine.Clock
 	core   *engine.Engine
 	disco  *platform.Discovery
-	terms  *platformconfig.Terms
+	terms  *platformconfig.Settings
 	rules  *requesthead.InForce
 	keys   keys // of the file in force
 	own    *sections
@@ -64,12 +64,12 @@
 	if err := c.keys.lacks(r.keys); err != nil {
 		return err
 	}
-	tell, later, err := r.terms.Change(r.clock.Now(), c.Site)
+	tell, later, err := r.terms.Update(r.clock.Now(), c.Site)
 	if err != nil {
 		return err
 	}
 	r.keys = c.keys
-	rules := r.terms.Rules()
+	rules := r.terms.RequestRules()
 	r.core.SetClassNames(tell.Classes)
 	changed, misfit := r.own.tell(engine.SettingsChanged{ClassUpdate: tell, Version: rules.Number})
 	r.core.Post(changed)
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -125,7 +125,7 @@
 func (s *Server) drain(srv *grpc.Server) {
 	ended := make(chan struct{})
 	go func() { srv.GracefulStop(); close(ended) }()
-	limit := time.NewTimer(platformconfig.LameDuck(s.Longest()) + drainMost)
+	limit := time.NewTimer(platformconfig.LameDuckDuration(s.Longest()) + drainMost)
 	defer limit.Stop()
 	select {
 	case <-ended:
--- a/internal/platformconfig/terms.go
+++ b/internal/platformconfig/platformconfig.go
@@ -23,28 +23,28 @@
 // mostWaited is for how long the platform waits, at most, for clients of a process that it has told to end. Deadlines may be longer.
 const mostWaited = 3 * time.Second
 
-// LameDuck is for how long a process that is told to end may be waited for by a client whose patience is so long.
-func LameDuck(longest time.Duration) time.Duration { return min(longest, mostWaited) }
+// LameDuckDuration is for how long a process that is told to end may be waited for by a client whose patience is so long.
+func LameDuckDuration(longest time.Duration) time.Duration { return min(longest, mostWaited) }
 
-// Terms are the settings in force. A class has the number that its name got first, for good: what is kept by class elsewhere
+// Settings are the settings in force. A class has the number that its name got first, for good: what is kept by class elsewhere
 // stays right over any change.
-type Terms struct {
+type Settings struct {
 	rules   requesthead.Rules
 	present simwire.Site
 }
 
 // New returns the settings that an agent starts with, which are generation 0.
-func New(site simwire.Site) *Terms {
-	return &Terms{present: site, rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants,
+func New(site simwire.Site) *Settings {
+	return &Settings{present: site, rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants,
 		Attempts: site.Logic.MaxAttempts}}
 }
 
-// Rules are what requests are checked against.
-func (t *Terms) Rules() requesthead.Rules { return t.rules }
+// RequestRules are what requests are checked against.
+func (t *Settings) RequestRules() requesthead.Rules { return t.rules }
 
-// Change puts other settings in force from now on. It returns what the module is to be told, and the names of what has changed
+// Update puts other settings in force from now on. It returns what the module is to be told, and the names of what has changed
 // that takes effect at the next start only. After an error all is as it was.
-func (t *Terms) Change(now time.Duration, site simwire.Site) (tell balancer.ClassUpdate, later []string, err error) {
+func (t *Settings) Update(now time.Duration, site simwire.Site) (tell balancer.ClassUpdate, later []string, err error) {
 	if err := site.Logic.Validate(); err != nil {
 		return tell, nil, err
 	}
@@ -63,7 +63,7 @@
 }
 
 // numbered are the classes by the numbers that their names have. Those that are no more are there as dropped.
-func (t *Terms) numbered(classes []balancer.Class) ([]balancer.Class, error) {
+func (t *Settings) numbered(classes []balancer.Class) ([]balancer.Class, error) {
 	out := slices.Clone(t.rules.Classes)
 	for i := range out {
 		out[i].Retired = true
--- a/internal/platformconfig/terms_test.go
+++ b/internal/platformconfig/platformconfig_test.go
@@ -53,15 +53,15 @@
 func TestRequestsComeUnderTheSettingsThatTheyFit(t *testing.T) {
 	t0 := 10 * time.Second
 	terms := New(site(5, "a:r b:k"))
-	if _, _, err := terms.Change(t0, site(2, "b:u c:r a:r")); err != nil {
+	if _, _, err := terms.Update(t0, site(2, "b:u c:r a:r")); err != nil {
 		t.Fatal(err)
 	}
 	soon, late := t0+time.Second, t0+grace
-	changed := terms.Rules()
-	if _, _, err := terms.Change(t0+time.Minute, site(3, "b:u c:r")); err != nil {
+	changed := terms.RequestRules()
+	if _, _, err := terms.Update(t0+time.Minute, site(3, "b:u c:r")); err != nil {
 		t.Fatal(err)
 	}
-	dropped := terms.Rules()
+	dropped := terms.RequestRules()
 	for _, c := range []struct {
 		name  string
 		rules requesthead.Rules
@@ -95,11 +95,11 @@
 	broken.Logic.Classes[1].Deadline = -5
 	for name, s := range map[string]simwire.Site{"no attempts": site(0, "a:r"), "a class twice": site(5, "a:r a:k"), "no class": site(5, ""),
 		"too many classes": site(5, many), "a deadline below 0": broken} {
-		if _, _, err := terms.Change(time.Second, s); err == nil {
+		if _, _, err := terms.Update(time.Second, s); err == nil {
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if r := terms.Rules(); r.Number != 0 || len(r.Classes) != 1 {
+	if r := terms.RequestRules(); r.Number != 0 || len(r.Classes) != 1 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -108,7 +108,7 @@
 	terms := New(site(5, "a:r"))
 	other := site(2, "b:k")
 	other.Tenants, other.Logic.SlowStartInitialRatio = []string{"x"}, 0.5
-	if _, later, err := terms.Change(time.Second, other); err != nil || fmt.Sprint(later) != "[the module's tenants]" {
+	if _, later, err := terms.Update(time.Second, other); err != nil || fmt.Sprint(later) != "[the module's tenants]" {
 		t.Errorf("%v, %v", later, err)
 	}
 }
