--- a/cmd/appleledge/upgrade_generations_test.go
+++ b/cmd/appleledge/upgrade_generations_test.go
@@ -48,14 +48,14 @@
 	ctx, cancel := context.WithTimeout(g.t.Context(), agenttest.Patience)
 	defer cancel()
 	p := &plan.Plan{}
-	if err := g.client.Call(ctx, http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: c, MostTaken: 1}, p); err != nil {
+	if err := g.client.Call(ctx, http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: c, MaxCapacityTaken: 1}, p); err != nil {
 		return err
 	}
-	var a admin.Applied
-	if err := g.client.Call(ctx, http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, By: "test", Force: true}, &a); err != nil {
+	var a admin.ChangeResult
+	if err := g.client.Call(ctx, http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: "test", Force: true}, &a); err != nil {
 		return err
 	}
-	if !a.Durable {
+	if !a.IsDurable {
 		return fmt.Errorf("%+v", a)
 	}
 	return nil
--- a/cmd/appleledgectl/commands.go
+++ b/cmd/appleledgectl/commands.go
@@ -66,7 +66,7 @@
 				return err
 			}
 			p := &plan.Plan{}
-			if err := c.call(cmd, http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: config, MostTaken: taken}, p); err != nil {
+			if err := c.call(cmd, http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: config, MaxCapacityTaken: taken}, p); err != nil {
 				return err
 			}
 			if out != "" {
@@ -164,8 +164,8 @@
 					return err
 				}
 			}
-			var done admin.Applied
-			if err := c.call(cmd, http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, By: c.by, Why: why, Force: force}, &done); err != nil {
+			var done admin.ChangeResult
+			if err := c.call(cmd, http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: c.by, Reason: why, Force: force}, &done); err != nil {
 				return err
 			}
 			return c.showApplied(done, "appleledgectl status says what the watch makes of it.")
@@ -179,7 +179,7 @@
 
 // approve shows a plan and asks, with the lock in hand.
 func (c *console) approve(cmd *cobra.Command, p *plan.Plan) error {
-	lock := admin.LockRequest{By: c.by, For: "5m"}
+	lock := admin.LockRequest{Holder: c.by, Duration: "5m"}
 	if err := c.call(cmd, http.MethodPost, admin.PathLock, lock, &admin.Lock{}); err != nil {
 		return err
 	}
@@ -194,12 +194,12 @@
 	return err
 }
 
-func (c *console) showApplied(a admin.Applied, more string) error {
+func (c *console) showApplied(a admin.ChangeResult, more string) error {
 	if c.json {
 		return c.writeJSON(a)
 	}
 	fmt.Fprintf(c.out, "Generation %d (%.12s) is in force. %s\n", a.Number, a.Hash, more)
-	if !a.Durable {
+	if !a.IsDurable {
 		fmt.Fprintln(c.out, color.New(color.FgYellow).Sprint("It would not survive a restart:"), a.Problem)
 	}
 	return nil
@@ -213,8 +213,8 @@
 		Long:  "Goes back to the configuration that was in force before the last one was applied, at once and as a whole.",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var done admin.Applied
-			if err := c.call(cmd, http.MethodPost, admin.PathRollback, admin.RollbackRequest{By: c.by, Why: why}, &done); err != nil {
+			var done admin.ChangeResult
+			if err := c.call(cmd, http.MethodPost, admin.PathRollback, admin.RollbackRequest{Actor: c.by, Reason: why}, &done); err != nil {
 				return err
 			}
 			return c.showApplied(done, "")
@@ -257,13 +257,13 @@
 	fmt.Fprintf(w, "servers\t%d, %d of them drained by the configuration\n", s.ServerCount, s.DrainingServers)
 	fmt.Fprintf(w, "refused\t%d by limits\n", s.RejectedRequests)
 	fmt.Fprintf(w, "open\t%s\n", openByGeneration(s.OpenRequests))
-	if s.Durable {
+	if s.IsDurable {
 		fmt.Fprintf(w, "kept\tyes\n")
 	} else {
 		fmt.Fprintf(w, "kept\tno: %s\n", s.Problem)
 	}
 	if s.Lock != nil {
-		fmt.Fprintf(w, "lock\t%s, for %.0f s more\n", s.Lock.By, s.Lock.LeftS)
+		fmt.Fprintf(w, "lock\t%s, for %.0f s more\n", s.Lock.Holder, s.Lock.SecondsLeft)
 	}
 	return w.Flush()
 }
@@ -339,7 +339,7 @@
 		Short: "Keep others from changing the configuration",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			q := admin.LockRequest{By: c.by, For: lasts.String()}
+			q := admin.LockRequest{Holder: c.by, Duration: lasts.String()}
 			if release {
 				return c.call(cmd, http.MethodDelete, admin.PathLock, q, &struct{}{})
 			}
@@ -347,7 +347,7 @@
 			if err := c.call(cmd, http.MethodPost, admin.PathLock, q, &l); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.out, "%s holds the lock for %.0f s\n", l.By, l.LeftS)
+			fmt.Fprintf(c.out, "%s holds the lock for %.0f s\n", l.Holder, l.SecondsLeft)
 			return nil
 		},
 	}
--- a/cmd/appleledgectl/golden_test.go
+++ b/cmd/appleledgectl/golden_test.go
@@ -93,7 +93,7 @@
 		}
 		delete(s.OpenRequests, 9)
 		if bare {
-			s.IsWatched, s.PreviousHash, s.OpenRequests, s.Durable, s.Lock = false, "", nil, false, nil
+			s.IsWatched, s.PreviousHash, s.OpenRequests, s.IsDurable, s.Lock = false, "", nil, false, nil
 		}
 		if err := (&console{out: &b}).writeStatus(s); err != nil {
 			t.Fatal(err)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -46,7 +46,7 @@
 
 // installation is an agent's changes over a disk.
 type installation struct {
-	*Changes
+	*ChangeManager
 	core *core
 	disk atomicfile.FS
 }
@@ -65,11 +65,11 @@
 		fleet[server(i).ID] = server(i)
 	}
 	c.manager.UpdateServers(fleet)
-	x := &installation{core: c, disk: disk, Changes: &Changes{Agent: "n0", Engine: c, Names: func() generation.Names { return names }, Now: time.Now,
-		Log: slog.New(slog.DiscardHandler), Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}}
+	x := &installation{core: c, disk: disk, ChangeManager: &ChangeManager{Agent: "n0", Engine: c, Names: func() generation.Names { return names }, Now: time.Now,
+		Log: slog.New(slog.DiscardHandler), EncodeState: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}}
 	if disk != nil {
 		f := atomicfile.File{Path: "state", FS: disk}
-		x.Keeper = f
+		x.Store = f
 		doc, err := f.Load()
 		if err == nil {
 			s, err := generation.DecodeState(doc)
@@ -118,13 +118,13 @@
 			for seed := range uint64(15) {
 				disk := faultfs.New(seed)
 				x := start(t, disk, 6)
-				if a, err := x.Apply(t.Context(), x.plan(t, drainPod(0)), "x", "", true); err != nil || !a.Durable {
+				if a, err := x.Apply(t.Context(), x.plan(t, drainPod(0)), "x", "", true); err != nil || !a.IsDurable {
 					t.Fatal(a, err)
 				}
 				old, fresh := x.hash(), drainPod(1)
 				disk.OperationsUntilFault, disk.FaultError = at, fault
 				a, err := x.Apply(t.Context(), x.plan(t, fresh), "x", "", true)
-				done = err == nil && a.Durable
+				done = err == nil && a.IsDurable
 				if err != nil && x.hash() != old {
 					t.Fatalf("operation %d, %v: refused with %v, and yet it is in force", at, fault, err)
 				}
@@ -203,7 +203,7 @@
 				return
 			}
 			r, ok := errors.AsType[*refusal](err)
-			if !ok || r.kind != KindMoved || !strings.Contains(strings.Join(r.moved, "\n"), tt.want) {
+			if !ok || r.kind != KindOutdated || !strings.Contains(strings.Join(r.moved, "\n"), tt.want) {
 				t.Errorf("%v, want %q", err, tt.want)
 			}
 			if x.hash() != before {
@@ -213,7 +213,7 @@
 	}
 }
 
-// For random fleets and configurations: what is in force after an apply is what the plan has printed, a plan of it anew is
+// Duration random fleets and configurations: what is in force after an apply is what the plan has printed, a plan of it anew is
 // empty, and a rollback brings the hash and the drains of before back.
 func TestAppliedIsWhatWasPlanned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -329,7 +329,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- (&Server{Changes: x.Changes, Log: slog.New(slog.DiscardHandler)}).Serve(ctx, l) }()
+	go func() { done <- (&Server{Changes: x.ChangeManager, Log: slog.New(slog.DiscardHandler)}).Serve(ctx, l) }()
 	t.Cleanup(func() {
 		stop()
 		if err := <-done; err != nil {
@@ -352,7 +352,7 @@
 	errs := make([]error, len(plans))
 	for i, p := range plans {
 		all.Go(func() {
-			errs[i] = c.Call(t.Context(), http.MethodPost, PathApply, ApplyRequest{Plan: p, By: fmt.Sprint("op-", i)}, &Applied{})
+			errs[i] = c.Call(t.Context(), http.MethodPost, PathApply, ApplyRequest{Plan: p, Actor: fmt.Sprint("op-", i)}, &ChangeResult{})
 		})
 	}
 	all.Wait()
@@ -360,36 +360,36 @@
 	if won < 0 || errs[1-won] == nil || x.hash() != plans[won].Hash {
 		t.Fatalf("%v; in force is %s", errs, x.hash())
 	}
-	if lost, ok := errors.AsType[*CallError](errs[1-won]); !ok || lost.Kind != KindMoved || lost.Status != http.StatusConflict {
+	if lost, ok := errors.AsType[*CallError](errs[1-won]); !ok || lost.Kind != KindOutdated || lost.Status != http.StatusConflict {
 		t.Errorf("the other is told %v", errs[1-won])
 	}
 	try := func(what string, change func(*ApplyRequest), want string) {
 		t.Helper()
-		q := ApplyRequest{Plan: x.plan(t, drainPod(2)), By: "x", Force: true}
+		q := ApplyRequest{Plan: x.plan(t, drainPod(2)), Actor: "x", Force: true}
 		change(&q)
-		if err := c.Call(t.Context(), http.MethodPost, PathApply, q, &Applied{}); err == nil || !strings.Contains(err.Error(), want) {
+		if err := c.Call(t.Context(), http.MethodPost, PathApply, q, &ChangeResult{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", what, err, want)
 		}
 	}
 	try("altered", func(q *ApplyRequest) { q.Plan.MadeMS++ }, plan.ErrAltered.Error())
-	try("nobody's", func(q *ApplyRequest) { q.By = "" }, "needs a name")
+	try("nobody's", func(q *ApplyRequest) { q.Actor = "" }, "needs a name")
 	try("no plan", func(q *ApplyRequest) { q.Plan = nil }, "no plan")
 	other := start(t, nil, 6)
 	other.Agent = "n1"
 	try("of another agent", func(q *ApplyRequest) { q.Plan = other.plan(t, drainPod(2)) }, plan.ErrOther.Error())
 	try("while the change before is watched", func(q *ApplyRequest) { q.Force = false }, generation.ErrWatchActive.Error())
-	if err := c.Call(t.Context(), http.MethodPost, PathLock, LockRequest{By: "y", For: "1m"}, &Lock{}); err != nil {
+	if err := c.Call(t.Context(), http.MethodPost, PathLock, LockRequest{Holder: "y", Duration: "1m"}, &Lock{}); err != nil {
 		t.Fatal(err)
 	}
 	try("without the lock", func(*ApplyRequest) {}, "y holds the lock")
-	if err := c.Call(t.Context(), http.MethodPost, PathLock, LockRequest{By: "z", For: "1m"}, &Lock{}); err == nil {
+	if err := c.Call(t.Context(), http.MethodPost, PathLock, LockRequest{Holder: "z", Duration: "1m"}, &Lock{}); err == nil {
 		t.Error("two hold the lock")
 	}
-	if err := c.Call(t.Context(), http.MethodDelete, PathLock, LockRequest{By: "y"}, &struct{}{}); err != nil {
+	if err := c.Call(t.Context(), http.MethodDelete, PathLock, LockRequest{Holder: "y"}, &struct{}{}); err != nil {
 		t.Fatal(err)
 	}
-	var a Applied
-	if err := c.Call(t.Context(), http.MethodPost, PathApply, ApplyRequest{Plan: x.plan(t, drainPod(2)), By: "x", Force: true}, &a); err != nil || a.Number != 2 || a.Durable {
+	var a ChangeResult
+	if err := c.Call(t.Context(), http.MethodPost, PathApply, ApplyRequest{Plan: x.plan(t, drainPod(2)), Actor: "x", Force: true}, &a); err != nil || a.Number != 2 || a.IsDurable {
 		t.Errorf("%+v, %v", a, err)
 	}
 	if err := c.Call(t.Context(), http.MethodGet, PathStatus, nil, &Status{}); err != nil {
@@ -414,12 +414,14 @@
 func TestACallerThatLeaves(t *testing.T) {
 	x := start(t, nil, 6)
 	keeper := slowKeeper{make(chan struct{}, 10), make(chan struct{})}
-	x.Keeper = keeper
+	x.Store = keeper
 	c := serve(t, x)
 	ctx, leave := context.WithCancel(t.Context())
 	p := x.plan(t, drainPod(1))
 	done := make(chan error, 1)
-	go func() { done <- c.Call(ctx, http.MethodPost, PathApply, ApplyRequest{Plan: p, By: "x"}, &Applied{}) }()
+	go func() {
+		done <- c.Call(ctx, http.MethodPost, PathApply, ApplyRequest{Plan: p, Actor: "x"}, &ChangeResult{})
+	}()
 	<-keeper.begun
 	leave()
 	if err := <-done; err == nil {
@@ -448,13 +450,13 @@
 	if err := x.keepChanged(t.Context()); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("on a disk that fails: %v", err)
 	}
-	if s, err := x.Status(t.Context()); err != nil || s.Durable || s.Problem == "" {
+	if s, err := x.Status(t.Context()); err != nil || s.IsDurable || s.Problem == "" {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if err := x.keepChanged(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := x.Status(t.Context()); err != nil || !s.Durable || s.IsWatched {
+	if s, err := x.Status(t.Context()); err != nil || !s.IsDurable || s.IsWatched {
 		t.Errorf("%+v, %v", s, err)
 	}
 	h := start(t, disk, 6).core.manager.State().History
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -24,9 +24,9 @@
 type Status struct {
 	Agent string `json:"agent"`
 	generation.Status
-	Lock    *Lock  `json:"lock,omitempty"`
-	Durable bool   `json:"durable"`           // the state in force would survive a restart
-	Problem string `json:"problem,omitempty"` // why not
+	Lock      *Lock  `json:"lock,omitempty"`
+	IsDurable bool   `json:"durable"`           // the state in force would survive a restart
+	Problem   string `json:"problem,omitempty"` // why not
 }
 
 // Config is the configuration in force.
@@ -38,57 +38,57 @@
 
 // PlanRequest asks what a configuration would do.
 type PlanRequest struct {
-	Config    *fleetconfig.Config `json:"config"`
-	MostTaken float64             `json:"most_taken"` // the share of capacity that it may take unflagged
+	Config           *fleetconfig.Config `json:"config"`
+	MaxCapacityTaken float64             `json:"most_taken"` // the share of capacity that it may take unflagged
 }
 
 // ApplyRequest asks for a plan to be applied, as it stands.
 type ApplyRequest struct {
-	Plan  *plan.Plan `json:"plan"`
-	By    string     `json:"by"`
-	Why   string     `json:"why,omitempty"`
-	Force bool       `json:"force,omitempty"` // also what has done harm before, or while another change is watched
+	Plan   *plan.Plan `json:"plan"`
+	Actor  string     `json:"by"`
+	Reason string     `json:"why,omitempty"`
+	Force  bool       `json:"force,omitempty"` // also what has done harm before, or while another change is watched
 }
 
-// Applied says what is in force now.
-type Applied struct {
-	Number  uint64 `json:"number"`
-	Hash    string `json:"hash"`
-	Durable bool   `json:"durable"` // it survives a restart
-	Problem string `json:"problem,omitempty"`
+// ChangeResult says what is in force now.
+type ChangeResult struct {
+	Number    uint64 `json:"number"`
+	Hash      string `json:"hash"`
+	IsDurable bool   `json:"durable"` // it survives a restart
+	Problem   string `json:"problem,omitempty"`
 }
 
 // RollbackRequest asks for the generation before.
 type RollbackRequest struct {
-	By  string `json:"by"`
-	Why string `json:"why,omitempty"`
+	Actor  string `json:"by"`
+	Reason string `json:"why,omitempty"`
 }
 
 // LockRequest asks for the lock, or gives it back.
 type LockRequest struct {
-	By  string `json:"by"`
-	For string `json:"for,omitempty"` // a time, such as "5m"
+	Holder   string `json:"by"`
+	Duration string `json:"for,omitempty"` // a time, such as "5m"
 }
 
 // Lock says who may change the configuration meanwhile.
 type Lock struct {
-	By    string  `json:"by"`
-	LeftS float64 `json:"left_s"`
+	Holder      string  `json:"by"`
+	SecondsLeft float64 `json:"left_s"`
 }
 
 // Problem is an error of a call.
 type Problem struct {
-	Kind  string   `json:"kind"` // one of the words below
-	Error string   `json:"error"`
-	Moved []string `json:"moved,omitempty"` // of KindMoved: what has
+	Kind    string   `json:"kind"` // one of the words below
+	Error   string   `json:"error"`
+	Changed []string `json:"moved,omitempty"` // of KindOutdated: what has
 }
 
 // The kinds of problems.
 const (
-	KindBad     = "bad-request" // it can't be read, or breaks a bound
-	KindInvalid = "invalid"     // the configuration is wrong
-	KindMoved   = "moved"       // what the plan rests on has
-	KindRefused = "refused"     // by the state of things: barred, watched, locked
-	KindDisk    = "disk"        // it could not be kept, so nothing was changed
-	KindEnding  = "ending"      // the agent ends
+	KindBadRequest   = "bad-request" // it can't be read, or breaks a bound
+	KindInvalid      = "invalid"     // the configuration is wrong
+	KindOutdated     = "moved"       // what the plan rests on has
+	KindRejected     = "refused"     // by the state of things: barred, watched, locked
+	KindStorage      = "disk"        // it could not be kept, so nothing was changed
+	KindShuttingDown = "ending"      // the agent ends
 )
--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -19,21 +19,21 @@
 	WithGenerations(ctx context.Context, do func(now time.Duration, m *generation.Manager)) error
 }
 
-// Keeper keeps the state over a restart.
-type Keeper interface {
+// Store keeps the state over a restart.
+type StateStore interface {
 	Save(doc []byte) error
 }
 
-// Changes makes plans and carries them out, one change at a time: what is staged is kept before the switch, and what is in
+// ChangeManager makes plans and carries them out, one change at a time: what is staged is kept before the switch, and what is in
 // force after it.
-type Changes struct {
-	Agent  string
-	Engine Engine
-	Names  func() generation.Names // of the platform, as they are now
-	Keeper Keeper                  // nil: nothing is kept
-	Encode func(*generation.State) ([]byte, error)
-	Log    *slog.Logger
-	Now    func() time.Time
+type ChangeManager struct {
+	Agent       string
+	Engine      Engine
+	Names       func() generation.Names // of the platform, as they are now
+	Store       StateStore              // nil: nothing is kept
+	EncodeState func(*generation.State) ([]byte, error)
+	Log         *slog.Logger
+	Now         func() time.Time
 
 	changing sync.Mutex // held by whoever changes or keeps the state
 	mu       sync.Mutex // guards what follows
@@ -69,7 +69,7 @@
 	version uint64 // of the servers
 }
 
-func (c *Changes) view(ctx context.Context) (v view, err error) {
+func (c *ChangeManager) view(ctx context.Context) (v view, err error) {
 	err = c.Engine.WithGenerations(ctx, func(now time.Duration, m *generation.Manager) {
 		v.now = now
 		v.servers, v.version = m.Servers()
@@ -79,7 +79,7 @@
 }
 
 // Check checks a configuration against the platform's names.
-func (c *Changes) Check(config *fleetconfig.Config) error {
+func (c *ChangeManager) Check(config *fleetconfig.Config) error {
 	if err := config.Check(c.Names().ConfigNames()); err != nil {
 		return refuse(KindInvalid, err)
 	}
@@ -87,13 +87,13 @@
 }
 
 // Plan says what a configuration would do now.
-func (c *Changes) Plan(ctx context.Context, config *fleetconfig.Config, mostTaken float64) (*plan.Plan, error) {
+func (c *ChangeManager) Plan(ctx context.Context, config *fleetconfig.Config, mostTaken float64) (*plan.Plan, error) {
 	p, _, _, err := c.plan(ctx, config, mostTaken)
 	return p, err
 }
 
 // plan makes a plan, and returns the configuration compiled, for that version of the servers.
-func (c *Changes) plan(ctx context.Context, config *fleetconfig.Config, mostTaken float64) (*plan.Plan, *generation.CompiledConfig, uint64, error) {
+func (c *ChangeManager) plan(ctx context.Context, config *fleetconfig.Config, mostTaken float64) (*plan.Plan, *generation.CompiledConfig, uint64, error) {
 	v, err := c.view(ctx)
 	if err != nil {
 		return nil, nil, 0, err
@@ -121,87 +121,87 @@
 
 // Apply carries a plan out as it stands, or changes nothing. It is not ended by its caller's leaving: a change that has begun
 // is brought to its end, and the history says which.
-func (c *Changes) Apply(ctx context.Context, p *plan.Plan, by, why string, force bool) (Applied, error) {
+func (c *ChangeManager) Apply(ctx context.Context, p *plan.Plan, by, why string, force bool) (ChangeResult, error) {
 	ctx = context.WithoutCancel(ctx)
 	config, err := p.Proposed()
 	if err != nil {
-		return Applied{}, refuse(KindBad, err)
+		return ChangeResult{}, refuse(KindBadRequest, err)
 	}
 	if p.Agent != c.Agent {
-		return Applied{}, refuse(KindRefused, fmt.Errorf("%w: %q, and this is %q", plan.ErrOther, p.Agent, c.Agent))
+		return ChangeResult{}, refuse(KindRejected, fmt.Errorf("%w: %q, and this is %q", plan.ErrOther, p.Agent, c.Agent))
 	}
 	c.changing.Lock()
 	defer c.changing.Unlock()
 	if err := c.mayChange(by); err != nil {
-		return Applied{}, err
+		return ChangeResult{}, err
 	}
 	fresh, compiled, version, err := c.plan(ctx, config, 1)
 	if err != nil {
-		return Applied{}, err
+		return ChangeResult{}, err
 	}
 	if moved := p.Moved(fresh); len(moved) > 0 {
-		return Applied{}, &refusal{KindMoved, plan.ErrMoved, moved}
+		return ChangeResult{}, &refusal{KindOutdated, plan.ErrMoved, moved}
 	}
 	if err := c.stage(ctx, p, compiled, version, by, force); err != nil {
-		return Applied{}, err
+		return ChangeResult{}, err
 	}
 	if err := c.keep(ctx); err != nil {
 		besteffort.Ignore(c.command(ctx, func(_ time.Duration, m *generation.Manager) error { m.Unstage(); return nil }))
-		return Applied{}, refuse(KindDisk, fmt.Errorf("nothing was changed: %w", err))
+		return ChangeResult{}, refuse(KindStorage, fmt.Errorf("nothing was changed: %w", err))
 	}
 	return c.switchTo(ctx, p, why)
 }
 
-func (c *Changes) stage(ctx context.Context, p *plan.Plan, compiled *generation.CompiledConfig, version uint64, by string, force bool) error {
+func (c *ChangeManager) stage(ctx context.Context, p *plan.Plan, compiled *generation.CompiledConfig, version uint64, by string, force bool) error {
 	err := c.command(ctx, func(_ time.Duration, m *generation.Manager) error {
 		return m.Stage(compiled, version, by, p.Base, force)
 	})
 	if err != nil {
-		return refuse(KindRefused, err)
+		return refuse(KindRejected, err)
 	}
 	return nil
 }
 
 // switchTo switches to what is staged, if the servers are still those of the plan at that instant.
-func (c *Changes) switchTo(ctx context.Context, p *plan.Plan, why string) (out Applied, err error) {
+func (c *ChangeManager) switchTo(ctx context.Context, p *plan.Plan, why string) (out ChangeResult, err error) {
 	err = c.command(ctx, func(now time.Duration, m *generation.Manager) error {
 		if !p.Holds(m.Server) {
 			m.Unstage()
-			return &refusal{KindMoved, plan.ErrMoved, []string{"a server that the plan concerns has changed while it was being applied"}}
+			return &refusal{KindOutdated, plan.ErrMoved, []string{"a server that the plan concerns has changed while it was being applied"}}
 		}
 		out.Number, err = m.Switch(now, why)
 		out.Hash = p.Hash
 		return err
 	})
 	if err != nil {
-		return Applied{}, err
+		return ChangeResult{}, err
 	}
 	return c.inForce(ctx, out), nil
 }
 
 // inForce keeps what is in force now. Where that fails the change stands, and its answer says what a restart would do.
-func (c *Changes) inForce(ctx context.Context, a Applied) Applied {
+func (c *ChangeManager) inForce(ctx context.Context, a ChangeResult) ChangeResult {
 	switch err := c.keep(ctx); {
 	case err != nil:
 		a.Problem = fmt.Sprintf("it is in force, but a restart now would bring the one before back: %v", err)
-	case c.Keeper == nil:
+	case c.Store == nil:
 		a.Problem = "no state file is set: a restart begins with the empty configuration"
 	default:
-		a.Durable = true
+		a.IsDurable = true
 	}
 	return a
 }
 
 // command runs do with the manager and returns its error.
-func (c *Changes) command(ctx context.Context, do func(time.Duration, *generation.Manager) error) (err error) {
+func (c *ChangeManager) command(ctx context.Context, do func(time.Duration, *generation.Manager) error) (err error) {
 	if ended := c.Engine.WithGenerations(ctx, func(now time.Duration, m *generation.Manager) { err = do(now, m) }); ended != nil {
-		return refuse(KindEnding, ended)
+		return refuse(KindShuttingDown, ended)
 	}
 	return err
 }
 
 // Rollback goes back to the generation before.
-func (c *Changes) Rollback(ctx context.Context, by, why string) (out Applied, err error) {
+func (c *ChangeManager) Rollback(ctx context.Context, by, why string) (out ChangeResult, err error) {
 	ctx = context.WithoutCancel(ctx)
 	c.changing.Lock()
 	defer c.changing.Unlock()
@@ -214,7 +214,7 @@
 		return err
 	})
 	if errors.Is(err, generation.ErrNoRollbackTarget) {
-		return out, refuse(KindRefused, err)
+		return out, refuse(KindRejected, err)
 	}
 	if err != nil {
 		return out, err
@@ -223,7 +223,7 @@
 }
 
 // Adopt brings in force what another process of the agent has in force, or had when it ended: then it is this one's to watch.
-func (c *Changes) Adopt(ctx context.Context, s *generation.State, ended bool) error {
+func (c *ChangeManager) Adopt(ctx context.Context, s *generation.State, ended bool) error {
 	v, err := c.view(ctx)
 	if err != nil {
 		return err
@@ -243,8 +243,8 @@
 }
 
 // keep keeps the state as it is now.
-func (c *Changes) keep(ctx context.Context) error {
-	if c.Keeper == nil {
+func (c *ChangeManager) keep(ctx context.Context) error {
+	if c.Store == nil {
 		return nil
 	}
 	var s *generation.State
@@ -256,9 +256,9 @@
 	if err != nil {
 		return err
 	}
-	doc, err := c.Encode(s)
+	doc, err := c.EncodeState(s)
 	if err == nil {
-		err = c.Keeper.Save(doc)
+		err = c.Store.Save(doc)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -272,7 +272,7 @@
 const keepEvery = 250 * time.Millisecond
 
 // Run keeps the state whenever it has changed by itself, until the context ends.
-func (c *Changes) Run(ctx context.Context) {
+func (c *ChangeManager) Run(ctx context.Context) {
 	tick := time.NewTicker(keepEvery)
 	defer tick.Stop()
 	failing := false
@@ -293,7 +293,7 @@
 	}
 }
 
-func (c *Changes) keepChanged(ctx context.Context) error {
+func (c *ChangeManager) keepChanged(ctx context.Context) error {
 	c.changing.Lock()
 	defer c.changing.Unlock()
 	var changes uint64
@@ -310,23 +310,23 @@
 }
 
 // Status says how the agent stands.
-func (c *Changes) Status(ctx context.Context) (Status, error) {
+func (c *ChangeManager) Status(ctx context.Context) (Status, error) {
 	s := Status{Agent: c.Agent}
 	var changes uint64
 	err := c.Engine.WithGenerations(ctx, func(now time.Duration, m *generation.Manager) { s.Status, changes = m.Status(now), m.StateRevision() })
 	if err != nil {
-		return s, refuse(KindEnding, err)
+		return s, refuse(KindShuttingDown, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.Lock = c.holder()
 	switch {
-	case c.Keeper == nil:
+	case c.Store == nil:
 		s.Problem = "no state file is set"
 	case c.problem != nil:
 		s.Problem = c.problem.Error()
 	default:
-		s.Durable = c.kept == changes
+		s.IsDurable = c.kept == changes
 	}
 	return s, nil
 }
@@ -335,21 +335,21 @@
 const lockMost = 15 * time.Minute
 
 // Lock gives the lock to somebody, or prolongs it.
-func (c *Changes) Lock(by string, lasts time.Duration) (*Lock, error) {
+func (c *ChangeManager) Lock(by string, lasts time.Duration) (*Lock, error) {
 	if by == "" {
-		return nil, refuse(KindBad, errors.New("a lock needs a name, by which others see who holds it"))
+		return nil, refuse(KindBadRequest, errors.New("a lock needs a name, by which others see who holds it"))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.holder(); h != nil && h.By != by {
-		return nil, refuse(KindRefused, fmt.Errorf("%s holds the lock for %.0f s more", h.By, h.LeftS))
+	if h := c.holder(); h != nil && h.Holder != by {
+		return nil, refuse(KindRejected, fmt.Errorf("%s holds the lock for %.0f s more", h.Holder, h.SecondsLeft))
 	}
 	c.lock = &held{by, c.Now().Add(min(max(lasts, time.Second), lockMost))}
 	return c.holder(), nil
 }
 
 // Unlock takes the lock back from who holds it.
-func (c *Changes) Unlock(by string) {
+func (c *ChangeManager) Unlock(by string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lock != nil && c.lock.by == by {
@@ -358,18 +358,18 @@
 }
 
 // holder is who holds the lock, or nil. The caller holds mu.
-func (c *Changes) holder() *Lock {
+func (c *ChangeManager) holder() *Lock {
 	if c.lock == nil || !c.Now().Before(c.lock.until) {
 		return nil
 	}
-	return &Lock{By: c.lock.by, LeftS: c.lock.until.Sub(c.Now()).Seconds()}
+	return &Lock{Holder: c.lock.by, SecondsLeft: c.lock.until.Sub(c.Now()).Seconds()}
 }
 
-func (c *Changes) mayChange(by string) error {
+func (c *ChangeManager) mayChange(by string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.holder(); h != nil && h.By != by {
-		return refuse(KindRefused, fmt.Errorf("%s holds the lock for %.0f s more", h.By, h.LeftS))
+	if h := c.holder(); h != nil && h.Holder != by {
+		return refuse(KindRejected, fmt.Errorf("%s holds the lock for %.0f s more", h.Holder, h.SecondsLeft))
 	}
 	return nil
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -68,5 +68,5 @@
 }
 
 func (e *CallError) Error() string {
-	return strings.Join(append([]string{e.Problem.Error}, e.Moved...), "\n  ")
+	return strings.Join(append([]string{e.Problem.Error}, e.Changed...), "\n  ")
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -33,16 +33,16 @@
 	for name, v := range map[string]any{
 		"status": &Status{Agent: "n0", Status: generation.Status{Number: 1, Hash: "h-2", PreviousHash: "h-3", StagedHash: "h-4", IsWatched: true, WatchSecondsLeft: 5.5,
 			RolloutShare: 0.625, DrainingServers: 7, RejectedRequests: 8, OpenRequests: map[uint64]int{9: 10, 11: 12}, BlockedConfigs: 13, ServerCount: 14},
-			Lock: &Lock{By: "ann", LeftS: 15.5}, Durable: true, Problem: "a problem"},
+			Lock: &Lock{Holder: "ann", SecondsLeft: 15.5}, IsDurable: true, Problem: "a problem"},
 		"config":           &Config{Number: 16, Hash: "h-17", Config: config},
 		"history":          &[]generation.Record{{Number: 18, Hash: "h-19", Event: generation.EventHarmFound, Actor: "bob", Reason: "a reason", UnixMS: 1700000000020}},
-		"plan-request":     &PlanRequest{Config: config, MostTaken: 0.21},
-		"apply-request":    &ApplyRequest{Plan: p, By: "cat", Why: "another reason", Force: true},
-		"applied":          &Applied{Number: 22, Hash: "h-23", Durable: true, Problem: "another problem"},
-		"rollback-request": &RollbackRequest{By: "dan", Why: "a third reason"},
-		"lock-request":     &LockRequest{By: "eve", For: "24m"},
-		"lock":             &Lock{By: "fay", LeftS: 25.5},
-		"problem":          &Problem{Kind: KindMoved, Error: "a third problem", Moved: []string{"s-26", "s-27"}},
+		"plan-request":     &PlanRequest{Config: config, MaxCapacityTaken: 0.21},
+		"apply-request":    &ApplyRequest{Plan: p, Actor: "cat", Reason: "another reason", Force: true},
+		"applied":          &ChangeResult{Number: 22, Hash: "h-23", IsDurable: true, Problem: "another problem"},
+		"rollback-request": &RollbackRequest{Actor: "dan", Reason: "a third reason"},
+		"lock-request":     &LockRequest{Holder: "eve", Duration: "24m"},
+		"lock":             &Lock{Holder: "fay", SecondsLeft: 25.5},
+		"problem":          &Problem{Kind: KindOutdated, Error: "a third problem", Changed: []string{"s-26", "s-27"}},
 	} {
 		data, err := json.Marshal(v)
 		if err != nil {
@@ -73,7 +73,7 @@
 func TestGoldenExchange(t *testing.T) {
 	x := start(t, faultfs.New(1), 6)
 	x.Now = func() time.Time { return time.UnixMilli(1700000000123) }
-	handler := (&Server{Changes: x.Changes}).handler()
+	handler := (&Server{Changes: x.ChangeManager}).handler()
 	var transcript bytes.Buffer
 	client := &Client{http.Client{Transport: roundTrip(func(q *http.Request) (*http.Response, error) {
 		body := []byte{}
@@ -106,7 +106,7 @@
 	var config Config
 	var history []generation.Record
 	var p plan.Plan
-	var applied Applied
+	var applied ChangeResult
 	var lock Lock
 	look := func() {
 		t.Helper()
@@ -117,30 +117,30 @@
 	look()
 	call(200, "POST", PathCheck, PlanRequest{Config: drainPod(1)}, &config)
 	call(422, "POST", PathCheck, PlanRequest{Config: &fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d"}}}}, &config)
-	call(200, "POST", PathPlan, PlanRequest{Config: drainPod(1), MostTaken: 0.25}, &p)
-	call(200, "POST", PathLock, LockRequest{By: "ann", For: "5m"}, &lock)
-	call(403, "POST", PathLock, LockRequest{By: "bob", For: "5m"}, &lock)
-	call(403, "POST", PathApply, ApplyRequest{Plan: &p, By: "bob"}, &applied)
-	call(200, "POST", PathApply, ApplyRequest{Plan: &p, By: "ann", Why: "pod 1 is ill"}, &applied)
+	call(200, "POST", PathPlan, PlanRequest{Config: drainPod(1), MaxCapacityTaken: 0.25}, &p)
+	call(200, "POST", PathLock, LockRequest{Holder: "ann", Duration: "5m"}, &lock)
+	call(403, "POST", PathLock, LockRequest{Holder: "bob", Duration: "5m"}, &lock)
+	call(403, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "bob"}, &applied)
+	call(200, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "ann", Reason: "pod 1 is ill"}, &applied)
 	look()
-	call(409, "POST", PathApply, ApplyRequest{Plan: &p, By: "ann"}, &applied)
-	call(200, "DELETE", PathLock, LockRequest{By: "ann"}, &struct{}{})
-	call(200, "POST", PathRollback, RollbackRequest{By: "bob", Why: "it is well"}, &applied)
-	call(403, "POST", PathRollback, RollbackRequest{By: "bob"}, &applied)
+	call(409, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "ann"}, &applied)
+	call(200, "DELETE", PathLock, LockRequest{Holder: "ann"}, &struct{}{})
+	call(200, "POST", PathRollback, RollbackRequest{Actor: "bob", Reason: "it is well"}, &applied)
+	call(403, "POST", PathRollback, RollbackRequest{Actor: "bob"}, &applied)
 	call(400, "POST", PathRollback, RollbackRequest{}, &applied)
 	call(400, "POST", PathPlan, PlanRequest{}, &p)
 	call(400, "POST", PathPlan, map[string]int{"other": 1}, &p)
-	call(400, "POST", PathApply, ApplyRequest{By: "bob"}, &applied)
-	call(400, "POST", PathLock, LockRequest{By: "bob", For: "long"}, &lock)
+	call(400, "POST", PathApply, ApplyRequest{Actor: "bob"}, &applied)
+	call(400, "POST", PathLock, LockRequest{Holder: "bob", Duration: "long"}, &lock)
 	altered := p
 	altered.Agent = "n1"
-	call(400, "POST", PathApply, ApplyRequest{Plan: &altered, By: "bob"}, &applied)
-	call(200, "POST", PathPlan, PlanRequest{Config: drainPod(2), MostTaken: 0.25}, &p)
-	x.Keeper = broken{errors.New("no space left")}
-	call(507, "POST", PathApply, ApplyRequest{Plan: &p, By: "bob"}, &applied)
+	call(400, "POST", PathApply, ApplyRequest{Plan: &altered, Actor: "bob"}, &applied)
+	call(200, "POST", PathPlan, PlanRequest{Config: drainPod(2), MaxCapacityTaken: 0.25}, &p)
+	x.Store = broken{errors.New("no space left")}
+	call(507, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "bob"}, &applied)
 	look()
-	x.Keeper = nil
-	call(200, "POST", PathApply, ApplyRequest{Plan: &p, By: "bob"}, &applied)
+	x.Store = nil
+	call(200, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "bob"}, &applied)
 	look()
 	x.Engine = broken{errors.New("the agent ends")}
 	call(503, "GET", PathStatus, nil, &status)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -29,8 +29,8 @@
 	longestBy  = 128 // bytes of a name or a reason
 )
 
-// Sockets is how many descriptors a Server needs at the most.
-const Sockets = mostAtOnce + 4
+// MaxDescriptors is how many descriptors a Server needs at the most.
+const MaxDescriptors = mostAtOnce + 4
 
 // Listen opens the socket for its owner alone. One that a process left behind which is gone is replaced; one that answers is
 // not.
@@ -57,7 +57,7 @@
 
 // Server answers the calls.
 type Server struct {
-	Changes *Changes
+	Changes *ChangeManager
 	Log     *slog.Logger
 }
 
@@ -113,47 +113,47 @@
 		if err != nil {
 			return nil, err
 		}
-		return c.Plan(ctx, config, q.MostTaken)
+		return c.Plan(ctx, config, q.MaxCapacityTaken)
 	})
 	post(mux, PathApply, func(ctx context.Context, q ApplyRequest) (any, error) {
 		if q.Plan == nil {
-			return nil, refuse(KindBad, errors.New("there is no plan in it"))
+			return nil, refuse(KindBadRequest, errors.New("there is no plan in it"))
 		}
 		data, err := json.Marshal(q.Plan)
 		if err != nil {
-			return nil, refuse(KindBad, err)
+			return nil, refuse(KindBadRequest, err)
 		}
 		p, err := plan.Decode(data) // it checks the sum
 		if err != nil {
-			return nil, refuse(KindBad, err)
+			return nil, refuse(KindBadRequest, err)
 		}
-		if err := named(q.By, q.Why); err != nil {
+		if err := named(q.Actor, q.Reason); err != nil {
 			return nil, err
 		}
-		return c.Apply(ctx, p, q.By, q.Why, q.Force)
+		return c.Apply(ctx, p, q.Actor, q.Reason, q.Force)
 	})
 	post(mux, PathRollback, func(ctx context.Context, q RollbackRequest) (any, error) {
-		if err := named(q.By, q.Why); err != nil {
+		if err := named(q.Actor, q.Reason); err != nil {
 			return nil, err
 		}
-		return c.Rollback(ctx, q.By, q.Why)
+		return c.Rollback(ctx, q.Actor, q.Reason)
 	})
 	post(mux, PathLock, func(_ context.Context, q LockRequest) (any, error) {
-		lasts, err := time.ParseDuration(q.For)
+		lasts, err := time.ParseDuration(q.Duration)
 		if err != nil {
-			return nil, refuse(KindBad, fmt.Errorf("%q is no duration; write a number and a unit, such as \"5m\"", q.For))
+			return nil, refuse(KindBadRequest, fmt.Errorf("%q is no duration; write a number and a unit, such as \"5m\"", q.Duration))
 		}
-		if err := named(q.By, ""); err != nil {
+		if err := named(q.Holder, ""); err != nil {
 			return nil, err
 		}
-		return c.Lock(q.By, lasts)
+		return c.Lock(q.Holder, lasts)
 	})
 	handle(mux, "DELETE "+PathLock, func(w http.ResponseWriter, r *http.Request) (any, error) {
 		var q LockRequest
 		if err := read(w, r, &q); err != nil {
 			return nil, err
 		}
-		c.Unlock(q.By)
+		c.Unlock(q.Holder)
 		return struct{}{}, nil
 	})
 	return mux
@@ -162,14 +162,14 @@
 // named checks the words that go into the history.
 func named(by, why string) error {
 	if by == "" || len(by) > longestBy || len(why) > longestBy {
-		return refuse(KindBad, fmt.Errorf("it needs a name of 1 to %d bytes, and a reason of no more", longestBy))
+		return refuse(KindBadRequest, fmt.Errorf("it needs a name of 1 to %d bytes, and a reason of no more", longestBy))
 	}
 	return nil
 }
 
 func proposed(q PlanRequest) (*fleetconfig.Config, error) {
 	if q.Config == nil {
-		return nil, refuse(KindBad, errors.New("there is no configuration in it"))
+		return nil, refuse(KindBadRequest, errors.New("there is no configuration in it"))
 	}
 	q.Config.Normalize()
 	return q.Config, nil
@@ -192,23 +192,23 @@
 // read reads a request's body, strictly.
 func read(w http.ResponseWriter, r *http.Request, q any) error {
 	if err := fleetconfig.Strict(http.MaxBytesReader(w, r.Body, mostBody), q); err != nil {
-		return refuse(KindBad, fmt.Errorf("the body can't be read: %w", err))
+		return refuse(KindBadRequest, fmt.Errorf("the body can't be read: %w", err))
 	}
 	return nil
 }
 
 // statuses are the HTTP statuses of problems.
-var statuses = map[string]int{KindBad: http.StatusBadRequest, KindInvalid: http.StatusUnprocessableEntity, KindMoved: http.StatusConflict,
-	KindRefused: http.StatusForbidden, KindDisk: http.StatusInsufficientStorage, KindEnding: http.StatusServiceUnavailable}
+var statuses = map[string]int{KindBadRequest: http.StatusBadRequest, KindInvalid: http.StatusUnprocessableEntity, KindOutdated: http.StatusConflict,
+	KindRejected: http.StatusForbidden, KindStorage: http.StatusInsufficientStorage, KindShuttingDown: http.StatusServiceUnavailable}
 
 func handle(mux *http.ServeMux, pattern string, answer func(http.ResponseWriter, *http.Request) (any, error)) {
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		out, err := answer(w, r)
 		status := http.StatusOK
 		if err != nil {
-			problem := Problem{Kind: KindEnding, Error: err.Error()}
+			problem := Problem{Kind: KindShuttingDown, Error: err.Error()}
 			if r, ok := errors.AsType[*refusal](err); ok {
-				problem.Kind, problem.Moved = r.kind, r.moved
+				problem.Kind, problem.Changed = r.kind, r.moved
 			}
 			out, status = problem, statuses[problem.Kind]
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -124,7 +124,7 @@
 		n += s.Sockets
 	}
 	if x.Generations != nil {
-		n += admin.Sockets
+		n += admin.MaxDescriptors
 	}
 	if x.Ties != nil {
 		n += tieFiles
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -28,7 +28,7 @@
 // governing is what switched-on generations are at work with.
 type governing struct {
 	with    Generations
-	changes *admin.Changes
+	changes *admin.ChangeManager
 	server  *admin.Server
 	socket  net.Listener
 	release func() error // of the state's lock; nil without a state
@@ -44,8 +44,8 @@
 	names := namesOf(cfg.Site, cfg.Site.Logic.Classes)
 	manager := generation.New(generation.Options{Names: names, MaxRetryAfter: cfg.Site.Logic.MaxRetryAfter,
 		UnixMS: func(t time.Duration) int64 { return clk.At(t).UnixMilli() }, OnRecord: func(r generation.Record) { logRecord(log, r) }})
-	changes := &admin.Changes{Agent: cfg.Name, Engine: core, Names: s.names, Log: log, Now: time.Now,
-		Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}
+	changes := &admin.ChangeManager{Agent: cfg.Name, Engine: core, Names: s.names, Log: log, Now: time.Now,
+		EncodeState: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}
 	g := &governing{with: *x.Generations, changes: changes, server: &admin.Server{Changes: changes, Log: log}}
 	if err := g.open(manager, x.link != nil && !x.link.IsAlone(), clk, log); err != nil {
 		g.close()
@@ -71,7 +71,7 @@
 func (g *governing) open(m *generation.Manager, beside bool, clk engine.Clock, log *slog.Logger) (err error) {
 	if g.with.State != "" {
 		file := atomicfile.File{Path: g.with.State, FS: atomicfile.OS{}}
-		g.changes.Keeper = file
+		g.changes.Store = file
 		switch g.release, err = atomicfile.Lock(g.with.State); {
 		case errors.Is(err, atomicfile.ErrLocked) && beside:
 			g.kept = &kept{file: file}
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -105,16 +105,16 @@
 func (o *operated) plan(t *testing.T, c *fleetconfig.Config) *plan.Plan {
 	t.Helper()
 	p := &plan.Plan{}
-	if err := o.client.Call(t.Context(), http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: c, MostTaken: 1}, p); err != nil {
+	if err := o.client.Call(t.Context(), http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: c, MaxCapacityTaken: 1}, p); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func (o *operated) apply(t *testing.T, c *fleetconfig.Config) admin.Applied {
+func (o *operated) apply(t *testing.T, c *fleetconfig.Config) admin.ChangeResult {
 	t.Helper()
-	var a admin.Applied
-	if err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, c), By: "test", Force: true}, &a); err != nil {
+	var a admin.ChangeResult
+	if err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, c), Actor: "test", Force: true}, &a); err != nil {
 		t.Fatal(err)
 	}
 	return a
@@ -270,9 +270,9 @@
 	if last.Hash != a.Hash || !strings.Contains(last.Reason, "refused, failed or late") || o.log.Count("what=harmed") != 1 {
 		t.Errorf("%+v", last)
 	}
-	err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, to("s-3")), By: "test"}, &admin.Applied{})
+	err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, to("s-3")), Actor: "test"}, &admin.ChangeResult{})
 	var e *admin.CallError
-	if !errors.As(err, &e) || e.Kind != admin.KindRefused || !strings.Contains(e.Error(), "done harm before") {
+	if !errors.As(err, &e) || e.Kind != admin.KindRejected || !strings.Contains(e.Error(), "done harm before") {
 		t.Errorf("applied again: %v", err)
 	}
 }
@@ -283,7 +283,7 @@
 	t.Parallel()
 	state := filepath.Join(t.TempDir(), "state")
 	o := operate(t, 4, state)
-	if a := o.apply(t, to("s-2")); !a.Durable {
+	if a := o.apply(t, to("s-2")); !a.IsDurable {
 		t.Fatalf("%+v", a)
 	}
 	again := func() {
@@ -373,13 +373,13 @@
 		c := &fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{IDs: []string{id}}}}}
 		p := o.plan(t, c)
 		time.Sleep(time.Duration(rand.IntN(10)) * time.Millisecond)
-		err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, By: "test", Force: true}, &admin.Applied{})
+		err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: "test", Force: true}, &admin.ChangeResult{})
 		var e *admin.CallError
 		switch refused := errors.As(err, &e); {
 		case err == nil:
 			ended["applied"]++
 			last = []string{id}
-		case refused && e.Kind == admin.KindMoved:
+		case refused && e.Kind == admin.KindOutdated:
 			ended["moved"]++
 		case refused && strings.Contains(e.Error(), generation.ErrNoChange.Error()):
 		default:
--- a/internal/agent/sections_test.go
+++ b/internal/agent/sections_test.go
@@ -28,10 +28,10 @@
 	limited.Normalize()
 	apply := func() error {
 		p := &plan.Plan{}
-		if err := client.Call(t.Context(), http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: limited, MostTaken: 1}, p); err != nil {
+		if err := client.Call(t.Context(), http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: limited, MaxCapacityTaken: 1}, p); err != nil {
 			return err
 		}
-		return client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, By: "test"}, &admin.Applied{})
+		return client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: "test"}, &admin.ChangeResult{})
 	}
 	if err := apply(); err == nil || !strings.Contains(err.Error(), "refund-status") {
 		t.Errorf("a configuration with a class that is not there yet: %v", err)
