--- a/cmd/appleledgectl/console.go
+++ b/cmd/appleledgectl/console.go
@@ -157,7 +157,7 @@
 		return nil, err
 	}
 	if p, err := plan.Decode(data); err == nil {
-		return p.Proposed()
+		return p.TargetConfig()
 	}
 	var shown admin.Config
 	if err := json.Unmarshal(data, &shown); err == nil && shown.Config != nil {
@@ -178,9 +178,9 @@
 		return nil, err
 	}
 	defer besteffort.Close(f)
-	data, err := io.ReadAll(io.LimitReader(f, plan.MostBytes+1))
-	if err == nil && len(data) > plan.MostBytes {
-		err = fmt.Errorf("%s has more than %d bytes", path, plan.MostBytes)
+	data, err := io.ReadAll(io.LimitReader(f, plan.MaxBytes+1))
+	if err == nil && len(data) > plan.MaxBytes {
+		err = fmt.Errorf("%s has more than %d bytes", path, plan.MaxBytes)
 	}
 	return data, err
 }
--- a/cmd/appleledgectl/golden_test.go
+++ b/cmd/appleledgectl/golden_test.go
@@ -38,7 +38,7 @@
 	}
 	golden.Equal(t, "plan/saved.json", text)
 	got, err := plan.Decode(golden.Read(t, "plan/saved.json"))
-	if err != nil || got.Sum != p.Sum {
+	if err != nil || got.Checksum != p.Checksum {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -189,11 +189,11 @@
 			if json.Unmarshal([]byte(x.try("plan", x.path(fmt.Sprint(n%2)), "--json", "-o", file).out), &p) != nil {
 				break
 			}
-			under = p.Hash
+			under = p.TargetHash
 			if got := x.try("apply", file, "--auto-approve", "--force"); got.code != exitOK {
 				break
 			}
-			acknowledged = p.Hash
+			acknowledged = p.TargetHash
 		}
 		<-killed
 		besteffort.Ignore(program.Wait())
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -254,7 +254,7 @@
 				t.Fatalf("drained are %v, and the plan from %v drains %v and returns %v", after, before, p.Effect.Drains, p.Effect.Returns)
 			}
 			again, err := x.Plan(t.Context(), c, 0.25)
-			if err != nil || len(again.Changes)+len(again.Effect.Drains)+len(again.Effect.Returns)+len(again.Facts) > 0 {
+			if err != nil || len(again.Changes)+len(again.Effect.Drains)+len(again.Effect.Returns)+len(again.ServerFacts) > 0 {
 				t.Fatalf("planned again: %+v, %v", again, err)
 			}
 			if rapid.Bool().Draw(t, "back") {
@@ -281,11 +281,11 @@
 		want   []string
 	}{
 		"one server":           {drain(fleetconfig.Selector{IDs: []string{"s-00"}}), nil},
-		"all of a kind":        {drain(fleetconfig.Selector{Kinds: []string{"quad-core"}}), []string{plan.KindDrained, plan.TakesMuch}},
-		"a pod":                {drain(fleetconfig.Selector{Pods: []int{1}}), []string{plan.PodEmptied, plan.TakesMuch}},
-		"a route to nobody":    {to("none", "form-check"), []string{plan.RouteEmptied}},
-		"keyed ones elsewhere": {to("all", "refund-record"), []string{plan.MovesKeyed}},
-		"and of all classes":   {to("all", ""), []string{plan.MovesKeyed}},
+		"all of a kind":        {drain(fleetconfig.Selector{Kinds: []string{"quad-core"}}), []string{plan.FlagDrainsKind, plan.FlagTakesCapacity}},
+		"a pod":                {drain(fleetconfig.Selector{Pods: []int{1}}), []string{plan.FlagEmptiesPod, plan.FlagTakesCapacity}},
+		"a route to nobody":    {to("none", "form-check"), []string{plan.FlagEmptiesRoute}},
+		"keyed ones elsewhere": {to("all", "refund-record"), []string{plan.FlagMovesIdempotent}},
+		"and of all classes":   {to("all", ""), []string{plan.FlagMovesIdempotent}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tt.config.Normalize()
@@ -307,7 +307,7 @@
 		x.core.manager.Release(now+time.Millisecond, &b, generation.Served)
 		x.core.now = now
 	}
-	for rate, want := range map[float64]string{10: plan.NotWatched, 45: plan.TurnsAway, 60: ""} {
+	for rate, want := range map[float64]string{10: plan.FlagMayRollBack, 45: plan.FlagRejectsRequests, 60: ""} {
 		c := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "lerwick", Rate: rate, Burst: 5}}}
 		p, kind := x.plan(t, c), ""
 		if len(p.Flags) > 0 {
@@ -357,7 +357,7 @@
 	}
 	all.Wait()
 	won := slices.IndexFunc(errs, func(err error) bool { return err == nil })
-	if won < 0 || errs[1-won] == nil || x.hash() != plans[won].Hash {
+	if won < 0 || errs[1-won] == nil || x.hash() != plans[won].TargetHash {
 		t.Fatalf("%v; in force is %s", errs, x.hash())
 	}
 	if lost, ok := errors.AsType[*CallError](errs[1-won]); !ok || lost.Kind != KindOutdated || lost.Status != http.StatusConflict {
@@ -371,12 +371,12 @@
 			t.Errorf("%s: %v, want %q", what, err, want)
 		}
 	}
-	try("altered", func(q *ApplyRequest) { q.Plan.MadeMS++ }, plan.ErrAltered.Error())
+	try("altered", func(q *ApplyRequest) { q.Plan.CreatedUnixMS++ }, plan.ErrAltered.Error())
 	try("nobody's", func(q *ApplyRequest) { q.Actor = "" }, "needs a name")
 	try("no plan", func(q *ApplyRequest) { q.Plan = nil }, "no plan")
 	other := start(t, nil, 6)
 	other.Agent = "n1"
-	try("of another agent", func(q *ApplyRequest) { q.Plan = other.plan(t, drainPod(2)) }, plan.ErrOther.Error())
+	try("of another agent", func(q *ApplyRequest) { q.Plan = other.plan(t, drainPod(2)) }, plan.ErrOtherAgent.Error())
 	try("while the change before is watched", func(q *ApplyRequest) { q.Force = false }, generation.ErrWatchActive.Error())
 	if err := c.Call(t.Context(), http.MethodPost, PathLock, LockRequest{Holder: "y", Duration: "1m"}, &Lock{}); err != nil {
 		t.Fatal(err)
@@ -431,7 +431,7 @@
 	agenttest.Eventually(t, "the change is in force", func() bool {
 		x.core.mu.Lock()
 		defer x.core.mu.Unlock()
-		return x.hash() == p.Hash
+		return x.hash() == p.TargetHash
 	})
 }
 
@@ -506,7 +506,7 @@
 			t.Fatalf("with byte %d altered it is taken: %.60s", i, bad[max(0, i-30):])
 		}
 	}
-	if _, err := plan.Decode([]byte(`{"format":2,"what":1}`)); !errors.Is(err, plan.ErrNewer) {
+	if _, err := plan.Decode([]byte(`{"format":2,"what":1}`)); !errors.Is(err, plan.ErrNewerFormat) {
 		t.Errorf("a newer one: %v", err)
 	}
 }
--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -111,8 +111,8 @@
 	}
 	names := c.Names()
 	p, compiled, err := plan.Make(plan.Input{Agent: c.Agent, Number: v.number, From: v.config, To: config, Names: names, Servers: v.servers,
-		Keyed: names.IdempotentClasses, MostTaken: mostTaken, UnixMS: c.Now().UnixMilli(),
-		TurnedAway: func(l fleetconfig.Limit) (float64, float64) { return limits[l.Name].refused, limits[l.Name].came }})
+		IdempotentClasses: names.IdempotentClasses, MaxCapacityTaken: mostTaken, UnixMS: c.Now().UnixMilli(),
+		EstimateRejected: func(l fleetconfig.Limit) (float64, float64) { return limits[l.Name].refused, limits[l.Name].came }})
 	if err != nil {
 		return nil, nil, 0, refuse(KindInvalid, err)
 	}
@@ -123,12 +123,12 @@
 // is brought to its end, and the history says which.
 func (c *ChangeManager) Apply(ctx context.Context, p *plan.Plan, by, why string, force bool) (ChangeResult, error) {
 	ctx = context.WithoutCancel(ctx)
-	config, err := p.Proposed()
+	config, err := p.TargetConfig()
 	if err != nil {
 		return ChangeResult{}, refuse(KindBadRequest, err)
 	}
 	if p.Agent != c.Agent {
-		return ChangeResult{}, refuse(KindRejected, fmt.Errorf("%w: %q, and this is %q", plan.ErrOther, p.Agent, c.Agent))
+		return ChangeResult{}, refuse(KindRejected, fmt.Errorf("%w: %q, and this is %q", plan.ErrOtherAgent, p.Agent, c.Agent))
 	}
 	c.changing.Lock()
 	defer c.changing.Unlock()
@@ -139,8 +139,8 @@
 	if err != nil {
 		return ChangeResult{}, err
 	}
-	if moved := p.Moved(fresh); len(moved) > 0 {
-		return ChangeResult{}, &refusal{KindOutdated, plan.ErrMoved, moved}
+	if moved := p.ChangesSince(fresh); len(moved) > 0 {
+		return ChangeResult{}, &refusal{KindOutdated, plan.ErrOutdated, moved}
 	}
 	if err := c.stage(ctx, p, compiled, version, by, force); err != nil {
 		return ChangeResult{}, err
@@ -154,7 +154,7 @@
 
 func (c *ChangeManager) stage(ctx context.Context, p *plan.Plan, compiled *generation.CompiledConfig, version uint64, by string, force bool) error {
 	err := c.command(ctx, func(_ time.Duration, m *generation.Manager) error {
-		return m.Stage(compiled, version, by, p.Base, force)
+		return m.Stage(compiled, version, by, p.BaseHash, force)
 	})
 	if err != nil {
 		return refuse(KindRejected, err)
@@ -165,12 +165,12 @@
 // switchTo switches to what is staged, if the servers are still those of the plan at that instant.
 func (c *ChangeManager) switchTo(ctx context.Context, p *plan.Plan, why string) (out ChangeResult, err error) {
 	err = c.command(ctx, func(now time.Duration, m *generation.Manager) error {
-		if !p.Holds(m.Server) {
+		if !p.ServersUnchanged(m.Server) {
 			m.Unstage()
-			return &refusal{KindOutdated, plan.ErrMoved, []string{"a server that the plan concerns has changed while it was being applied"}}
+			return &refusal{KindOutdated, plan.ErrOutdated, []string{"a server that the plan concerns has changed while it was being applied"}}
 		}
 		out.Number, err = m.Switch(now, why)
-		out.Hash = p.Hash
+		out.Hash = p.TargetHash
 		return err
 	})
 	if err != nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -25,7 +25,7 @@
 const (
 	mostAtOnce = 4                // connections; more wait
 	patience   = 10 * time.Second // for a request, and for its answer to be taken
-	mostBody   = plan.MostBytes + 4096
+	mostBody   = plan.MaxBytes + 4096
 	longestBy  = 128 // bytes of a name or a reason
 )
 
--- a/internal/plan/golden_test.go
+++ b/internal/plan/golden_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Plan{Format: 1, Agent: "n0", Number: 12, Base: strings.Repeat("b", 64), Hash: config.Hash(), Config: config.JSON(), MadeMS: 1700000000123,
+	p := &Plan{Format: 1, Agent: "n0", BaseNumber: 12, BaseHash: strings.Repeat("b", 64), TargetHash: config.Hash(), Config: config.JSON(), CreatedUnixMS: 1700000000123,
 		Changes: []fleetconfig.Change{
 			{Verb: fleetconfig.Create, Kind: "pool", Name: "tiny", After: json.RawMessage(`{"name":"tiny"}`)},
 			{Verb: fleetconfig.Update, Kind: "route", Name: "checks", Before: json.RawMessage(`{"name":"checks","priority":1}`),
@@ -30,16 +30,16 @@
 			Kinds:    []Capacity{{Name: "twin-core", Servers: 11, ServersAfter: 10, Weight: 15.5, WeightAfter: 14.25}},
 			Zones:    []Capacity{{Name: "edinburgh-dc", Servers: 8, ServersAfter: 7, Weight: 9.5, WeightAfter: 8.75}},
 			Pods:     []Capacity{{Name: "4", Servers: 6, ServersAfter: 5, Weight: 6.5, WeightAfter: 5.25}},
-			Routes:   []RouteTo{{Route: "checks", Verb: "update", To: []PartTo{{Pool: "east", Part: 0.75, Servers: 13}, {Pool: "all", Part: 0.25, Servers: 19}}}},
-			Limits:   []LimitTest{{Limit: "lerwick", Came: 140, Refused: 16}},
-			Steps:    []Step{{Out: 1, AfterS: 0.5}, {Out: 2, AfterS: 6}}},
-		Facts: []fleetconfig.Server{{ID: "s-1", Addr: "127.0.0.2:81", Kind: "twin-core", Zone: "edinburgh-dc", Pod: 3, Weight: 1.5,
+			Routes:   []RouteEffect{{Route: "checks", Verb: "update", Targets: []TargetShare{{Pool: "east", Share: 0.75, Servers: 13}, {Pool: "all", Share: 0.25, Servers: 19}}}},
+			Limits:   []LimitEffect{{Limit: "lerwick", Arrived: 140, Rejected: 16}},
+			Steps:    []RolloutStep{{DrainedServers: 1, AfterSeconds: 0.5}, {DrainedServers: 2, AfterSeconds: 6}}},
+		ServerFacts: []fleetconfig.Server{{ID: "s-1", Addr: "127.0.0.2:81", Kind: "twin-core", Zone: "edinburgh-dc", Pod: 3, Weight: 1.5,
 			StartedMS: 1700000000456, Draining: true}},
 	}
-	for _, kind := range []string{KindDrained, PodEmptied, RouteEmptied, TakesMuch, MovesKeyed, TurnsAway, NotWatched} {
+	for _, kind := range []string{FlagDrainsKind, FlagEmptiesPod, FlagEmptiesRoute, FlagTakesCapacity, FlagMovesIdempotent, FlagRejectsRequests, FlagMayRollBack} {
 		p.Flags = append(p.Flags, Flag{Kind: kind, Text: "text of " + kind})
 	}
-	p.Sum = p.sum()
+	p.Checksum = p.sum()
 	return p
 }
 
@@ -60,13 +60,13 @@
 	if err != nil || !reflect.DeepEqual(got, p) {
 		t.Fatalf("read as %+v, %v", got, err)
 	}
-	if _, err := got.Proposed(); err != nil {
+	if _, err := got.TargetConfig(); err != nil {
 		t.Error(err)
 	}
 	if _, err := Decode([]byte(strings.Replace(string(text), `"agent":"n0"`, `"agent":"n1"`, 1))); !errors.Is(err, ErrAltered) {
 		t.Errorf("an altered plan: %v", err)
 	}
-	if _, err := Decode([]byte(strings.Replace(string(text), `"format":1`, `"format":2`, 1))); !errors.Is(err, ErrNewer) {
+	if _, err := Decode([]byte(strings.Replace(string(text), `"format":1`, `"format":2`, 1))); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("a plan of a newer form: %v", err)
 	}
 }
@@ -86,10 +86,10 @@
 		servers[id] = &fleetconfig.Server{ID: id, Addr: "10.0.0." + id[2:] + ":80", Kind: []string{"twin-core", "quad-core"}[i%2], Zone: "edinburgh-dc",
 			Pod: i / 2, Weight: 1 + float64(i)/4, StartedMS: 1000 + int64(i), Draining: i == 5}
 	}
-	return Input{Agent: "n0", Number: 7, From: from, To: to, Servers: servers, Keyed: []string{"refund-record"}, MostTaken: 0.25, UnixMS: 1700000000123,
+	return Input{Agent: "n0", Number: 7, From: from, To: to, Servers: servers, IdempotentClasses: []string{"refund-record"}, MaxCapacityTaken: 0.25, UnixMS: 1700000000123,
 		Names: generation.Names{Classes: []generation.Class{{Name: "form-check", LatencyObjective: time.Second}, {Name: "refund-record", LatencyObjective: time.Second}},
 			Tenants: []string{"wick"}, Zones: []string{"edinburgh-dc"}, IdempotentClasses: []string{"refund-record"}},
-		TurnedAway: func(l fleetconfig.Limit) (refused, came float64) {
+		EstimateRejected: func(l fleetconfig.Limit) (refused, came float64) {
 			return map[string]float64{"some": 10.4, "most": 80}[l.Name], 100
 		}}
 }
@@ -129,14 +129,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(was.Facts) < 5 {
-		t.Fatalf("facts %+v", was.Facts)
+	if len(was.ServerFacts) < 5 {
+		t.Fatalf("facts %+v", was.ServerFacts)
 	}
 	now := *was
-	now.Number, now.Base, now.Facts = 8, strings.Repeat("c", 64), append([]fleetconfig.Server(nil), was.Facts[1:]...)
-	now.Facts[0].StartedMS++
-	now.Facts[1].Draining = true
-	now.Facts[2].Pod++
-	now.Facts = append(now.Facts, fleetconfig.Server{ID: "s-9"})
-	golden.Equal(t, "plan/moved.txt", []byte(strings.Join(was.Moved(&now), "\n")+"\n"))
+	now.BaseNumber, now.BaseHash, now.ServerFacts = 8, strings.Repeat("c", 64), append([]fleetconfig.Server(nil), was.ServerFacts[1:]...)
+	now.ServerFacts[0].StartedMS++
+	now.ServerFacts[1].Draining = true
+	now.ServerFacts[2].Pod++
+	now.ServerFacts = append(now.ServerFacts, fleetconfig.Server{ID: "s-9"})
+	golden.Equal(t, "plan/moved.txt", []byte(strings.Join(was.ChangesSince(&now), "\n")+"\n"))
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -23,23 +23,23 @@
 // Format is the version of a plan's form.
 const Format = 1
 
-// MostBytes bounds a plan: the configuration, and an entry for each server.
-const MostBytes = 16 << 20
+// MaxBytes bounds a plan: the configuration, and an entry for each server.
+const MaxBytes = 16 << 20
 
 // Plan is what a change would do. What it rests on is part of it, so that Moved can tell whether it still holds.
 type Plan struct {
-	Format  int                  `json:"format"`
-	Agent   string               `json:"agent"`
-	Number  uint64               `json:"base_number"` // of the generation that it starts from
-	Base    string               `json:"base_hash"`
-	Hash    string               `json:"hash"` // of the configuration that it leads to
-	Config  json.RawMessage      `json:"config"`
-	MadeMS  int64                `json:"made_unix_ms"`
-	Changes []fleetconfig.Change `json:"changes"`
-	Flags   []Flag               `json:"flags"`
-	Effect  Effect               `json:"effect"`
-	Facts   []fleetconfig.Server `json:"facts"` // the servers that the effect rests on, by id
-	Sum     string               `json:"sum"`   // SHA-256 of all the rest
+	Format        int                  `json:"format"`
+	Agent         string               `json:"agent"`
+	BaseNumber    uint64               `json:"base_number"` // of the generation that it starts from
+	BaseHash      string               `json:"base_hash"`
+	TargetHash    string               `json:"hash"` // of the configuration that it leads to
+	Config        json.RawMessage      `json:"config"`
+	CreatedUnixMS int64                `json:"made_unix_ms"`
+	Changes       []fleetconfig.Change `json:"changes"`
+	Flags         []Flag               `json:"flags"`
+	Effect        Effect               `json:"effect"`
+	ServerFacts   []fleetconfig.Server `json:"facts"` // the servers that the effect rests on, by id
+	Checksum      string               `json:"sum"`   // SHA-256 of all the rest
 }
 
 // Flag is something that whoever approves the plan should know first.
@@ -50,26 +50,26 @@
 
 // The kinds of flags.
 const (
-	KindDrained  = "drains-kind"    // no server of a kind of machine is left
-	PodEmptied   = "empties-pod"    // no server of a pod is left
-	RouteEmptied = "empties-route"  // a route has a pool without servers
-	TakesMuch    = "takes-capacity" // more than the share that is allowed
-	MovesKeyed   = "moves-keyed"    // keyed requests change pods while pods remember their repeats
-	TurnsAway    = "turns-away"     // a limit would have refused much of what came
-	NotWatched   = "may-roll-back"  // the watch will take it for harm
+	FlagDrainsKind      = "drains-kind"    // no server of a kind of machine is left
+	FlagEmptiesPod      = "empties-pod"    // no server of a pod is left
+	FlagEmptiesRoute    = "empties-route"  // a route has a pool without servers
+	FlagTakesCapacity   = "takes-capacity" // more than the share that is allowed
+	FlagMovesIdempotent = "moves-keyed"    // keyed requests change pods while pods remember their repeats
+	FlagRejectsRequests = "turns-away"     // a limit would have refused much of what came
+	FlagMayRollBack     = "may-roll-back"  // the watch will take it for harm
 )
 
 // Effect is what the change does to the fleet as it was when the plan was made.
 type Effect struct {
-	Drains   []string    `json:"drains"`  // ids that get nothing new any more
-	Returns  []string    `json:"returns"` // ids that do again
-	Capacity Capacity    `json:"capacity"`
-	Kinds    []Capacity  `json:"kinds"`
-	Zones    []Capacity  `json:"zones"`
-	Pods     []Capacity  `json:"pods"`
-	Routes   []RouteTo   `json:"routes"`
-	Limits   []LimitTest `json:"limits"`
-	Steps    []Step      `json:"steps"`
+	Drains   []string      `json:"drains"`  // ids that get nothing new any more
+	Returns  []string      `json:"returns"` // ids that do again
+	Capacity Capacity      `json:"capacity"`
+	Kinds    []Capacity    `json:"kinds"`
+	Zones    []Capacity    `json:"zones"`
+	Pods     []Capacity    `json:"pods"`
+	Routes   []RouteEffect `json:"routes"`
+	Limits   []LimitEffect `json:"limits"`
+	Steps    []RolloutStep `json:"steps"`
 }
 
 // Capacity counts the servers of a name that get requests, and their weights, before and after.
@@ -81,44 +81,44 @@
 	WeightAfter  float64 `json:"weight_after"`
 }
 
-// RouteTo is where a route leads. Routes are in the order in which they are asked.
-type RouteTo struct {
-	Route string   `json:"route"`
-	Verb  string   `json:"verb,omitempty"` // of its change, if it has one
-	To    []PartTo `json:"to"`
+// RouteEffect is where a route leads. Routes are in the order in which they are asked.
+type RouteEffect struct {
+	Route   string        `json:"route"`
+	Verb    string        `json:"verb,omitempty"` // of its change, if it has one
+	Targets []TargetShare `json:"to"`
 }
 
-// PartTo is the part of a route's requests that goes to a pool.
-type PartTo struct {
+// TargetShare is the part of a route's requests that goes to a pool.
+type TargetShare struct {
 	Pool    string  `json:"pool"`
-	Part    float64 `json:"part"`    // from 0 to 1
+	Share   float64 `json:"part"`    // from 0 to 1
 	Servers int     `json:"servers"` // of the pool that get requests after the change
 }
 
-// LimitTest is what a limit that is new or changed would have done to the last minute's requests.
-type LimitTest struct {
-	Limit   string  `json:"limit"`
-	Came    float64 `json:"came"`
-	Refused float64 `json:"refused"` // about
+// LimitEffect is what a limit that is new or changed would have done to the last minute's requests.
+type LimitEffect struct {
+	Limit    string  `json:"limit"`
+	Arrived  float64 `json:"came"`
+	Rejected float64 `json:"refused"` // about
 }
 
-// Step is a part of a rollout: so many servers are out in all, after so many seconds.
-type Step struct {
-	Out    int     `json:"out"`
-	AfterS float64 `json:"after_s"`
+// RolloutStep is a part of a rollout: so many servers are out in all, after so many seconds.
+type RolloutStep struct {
+	DrainedServers int     `json:"out"`
+	AfterSeconds   float64 `json:"after_s"`
 }
 
 // Input is what a plan is made of.
 type Input struct {
-	Agent      string
-	Number     uint64
-	From, To   *fleetconfig.Config
-	Names      generation.Names
-	Servers    generation.Servers
-	Keyed      []string // names of the classes whose repeats pods remember
-	TurnedAway func(fleetconfig.Limit) (refused, came float64)
-	MostTaken  float64 // the share of capacity that a change may take unflagged
-	UnixMS     int64
+	Agent             string
+	Number            uint64
+	From, To          *fleetconfig.Config
+	Names             generation.Names
+	Servers           generation.Servers
+	IdempotentClasses []string // names of the classes whose repeats pods remember
+	EstimateRejected  func(fleetconfig.Limit) (refused, came float64)
+	MaxCapacityTaken  float64 // the share of capacity that a change may take unflagged
+	UnixMS            int64
 }
 
 // muchRefused is the share of what came that a limit may turn away unflagged; the watch allows no more than a quarter.
@@ -137,8 +137,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	p := &Plan{Format: Format, Agent: in.Agent, Number: in.Number, Base: from.Hash, Hash: to.Hash, Config: in.To.JSON(),
-		MadeMS: in.UnixMS, Changes: fleetconfig.Diff(in.From, in.To)}
+	p := &Plan{Format: Format, Agent: in.Agent, BaseNumber: in.Number, BaseHash: from.Hash, TargetHash: to.Hash, Config: in.To.JSON(),
+		CreatedUnixMS: in.UnixMS, Changes: fleetconfig.Diff(in.From, in.To)}
 	m := maker{in: in, from: from, to: to, plan: p}
 	m.drains()
 	m.capacities()
@@ -147,7 +147,7 @@
 	m.steps()
 	m.facts()
 	m.flags()
-	p.Sum = p.sum()
+	p.Checksum = p.sum()
 	return p, to, nil
 }
 
@@ -218,13 +218,13 @@
 	m.plan.Effect.Capacity.WeightAfter = rounded(m.plan.Effect.Capacity.WeightAfter)
 	verbs := m.verbs("route")
 	for _, r := range m.to.OrderedRoutes() {
-		to := RouteTo{Route: r.Name, Verb: string(verbs[r.Name])}
+		to := RouteEffect{Route: r.Name, Verb: string(verbs[r.Name])}
 		sum := 0
 		for _, t := range r.To {
 			sum += t.Weight
 		}
 		for _, t := range r.To {
-			to.To = append(to.To, PartTo{t.Pool, float64(t.Weight) / float64(sum), m.serving(t.Pool)})
+			to.Targets = append(to.Targets, TargetShare{t.Pool, float64(t.Weight) / float64(sum), m.serving(t.Pool)})
 		}
 		m.plan.Effect.Routes = append(m.plan.Effect.Routes, to)
 	}
@@ -257,11 +257,11 @@
 func (m *maker) limits() {
 	verbs := m.verbs("limit")
 	for _, l := range m.in.To.Limits {
-		if verbs[l.Name] == "" || m.in.TurnedAway == nil {
+		if verbs[l.Name] == "" || m.in.EstimateRejected == nil {
 			continue
 		}
-		refused, came := m.in.TurnedAway(l)
-		m.plan.Effect.Limits = append(m.plan.Effect.Limits, LimitTest{l.Name, came, math.Round(refused)})
+		refused, came := m.in.EstimateRejected(l)
+		m.plan.Effect.Limits = append(m.plan.Effect.Limits, LimitEffect{l.Name, came, math.Round(refused)})
 	}
 }
 
@@ -273,7 +273,7 @@
 	for i := 1; ; i++ {
 		part := min(1, float64(i)*r.Step)
 		out := int(math.Ceil(part * float64(n) * (1 - 1e-9)))
-		m.plan.Effect.Steps = append(m.plan.Effect.Steps, Step{min(out, n), float64(i-1) * float64(r.Wait) / 1e9})
+		m.plan.Effect.Steps = append(m.plan.Effect.Steps, RolloutStep{min(out, n), float64(i-1) * float64(r.Wait) / 1e9})
 		if part == 1 {
 			return
 		}
@@ -301,7 +301,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(ids)) {
 		if s := m.in.Servers[id]; s != nil {
-			m.plan.Facts = append(m.plan.Facts, *s)
+			m.plan.ServerFacts = append(m.plan.ServerFacts, *s)
 		}
 	}
 }
@@ -332,27 +332,27 @@
 func (m *maker) flags() {
 	e := m.plan.Effect
 	if e.Capacity.ServersAfter == 0 && e.Capacity.Servers > 0 {
-		m.flag(TakesMuch, "no server at all is left")
+		m.flag(FlagTakesCapacity, "no server at all is left")
 	}
 	for _, k := range e.Kinds {
 		if k.Servers > 0 && k.ServersAfter == 0 {
-			m.flag(KindDrained, "every server of kind %q drains, %d of them", k.Name, k.Servers)
+			m.flag(FlagDrainsKind, "every server of kind %q drains, %d of them", k.Name, k.Servers)
 		}
 	}
 	for _, p := range e.Pods {
 		if p.Servers > 0 && p.ServersAfter == 0 {
-			m.flag(PodEmptied, "pod %s is left without servers; it had %d", p.Name, p.Servers)
+			m.flag(FlagEmptiesPod, "pod %s is left without servers; it had %d", p.Name, p.Servers)
 		}
 	}
 	for _, r := range e.Routes {
-		for _, t := range r.To {
-			if t.Servers == 0 && t.Part > 0 {
-				m.flag(RouteEmptied, "route %q sends %.0f%% to pool %q, which has no server to send to", r.Route, 100*t.Part, t.Pool)
+		for _, t := range r.Targets {
+			if t.Servers == 0 && t.Share > 0 {
+				m.flag(FlagEmptiesRoute, "route %q sends %.0f%% to pool %q, which has no server to send to", r.Route, 100*t.Share, t.Pool)
 			}
 		}
 	}
-	if taken := 1 - e.Capacity.WeightAfter/max(e.Capacity.Weight, 1e-9); e.Capacity.Weight > 0 && taken > m.in.MostTaken {
-		m.flag(TakesMuch, "takes %.0f%% of capacity, more than %.0f%%", 100*taken, 100*m.in.MostTaken)
+	if taken := 1 - e.Capacity.WeightAfter/max(e.Capacity.Weight, 1e-9); e.Capacity.Weight > 0 && taken > m.in.MaxCapacityTaken {
+		m.flag(FlagTakesCapacity, "takes %.0f%% of capacity, more than %.0f%%", 100*taken, 100*m.in.MaxCapacityTaken)
 	}
 	m.flagLimits()
 	m.flagKeyed()
@@ -360,12 +360,12 @@
 
 func (m *maker) flagLimits() {
 	for _, l := range m.plan.Effect.Limits {
-		switch part := l.Refused / max(l.Came, 1); {
+		switch part := l.Rejected / max(l.Arrived, 1); {
 		case part > watchAccepted:
-			m.flag(NotWatched, "limit %q would have turned away %.0f%% of the last minute's %.0f requests: the watch takes more than %.0f%% for harm and rolls back",
-				l.Limit, 100*part, l.Came, 100*watchAccepted)
+			m.flag(FlagMayRollBack, "limit %q would have turned away %.0f%% of the last minute's %.0f requests: the watch takes more than %.0f%% for harm and rolls back",
+				l.Limit, 100*part, l.Arrived, 100*watchAccepted)
 		case part > muchRefused:
-			m.flag(TurnsAway, "limit %q would have turned away %.0f%% of the last minute's %.0f requests", l.Limit, 100*part, l.Came)
+			m.flag(FlagRejectsRequests, "limit %q would have turned away %.0f%% of the last minute's %.0f requests", l.Limit, 100*part, l.Arrived)
 		}
 	}
 }
@@ -374,7 +374,7 @@
 // than the first try, which does not drop it.
 func (m *maker) flagKeyed() {
 	keyed := func(class string) bool {
-		return len(m.in.Keyed) > 0 && (class == "" || slices.Contains(m.in.Keyed, class))
+		return len(m.in.IdempotentClasses) > 0 && (class == "" || slices.Contains(m.in.IdempotentClasses, class))
 	}
 	for _, c := range m.plan.Changes {
 		if c.Kind != "route" && c.Kind != "pool" {
@@ -384,8 +384,8 @@
 			uses := c.Kind == "route" && r.Name == c.Name ||
 				c.Kind == "pool" && slices.ContainsFunc(r.To, func(t fleetconfig.Target) bool { return t.Pool == c.Name })
 			if uses && keyed(r.Class) {
-				m.flag(MovesKeyed, "%s %q changes where keyed requests go (%v): until pods have forgotten their keys, a client's repeat may reach another pod than the first try",
-					c.Kind, c.Name, m.in.Keyed)
+				m.flag(FlagMovesIdempotent, "%s %q changes where keyed requests go (%v): until pods have forgotten their keys, a client's repeat may reach another pod than the first try",
+					c.Kind, c.Name, m.in.IdempotentClasses)
 				break
 			}
 		}
@@ -395,7 +395,7 @@
 // sum is the hash of all but the sum itself.
 func (p *Plan) sum() string {
 	bare := *p
-	bare.Sum = ""
+	bare.Checksum = ""
 	data, err := json.Marshal(bare)
 	if err != nil {
 		panic("plan: " + err.Error()) // all of it can be written
@@ -406,16 +406,16 @@
 
 // Reasons why a plan can't be used.
 var (
-	ErrAltered = errors.New("the plan was altered after it was made")
-	ErrNewer   = errors.New("the plan is of a newer form; use the program that made it")
-	ErrOther   = errors.New("the plan was made for another agent")
-	ErrMoved   = errors.New("what the plan rests on has moved; make a new one")
+	ErrAltered     = errors.New("the plan was altered after it was made")
+	ErrNewerFormat = errors.New("the plan is of a newer form; use the program that made it")
+	ErrOtherAgent  = errors.New("the plan was made for another agent")
+	ErrOutdated    = errors.New("what the plan rests on has moved; make a new one")
 )
 
 // Decode reads a plan and checks that it is as it was made.
 func Decode(data []byte) (*Plan, error) {
-	if len(data) > MostBytes {
-		return nil, fmt.Errorf("a plan has %d bytes at most", MostBytes)
+	if len(data) > MaxBytes {
+		return nil, fmt.Errorf("a plan has %d bytes at most", MaxBytes)
 	}
 	var head struct {
 		Format int `json:"format"`
@@ -424,40 +424,40 @@
 		return nil, fmt.Errorf("plan: %w", err)
 	}
 	if head.Format > Format {
-		return nil, ErrNewer
+		return nil, ErrNewerFormat
 	}
 	p := &Plan{}
 	if err := fleetconfig.Strict(bytes.NewReader(data), p); err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
 	}
-	if p.sum() != p.Sum {
+	if p.sum() != p.Checksum {
 		return nil, ErrAltered
 	}
 	return p, nil
 }
 
-// Proposed is the configuration that the plan leads to.
-func (p *Plan) Proposed() (*fleetconfig.Config, error) {
+// TargetConfig is the configuration that the plan leads to.
+func (p *Plan) TargetConfig() (*fleetconfig.Config, error) {
 	c, err := fleetconfig.Decode(p.Config)
 	if err != nil {
 		return nil, err
 	}
-	if c.Hash() != p.Hash {
+	if c.Hash() != p.TargetHash {
 		return nil, ErrAltered
 	}
 	return c, nil
 }
 
-// Moved says what has changed since the plan was made, given one that was made now for the same configuration, or nothing.
-func (p *Plan) Moved(now *Plan) (what []string) {
-	if p.Base != now.Base {
-		what = append(what, fmt.Sprintf("generation %d (%.12s) is in force, not %d (%.12s)", now.Number, now.Base, p.Number, p.Base))
+// ChangesSince says what has changed since the plan was made, given one that was made now for the same configuration, or nothing.
+func (p *Plan) ChangesSince(now *Plan) (what []string) {
+	if p.BaseHash != now.BaseHash {
+		what = append(what, fmt.Sprintf("generation %d (%.12s) is in force, not %d (%.12s)", now.BaseNumber, now.BaseHash, p.BaseNumber, p.BaseHash))
 	}
 	old := map[string]fleetconfig.Server{}
-	for _, s := range p.Facts {
+	for _, s := range p.ServerFacts {
 		old[s.ID] = s
 	}
-	for _, s := range now.Facts {
+	for _, s := range now.ServerFacts {
 		was, there := old[s.ID]
 		delete(old, s.ID)
 		if change := moved(was, s, there); change != "" {
@@ -487,11 +487,11 @@
 	return "has changed its address, kind, zone, pod or weight"
 }
 
-// Holds reports whether the servers are those that the plan's facts name, as they were. It is cheap enough for the instant
+// ServersUnchanged reports whether the servers are those that the plan's facts name, as they were. It is cheap enough for the instant
 // of the switch.
-func (p *Plan) Holds(servers func(id string) *fleetconfig.Server) bool {
-	for i := range p.Facts {
-		if s := servers(p.Facts[i].ID); s == nil || *s != p.Facts[i] {
+func (p *Plan) ServersUnchanged(servers func(id string) *fleetconfig.Server) bool {
+	for i := range p.ServerFacts {
+		if s := servers(p.ServerFacts[i].ID); s == nil || *s != p.ServerFacts[i] {
 			return false
 		}
 	}
--- a/internal/plan/show/show.go
+++ b/internal/plan/show/show.go
@@ -46,7 +46,7 @@
 func Plan(w io.Writer, p *plan.Plan) error {
 	out := &printer{w: w}
 	if len(p.Changes) == 0 {
-		out.line("No changes. Generation %d (%.12s) of agent %s is what the files say.", p.Number, p.Base, p.Agent)
+		out.line("No changes. Generation %d (%.12s) of agent %s is what the files say.", p.BaseNumber, p.BaseHash, p.Agent)
 		return out.err
 	}
 	warn := color.New(color.FgRed, color.Bold)
@@ -56,7 +56,7 @@
 	if len(p.Flags) > 0 {
 		out.line("")
 	}
-	out.line("Agent %s, from generation %d (%.12s) to %.12s:", p.Agent, p.Number, p.Base, p.Hash)
+	out.line("Agent %s, from generation %d (%.12s) to %.12s:", p.Agent, p.BaseNumber, p.BaseHash, p.TargetHash)
 	if err := Changes(w, p.Changes); err != nil {
 		return err
 	}
@@ -134,12 +134,12 @@
 	writeIDs(out, "drains", e.Drains)
 	writeIDs(out, "returns", e.Returns)
 	for i, s := range e.Steps {
-		out.line("  step %d: %d out after %v at the soonest", i+1, s.Out, time.Duration(s.AfterS*float64(time.Second)).Round(time.Millisecond))
+		out.line("  step %d: %d out after %v at the soonest", i+1, s.DrainedServers, time.Duration(s.AfterSeconds*float64(time.Second)).Round(time.Millisecond))
 	}
 	for _, r := range e.Routes {
 		var to []string
-		for _, t := range r.To {
-			to = append(to, fmt.Sprintf("%.0f%% to %s (%d servers)", 100*t.Part, t.Pool, t.Servers))
+		for _, t := range r.Targets {
+			to = append(to, fmt.Sprintf("%.0f%% to %s (%d servers)", 100*t.Share, t.Pool, t.Servers))
 		}
 		mark := " "
 		if m, changes := marks[fleetconfig.Verb(r.Verb)]; changes {
@@ -148,7 +148,7 @@
 		out.line("  %s route %s: %s", mark, r.Route, strings.Join(to, ", "))
 	}
 	for _, l := range e.Limits {
-		out.line("  limit %s: would have turned away about %.0f of the last minute's %.0f requests", l.Limit, l.Refused, l.Came)
+		out.line("  limit %s: would have turned away about %.0f of the last minute's %.0f requests", l.Limit, l.Rejected, l.Arrived)
 	}
 }
 
