--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -233,7 +233,7 @@
 					Selector: fleetconfig.Selector{Pods: []int{rapid.IntRange(0, 3).Draw(t, "pod")}}})
 			}
 			if n := rapid.IntRange(0, 3).Draw(t, "limit"); n > 0 {
-				c.Limits = []fleetconfig.Limit{{Name: "l", Tenant: "wick", InFlight: &n}}
+				c.Limits = []fleetconfig.Limit{{Name: "l", Tenant: "wick", MaxInFlight: &n}}
 			}
 			c.Normalize()
 			p, err := x.Plan(t.Context(), c, 0.25)
@@ -523,7 +523,7 @@
 	x.core.manager.UpdateServers(fleet)
 	c := &fleetconfig.Config{Drains: drainPod(3).Drains}
 	for i := range 1000 {
-		pool := fleetconfig.All
+		pool := fleetconfig.AllServersPool
 		if i < 16 {
 			pool = fmt.Sprint("p", i)
 			c.Pools = append(c.Pools, fleetconfig.Pool{Name: pool, Selector: fleetconfig.Selector{Pods: []int{i, i + 1}}})
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -50,7 +50,7 @@
 		}
 		golden.Equal(t, "admin/"+name+".json", data)
 		got := reflect.New(reflect.TypeOf(v).Elem()).Interface()
-		if err := fleetconfig.Strict(bytes.NewReader(golden.Read(t, "admin/"+name+".json")), got); err != nil || !reflect.DeepEqual(got, v) {
+		if err := fleetconfig.DecodeStrict(bytes.NewReader(golden.Read(t, "admin/"+name+".json")), got); err != nil || !reflect.DeepEqual(got, v) {
 			t.Errorf("%s is read as %+v, %v", name, got, err)
 		}
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -191,7 +191,7 @@
 
 // read reads a request's body, strictly.
 func read(w http.ResponseWriter, r *http.Request, q any) error {
-	if err := fleetconfig.Strict(http.MaxBytesReader(w, r.Body, mostBody), q); err != nil {
+	if err := fleetconfig.DecodeStrict(http.MaxBytesReader(w, r.Body, mostBody), q); err != nil {
 		return refuse(KindBadRequest, fmt.Errorf("the body can't be read: %w", err))
 	}
 	return nil
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -181,7 +181,7 @@
 	left, right := to("s-0", "s-1", "s-2"), to("s-3", "s-4", "s-5")
 	zero, nowhere := 0, to("s-9")
 	bad := *right
-	bad.Limits = []fleetconfig.Limit{{Name: "l", InFlight: &zero}}
+	bad.Limits = []fleetconfig.Limit{{Name: "l", MaxInFlight: &zero}}
 	o.apply(t, left)
 	stop := o.load(t, 12, time.Millisecond)
 	began := len(o.history(t))
@@ -331,7 +331,7 @@
 	t.Parallel()
 	o := operate(t, 2, "")
 	zero := 0
-	o.apply(t, &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "lerwick-port", InFlight: &zero, ComeBack: fleetconfig.Time(200 * time.Millisecond)}}})
+	o.apply(t, &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "lerwick-port", MaxInFlight: &zero, RetryAfter: fleetconfig.Duration(200 * time.Millisecond)}}})
 	seen := o.servers[0].Requests() + o.servers[1].Requests()
 	r := o.newRequest(t, http.MethodPost, "/refund-record", "")
 	r.Header.Set("X-Tenant-Id", "lerwick-port")
--- a/internal/agent/sections_test.go
+++ b/internal/agent/sections_test.go
@@ -24,7 +24,7 @@
 	with.Generations = &Generations{Socket: socket}
 	a := startReloadingFor(t, d.Addr().String(), "", with)
 	client := admin.NewClient(socket)
-	limited := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Class: "refund-status", InFlight: new(int), ComeBack: fleetconfig.Time(200 * time.Millisecond)}}}
+	limited := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Class: "refund-status", MaxInFlight: new(int), RetryAfter: fleetconfig.Duration(200 * time.Millisecond)}}}
 	limited.Normalize()
 	apply := func() error {
 		p := &plan.Plan{}
--- a/internal/engine/chooser_test.go
+++ b/internal/engine/chooser_test.go
@@ -135,7 +135,7 @@
 		c.Routes = []fleetconfig.Route{{Name: "r", To: []fleetconfig.Target{{Pool: "p", Weight: 1}}}}
 	}
 	if n := rapid.IntRange(0, 3).Draw(m.t, "limit"); n > 0 {
-		c.Limits = []fleetconfig.Limit{{Name: "l", InFlight: &n, Attempts: 2}}
+		c.Limits = []fleetconfig.Limit{{Name: "l", MaxInFlight: &n, MaxAttempts: 2}}
 	}
 	if cell := rapid.IntRange(0, 5).Draw(m.t, "drain"); cell < 3 {
 		c.Drains = []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Pods: []int{cell}}}}
--- a/internal/engine/ties_test.go
+++ b/internal/engine/ties_test.go
@@ -87,7 +87,7 @@
 		x.SetGenerations(m, nil)
 	}
 	limit := func(x *tiedEngine) {
-		c := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", InFlight: &zero}}}
+		c := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", MaxInFlight: &zero}}}
 		ready, err := generation.Compile(c, generation.Names{}, nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleetconfig/check.go
+++ b/internal/fleetconfig/check.go
@@ -29,15 +29,15 @@
 // Names are what the platform's configuration knows. Lists that are empty are not checked against.
 type Names struct {
 	Classes, Tenants, Zones []string
-	// Readable are the headers that a front hands over, in canonical form.
-	Readable []string
+	// RoutableHeaders are the headers that a front hands over, in canonical form.
+	RoutableHeaders []string
 }
 
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
 // Check returns all that is wrong with a normalized configuration, as Problems joined into one error, or nil.
 func (c *Config) Check(known Names) error {
-	k := &checker{known: known, pools: map[string]bool{All: true}}
+	k := &checker{known: known, pools: map[string]bool{AllServersPool: true}}
 	k.sizes(c)
 	for _, p := range c.Pools {
 		k.at("pool", p.Name, duplicate(k.pools, p.Name))
@@ -66,7 +66,7 @@
 	}
 	if w := c.Watch; w != nil {
 		k.at("watch", "", false)
-		k.within("for", w.For, time.Second, 24*time.Hour)
+		k.within("for", w.Duration, time.Second, 24*time.Hour)
 		k.want(w.FalseAlarms >= 1e-9 && w.FalseAlarms <= 0.1, "false_alarms", "%v must be from 1e-9 to 0.1", w.FalseAlarms)
 	}
 	return errors.Join(k.problems...)
@@ -102,7 +102,7 @@
 	}
 }
 
-func (k *checker) within(field string, t Time, least, most time.Duration) {
+func (k *checker) within(field string, t Duration, least, most time.Duration) {
 	k.want(time.Duration(t) >= least && time.Duration(t) <= most, field, "%v must be from %v to %v", t, least, most)
 }
 
@@ -117,8 +117,8 @@
 	for _, n := range []struct {
 		kind    string
 		is, can int
-	}{{"pool", len(c.Pools), MostPools}, {"route", len(c.Routes), MostRoutes}, {"limit", len(c.Limits), MostLimits},
-		{"drain", len(c.Drains), MostDrains}, {"deadline", len(c.Deadlines), MostLimits}, {"selector", words, mostNamed}} {
+	}{{"pool", len(c.Pools), MaxPools}, {"route", len(c.Routes), MaxRoutes}, {"limit", len(c.Limits), MaxLimits},
+		{"drain", len(c.Drains), MaxDrains}, {"deadline", len(c.Deadlines), MaxLimits}, {"selector", words, mostNamed}} {
 		k.kind, k.name = n.kind, ""
 		k.want(n.is <= n.can, "", "there are %d, %d at most", n.is, n.can)
 	}
@@ -166,7 +166,7 @@
 		k.want(r.PathPrefix == "" || r.PathPrefix[0] == '/', "path_prefix", "%q must begin with /", r.PathPrefix)
 		for name := range r.Headers {
 			k.want(http.CanonicalHeaderKey(name) == name, "headers", "%q must be written %q", name, http.CanonicalHeaderKey(name))
-			k.among("headers", http.CanonicalHeaderKey(name), k.known.Readable)
+			k.among("headers", http.CanonicalHeaderKey(name), k.known.RoutableHeaders)
 		}
 		k.targets(r.To)
 	}
@@ -175,7 +175,7 @@
 func (k *checker) targets(to []Target) {
 	sum, seen := 0, map[string]bool{}
 	for _, t := range to {
-		k.want(k.pools[t.Pool], "to", "there is no pool %q; %q has all servers", t.Pool, All)
+		k.want(k.pools[t.Pool], "to", "there is no pool %q; %q has all servers", t.Pool, AllServersPool)
 		k.want(!duplicate(seen, t.Pool), "to", "names pool %q twice", t.Pool)
 		k.want(t.Weight >= 0 && t.Weight <= 1_000_000, "to", "weight %d of pool %q must be from 0 to 1000000", t.Weight, t.Pool)
 		sum += min(max(t.Weight, 0), 1_000_000)
@@ -189,12 +189,12 @@
 		k.at("limit", l.Name, duplicate(seen, l.Name))
 		k.who(l.Class, l.Tenant)
 		k.alone(whose, l.Class, l.Tenant, l.Name)
-		k.want(l.InFlight != nil || l.Rate > 0 || l.Attempts > 0, "", "limits nothing; set in_flight, rate or attempts")
-		k.want(l.Attempts >= 0 && l.Attempts <= 100, "attempts", "%d must be from 1 to 100, or not be there", l.Attempts)
-		k.want(l.InFlight == nil || *l.InFlight >= 0 && *l.InFlight <= 1<<20, "in_flight", "must be from 0 to %d", 1<<20)
+		k.want(l.MaxInFlight != nil || l.Rate > 0 || l.MaxAttempts > 0, "", "limits nothing; set in_flight, rate or attempts")
+		k.want(l.MaxAttempts >= 0 && l.MaxAttempts <= 100, "attempts", "%d must be from 1 to 100, or not be there", l.MaxAttempts)
+		k.want(l.MaxInFlight == nil || *l.MaxInFlight >= 0 && *l.MaxInFlight <= 1<<20, "in_flight", "must be from 0 to %d", 1<<20)
 		k.want(!math.IsNaN(l.Rate) && l.Rate >= 0 && l.Rate <= 1e6, "rate", "%v must be from 0 to 1000000", l.Rate)
 		k.want(l.Rate == 0 && l.Burst == 0 || l.Rate > 0 && l.Burst >= 1 && l.Burst <= 1<<20, "burst",
 			"%d must be from 1 to %d with a rate, and not be there without", l.Burst, 1<<20)
-		k.within("come_back", l.ComeBack, 0, time.Minute)
+		k.within("come_back", l.RetryAfter, 0, time.Minute)
 	}
 }
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -19,17 +19,17 @@
 // Bounds of a configuration. What goes over them is refused, so that neither memory nor the time to bind a request hangs on
 // who wrote the file.
 const (
-	MostRoutes = 4096
-	MostPools  = 1024
-	MostLimits = 1024
-	MostDrains = 256
+	MaxRoutes  = 4096
+	MaxPools   = 1024
+	MaxLimits  = 1024
+	MaxDrains  = 256
 	mostNamed  = 16384 // words in all selectors
-	MostBytes  = 4 << 20
+	MaxBytes   = 4 << 20
 	longestKey = 64 // bytes of a name
 )
 
-// All is the pool of all servers. It is always there and can't be defined.
-const All = "all"
+// AllServersPool is the pool of all servers. It is always there and can't be defined.
+const AllServersPool = "all"
 
 // Config is a configuration. Its zero value is the empty one: every request goes to any server and nothing is limited. Lists
 // stand in the order of names once Normalize has been called.
@@ -68,17 +68,17 @@
 	Weight int    `json:"weight"`
 }
 
-// Limit bounds the requests of a class and tenant; an empty one stands for all together. Who is over InFlight or Rate is
+// Limit bounds the requests of a class and tenant; an empty one stands for all together. Who is over MaxInFlight or Rate is
 // refused before anything is sent.
 type Limit struct {
-	Name     string  `json:"name"`
-	Class    string  `json:"class,omitempty"`
-	Tenant   string  `json:"tenant,omitempty"`
-	InFlight *int    `json:"in_flight,omitempty"` // requests at a time
-	Rate     float64 `json:"rate,omitempty"`      // requests a second; 0: no limit
-	Burst    int     `json:"burst,omitempty"`     // requests at once, on top of the rate
-	Attempts int     `json:"attempts,omitempty"`  // at the most, for one request; 0: as the platform says
-	ComeBack Time    `json:"come_back,omitempty"` // when refused clients are told to return, at the least
+	Name        string   `json:"name"`
+	Class       string   `json:"class,omitempty"`
+	Tenant      string   `json:"tenant,omitempty"`
+	MaxInFlight *int     `json:"in_flight,omitempty"` // requests at a time
+	Rate        float64  `json:"rate,omitempty"`      // requests a second; 0: no limit
+	Burst       int      `json:"burst,omitempty"`     // requests at once, on top of the rate
+	MaxAttempts int      `json:"attempts,omitempty"`  // at the most, for one request; 0: as the platform says
+	RetryAfter  Duration `json:"come_back,omitempty"` // when refused clients are told to return, at the least
 }
 
 // Drain takes servers out: they finish what they have and get nothing new.
@@ -90,71 +90,71 @@
 
 // Deadline shortens the time that requests of a class and tenant are worked on.
 type Deadline struct {
-	Name   string `json:"name"`
-	Class  string `json:"class,omitempty"`
-	Tenant string `json:"tenant,omitempty"`
-	AtMost Time   `json:"at_most"`
+	Name   string   `json:"name"`
+	Class  string   `json:"class,omitempty"`
+	Tenant string   `json:"tenant,omitempty"`
+	AtMost Duration `json:"at_most"`
 }
 
 // Rollout takes servers out in steps: Step of those that a change drains at a time, the next Wait later.
 type Rollout struct {
-	Step float64 `json:"step"` // above 0 and at most 1
-	Wait Time    `json:"wait"`
+	Step float64  `json:"step"` // above 0 and at most 1
+	Wait Duration `json:"wait"`
 }
 
 // Watch says how a change of this configuration is watched, from the switch on.
 type Watch struct {
-	For         Time    `json:"for"`          // after the last step
-	FalseAlarms float64 `json:"false_alarms"` // the share of harmless changes that may be rolled back
+	Duration    Duration `json:"for"`          // after the last step
+	FalseAlarms float64  `json:"false_alarms"` // the share of harmless changes that may be rolled back
 }
 
 // The watch where a configuration has no section for it.
 const (
-	DefaultWatchFor    = Time(30 * time.Second)
+	DefaultWatchFor    = Duration(30 * time.Second)
 	DefaultFalseAlarms = 0.001
 )
 
-// Watching is the configuration's watch, or the default one.
-func (c *Config) Watching() Watch {
+// WatchSettings is the configuration's watch, or the default one.
+func (c *Config) WatchSettings() Watch {
 	if c.Watch == nil {
-		return Watch{For: DefaultWatchFor, FalseAlarms: DefaultFalseAlarms}
+		return Watch{Duration: DefaultWatchFor, FalseAlarms: DefaultFalseAlarms}
 	}
 	return *c.Watch
 }
 
-// Time is a duration that is written as Go's time.ParseDuration reads it.
-type Time time.Duration
+// Duration is a duration that is written as Go's time.ParseDuration reads it.
+type Duration time.Duration
 
 // MarshalText writes the duration.
-func (t Time) MarshalText() ([]byte, error) { return []byte(time.Duration(t).String()), nil }
+func (t Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(t).String()), nil }
 
 // UnmarshalText reads a duration.
-func (t *Time) UnmarshalText(text []byte) error {
+func (t *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no duration; write a number and a unit, such as \"400ms\" or \"3s\"", text)
 	}
-	*t = Time(d)
+	*t = Duration(d)
 	return nil
 }
 
-func (t Time) String() string { return time.Duration(t).String() }
+func (t Duration) String() string { return time.Duration(t).String() }
 
 // Decode reads a configuration as JSON, strictly, and normalizes it. Its names are checked by Check.
 func Decode(data []byte) (*Config, error) {
-	if len(data) > MostBytes {
-		return nil, fmt.Errorf("the configuration has %d bytes, %d at most", len(data), MostBytes)
+	if len(data) > MaxBytes {
+		return nil, fmt.Errorf("the configuration has %d bytes, %d at most", len(data), MaxBytes)
 	}
 	c := &Config{}
-	if err := Strict(bytes.NewReader(data), c); err != nil {
+	if err := DecodeStrict(bytes.NewReader(data), c); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	c.Normalize()
 	return c, nil
 }
 
-// Strict reads one JSON value and nothing else, whose fields are all known.
-func Strict(r io.Reader, into any) error {
+// DecodeStrict reads one JSON value and nothing else, whose fields are all known.
+func DecodeStrict(r io.Reader, into any) error {
 	d := json.NewDecoder(r)
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -24,13 +24,13 @@
 		},
 		Routes: []Route{{Name: "checks", Priority: 7, Class: "form-check", Tenant: "lerwick-port", PathPrefix: "/forms/",
 			Headers: map[string]string{"X-Attrs": "trial"}, To: []Target{{Pool: "all", Weight: 60}, {Pool: "east", Weight: 29}, {Pool: "small", Weight: 10}}}},
-		Limits: []Limit{{Name: "lerwick", Class: "refund-record", Tenant: "wick", InFlight: &most, Rate: 2.5, Burst: 5, Attempts: 3,
-			ComeBack: Time(500 * time.Millisecond)}},
+		Limits: []Limit{{Name: "lerwick", Class: "refund-record", Tenant: "wick", MaxInFlight: &most, Rate: 2.5, Burst: 5, MaxAttempts: 3,
+			RetryAfter: Duration(500 * time.Millisecond)}},
 		Drains: []Drain{{Name: "old", Share: 0.25, Selector: Selector{Kinds: []string{"old-core"}, Zones: []string{"glasgow-dc"}, Pods: []int{6},
 			IDs: []string{"s-9"}, Networks: []netip.Prefix{netip.MustParsePrefix("10.2.0.0/16")}}}},
-		Deadlines: []Deadline{{Name: "short", Class: "form-check", Tenant: "wick", AtMost: Time(400 * time.Millisecond)}},
-		Rollout:   &Rollout{Step: 0.125, Wait: Time(6 * time.Second)},
-		Watch:     &Watch{For: Time(90 * time.Second), FalseAlarms: 0.002},
+		Deadlines: []Deadline{{Name: "short", Class: "form-check", Tenant: "wick", AtMost: Duration(400 * time.Millisecond)}},
+		Rollout:   &Rollout{Step: 0.125, Wait: Duration(6 * time.Second)},
+		Watch:     &Watch{Duration: Duration(90 * time.Second), FalseAlarms: 0.002},
 	}
 }
 
@@ -42,8 +42,8 @@
 	c.Routes[0].Priority = 8
 	c.Limits[0].Burst = 6
 	c.Drains[0].Share = 0.5
-	c.Deadlines[0].AtMost = Time(300 * time.Millisecond)
-	c.Rollout, c.Watch = nil, &Watch{For: Time(time.Second), FalseAlarms: 0.003}
+	c.Deadlines[0].AtMost = Duration(300 * time.Millisecond)
+	c.Rollout, c.Watch = nil, &Watch{Duration: Duration(time.Second), FalseAlarms: 0.003}
 	return c
 }
 
@@ -68,7 +68,7 @@
 	}
 	golden.Equal(t, "fleetconfig/diff.json", data)
 	var got []Change
-	if err := Strict(strings.NewReader(string(golden.Read(t, "fleetconfig/diff.json"))), &got); err != nil || !reflect.DeepEqual(got, changes) {
+	if err := DecodeStrict(strings.NewReader(string(golden.Read(t, "fleetconfig/diff.json"))), &got); err != nil || !reflect.DeepEqual(got, changes) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
@@ -82,7 +82,7 @@
 	}
 	golden.Equal(t, "fleetconfig/server.json", data)
 	var got Server
-	if err := Strict(strings.NewReader(string(golden.Read(t, "fleetconfig/server.json"))), &got); err != nil || got != s {
+	if err := DecodeStrict(strings.NewReader(string(golden.Read(t, "fleetconfig/server.json"))), &got); err != nil || got != s {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
@@ -93,11 +93,11 @@
 	c := &Config{
 		Pools:  []Pool{{Name: "all"}, {Name: "../a", Selector: Selector{Zones: []string{"nowhere"}, Networks: []netip.Prefix{{}}}}},
 		Routes: []Route{{Name: "r", Class: "c", Tenant: "t", PathPrefix: "a", Headers: map[string]string{"x-a": "1"}, To: []Target{{"no", -1}, {"all", 0}}}},
-		Limits: []Limit{{Name: "a"}, {Name: "b", InFlight: &less, Rate: 1e7, Burst: -1, Attempts: 101, ComeBack: Time(time.Hour)}},
+		Limits: []Limit{{Name: "a"}, {Name: "b", MaxInFlight: &less, Rate: 1e7, Burst: -1, MaxAttempts: 101, RetryAfter: Duration(time.Hour)}},
 		Drains: []Drain{{Name: "d", Share: 2}}, Deadlines: []Deadline{{Name: "e"}, {Name: "e"}},
 		Rollout: &Rollout{}, Watch: &Watch{},
 	}
-	err := c.Check(Names{Classes: []string{"form-check"}, Tenants: []string{"wick"}, Zones: []string{"edinburgh-dc"}, Readable: []string{http.CanonicalHeaderKey("x-attrs")}})
+	err := c.Check(Names{Classes: []string{"form-check"}, Tenants: []string{"wick"}, Zones: []string{"edinburgh-dc"}, RoutableHeaders: []string{http.CanonicalHeaderKey("x-attrs")}})
 	golden.Equal(t, "fleetconfig/problems.txt", fmt.Appendf(nil, "%v\n", err))
 }
 
@@ -108,7 +108,7 @@
 		all = append(all, &Server{ID: fmt.Sprint("s-", i)})
 	}
 	var ids []string
-	for _, s := range Part(all, "old", 0.5) {
+	for _, s := range SelectShare(all, "old", 0.5) {
 		ids = append(ids, s.ID)
 	}
 	golden.Equal(t, "fleetconfig/part.txt", []byte(strings.Join(ids, "\n")+"\n"))
--- a/internal/fleetconfig/hclfile/golden_test.go
+++ b/internal/fleetconfig/hclfile/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 var goldenNames = fleetconfig.Names{Classes: []string{"form-check", "refund-record"}, Tenants: []string{"lerwick-port", "wick"},
-	Zones: []string{"edinburgh-dc", "glasgow-dc"}, Readable: []string{"X-Attrs"}}
+	Zones: []string{"edinburgh-dc", "glasgow-dc"}, RoutableHeaders: []string{"X-Attrs"}}
 
 // The committed folder, which uses each key there is, is read as the committed configuration.
 func TestGoldenFolder(t *testing.T) {
--- a/internal/fleetconfig/hclfile/hclfile.go
+++ b/internal/fleetconfig/hclfile/hclfile.go
@@ -331,8 +331,8 @@
 	case "limit":
 		var x limitBlock
 		if decode(&x) {
-			c.Limits = append(c.Limits, fleetconfig.Limit{Name: name, Class: x.Class, Tenant: x.Tenant, InFlight: x.InFlight, Rate: x.Rate,
-				Burst: x.Burst, Attempts: x.Attempts, ComeBack: r.time(x.ComeBack, 0, b, "come_back")})
+			c.Limits = append(c.Limits, fleetconfig.Limit{Name: name, Class: x.Class, Tenant: x.Tenant, MaxInFlight: x.InFlight, Rate: x.Rate,
+				Burst: x.Burst, MaxAttempts: x.Attempts, RetryAfter: r.time(x.ComeBack, 0, b, "come_back")})
 		}
 	case "deadline":
 		var x deadlineBlock
@@ -347,7 +347,7 @@
 	case "watch":
 		var x watchBlock
 		if r.once(c.Watch != nil, b) && decode(&x) {
-			c.Watch = &fleetconfig.Watch{For: r.time(x.For, fleetconfig.DefaultWatchFor, b, "for"),
+			c.Watch = &fleetconfig.Watch{Duration: r.time(x.For, fleetconfig.DefaultWatchFor, b, "for"),
 				FalseAlarms: or(x.FalseAlarms, fleetconfig.DefaultFalseAlarms)}
 		}
 	}
@@ -374,11 +374,11 @@
 	return !there
 }
 
-func (r *reader) time(text string, otherwise fleetconfig.Time, b *hcl.Block, field string) fleetconfig.Time {
+func (r *reader) time(text string, otherwise fleetconfig.Duration, b *hcl.Block, field string) fleetconfig.Duration {
 	if text == "" {
 		return otherwise
 	}
-	var t fleetconfig.Time
+	var t fleetconfig.Duration
 	if err := t.UnmarshalText([]byte(text)); err != nil {
 		r.wrong(fieldRange(b, field), "No duration", "%v.", err)
 	}
--- a/internal/fleetconfig/hclfile/hclfile_test.go
+++ b/internal/fleetconfig/hclfile/hclfile_test.go
@@ -13,7 +13,7 @@
 )
 
 var names = fleetconfig.Names{Classes: []string{"form-check", "refund-record"}, Tenants: []string{"lerwick-port"},
-	Zones: []string{"edinburgh-dc"}, Readable: []string{"X-Attrs"}}
+	Zones: []string{"edinburgh-dc"}, RoutableHeaders: []string{"X-Attrs"}}
 
 const whole = `
 variable "canary" { default = 10 }
@@ -71,7 +71,7 @@
 		t.Errorf("%v: %s", err, c.JSON())
 	}
 	if c.Pools[0].Name != "east" || fmt.Sprint(c.Pools[0].Pods, c.Pools[0].Networks) != "[3 4] [127.0.0.0/8 10.1.0.0/16]" ||
-		c.Routes[0].To[1].Weight != 10 || *c.Limits[0].InFlight != 0 || c.Drains[0].Share != 1 ||
+		c.Routes[0].To[1].Weight != 10 || *c.Limits[0].MaxInFlight != 0 || c.Drains[0].Share != 1 ||
 		c.Watch.FalseAlarms != fleetconfig.DefaultFalseAlarms || time.Duration(c.Deadlines[0].AtMost) != 400*time.Millisecond {
 		t.Errorf("read as %s", c.JSON())
 	}
--- a/internal/fleetconfig/selector.go
+++ b/internal/fleetconfig/selector.go
@@ -75,11 +75,11 @@
 	return m, nil
 }
 
-// Everything reports whether all servers are selected, whatever they are.
-func (m *Matcher) Everything() bool { return m.selector.words() == 0 }
+// MatchesAll reports whether all servers are selected, whatever they are.
+func (m *Matcher) MatchesAll() bool { return m.selector.words() == 0 }
 
-// Has reports whether a server is selected.
-func (m *Matcher) Has(s *Server) bool {
+// Matches reports whether a server is selected.
+func (m *Matcher) Matches(s *Server) bool {
 	sel := &m.selector
 	if !fits(sel.Kinds, s.Kind) || !fits(sel.Zones, s.Zone) || !fits(sel.Pods, s.Pod) || !fits(sel.IDs, s.ID) {
 		return false
@@ -99,9 +99,9 @@
 	return found
 }
 
-// Part returns the given share of the servers, rounded up: the first by a hash of id and salt. A larger share holds the
+// SelectShare returns the given share of the servers, rounded up: the first by a hash of id and salt. A larger share holds the
 // servers of a smaller one, and one that comes or goes moves few others.
-func Part(servers []*Server, salt string, share float64) []*Server {
+func SelectShare(servers []*Server, salt string, share float64) []*Server {
 	n := int(math.Ceil(share * float64(len(servers)) * (1 - 1e-9))) // 0.25 of 4 is 1 whatever the rounding
 	n = min(max(n, 0), len(servers))
 	if n == len(servers) {
--- a/internal/generation/bench_test.go
+++ b/internal/generation/bench_test.go
@@ -23,7 +23,7 @@
 		c.Routes = append(c.Routes, r)
 	}
 	ten := 1 << 20
-	c.Limits = []fleetconfig.Limit{{Name: "all", InFlight: &ten}, {Name: "wick", Tenant: "wick", Rate: 1e6, Burst: 1 << 20}}
+	c.Limits = []fleetconfig.Limit{{Name: "all", MaxInFlight: &ten}, {Name: "wick", Tenant: "wick", Rate: 1e6, Burst: 1 << 20}}
 	return normalized(c)
 }
 
--- a/internal/generation/compile.go
+++ b/internal/generation/compile.go
@@ -58,7 +58,7 @@
 
 // compileServerSets prepares the pools, the pool of all servers among them, and the drains.
 func (c *CompiledConfig) compileServerSets() error {
-	for _, p := range append([]fleetconfig.Pool{{Name: fleetconfig.All}}, c.Config.Pools...) {
+	for _, p := range append([]fleetconfig.Pool{{Name: fleetconfig.AllServersPool}}, c.Config.Pools...) {
 		m, err := p.Matcher()
 		if err != nil {
 			return fmt.Errorf("pool %s: %w", p.Name, err)
@@ -123,7 +123,7 @@
 	if p == nil {
 		return nil, false
 	}
-	return p.ids, p.match.Everything()
+	return p.ids, p.match.MatchesAll()
 }
 
 // OrderedRoutes returns the configuration's routes in the order in which they are matched.
--- a/internal/generation/golden_test.go
+++ b/internal/generation/golden_test.go
@@ -24,12 +24,12 @@
 			IDs: []string{"s-1", "s-2"}, Networks: []netip.Prefix{netip.MustParsePrefix("127.0.1.0/24")}}}},
 		Routes: []fleetconfig.Route{{Name: "r", Priority: 3, Class: "form-check", Tenant: "glasgow", PathPrefix: "/form", Headers: map[string]string{"X-Attrs": "4"},
 			To: []fleetconfig.Target{{Pool: "p", Weight: 5}, {Pool: "all", Weight: 6}}}},
-		Limits: []fleetconfig.Limit{{Name: "l", Class: "refund-record", Tenant: "lerwick", InFlight: &n, Rate: 8.5, Burst: 9, Attempts: 2,
-			ComeBack: fleetconfig.Time(300 * time.Millisecond)}},
+		Limits: []fleetconfig.Limit{{Name: "l", Class: "refund-record", Tenant: "lerwick", MaxInFlight: &n, Rate: 8.5, Burst: 9, MaxAttempts: 2,
+			RetryAfter: fleetconfig.Duration(300 * time.Millisecond)}},
 		Drains:    []fleetconfig.Drain{{Name: "d", Share: 0.25, Selector: fleetconfig.Selector{Zones: []string{"b"}}}},
-		Deadlines: []fleetconfig.Deadline{{Name: "t", Class: "form-check", Tenant: "wick", AtMost: fleetconfig.Time(450 * time.Millisecond)}},
-		Rollout:   &fleetconfig.Rollout{Step: 0.5, Wait: fleetconfig.Time(2 * time.Second)},
-		Watch:     &fleetconfig.Watch{For: fleetconfig.Time(20 * time.Second), FalseAlarms: 0.002},
+		Deadlines: []fleetconfig.Deadline{{Name: "t", Class: "form-check", Tenant: "wick", AtMost: fleetconfig.Duration(450 * time.Millisecond)}},
+		Rollout:   &fleetconfig.Rollout{Step: 0.5, Wait: fleetconfig.Duration(2 * time.Second)},
+		Watch:     &fleetconfig.Watch{Duration: fleetconfig.Duration(20 * time.Second), FalseAlarms: 0.002},
 	})
 }
 
@@ -129,9 +129,9 @@
 		t.Fatal(err)
 	}
 	limited := inFlightLimit(40, "wick")
-	limited.Limits[0].InFlight, limited.Limits[0].Rate, limited.Limits[0].Burst = nil, 90, 90
+	limited.Limits[0].MaxInFlight, limited.Limits[0].Rate, limited.Limits[0].Burst = nil, 90, 90
 	limited.Drains = []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Zones: []string{"b"}}}}
-	limited.Rollout = &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Time(2 * time.Second)}
+	limited.Rollout = &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Duration(2 * time.Second)}
 	apply(t, x.m, x.now, limited)
 	x.run(3 * time.Second)
 	ready, err := compileFor(completeConfig(), x.m)
--- a/internal/generation/harmwatch_test.go
+++ b/internal/generation/harmwatch_test.go
@@ -87,7 +87,7 @@
 }
 
 func inFlightLimit(n int, tenant string) *fleetconfig.Config {
-	return normalized(fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: tenant, InFlight: &n}}})
+	return normalized(fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: tenant, MaxInFlight: &n}}})
 }
 
 // badInPool is a probability of a bad outcome for what goes to the new pool, and another for the rest.
@@ -231,7 +231,7 @@
 func TestRolloutAdvancesByStepsAndRollsBackAsAWhole(t *testing.T) {
 	change := func() *fleetconfig.Config {
 		return normalized(fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Kinds: []string{"twin-core"}}}},
-			Rollout: &fleetconfig.Rollout{Step: 0.34, Wait: fleetconfig.Time(5 * time.Second)}, Watch: &fleetconfig.Watch{For: fleetconfig.Time(10 * time.Second), FalseAlarms: 0.001}})
+			Rollout: &fleetconfig.Rollout{Step: 0.34, Wait: fleetconfig.Duration(5 * time.Second)}, Watch: &fleetconfig.Watch{Duration: fleetconfig.Duration(10 * time.Second), FalseAlarms: 0.001}})
 	}
 	good := newSimulation(1, 200)
 	good.run(65 * time.Second)
@@ -272,7 +272,7 @@
 	s := x.m.State()
 	staged := newSimulation(3, 100)
 	apply(t, staged.m, staged.now, normalized(fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Kinds: []string{"twin-core"}}}},
-		Rollout: &fleetconfig.Rollout{Step: 0.34, Wait: fleetconfig.Time(5 * time.Second)}}))
+		Rollout: &fleetconfig.Rollout{Step: 0.34, Wait: fleetconfig.Duration(5 * time.Second)}}))
 	staged.run(6 * time.Second)
 	resumed := newSimulation(4, 100)
 	if err := resumed.m.Restore(resumed.now, staged.m.State()); err != nil || len(resumed.m.draining) != 5 || len(staged.m.draining) != 5 {
--- a/internal/generation/limits.go
+++ b/internal/generation/limits.go
@@ -41,19 +41,21 @@
 }
 
 // hasRoom reports whether the bound on requests in flight admits one more.
-func (l *compiledLimit) hasRoom() bool { return l.InFlight == nil || l.gauge.inFlight < *l.InFlight }
+func (l *compiledLimit) hasRoom() bool {
+	return l.MaxInFlight == nil || l.gauge.inFlight < *l.MaxInFlight
+}
 
 // check reports whether the limit admits a request now; else wait is the least time after which a retry makes sense.
 func (l *compiledLimit) check(now time.Duration) (wait time.Duration, ok bool) {
 	if !l.hasRoom() {
-		return time.Duration(l.ComeBack), false
+		return time.Duration(l.RetryAfter), false
 	}
 	if l.bucket == nil {
 		return 0, true
 	}
 	if missing := 1 - l.bucket.TokensAt(epoch.Add(now)); missing > 0 {
 		wait := time.Duration(math.Ceil(missing / l.Rate * float64(time.Second)))
-		return max(wait, time.Duration(l.ComeBack)), false
+		return max(wait, time.Duration(l.RetryAfter)), false
 	}
 	return 0, true
 }
@@ -62,7 +64,7 @@
 func (l *compiledLimit) reject(wait time.Duration) Rejection {
 	rejection := Rejection{Limit: l.Name, RetryAfter: wait}
 	if !l.hasRoom() {
-		rejection.MaxInFlight = *l.InFlight
+		rejection.MaxInFlight = *l.MaxInFlight
 	}
 	return rejection
 }
@@ -113,8 +115,8 @@
 			admitted = min(n, tokens+l.Rate) // a second's arrivals are taken to be even: the tokens that come in it count too
 			tokens = min(float64(l.Burst), tokens+l.Rate-admitted)
 		}
-		if l.InFlight != nil && peaks[i] > 0 {
-			admitted = min(admitted, n*min(1, float64(*l.InFlight)/float64(peaks[i])))
+		if l.MaxInFlight != nil && peaks[i] > 0 {
+			admitted = min(admitted, n*min(1, float64(*l.MaxInFlight)/float64(peaks[i])))
 		}
 		rejected += n - admitted
 	}
--- a/internal/generation/manager_test.go
+++ b/internal/generation/manager_test.go
@@ -73,7 +73,7 @@
 		return rapid.SampledFrom([]string{"", "form-check", "refund-record"}).Draw(t, "class"),
 			rapid.SampledFrom([]string{"", "glasgow", "wick"}).Draw(t, "tenant")
 	}
-	pools := []string{fleetconfig.All}
+	pools := []string{fleetconfig.AllServersPool}
 	for i := range rapid.IntRange(0, 3).Draw(t, "pools") {
 		pools = append(pools, fmt.Sprint("p", i))
 		c.Pools = append(c.Pools, fleetconfig.Pool{Name: fmt.Sprint("p", i), Selector: drawSelector(t)})
@@ -93,7 +93,7 @@
 		l := fleetconfig.Limit{Name: fmt.Sprint("l", i)}
 		l.Class, l.Tenant = who()
 		if n := rapid.IntRange(0, 4).Draw(t, "in flight"); !seen[[2]string{l.Class, l.Tenant}] {
-			l.InFlight = &n
+			l.MaxInFlight = &n
 			seen[[2]string{l.Class, l.Tenant}] = true
 			c.Limits = append(c.Limits, l)
 		}
@@ -316,7 +316,7 @@
 	rejection, ok := w.m.Bind(w.now, &a, &x.bound)
 	if !ok {
 		i := slices.IndexFunc(w.config.Limits, func(l fleetconfig.Limit) bool { return l.Name == rejection.Limit })
-		if i < 0 || rejection.MaxInFlight != *w.config.Limits[i].InFlight {
+		if i < 0 || rejection.MaxInFlight != *w.config.Limits[i].MaxInFlight {
 			t.Fatalf("rejected by %+v, which is not in force", rejection)
 		}
 		return
@@ -377,7 +377,7 @@
 				in = append(in, s)
 			}
 		}
-		for _, s := range fleetconfig.Part(in, d.Name, d.Share) {
+		for _, s := range fleetconfig.SelectShare(in, d.Name, d.Share) {
 			want[s.ID] = true
 		}
 	}
@@ -385,7 +385,7 @@
 		t.Fatalf("drained are %v, want %v", w.m.draining, want)
 	}
 	for _, l := range w.m.active.limits {
-		if n := l.gauge.inFlight; n > max(*l.InFlight, w.inFlight(l.Name)) {
+		if n := l.gauge.inFlight; n > max(*l.MaxInFlight, w.inFlight(l.Name)) {
 			t.Fatalf("limit %s lets in %d", l.Name, n)
 		}
 	}
@@ -413,7 +413,7 @@
 		share float64
 		want  int
 	}{{0.01, 1}, {0.25, 10}, {0.26, 11}, {0.5, 20}, {1, 40}} {
-		part := fleetconfig.Part(all, "x", tt.share)
+		part := fleetconfig.SelectShare(all, "x", tt.share)
 		now := map[string]bool{}
 		for _, s := range part {
 			now[s.ID] = true
@@ -466,7 +466,7 @@
 func TestStageRejectsWithDistinctErrors(t *testing.T) {
 	m := newManager()
 	a := normalized(fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Pods: []int{1}}}}})
-	b := normalized(fleetconfig.Config{Watch: &fleetconfig.Watch{For: fleetconfig.Time(time.Second), FalseAlarms: 0.01}})
+	b := normalized(fleetconfig.Config{Watch: &fleetconfig.Watch{Duration: fleetconfig.Duration(time.Second), FalseAlarms: 0.01}})
 	compiled := func(c *fleetconfig.Config) *CompiledConfig {
 		ready, err := Compile(c, names, nil)
 		if err != nil {
@@ -525,7 +525,7 @@
 	}
 	leader.UpdateServers(changed)
 	follower.UpdateServers(maps.Clone(changed))
-	apply(t, leader, time.Second, normalized(fleetconfig.Config{Rollout: &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Time(time.Second)},
+	apply(t, leader, time.Second, normalized(fleetconfig.Config{Rollout: &fleetconfig.Rollout{Step: 0.25, Wait: fleetconfig.Duration(time.Second)},
 		Drains: []fleetconfig.Drain{{Name: "d", Selector: fleetconfig.Selector{Kinds: []string{"twin-core"}}, Share: 1}}}))
 	adopt := func(bring func(time.Duration, *CompiledState), now time.Duration) {
 		servers, version := follower.Servers()
@@ -562,7 +562,7 @@
 func TestClassesAddedDuringWatchAreWatched(t *testing.T) {
 	m := newManager()
 	now := time.Second
-	apply(t, m, now, normalized(fleetconfig.Config{Routes: []fleetconfig.Route{{Name: "r", Priority: 1, To: []fleetconfig.Target{{Pool: fleetconfig.All, Weight: 1}}}}}))
+	apply(t, m, now, normalized(fleetconfig.Config{Routes: []fleetconfig.Route{{Name: "r", Priority: 1, To: []fleetconfig.Target{{Pool: fleetconfig.AllServersPool, Weight: 1}}}}}))
 	more := names
 	more.Classes = slices.Clone(names.Classes)
 	for i := range 2 * maxTrafficPairs {
--- a/internal/generation/names.go
+++ b/internal/generation/names.go
@@ -28,7 +28,7 @@
 
 // ConfigNames returns the names against which a configuration is checked.
 func (n Names) ConfigNames() fleetconfig.Names {
-	known := fleetconfig.Names{Tenants: n.Tenants, Zones: n.Zones, Readable: n.RoutableHeaders}
+	known := fleetconfig.Names{Tenants: n.Tenants, Zones: n.Zones, RoutableHeaders: n.RoutableHeaders}
 	for _, c := range n.Classes {
 		known.Classes = append(known.Classes, c.Name)
 	}
--- a/internal/generation/request.go
+++ b/internal/generation/request.go
@@ -131,8 +131,8 @@
 	*b = Binding{generation: g, limits: limits, startedAt: now, Deadline: r.Deadline}
 	for _, l := range limits[:count] {
 		l.admit(now)
-		if l.Attempts > 0 && (b.MaxAttempts == 0 || l.Attempts < b.MaxAttempts) {
-			b.MaxAttempts = l.Attempts
+		if l.MaxAttempts > 0 && (b.MaxAttempts == 0 || l.MaxAttempts < b.MaxAttempts) {
+			b.MaxAttempts = l.MaxAttempts
 		}
 	}
 	if route := g.routes.find(r); route != nil {
--- a/internal/generation/rollout.go
+++ b/internal/generation/rollout.go
@@ -14,8 +14,8 @@
 
 // startWatch begins the watch of the active generation. It lasts for the rollout's steps and the configured time behind the last.
 func (m *Manager) startWatch(now time.Duration, baseline []OutcomeCounts, expectedRejectRatio []float64) {
-	settings := m.active.Config.Watching()
-	duration := time.Duration(settings.For)
+	settings := m.active.Config.WatchSettings()
+	duration := time.Duration(settings.Duration)
 	if r := m.active.Config.Rollout; r != nil {
 		steps := math.Ceil(1/r.Step) - 1
 		duration += time.Duration(steps) * time.Duration(r.Wait)
@@ -59,7 +59,7 @@
 		m.stateRevision++
 		m.updateDraining()
 	}
-	m.watch.endsAt = max(m.watch.endsAt, now+time.Duration(m.active.Config.Watching().For))
+	m.watch.endsAt = max(m.watch.endsAt, now+time.Duration(m.active.Config.WatchSettings().Duration))
 }
 
 // promote ends the watch: no harm was found.
@@ -113,7 +113,7 @@
 			added = append(added, s)
 		}
 	}
-	for _, s := range fleetconfig.Part(added, "rollout", share) {
+	for _, s := range fleetconfig.SelectShare(added, "rollout", share) {
 		want[s.ID] = true
 	}
 	return want
--- a/internal/generation/serversets.go
+++ b/internal/generation/serversets.go
@@ -70,10 +70,10 @@
 
 // applyChange notes whether a server joins or leaves the pool; nil is a server that is not listed.
 func (p *serverPool) applyChange(id string, old, current *fleetconfig.Server) {
-	if p.match.Everything() {
+	if p.match.MatchesAll() {
 		return
 	}
-	was, is := old != nil && p.match.Has(old), current != nil && p.match.Has(current)
+	was, is := old != nil && p.match.Matches(old), current != nil && p.match.Matches(current)
 	switch {
 	case is && !was:
 		p.added = append(p.added, id)
@@ -84,12 +84,12 @@
 
 // rebuild replaces the pool's list if the changes since the last one concern it.
 func (p *serverPool) rebuild(known Servers) {
-	if p.match.Everything() || len(p.added) == 0 && !p.hasRemoved && p.ids != nil {
+	if p.match.MatchesAll() || len(p.added) == 0 && !p.hasRemoved && p.ids != nil {
 		return
 	}
 	ids := make([]string, 0, len(p.ids)+len(p.added))
 	for _, id := range p.ids {
-		if s := known[id]; s != nil && p.match.Has(s) {
+		if s := known[id]; s != nil && p.match.Matches(s) {
 			ids = append(ids, id)
 		}
 	}
@@ -101,12 +101,12 @@
 // applyChange puts a server into the drain's list or takes it out; nil is a server that is not listed.
 func (d *compiledDrain) applyChange(old, current *fleetconfig.Server) {
 	byID := func(s *fleetconfig.Server, id string) int { return strings.Compare(s.ID, id) }
-	if old != nil && d.match.Has(old) {
+	if old != nil && d.match.Matches(old) {
 		if i, found := slices.BinarySearchFunc(d.servers, old.ID, byID); found {
 			d.servers, d.hasChanged = slices.Delete(d.servers, i, i+1), true
 		}
 	}
-	if current != nil && d.match.Has(current) {
+	if current != nil && d.match.Matches(current) {
 		i, _ := slices.BinarySearchFunc(d.servers, current.ID, byID)
 		d.servers, d.hasChanged = slices.Insert(d.servers, i, current), true
 	}
@@ -120,7 +120,7 @@
 	f.drained = map[string]bool{}
 	for _, d := range f.drains {
 		d.hasChanged = false
-		for _, s := range fleetconfig.Part(d.servers, d.Name, d.Share) {
+		for _, s := range fleetconfig.SelectShare(d.servers, d.Name, d.Share) {
 			f.drained[s.ID] = true
 		}
 	}
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	var got Fleet
-	if err := fleetconfig.Strict(bytes.NewReader(golden.Read(t, "operator/fleet.json")), &got); err != nil || !reflect.DeepEqual(got, goldenFleet) {
+	if err := fleetconfig.DecodeStrict(bytes.NewReader(golden.Read(t, "operator/fleet.json")), &got); err != nil || !reflect.DeepEqual(got, goldenFleet) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -427,7 +427,7 @@
 		return nil, ErrNewerFormat
 	}
 	p := &Plan{}
-	if err := fleetconfig.Strict(bytes.NewReader(data), p); err != nil {
+	if err := fleetconfig.DecodeStrict(bytes.NewReader(data), p); err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
 	}
 	if p.sum() != p.Checksum {
