--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -124,7 +124,7 @@
 		n += s.Descriptors
 	}
 	if x.Generations != nil {
-		n += admin.Sockets
+		n += admin.MaxDescriptors
 	}
 	if x.Affinity != nil {
 		n += affinityDescriptors
@@ -147,7 +147,7 @@
 		}
 		defer link.Close() // also where it never came to serving
 		with.hotRestart = link
-		return serve(ctx, cfg, reloads, link.Gate(), log, with)
+		return serve(ctx, cfg, reloads, link.Listener(), log, with)
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -189,14 +189,14 @@
 	sources, names := with.openSources(disco, clk, cfg.Site, log)
 	hub := membership.NewHub(with.Membership, names, clk, core.Post, log)
 	settled, rules := platformconfig.New(cfg.Site), &requesthead.ActiveRules{}
-	rules.Replace(settled.Rules())
+	rules.Replace(settled.RequestRules())
 	others, err := with.openGossip(cfg, clk, log)
 	if err != nil {
 		return err
 	}
 	var together *overloadComponent // opened below
 	beside, err := openDownstreamServers(with.DownstreamServers, Core{Engine: core, GossipStatus: statusOf(others), OverloadStatus: func() *overload.Status { return together.statusOrNil() }, Clock: clk, Rules: rules, Pool: conns, Site: cfg.Site,
-		MaxDeadline: rules.MaxDeadline, HasSibling: func() bool { return with.hotRestart != nil && !with.hotRestart.Alone() }, Log: log})
+		MaxDeadline: rules.MaxDeadline, HasSibling: func() bool { return with.hotRestart != nil && !with.hotRestart.IsAlone() }, Log: log})
 	if err != nil {
 		return err
 	}
@@ -325,7 +325,7 @@
 		})
 	}
 	return front.Serve(ctx, func() (usually, longest time.Duration) {
-		if longest = platformconfig.LameDuck(rules.MaxDeadline()) + drainMargin; cfg.servesKeptConnections {
+		if longest = platformconfig.LameDuckDuration(rules.MaxDeadline()) + drainMargin; cfg.servesKeptConnections {
 			return rules.LatencyObjective(), longest
 		}
 		return longest, longest
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -28,7 +28,7 @@
 // governing is what switched-on generations are at work with.
 type generationService struct {
 	options  GenerationOptions
-	changes  *admin.Changes
+	changes  *admin.ChangeManager
 	server   *admin.Server
 	socket   net.Listener
 	release  func() error   // of the state's lock; nil without a state
@@ -44,10 +44,10 @@
 	names := platformNames(cfg.Site, cfg.Site.Balancer.Classes)
 	manager := generation.New(generation.Options{Names: names, MaxRetryAfter: cfg.Site.Balancer.MaxRetryAfter,
 		UnixMS: func(t time.Duration) int64 { return clk.At(t).UnixMilli() }, OnRecord: func(r generation.Record) { logRecord(log, r) }})
-	changes := &admin.Changes{Agent: cfg.Name, Engine: core, Names: s.names, Log: log, Now: time.Now,
-		Encode: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}
+	changes := &admin.ChangeManager{Agent: cfg.Name, Engine: core, Names: s.names, Log: log, Now: time.Now,
+		EncodeState: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}
 	g := &generationService{options: *x.Generations, changes: changes, server: &admin.Server{Changes: changes, Log: log}}
-	if err := g.open(manager, x.hotRestart != nil && !x.hotRestart.Alone(), clk, log); err != nil {
+	if err := g.open(manager, x.hotRestart != nil && !x.hotRestart.IsAlone(), clk, log); err != nil {
 		g.close()
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 func (g *generationService) open(m *generation.Manager, beside bool, clk engine.Clock, log *slog.Logger) (err error) {
 	if g.options.StateFile != "" {
 		file := atomicfile.File{Path: g.options.StateFile, FS: atomicfile.OS{}}
-		g.changes.Keeper = file
+		g.changes.Store = file
 		switch g.release, err = atomicfile.Lock(g.options.StateFile); {
 		case errors.Is(err, atomicfile.ErrLocked) && beside:
 			g.followed = &followedState{file: file}
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -48,12 +48,12 @@
 	if o.link == nil {
 		err = do()
 	} else {
-		err = o.link.Give(ctx, hotrestart.Order{Server: server, Out: out}, do)
+		err = o.link.ApplyEverywhere(ctx, hotrestart.DenylistCommand{Server: server, Deny: out}, do)
 	}
 	if err != nil || o.snapshots == nil {
 		return err
 	}
-	if err := o.snapshots.write(ctx); err != nil && (!errors.Is(err, errOtherWriter) || o.link == nil || o.link.Alone()) {
+	if err := o.snapshots.write(ctx); err != nil && (!errors.Is(err, errOtherWriter) || o.link == nil || o.link.IsAlone()) {
 		return fmt.Errorf("the order is in force, and a loss of power would end it: %w", err)
 	}
 	return nil
@@ -80,7 +80,7 @@
 	}
 	set := denylist.New(maxDenied)
 	if o.link != nil {
-		set.Restore(o.link.Inherited(), clk.FromUnix)
+		set.Restore(o.link.InheritedDenylist(), clk.FromUnix)
 	}
 	set.Restore(o.snapshots.previousDenylist(), clk.FromUnix)
 	o.core.SetDenylist(set)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -44,7 +44,7 @@
 	}
 	o := gossip.NodeOptions{Self: self, Keys: keys, ProbeInterval: x.Gossip.ProbeInterval, Now: clk.Now, Log: log}
 	if x.hotRestart != nil {
-		o.HasSuccessor = x.hotRestart.Succeeded
+		o.HasSuccessor = x.hotRestart.HasSuccessor
 	}
 	for _, m := range members {
 		at, err := netip.ParseAddrPort(m)
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -23,7 +23,7 @@
 	clock      engine.Clock
 	core       *engine.Engine
 	discovery  *platform.Discovery
-	settings   *platformconfig.Terms
+	settings   *platformconfig.Settings
 	rules      *requesthead.ActiveRules
 	statedKeys statedKeys // of the file in force
 	classUsers *classUsers
@@ -64,12 +64,12 @@
 	if err := c.statedKeys.checkStates(r.statedKeys); err != nil {
 		return err
 	}
-	tell, later, err := r.settings.Change(r.clock.Now(), c.Site)
+	tell, later, err := r.settings.Update(r.clock.Now(), c.Site)
 	if err != nil {
 		return err
 	}
 	r.statedKeys = c.statedKeys
-	rules := r.settings.Rules()
+	rules := r.settings.RequestRules()
 	r.core.SetClassNames(tell.Classes)
 	changed, misfit := r.classUsers.update(engine.SettingsChanged{ClassUpdate: tell, Version: rules.Version})
 	r.core.Post(changed)
