--- a/internal/agent/golden_kept_test.go
+++ b/internal/agent/golden_kept_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	// The document was written 61 s into its run: where this machine has run for less its starts are not believed.
-	if k.trust == ondisk.TrustNothing || len(k.before.Servers) != 2 || k.before.PreviousWrites != 7 || k.bans().DeniedSince["s-3"] != 1_790_000_000_003 {
+	if k.trust == ondisk.TrustNothing || len(k.before.Servers) != 2 || k.before.WriteCount != 7 || k.bans().DeniedSince["s-3"] != 1_790_000_000_003 {
 		t.Errorf("trusted %v: %+v", k.trust, k.before)
 	}
 }
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -264,7 +264,7 @@
 	if d.HasSameContent(k.last) && time.Since(k.written) < staleWrite {
 		return nil
 	}
-	d.PreviousWrites = max(k.last.PreviousWrites, k.before.PreviousWrites) + 1
+	d.WriteCount = max(k.last.WriteCount, k.before.WriteCount) + 1
 	text, err := d.Encode()
 	if err != nil {
 		return err
--- a/internal/fleet/gossip/core_test.go
+++ b/internal/fleet/gossip/core_test.go
@@ -12,49 +12,51 @@
 	"pgregory.net/rapid"
 )
 
-// network is a fleet of Cores with a simulated network between them, on a driven clock.
+// network is a fleet of Cores with a simulated network between them, on a clock that run advances.
 type network struct {
-	now    time.Duration
-	cores  []*Core // nil: the agent is down
-	lives  []int
-	queue  packets
-	rng    *rand.Rand
-	loss   float64
-	delay  time.Duration
-	cut    func(from, to int) bool // nil: nothing is
-	sent   []int                   // datagrams, by agent
-	bytes  []int
-	second map[int]int // datagrams of all, by second
-	dues   dues
-	links  []*Link // nil: what is sealed and opened is left out
+	now                time.Duration
+	cores              []*Core // nil: the agent is down
+	starts             []int
+	queue              packets
+	rng                *rand.Rand
+	loss               float64
+	delay              time.Duration
+	isCut              func(from, to int) bool // nil: no datagram is lost for it
+	sent               []int                   // datagrams, by agent
+	bytes              []int
+	datagramsPerSecond map[int]int // of all agents, by second
+	timers             timers
+	links              []*Link // nil: nothing is sealed and opened
 }
 
-// due is when an agent wants to be looked at.
-type due struct {
-	at   time.Duration
-	who  int
-	core *Core
+// agentTimer is when an agent's Core wants a Tick.
+type agentTimer struct {
+	at    time.Duration
+	agent int
+	core  *Core
 }
 
-type dues []due
+type timers []agentTimer
 
-func (q dues) Len() int           { return len(q) }
-func (q dues) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q dues) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *dues) Push(x any)        { *q = append(*q, x.(due)) }
-func (q *dues) Pop() any {
+func (q timers) Len() int           { return len(q) }
+func (q timers) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q timers) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *timers) Push(x any)        { *q = append(*q, x.(agentTimer)) }
+func (q *timers) Pop() any {
 	last := len(*q) - 1
 	d := (*q)[last]
 	*q = (*q)[:last]
 	return d
 }
 
-func (n *network) look(i int) { heap.Push(&n.dues, due{n.cores[i].NextTimer(), i, n.cores[i]}) }
+func (n *network) schedule(i int) {
+	heap.Push(&n.timers, agentTimer{n.cores[i].NextTimer(), i, n.cores[i]})
+}
 
 type packet struct {
-	at   time.Duration
-	life int
-	m    Message
+	at            time.Duration
+	receiverStart int
+	m             Message
 }
 
 type packets []packet
@@ -71,8 +73,8 @@
 }
 
 func newNetwork(agents int, seed uint64) *network {
-	n := &network{now: time.Second, cores: make([]*Core, agents), lives: make([]int, agents), rng: rand.New(rand.NewPCG(seed, 1)),
-		delay: 2 * time.Millisecond, sent: make([]int, agents), bytes: make([]int, agents), second: map[int]int{}}
+	n := &network{now: time.Second, cores: make([]*Core, agents), starts: make([]int, agents), rng: rand.New(rand.NewPCG(seed, 1)),
+		delay: 2 * time.Millisecond, sent: make([]int, agents), bytes: make([]int, agents), datagramsPerSecond: map[int]int{}}
 	for i := range agents {
 		n.start(i)
 	}
@@ -80,64 +82,64 @@
 }
 
 func (n *network) start(i int) {
-	n.lives[i]++
-	n.cores[i] = New(Options{Self: i, Agents: len(n.cores), Seed: uint64(i + 1000*n.lives[i])})
+	n.starts[i]++
+	n.cores[i] = New(Options{Self: i, Agents: len(n.cores), Seed: uint64(i + 1000*n.starts[i])})
 	n.cores[i].Start(n.now)
-	n.look(i)
+	n.schedule(i)
 }
 
 func (n *network) send(out []Message) {
 	for _, m := range out {
-		size := len(m.append(nil, stamp{})) + macSize
+		size := len(m.appendTo(nil, linkHeader{})) + macBytes
 		if size > MaxDatagramBytes {
 			panic("a datagram is too long")
 		}
 		n.sent[m.From]++
 		n.bytes[m.From] += size
-		n.second[int(n.now/time.Second)]++
-		if n.rng.Float64() < n.loss || n.cut != nil && n.cut(m.From, m.To) {
+		n.datagramsPerSecond[int(n.now/time.Second)]++
+		if n.rng.Float64() < n.loss || n.isCut != nil && n.isCut(m.From, m.To) {
 			continue
 		}
-		if n.links != nil { // the work of it; lives are not proved here
+		if n.links != nil { // for the work of it; sessions aren't proved here
 			b := n.links[m.From].Seal(m)
 			_, _, _ = n.links[m.To].Open(n.now, m.From, b)
 		}
-		heap.Push(&n.queue, packet{n.now + n.delay/2 + time.Duration(n.rng.Int64N(int64(n.delay))), n.lives[m.To], m})
+		heap.Push(&n.queue, packet{n.now + n.delay/2 + time.Duration(n.rng.Int64N(int64(n.delay))), n.starts[m.To], m})
 	}
 }
 
-// run lets the time pass.
+// run delivers what is due and advances the clock by d.
 func (n *network) run(d time.Duration) {
 	end := n.now + d
 	for {
-		if len(n.queue) > 0 && n.queue[0].at < end && (len(n.dues) == 0 || n.queue[0].at < n.dues[0].at) {
+		if len(n.queue) > 0 && n.queue[0].at < end && (len(n.timers) == 0 || n.queue[0].at < n.timers[0].at) {
 			p := heap.Pop(&n.queue).(packet)
 			n.now = max(n.now, p.at)
-			if c := n.cores[p.m.To]; c != nil && n.lives[p.m.To] == p.life {
+			if c := n.cores[p.m.To]; c != nil && n.starts[p.m.To] == p.receiverStart {
 				n.send(c.Receive(n.now, p.m))
-				n.look(p.m.To)
+				n.schedule(p.m.To)
 			}
 			continue
 		}
-		if len(n.dues) == 0 || n.dues[0].at >= end {
+		if len(n.timers) == 0 || n.timers[0].at >= end {
 			n.now = end
 			return
 		}
-		d := heap.Pop(&n.dues).(due)
-		if n.cores[d.who] != d.core || d.core.NextTimer() > d.at { // it is down, or was looked at since
+		d := heap.Pop(&n.timers).(agentTimer)
+		if n.cores[d.agent] != d.core || d.core.NextTimer() > d.at { // it is down, or has another timer since
 			continue
 		}
 		n.now = max(n.now, d.at)
 		n.send(d.core.Tick(n.now))
-		n.look(d.who)
+		n.schedule(d.agent)
 	}
 }
 
-// all reports whether each agent that is up holds each other one for what it is.
-func (n *network) all() bool {
+// allAgree reports whether each agent that runs knows of each other one whether it runs.
+func (n *network) allAgree() bool {
 	for i, c := range n.cores {
 		for j := range n.cores {
-			if c != nil && i != j && (living(c.State(j)) == 1) != (n.cores[j] != nil) {
+			if c != nil && i != j && isReachable(c.State(j)) != (n.cores[j] != nil) {
 				return false
 			}
 		}
@@ -145,9 +147,9 @@
 	return true
 }
 
-// until runs until ok holds and returns how long that took; -1 if it does not within the time.
-func (n *network) until(most time.Duration, ok func() bool) time.Duration {
-	for began := n.now; n.now-began < most; n.run(100 * time.Millisecond) {
+// until advances the clock until ok holds and returns how long that took; -1 if it doesn't within the limit.
+func (n *network) until(limit time.Duration, ok func() bool) time.Duration {
+	for began := n.now; n.now-began < limit; n.run(100 * time.Millisecond) {
 		if ok() {
 			return n.now - began
 		}
@@ -155,123 +157,129 @@
 	return -1
 }
 
-// Agents that start in the same instant soon know of each other; one that dies is found out by all within a stated time and nobody
-// else is; one that comes back is known again.
-func TestWhoLives(t *testing.T) {
+// One, two, ten and a hundred agents start in the same instant and soon know of each other. For 20 s nobody is suspected. Then one dies
+// without a word: all hold it for dead within a stated time. It starts again, and all know of that within another.
+func TestStartDeathAndReturnAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		agents          int
-		meet, die, back time.Duration
+		agents                              int
+		joinLimit, deathLimit, restartLimit time.Duration
 	}{{1, time.Second, 0, 0}, {2, 3 * time.Second, 20 * time.Second, 20 * time.Second}, {10, 4 * time.Second, 20 * time.Second, 5 * time.Second}, {100, 8 * time.Second, 20 * time.Second, 8 * time.Second}} {
 		n := newNetwork(c.agents, 1)
-		if took := n.until(c.meet, n.all); took < 0 {
-			t.Fatalf("%d agents have not met within %v", c.agents, c.meet)
+		if took := n.until(c.joinLimit, n.allAgree); took < 0 {
+			t.Fatalf("%d agents have not met within %v", c.agents, c.joinLimit)
 		}
 		n.run(20 * time.Second)
 		for _, core := range n.cores {
 			if core.Counts().Suspected > 0 {
-				t.Errorf("%d agents: somebody was suspected who lives", c.agents)
+				t.Errorf("%d agents: an agent that runs was suspected", c.agents)
 			}
 		}
-		if c.agents == 1 { // it has nobody to tell, also of its end
+		if c.agents == 1 { // it has no other member to tell of its end
 			n.send(n.cores[0].Leave(n.now))
 			continue
 		}
 		n.cores[1] = nil
-		if took := n.until(c.die, n.all); took < 0 {
-			t.Errorf("%d agents: not all have found out a death within %v", c.agents, c.die)
+		if took := n.until(c.deathLimit, n.allAgree); took < 0 {
+			t.Errorf("%d agents: not all have detected a death within %v", c.agents, c.deathLimit)
 		}
 		n.start(1)
-		if took := n.until(c.back, n.all); took < 0 {
-			t.Errorf("%d agents: not all know within %v of one that came back", c.agents, c.back)
+		if took := n.until(c.restartLimit, n.allAgree); took < 0 {
+			t.Errorf("%d agents: not all know within %v of one that started again", c.agents, c.restartLimit)
 		}
 	}
 }
 
-// Three in ten datagrams are lost: nobody who lives is held for dead for long, and who dies is found out all the same.
-func TestLossesKillNobody(t *testing.T) {
+// Three in ten datagrams are lost for a minute. Agents that run are held for dead in less than half a percent of the time, and one that
+// dies is detected by all nevertheless.
+func TestDatagramLossKillsNobody(t *testing.T) {
 	n := newNetwork(30, 2)
 	n.loss = 0.3
 	n.run(10 * time.Second)
-	wrong, looks := 0, 0
+	wrong, checks := 0, 0
 	for range 600 {
 		n.run(100 * time.Millisecond)
 		for i, c := range n.cores {
 			for j := range n.cores {
 				if i != j {
-					looks++
-					wrong += 1 - living(c.State(j))
+					checks++
+					if !isReachable(c.State(j)) {
+						wrong++
+					}
 				}
 			}
 		}
 	}
-	if part := float64(wrong) / float64(looks); part > 0.005 {
-		t.Errorf("one agent holds another that lives for dead in %.4f of the time", part)
+	if ratio := float64(wrong) / float64(checks); ratio > 0.005 {
+		t.Errorf("one agent holds another that runs for dead in %.4f of the time", ratio)
 	}
 	n.cores[3] = nil
 	if took := n.until(40*time.Second, func() bool {
 		for i, c := range n.cores {
-			if i != 3 && living(c.State(3)) == 1 {
+			if i != 3 && isReachable(c.State(3)) {
 				return false
 			}
 		}
 		return true
 	}); took < 0 {
-		t.Error("a death is not found out")
+		t.Error("a death is not detected")
 	}
 }
 
-// A fleet that is split in half, or of which one half can't be heard by the other, is one again after it.
-func TestAfterASplitAllAreOne(t *testing.T) {
+// The network between two halves of a fleet is cut for 30 s, both ways or one way. Each half sees ten members meanwhile, and when the cut
+// ends all agents know of each other again, though each held the others for dead.
+func TestPartitionHeals(t *testing.T) {
 	for name, cut := range map[string]func(from, to int) bool{
 		"both ways": func(from, to int) bool { return (from < 10) != (to < 10) },
 		"one way":   func(from, to int) bool { return from < 10 && to >= 10 },
 	} {
 		n := newNetwork(20, 3)
 		n.run(10 * time.Second)
-		n.cut = cut
+		n.isCut = cut
 		n.run(30 * time.Second)
 		if got := n.cores[0].AliveCount(); name == "both ways" && got != 10 {
-			t.Errorf("%s: %d agents live as one half sees it", name, got)
+			t.Errorf("%s: one half sees %d agents", name, got)
 		}
-		n.cut = nil
-		if took := n.until(30*time.Second, n.all); took < 0 {
-			t.Errorf("%s: not one again", name)
+		n.isCut = nil
+		if took := n.until(30*time.Second, n.allAgree); took < 0 {
+			t.Errorf("%s: the partition did not heal", name)
 		}
 	}
 }
 
-// A fact reaches all, also those that start later, and is forgotten.
-func TestFactsTravel(t *testing.T) {
+// One of 50 agents has an observation. It reaches all within seconds, then also one that starts again later, and nobody remembers it after
+// twice its TTL.
+func TestObservationReachesAllAgents(t *testing.T) {
 	n := newNetwork(50, 4)
 	n.run(8 * time.Second)
-	heard := map[int]bool{0: true}
-	listen := func() bool {
+	reached := map[int]bool{0: true}
+	hasReachedAll := func() bool {
 		for i, c := range n.cores {
 			for _, h := range c.TakeObservations() {
 				if h.Kind == 3 && h.ID == 77 && h.Value == 5 && h.Age < 10*time.Second {
-					heard[i] = true
+					reached[i] = true
 				}
 			}
 		}
-		return len(heard) == 50
+		return len(reached) == 50
 	}
 	n.cores[0].Broadcast(n.now, Observation{Kind: 3, ID: 77, Value: 5})
-	if took := n.until(6*time.Second, listen); took < 0 {
-		t.Fatalf("a fact has reached %d of 50 agents", len(heard))
+	if took := n.until(6*time.Second, hasReachedAll); took < 0 {
+		t.Fatalf("an observation has reached %d of 50 agents", len(reached))
 	}
 	n.start(7)
-	delete(heard, 7)
-	if took := n.until(5*time.Second, listen); took < 0 {
-		t.Error("one that starts anew hears nothing of it")
+	delete(reached, 7)
+	if took := n.until(5*time.Second, hasReachedAll); took < 0 {
+		t.Error("an agent that started again does not receive it")
 	}
 	n.run(2 * ObservationTTL)
-	if left := len(n.cores[9].facts); left != 0 {
-		t.Errorf("%d facts are remembered after twice their time", left)
+	if left := len(n.cores[9].observations); left != 0 {
+		t.Errorf("%d observations are remembered after twice their TTL", left)
 	}
 }
 
-// What an agent sends stays within its budget, at rest, when all start at once and while one floods the others with news.
-func TestWhatWordCosts(t *testing.T) {
+// What an agent sends stays within its budget at rest and when all start at once. Then one agent receives a hundred thousand messages that
+// are full of news: it remembers no more than its limits, and no answer is longer than a datagram.
+func TestTrafficAndMemoryAreBounded(t *testing.T) {
 	for _, agents := range []int{10, 100} {
 		n := newNetwork(agents, 5)
 		n.run(30 * time.Second)
@@ -283,7 +291,7 @@
 				t.Errorf("%d agents: agent %d sends %.1f datagrams a second at rest", agents, i, rate)
 			}
 		}
-		for second, count := range n.second {
+		for second, count := range n.datagramsPerSecond {
 			if count > 25*agents {
 				t.Errorf("%d agents: %d datagrams in second %d", agents, count, second)
 			}
@@ -294,18 +302,19 @@
 		m := Message{Kind: Ping, From: 1 + i%99, Number: uint32(i), Observations: []Observation{{Kind: ObservationKind(i), ID: uint64(i)}},
 			Updates: []MemberUpdate{{State(1 + i%4), i % 65536, uint32(i), i % 65536}}}
 		for _, o := range c.Receive(time.Duration(i), m) {
-			if size := len(o.append(nil, stamp{})) + macSize; size > MaxDatagramBytes {
+			if size := len(o.appendTo(nil, linkHeader{})) + macBytes; size > MaxDatagramBytes {
 				t.Fatalf("an answer of %d bytes", size)
 			}
 		}
-		if len(c.facts) > mostFacts || len(c.ring) != len(c.facts) || len(c.rumours) > mostRumours || len(c.heard) > mostHeard || len(c.requests) > mostRequests {
-			t.Fatalf("%d facts, %d rumours, %d heard, %d requests", len(c.facts), len(c.rumours), len(c.heard), len(c.requests))
+		if len(c.observations) > maxObservations || len(c.observationOrder) != len(c.observations) || len(c.updates) > maxUpdates || len(c.received) > maxReceivedObservations || len(c.proxyProbes) > maxProxyProbes {
+			t.Fatalf("%d observations, %d updates, %d received, %d proxy probes", len(c.observations), len(c.updates), len(c.received), len(c.proxyProbes))
 		}
 	}
 }
 
-// Whatever one agent says of the others, those who live say otherwise and are believed.
-func TestALiarIsRefuted(t *testing.T) {
+// One agent sends up to 20 false updates of any member with any incarnation. The members that they are about refute them, and within 20 s
+// all agree again on who runs.
+func TestFalseUpdatesAreRefuted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(8, rapid.Uint64().Draw(t, "seed"))
 		n.run(6 * time.Second)
@@ -316,13 +325,14 @@
 			n.send(n.cores[to].Receive(n.now, Message{Kind: Ping, From: 0, To: to, Updates: []MemberUpdate{lie}}))
 			n.run(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
 		}
-		if took := n.until(20*time.Second, n.all); took < 0 {
-			t.Fatal("somebody who lives is held for dead")
+		if took := n.until(20*time.Second, n.allAgree); took < 0 {
+			t.Fatal("an agent that runs is held for dead")
 		}
 	})
 }
 
-// What knowing each other costs an agent at rest: a second of it is an operation, with all datagrams sealed and opened.
+// BenchmarkAtRest is what membership costs an agent of a fleet at rest: an operation is a second of one agent, with all datagrams sealed and
+// opened.
 func BenchmarkAtRest(b *testing.B) {
 	for _, agents := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
@@ -332,7 +342,7 @@
 			n := newNetwork(agents, 6)
 			n.links = make([]*Link, agents)
 			for i := range n.links {
-				n.links[i] = NewLink(i, agents, only(keyOne), n.rng.Uint64)
+				n.links[i] = NewLink(i, agents, singleKey(keyOne), n.rng.Uint64)
 			}
 			n.run(60 * time.Second)
 			runtime.GC()
--- a/internal/fleet/gossip/decisions_test.go
+++ b/internal/fleet/gossip/decisions_test.go
@@ -14,8 +14,8 @@
 	m  Message
 }
 
-// decisionTrace is nine Cores with a toy network between them that delays and loses messages: agents that start together, one that dies, one that
-// leaves, one that starts anew, a fleet in two parts, an agent that is slow, and facts that are told.
+// decisionTrace is nine Cores with a simulated network between them that delays and loses messages: agents that start together, one that
+// dies, one that leaves, both starting again, a partition, a slow agent, and observations that are broadcast.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(6000), golden.Random(seed)
 	const agents = 9
--- a/internal/fleet/gossip/link.go
+++ b/internal/fleet/gossip/link.go
@@ -6,113 +6,71 @@
 	"fmt"
 	"slices"
 	"time"
-
-	"golang.org/x/crypto/blake2s"
 )
 
-// Key authenticates agents of one installation to each other.
-type Key [32]byte
-
-// Keys are the one that datagrams are sealed with, and those that are taken from others: while keys change two hold at a time.
-type Keys struct {
-	Seal Key
-	Open []Key // Seal among them
-}
-
-// name is the byte by which a key is told from another; it says nothing of the key itself.
-func (k Key) name() byte {
-	sum := blake2s.Sum256(append([]byte("appleledge key name "), k[:]...))
-	return sum[0]
-}
-
-// code is the code of authentication: BLAKE2s with a key (RFC 7693), of 128 bits.
-func (k Key) code(text []byte) []byte {
-	h, err := blake2s.New128(k[:])
-	if err != nil { // of keys of another length alone
-		panic(err)
-	}
-	h.Write(text)
-	return h.Sum(nil)
-}
-
-// Reseal is a datagram whose text was changed by somebody who has the key: an agent of another version, or one that went bad.
-func (k Key) Reseal(datagram []byte, change func(text []byte) []byte) []byte {
-	if len(datagram) < headSize+macSize {
-		return datagram
-	}
-	text := change(append([]byte(nil), datagram[:len(datagram)-macSize]...))
-	return append(text, k.code(text)...)
-}
-
-// Errors that are told apart.
+// Errors by which a caller of Open tells why a datagram is dropped. They are wrapped, and compared by errors.Is.
 var (
 	ErrForged      = errors.New("a datagram whose code of authentication is wrong")
 	ErrStale       = errors.New("a datagram that is not of now")
 	ErrRateLimited = errors.New("more datagrams than one agent has to send")
 )
 
+// How much is accepted from one peer, and how a session is proved.
 const (
-	challengeFor = 3 * time.Second // for which a challenge may be answered
-	hellosASec   = 3               // to one agent
-	hellosAtOnce = 4
-	window       = 64 // datagrams that may overtake one another
-	mostASecond  = 30 // datagrams from one agent
-	mostAtOnce   = 60
+	maxDatagramsPerSecond = 30
+	datagramBurst         = 60
+	maxHellosPerSecond    = 3 // sent to one peer
+	helloBurst            = 4
+	challengeTTL          = 3 * time.Second // for which a challenge may be answered
+	replayWindow          = 64              // datagrams that may overtake one another
 )
 
-// Link seals datagrams to the others and opens theirs. Each life of an agent has a number that nobody can guess. A datagram counts if
-// it names the receiver's life, so that it was sent since that began, and the sender's life, of which the sender has proved by
-// repeating a random number that it is the present one; and each counts once. So nothing counts that was sent before either has started
-// anew, whatever the clocks are and whatever disks have kept. It is not safe for concurrent use.
+// Link authenticates the datagrams to and from the other agents and rejects replayed ones. It is not safe for concurrent use and does no
+// I/O: the caller sends what it returns.
+//
+// Each start of an agent is a session with a random number that nobody can guess. A datagram is accepted only if
+//
+//   - it names the receiver's session, so that it was sent after the receiver started;
+//   - it names the sender's session, of which the sender has proved by repeating a random challenge that it is the present one;
+//   - its sequence number wasn't accepted before in that session.
+//
+// So nothing that was recorded before either agent started is accepted, whatever the clocks say and whatever disks have kept: a replayed
+// death of a member, or a replayed drain report, would otherwise take effect again.
 type Link struct {
-	self   int
-	life   uint64
-	keys   Keys
-	seal   byte // its name
-	random func() uint64
-	ends   []end
-}
-
-// end is the other end of a link.
-type end struct {
-	echo      uint64 // the other's life as it said last, to be named to it
-	proved    uint64 // the life that it has proved; 0: none
-	challenge uint64 // that it is to repeat
-	since     time.Duration
-	sequence  uint32 // of the last datagram sent
-	last      uint32 // the highest that came
-	seen      uint64 // which of the window below it came, a bit each
-	tokens    bucket // datagrams that the other may still send
-	hellos    bucket // that may be sent to it
-}
-
-// bucket is a bound on what may come, in a second and at once.
-type bucket struct {
-	used   float64
-	filled time.Duration
-}
-
-func (b *bucket) take(now time.Duration, aSecond, atOnce float64) bool {
-	b.used = max(0, b.used-(now-b.filled).Seconds()*aSecond)
-	if b.filled = now; b.used > atOnce-1 {
-		return false
-	}
-	b.used++
-	return true
-}
-
-// NewLink returns the links of agent self among so many. random gives numbers that nobody can guess.
+	self    int
+	session uint64
+	keys    Keys
+	keyID   byte          // of keys.Seal
+	random  func() uint64 // gives numbers that nobody can guess
+	peers   []linkPeer    // by number
+}
+
+// linkPeer is what a Link knows of one other agent.
+type linkPeer struct {
+	claimedSession  uint64 // the session that the peer named last; datagrams to it name it
+	provenSession   uint64 // the session that the peer has proved; 0: none
+	challenge       uint64 // that the peer has to repeat; 0: none
+	challengedAt    time.Duration
+	sentSequence    uint32 // of the last datagram to the peer
+	highestSequence uint32 // that was accepted in provenSession
+	acceptedBits    uint64 // which of the replayWindow sequence numbers up to highestSequence were accepted; the lowest bit is the highest number
+	receiveLimit    leakyBucket
+	helloLimit      leakyBucket
+}
+
+// NewLink returns the Link of agent self, one of so many, in a new session. random must give numbers that nobody can guess.
 func NewLink(self, agents int, keys Keys, random func() uint64) *Link {
-	l := &Link{self: self, random: random, ends: make([]end, agents)}
-	l.life = l.draw()
+	l := &Link{self: self, random: random, peers: make([]linkPeer, agents)}
+	l.session = l.nonzeroRandom()
 	l.SetKeys(keys)
 	return l
 }
 
-// SetKeys changes the keys.
-func (l *Link) SetKeys(keys Keys) { l.keys, l.seal = keys, keys.Seal.name() }
+// SetKeys replaces the keys. Sessions stay as they are.
+func (l *Link) SetKeys(keys Keys) { l.keys, l.keyID = keys, keys.Seal.id() }
 
-func (l *Link) draw() uint64 {
+// nonzeroRandom returns a random number other than 0, which stands for none.
+func (l *Link) nonzeroRandom() uint64 {
 	for {
 		if x := l.random(); x != 0 {
 			return x
@@ -120,103 +78,112 @@
 	}
 }
 
-// Seal writes a message to another agent.
+// Seal returns the datagram of a message to m.To; From is set to this agent.
 func (l *Link) Seal(m Message) []byte {
-	e := &l.ends[m.To]
-	e.sequence++
+	peer := &l.peers[m.To]
+	peer.sentSequence++
 	m.From = l.self
-	b := m.append(make([]byte, 0, MaxDatagramBytes), stamp{l.seal, l.life, e.echo, e.sequence})
-	return append(b, l.keys.Seal.code(b)...)
+	b := m.appendTo(make([]byte, 0, MaxDatagramBytes), linkHeader{l.keyID, l.session, peer.claimedSession, peer.sentSequence})
+	return append(b, l.keys.Seal.mac(b)...)
 }
 
-// Open reads a datagram that came from another agent's address. A Hello is the Link's own affair: it is returned as one, with
-// nothing in it. reply is to be sent back where it is not nil.
+// Open checks a datagram that came from the address of agent from and returns its message. A reply that isn't nil is to be sent back, also
+// when there is an error. A Hello is handled by the Link: it is returned with IsNewSession alone. An error wraps ErrForged, ErrStale,
+// ErrRateLimited or ErrUnsupportedFormat, or says that the datagram is malformed; the message counts for nothing then.
 func (l *Link) Open(now time.Duration, from int, b []byte) (m Message, reply []byte, err error) {
-	if len(b) < headSize+macSize || len(b) > MaxDatagramBytes || from < 0 || from >= len(l.ends) {
+	if len(b) < headerBytes+macBytes || len(b) > MaxDatagramBytes || from < 0 || from >= len(l.peers) {
 		return m, nil, fmt.Errorf("%w: %d bytes", errMalformed, len(b))
 	}
-	e := &l.ends[from]
-	if !e.tokens.take(now, mostASecond, mostAtOnce) { // before anything is reckoned
+	peer := &l.peers[from]
+	if !peer.receiveLimit.allow(now, maxDatagramsPerSecond, datagramBurst) { // before the cost of a code
 		return m, nil, ErrRateLimited
 	}
-	text, code := b[:len(b)-macSize], b[len(b)-macSize:]
-	if !slices.ContainsFunc(l.keys.Open, func(k Key) bool {
-		return k.name() == text[2] && subtle.ConstantTimeCompare(k.code(text), code) == 1
-	}) {
+	text, mac := b[:len(b)-macBytes], b[len(b)-macBytes:]
+	if !l.isAuthentic(text, mac) {
 		return m, nil, ErrForged
 	}
-	m, s, err := parse(text)
+	m, h, err := parseMessage(text)
 	switch {
 	case err != nil:
 		return m, nil, err
 	case m.From != from || m.To != l.self:
 		return m, nil, fmt.Errorf("%w: of %d to %d", ErrForged, m.From, m.To)
 	case m.Kind == Hello:
-		was := e.proved
-		reply = l.hello(now, from, m, s)
-		return Message{Kind: Hello, From: from, To: l.self, IsNewSession: e.proved != was}, reply, nil
-	case s.echo != l.life || s.life != e.proved:
-		e.echo = s.life
-		return m, l.ask(now, from), ErrStale
-	case !e.fresh(s.sequence):
+		previous := peer.provenSession
+		reply = l.handleHello(now, from, m, h)
+		return Message{Kind: Hello, From: from, To: l.self, IsNewSession: peer.provenSession != previous}, reply, nil
+	case h.receiverSession != l.session || h.senderSession != peer.provenSession:
+		peer.claimedSession = h.senderSession
+		return m, l.sendChallenge(now, from), ErrStale
+	case !peer.acceptSequence(h.sequence):
 		return m, nil, fmt.Errorf("%w: it came before", ErrStale)
 	}
 	return m, nil, nil
 }
 
-// ask wants an agent to prove its life. A datagram from long ago that is sent again gets nobody more than that.
-func (l *Link) ask(now time.Duration, to int) []byte {
-	e := &l.ends[to]
-	if !e.hellos.take(now, hellosASec, hellosAtOnce) {
+// isAuthentic reports whether one of the keys that are accepted gives the code.
+func (l *Link) isAuthentic(text, mac []byte) bool {
+	return slices.ContainsFunc(l.keys.Open, func(k Key) bool {
+		return k.id() == text[2] && subtle.ConstantTimeCompare(k.mac(text), mac) == 1
+	})
+}
+
+// sendChallenge returns a Hello that asks a peer to prove its session; nil if the peer gets too many. Whoever replays an old datagram
+// gets no more than that for it.
+func (l *Link) sendChallenge(now time.Duration, to int) []byte {
+	peer := &l.peers[to]
+	if !peer.helloLimit.allow(now, maxHellosPerSecond, helloBurst) {
 		return nil
 	}
-	return l.Seal(Message{Kind: Hello, To: to, challenge: l.challenge(now, e)})
+	return l.Seal(Message{Kind: Hello, To: to, challenge: l.currentChallenge(now, peer)})
 }
 
-func (l *Link) challenge(now time.Duration, e *end) uint64 {
-	if e.challenge == 0 || now-e.since >= challengeFor {
-		e.challenge, e.since = l.draw(), now
+// currentChallenge returns the challenge that the peer has to repeat, a new one if the last is too old.
+func (l *Link) currentChallenge(now time.Duration, peer *linkPeer) uint64 {
+	if peer.challenge == 0 || now-peer.challengedAt >= challengeTTL {
+		peer.challenge, peer.challengedAt = l.nonzeroRandom(), now
 	}
-	return e.challenge
+	return peer.challenge
 }
 
-// hello takes what a Hello proves, and answers what it wants proved.
-func (l *Link) hello(now time.Duration, from int, m Message, s stamp) (reply []byte) {
-	e := &l.ends[from]
-	if e.challenge != 0 && m.proof == e.challenge && now-e.since < challengeFor {
-		if e.challenge = 0; s.life != e.proved {
-			e.proved, e.last, e.seen = s.life, 0, 0
+// handleHello takes the proof in a Hello and returns the answer to its challenge, if there is one.
+func (l *Link) handleHello(now time.Duration, from int, m Message, h linkHeader) (reply []byte) {
+	peer := &l.peers[from]
+	if peer.challenge != 0 && m.proof == peer.challenge && now-peer.challengedAt < challengeTTL {
+		if peer.challenge = 0; h.senderSession != peer.provenSession {
+			peer.provenSession, peer.highestSequence, peer.acceptedBits = h.senderSession, 0, 0
 		}
 	}
-	if e.proved == 0 || s.echo == l.life {
-		e.echo = s.life
+	if peer.provenSession == 0 || h.receiverSession == l.session {
+		peer.claimedSession = h.senderSession
 	}
-	if m.challenge == 0 || !e.hellos.take(now, hellosASec, hellosAtOnce) {
+	if m.challenge == 0 || !peer.helloLimit.allow(now, maxHellosPerSecond, helloBurst) {
 		return nil
 	}
 	answer := Message{Kind: Hello, To: from, proof: m.challenge}
-	if s.life != e.proved {
-		answer.challenge = l.challenge(now, e)
+	if h.senderSession != peer.provenSession {
+		answer.challenge = l.currentChallenge(now, peer)
 	}
-	e.echo = s.life
+	peer.claimedSession = h.senderSession
 	return l.Seal(answer)
 }
 
-// fresh takes note of a sequence number, and reports whether it is new.
-func (e *end) fresh(n uint32) bool {
-	switch ahead := int64(n) - int64(e.last); {
+// acceptSequence notes a sequence number and reports whether it is new. A number below the window counts as old: whether it was accepted
+// isn't known any more, and a replayed datagram must not be.
+func (p *linkPeer) acceptSequence(sequence uint32) bool {
+	switch ahead := int64(sequence) - int64(p.highestSequence); {
 	case ahead > 0:
-		if ahead >= window {
-			e.seen = 0
+		if ahead >= replayWindow {
+			p.acceptedBits = 0
 		} else {
-			e.seen <<= ahead
+			p.acceptedBits <<= ahead
 		}
-		e.seen |= 1
-		e.last = n
-	case -ahead >= window || e.seen&(1<<-ahead) != 0:
+		p.acceptedBits |= 1
+		p.highestSequence = sequence
+	case -ahead >= replayWindow || p.acceptedBits&(1<<-ahead) != 0:
 		return false
 	default:
-		e.seen |= 1 << -ahead
+		p.acceptedBits |= 1 << -ahead
 	}
 	return true
 }
--- a/internal/fleet/gossip/link_test.go
+++ b/internal/fleet/gossip/link_test.go
@@ -15,42 +15,42 @@
 
 var keyOne, keyTwo = Key{1}, Key{2}
 
-func only(k Key) Keys { return Keys{Seal: k, Open: []Key{k}} }
+func singleKey(k Key) Keys { return Keys{Seal: k, Open: []Key{k}} }
 
-// numbers gives numbers that are never the same, in a test.
-func numbers() func() uint64 {
+// sequentialRandom returns a source of numbers for tests that never repeats one.
+func sequentialRandom() func() uint64 {
 	n := uint64(0)
 	return func() uint64 { n++; return n * 0x9E3779B97F4A7C15 }
 }
 
-// Two agents talk over a network that loses, doubles, reorders and sends again what it has heard at any time, and start anew at any
-// time: nothing is taken twice, nothing that was sent before the receiver started anew, nothing of a life of the sender after something
-// of a later one, and what is sent gets through again once the network is in order.
-func TestLinksAsAModel(t *testing.T) {
+// Two agents exchange datagrams over a network that loses, doubles, reorders and replays them at any time, and restart at any time. No
+// datagram is accepted twice, none that was sent before the receiver's start, and none of a session of the sender after one of a later
+// session; and once the network is in order datagrams get through again.
+func TestLinkRejectsReplaysAndOldSessions(t *testing.T) {
 	type packet struct {
-		to    int
-		lives [2]int // of both, when it was sent
-		text  []byte
+		to     int
+		starts [2]int // of both agents, when it was sent
+		text   []byte
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		random := numbers()
-		now, lives, latest := time.Second, [2]int{}, [2]int{} // latest: the sender's life that each has taken something of
-		links := [2]*Link{NewLink(0, 2, only(keyOne), random), NewLink(1, 2, only(keyOne), random)}
-		var heard []packet
-		taken := map[uint32]bool{}
+		random := sequentialRandom()
+		now, starts, latest := time.Second, [2]int{}, [2]int{} // latest: the sender's start of which each receiver has accepted a datagram
+		links := [2]*Link{NewLink(0, 2, singleKey(keyOne), random), NewLink(1, 2, singleKey(keyOne), random)}
+		var recorded []packet
+		accepted := map[uint32]bool{}
 		number := uint32(0)
 		send := func(from int) packet {
 			number++
-			p := packet{1 - from, lives, links[from].Seal(Message{Kind: Ping, To: 1 - from, Number: number})}
-			heard = append(heard, p)
+			p := packet{1 - from, starts, links[from].Seal(Message{Kind: Ping, To: 1 - from, Number: number})}
+			recorded = append(recorded, p)
 			return p
 		}
 		var deliver func(p packet, answers bool) bool
 		deliver = func(p packet, answers bool) bool {
 			m, reply, err := links[p.to].Open(now, 1-p.to, p.text)
 			if reply != nil {
-				r := packet{1 - p.to, lives, reply}
-				heard = append(heard, r)
+				r := packet{1 - p.to, starts, reply}
+				recorded = append(recorded, r)
 				if answers {
 					deliver(r, answers)
 				}
@@ -58,14 +58,14 @@
 			if err != nil || m.Kind == Hello {
 				return false
 			}
-			if taken[m.Number] {
-				t.Fatalf("datagram %d was taken twice", m.Number)
+			if accepted[m.Number] {
+				t.Fatalf("datagram %d was accepted twice", m.Number)
 			}
-			if p.lives[p.to] != lives[p.to] || p.lives[1-p.to] < latest[p.to] {
-				t.Fatalf("datagram %d is of lives %v, which are over", m.Number, p.lives)
+			if p.starts[p.to] != starts[p.to] || p.starts[1-p.to] < latest[p.to] {
+				t.Fatalf("datagram %d is of the starts %v, which are over", m.Number, p.starts)
 			}
-			latest[p.to] = p.lives[1-p.to]
-			taken[m.Number] = true
+			latest[p.to] = p.starts[1-p.to]
+			accepted[m.Number] = true
 			return true
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -74,16 +74,16 @@
 			},
 			"send late": func(t *rapid.T) { send(rapid.IntRange(0, 1).Draw(t, "from")) },
 			"again": func(t *rapid.T) {
-				if len(heard) == 0 {
+				if len(recorded) == 0 {
 					t.Skip("nothing was sent")
 				}
-				deliver(heard[rapid.IntRange(0, len(heard)-1).Draw(t, "datagram")], rapid.Bool().Draw(t, "answers arrive"))
+				deliver(recorded[rapid.IntRange(0, len(recorded)-1).Draw(t, "datagram")], rapid.Bool().Draw(t, "answers arrive"))
 			},
-			"start anew": func(t *rapid.T) {
+			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(0, 1).Draw(t, "agent")
-				lives[i]++
+				starts[i]++
 				latest[i] = 0
-				links[i] = NewLink(i, 2, only(keyOne), random)
+				links[i] = NewLink(i, 2, singleKey(keyOne), random)
 			},
 			"wait": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond },
 			"in order": func(t *rapid.T) {
@@ -94,7 +94,7 @@
 				}
 				for from := range 2 {
 					if now += time.Second; !deliver(send(from), true) {
-						t.Fatalf("agent %d can't make itself heard", from)
+						t.Fatalf("agent %d can't get a datagram through", from)
 					}
 				}
 			},
@@ -102,10 +102,11 @@
 	})
 }
 
-// Nobody without the key, with another's name or with a changed datagram is heard, and nobody hears more of one than it may send.
-func TestWhoIsNotHeard(t *testing.T) {
-	random := numbers()
-	a, b := NewLink(0, 3, only(keyOne), random), NewLink(1, 3, only(keyOne), random)
+// A datagram is rejected if any of its bits was changed, if it comes from another member's address, has another key or came before. Of a
+// flood no more than a burst is accepted. While the keys are exchanged in three steps none is rejected.
+func TestLinkRejectsForgeriesAndFloods(t *testing.T) {
+	random := sequentialRandom()
+	a, b := NewLink(0, 3, singleKey(keyOne), random), NewLink(1, 3, singleKey(keyOne), random)
 	now := time.Second
 	meet := func(a, b *Link) {
 		_, hello, _ := b.Open(now, a.self, a.Seal(Message{Kind: Ping, To: b.self}))
@@ -127,7 +128,7 @@
 	if _, _, err := b.Open(now, 2, good); !errors.Is(err, ErrForged) {
 		t.Errorf("from another's address: %v", err)
 	}
-	stranger := NewLink(0, 3, only(keyTwo), random)
+	stranger := NewLink(0, 3, singleKey(keyTwo), random)
 	if _, _, err := b.Open(now, 0, stranger.Seal(Message{Kind: Ping, To: 1})); !errors.Is(err, ErrForged) {
 		t.Errorf("with another key: %v", err)
 	}
@@ -138,20 +139,20 @@
 	if _, _, err := b.Open(now, 0, good); !errors.Is(err, ErrStale) {
 		t.Errorf("the same again: %v", err)
 	}
-	taken := 0
+	accepted := 0
 	for range 1000 {
 		if _, _, err := b.Open(now, 0, a.Seal(Message{Kind: Ping, To: 1})); err == nil {
-			taken++
+			accepted++
 		} else if !errors.Is(err, ErrRateLimited) {
 			t.Fatal(err)
 		}
 	}
-	if taken > mostAtOnce {
-		t.Errorf("%d of a flood were taken", taken)
+	if accepted > datagramBurst {
+		t.Errorf("%d of a flood were accepted", accepted)
 	}
-	// Keys change: first all open both, then they seal with the new one, then the old one goes.
+	// Keys change: first all open with both, then they seal with the new one, then the old one goes.
 	both := Keys{Seal: keyOne, Open: []Key{keyOne, keyTwo}}
-	for _, step := range []struct{ a, b Keys }{{both, only(keyOne)}, {both, both}, {Keys{keyTwo, both.Open}, both}, {only(keyTwo), Keys{keyTwo, both.Open}}, {only(keyTwo), only(keyTwo)}} {
+	for _, step := range []struct{ a, b Keys }{{both, singleKey(keyOne)}, {both, both}, {Keys{keyTwo, both.Open}, both}, {singleKey(keyTwo), Keys{keyTwo, both.Open}}, {singleKey(keyTwo), singleKey(keyTwo)}} {
 		now += 10 * time.Second
 		a.SetKeys(step.a)
 		b.SetKeys(step.b)
@@ -161,31 +162,33 @@
 	}
 }
 
-// While an agent that has started anew is asked for its proof, that of its life before, sent again, proves nothing.
-func TestAnOldProofProvesNothing(t *testing.T) {
-	random, now := numbers(), time.Second
-	old, b := NewLink(0, 2, only(keyOne), random), NewLink(1, 2, only(keyOne), random)
+// An agent proves its session, restarts and proves the new one. While it is challenged once more, the recorded proof of its first session is
+// replayed. The first session does not count again by that: a datagram of it that never arrived stays rejected.
+func TestOldProofIsRejected(t *testing.T) {
+	random, now := sequentialRandom(), time.Second
+	old, b := NewLink(0, 2, singleKey(keyOne), random), NewLink(1, 2, singleKey(keyOne), random)
 	_, hello, _ := b.Open(now, 0, old.Seal(Message{Kind: Ping, To: 1}))
 	_, proof, _ := old.Open(now, 1, hello)
 	_, _, _ = b.Open(now, 0, proof)
-	unheard := old.Seal(Message{Kind: Ping, To: 1, Number: 7})
-	fresh := NewLink(0, 2, only(keyOne), random)
+	undelivered := old.Seal(Message{Kind: Ping, To: 1, Number: 7})
+	restarted := NewLink(0, 2, singleKey(keyOne), random)
 	now += time.Second
-	_, hello, _ = b.Open(now, 0, fresh.Seal(Message{Kind: Ping, To: 1}))
-	_, renewed, _ := fresh.Open(now, 1, hello)
+	_, hello, _ = b.Open(now, 0, restarted.Seal(Message{Kind: Ping, To: 1}))
+	_, renewed, _ := restarted.Open(now, 1, hello)
 	_, _, _ = b.Open(now, 0, renewed)
 	now += time.Second
-	_, _, _ = b.Open(now, 0, NewLink(0, 2, only(keyOne), random).Seal(Message{Kind: Ping, To: 1})) // whom b asks again
+	_, _, _ = b.Open(now, 0, NewLink(0, 2, singleKey(keyOne), random).Seal(Message{Kind: Ping, To: 1})) // which b challenges again
 	_, _, _ = b.Open(now, 0, proof)
-	if _, _, err := b.Open(now, 0, unheard); !errors.Is(err, ErrStale) {
-		t.Errorf("a datagram of the life before: %v", err)
+	if _, _, err := b.Open(now, 0, undelivered); !errors.Is(err, ErrStale) {
+		t.Errorf("a datagram of the session before: %v", err)
 	}
 }
 
-// Of a later revision of the form what is known is read, and another form is not.
-func TestVersionsOfMessages(t *testing.T) {
+// Datagrams of this revision, of an earlier and of a later one are read as far as their kinds and records are known; datagrams of another
+// format are rejected.
+func TestMessageVersions(t *testing.T) {
 	text := func(version byte, kind Kind, more ...byte) []byte {
-		b := append(Message{Kind: kind, From: 3, Incarnation: 4, Updates: []MemberUpdate{{Alive, 2, 3, 0}}}.append(nil, stamp{}), more...)
+		b := append(Message{Kind: kind, From: 3, Incarnation: 4, Updates: []MemberUpdate{{Alive, 2, 3, 0}}}.appendTo(nil, linkHeader{}), more...)
 		b[0] = version
 		return b
 	}
@@ -193,63 +196,63 @@
 		name    string
 		text    []byte
 		err     error
-		rumours int
+		updates int
 	}{
-		{"this one", text(version, Ping), nil, 1},
-		{"one before", text(form<<4|1, Ping), nil, 1},
-		{"a later revision", text(version+1, Ping), nil, 1},
-		{"with a record that is not known behind", text(version+1, Ping, 99, 1, 2), nil, 1},
-		{"with a kind that is not known", text(version+1, Payload+1), nil, 0},
-		{"such a kind of this revision", text(version, Payload+1), errMalformed, 0},
-		{"no revision", text(form<<4, Ping), ErrUnsupportedFormat, 0},
-		{"another form", text((form+1)<<4|1, Ping), ErrUnsupportedFormat, 0},
+		{"this revision", text(versionByte, Ping), nil, 1},
+		{"an earlier revision", text(formatVersion<<4|1, Ping), nil, 1},
+		{"a later revision", text(versionByte+1, Ping), nil, 1},
+		{"a later revision with an unknown record at the end", text(versionByte+1, Ping, 99, 1, 2), nil, 1},
+		{"a later revision of an unknown kind", text(versionByte+1, Payload+1), nil, 0},
+		{"this revision of an unknown kind", text(versionByte, Payload+1), errMalformed, 0},
+		{"revision 0", text(formatVersion<<4, Ping), ErrUnsupportedFormat, 0},
+		{"another format", text((formatVersion+1)<<4|1, Ping), ErrUnsupportedFormat, 0},
 	} {
-		if m, _, err := parse(c.text); !errors.Is(err, c.err) || err == nil && (m.From != 3 || m.Incarnation != 4 || len(m.Updates) != c.rumours) {
+		if m, _, err := parseMessage(c.text); !errors.Is(err, c.err) || err == nil && (m.From != 3 || m.Incarnation != 4 || len(m.Updates) != c.updates) {
 			t.Errorf("%s: %+v, %v", c.name, m, err)
 		}
 	}
 }
 
-// Whatever comes, it is read within bounds, and what is read is written the same.
-func FuzzParse(f *testing.F) {
-	f.Add(Message{Kind: Ping, From: 3, To: 4, Updates: []MemberUpdate{{Alive, 2, 3, 0}}, Observations: []Observation{{1, 7, 9, time.Second}}}.append(nil, stamp{1, 2, 3, 4}))
-	f.Add(Message{Kind: Hello, challenge: 5, proof: 6}.append(nil, stamp{}))
-	f.Add(append(Message{Kind: Leave}.append(nil, stamp{}), 9, 9, 9))
-	f.Add(Message{Kind: Payload, Payload: []byte{1, 2, 3}}.append(nil, stamp{}))
-	later := Message{Kind: Payload + 1, Updates: []MemberUpdate{{Alive, 2, 3, 0}}}.append(nil, stamp{})
+// Whatever bytes come, reading them fails or gives a message within bounds, which is written and read again as the same message.
+func FuzzParseMessage(f *testing.F) {
+	f.Add(Message{Kind: Ping, From: 3, To: 4, Updates: []MemberUpdate{{Alive, 2, 3, 0}}, Observations: []Observation{{1, 7, 9, time.Second}}}.appendTo(nil, linkHeader{1, 2, 3, 4}))
+	f.Add(Message{Kind: Hello, challenge: 5, proof: 6}.appendTo(nil, linkHeader{}))
+	f.Add(append(Message{Kind: Leave}.appendTo(nil, linkHeader{}), 9, 9, 9))
+	f.Add(Message{Kind: Payload, Payload: []byte{1, 2, 3}}.appendTo(nil, linkHeader{}))
+	later := Message{Kind: Payload + 1, Updates: []MemberUpdate{{Alive, 2, 3, 0}}}.appendTo(nil, linkHeader{})
 	later[0]++
 	f.Add(later)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if len(b) > MaxDatagramBytes {
 			return
 		}
-		m, s, err := parse(b)
+		m, h, err := parseMessage(b)
 		if err != nil {
 			return
 		}
 		if m.Kind > Payload { // of a later revision, which this one does not write
 			if len(m.Updates)+len(m.Observations)+len(m.Payload) > 0 {
-				t.Fatalf("of a kind that is not known %+v is read", m)
+				t.Fatalf("of an unknown kind %+v is read", m)
 			}
 			return
 		}
-		if len(m.Updates) > room/rumourSize+8 || len(m.Observations) > room/factSize+8 {
-			t.Fatalf("%d rumours and %d facts of %d bytes", len(m.Updates), len(m.Observations), len(b))
+		if len(m.Updates) > maxRecordBytes/updateBytes+8 || len(m.Observations) > maxRecordBytes/observationBytes+8 {
+			t.Fatalf("%d updates and %d observations of %d bytes", len(m.Updates), len(m.Observations), len(b))
 		}
-		again, s2, err := parse(m.append(nil, s))
-		if err != nil || s2 != s || !reflect.DeepEqual(again, m) {
+		again, h2, err := parseMessage(m.appendTo(nil, h))
+		if err != nil || h2 != h || !reflect.DeepEqual(again, m) {
 			t.Errorf("%+v became %+v, %v", m, again, err)
 		}
 	})
 }
 
-// BenchmarkCodes is what each of the codes weighed costs for a full datagram.
-func BenchmarkCodes(b *testing.B) {
-	text := make([]byte, MaxDatagramBytes-macSize)
+// BenchmarkMACs is what the authentication code of a full datagram costs, by the algorithms that were compared.
+func BenchmarkMACs(b *testing.B) {
+	text := make([]byte, MaxDatagramBytes-macBytes)
 	b.Run("blake2s", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			keyOne.code(text)
+			keyOne.mac(text)
 		}
 	})
 	b.Run("siphash", func(b *testing.B) {
--- a/internal/fleet/gossip/node_test.go
+++ b/internal/fleet/gossip/node_test.go
@@ -16,47 +16,47 @@
 	"appleledge/internal/harness/loopback"
 )
 
-// listener is a Host that remembers what it hears.
-type listener struct {
-	mu    sync.Mutex
-	facts map[uint64]time.Time
-	alive int
+// recordingHandler is a Handler that remembers what it is called with.
+type recordingHandler struct {
+	mu       sync.Mutex
+	received map[uint64]time.Time // when an observation came first, by id
+	alive    int
 }
 
-func (l *listener) HandleGossip(_ int, f Observation) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if _, heard := l.facts[f.ID]; !heard {
-		l.facts[f.ID] = time.Now()
+func (h *recordingHandler) HandleGossip(_ int, f Observation) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if _, isKnown := h.received[f.ID]; !isKnown {
+		h.received[f.ID] = time.Now()
 	}
 }
 
-func (l *listener) HandleOverloadReport(int, []byte) {}
+func (h *recordingHandler) HandleOverloadReport(int, []byte) {}
 
-func (l *listener) HandleLiveness(alive []bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.alive = 0
+func (h *recordingHandler) HandleLiveness(alive []bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.alive = 0
 	for _, is := range alive {
 		if is {
-			l.alive++
+			h.alive++
 		}
 	}
 }
 
-func (l *listener) heard(id uint64) func() bool {
+func (h *recordingHandler) hasReceived(id uint64) func() bool {
 	return func() bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return !l.facts[id].IsZero()
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		return !h.received[id].IsZero()
 	}
 }
 
-func (l *listener) lives(n int) func() bool {
+func (h *recordingHandler) seesAlive(n int) func() bool {
 	return func() bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return l.alive == n
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		return h.alive == n
 	}
 }
 
@@ -71,8 +71,9 @@
 	t.Fatal("waited in vain: " + what)
 }
 
-// Agents on sockets meet; one that starts anew hears at once what the others know; one that ends says so.
-func TestNodes(t *testing.T) {
+// Four agents on sockets learn of each other and pass an observation on. One ends, and the others know at once, as it announces that. It
+// starts again and receives the observation within a second, though it is no news any more.
+func TestNodesExchangeObservations(t *testing.T) {
 	const agents = 4
 	var at []netip.AddrPort
 	for range agents {
@@ -84,53 +85,54 @@
 		at = append(at, netip.MustParseAddrPort(h.Addr()))
 	}
 	epoch := time.Now().Add(-time.Second)
-	start := func(i int) (*Node, *listener, func()) {
-		n, err := NewNode(at[i].String(), NodeOptions{Self: i, Members: at, Keys: only(keyOne), ProbeInterval: 200 * time.Millisecond,
+	start := func(i int) (*Node, *recordingHandler, func()) {
+		n, err := NewNode(at[i].String(), NodeOptions{Self: i, Members: at, Keys: singleKey(keyOne), ProbeInterval: 200 * time.Millisecond,
 			Now: func() time.Duration { return time.Since(epoch) }, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &listener{facts: map[uint64]time.Time{}}
+		h := &recordingHandler{received: map[uint64]time.Time{}}
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		go func() { defer close(done); n.Run(ctx, l) }()
+		go func() { defer close(done); n.Run(ctx, h) }()
 		end := sync.OnceFunc(func() { stop(); <-done })
 		t.Cleanup(end)
-		return n, l, end
+		return n, h, end
 	}
 	var nodes [agents]*Node
-	var hears [agents]*listener
+	var handlers [agents]*recordingHandler
 	var ends [agents]func()
 	for i := range agents {
-		nodes[i], hears[i], ends[i] = start(i)
+		nodes[i], handlers[i], ends[i] = start(i)
 	}
-	for _, l := range hears {
-		eventually(t, "all live", l.lives(agents))
+	for _, h := range handlers {
+		eventually(t, "all agents are alive", h.seesAlive(agents))
 	}
 	nodes[1].Broadcast(Observation{Kind: 1, ID: 7})
-	for i, l := range hears {
+	for i, h := range handlers {
 		if i != 1 {
-			eventually(t, "the fact is heard", l.heard(7))
+			eventually(t, "the observation is received", h.hasReceived(7))
 		}
 	}
-	time.Sleep(time.Second) // it is no news any more
+	time.Sleep(time.Second) // until the observation is no news any more
 	ends[0]()
-	eventually(t, "it said that it ends", hears[2].lives(agents-1))
+	eventually(t, "the end is announced", handlers[2].seesAlive(agents-1))
 	began := time.Now()
-	_, fresh, _ := start(0)
-	eventually(t, "who starts anew hears it", fresh.heard(7))
-	if took := fresh.facts[7].Sub(began); took > time.Second {
+	_, restarted, _ := start(0)
+	eventually(t, "the restarted agent receives it", restarted.hasReceived(7))
+	if took := restarted.received[7].Sub(began); took > time.Second {
 		t.Errorf("that took %v", took)
 	} else {
-		t.Logf("heard after %v", took)
+		t.Logf("received after %v", took)
 	}
-	eventually(t, "all live again", fresh.lives(agents))
+	eventually(t, "all agents are alive again", restarted.seesAlive(agents))
 	if st := nodes[2].Status(); st.Alive != agents || st.Sent == 0 || st.Received == 0 {
 		t.Errorf("%+v", st)
 	}
 }
 
-func TestKeyFiles(t *testing.T) {
+// Files with one key and with two, the first of which seals, are read; of others the error names the file and what is wrong.
+func TestReadKeys(t *testing.T) {
 	one, two := hex.EncodeToString(keyOne[:]), hex.EncodeToString(keyTwo[:])
 	for text, want := range map[string]string{
 		one + "\n":                          "",
--- a/internal/fleet/snapshot/golden_test.go
+++ b/internal/fleet/snapshot/golden_test.go
@@ -17,7 +17,7 @@
 // fullDocument is a document in which each field has a value of its own.
 func fullDocument() Document {
 	return Document{
-		FormatVersion: 1, Agent: "n0 127.0.0.1:8081", BootID: "5f1c3a52-6c1e-4c0f-9d55-0123456789ab", SinceBoot: 61_000, PreviousWrites: 7, ListVersion: 41, Utilization: 0.51,
+		FormatVersion: 1, Agent: "n0 127.0.0.1:8081", BootID: "5f1c3a52-6c1e-4c0f-9d55-0123456789ab", SinceBoot: 61_000, WriteCount: 7, ListVersion: 41, Utilization: 0.51,
 		Servers: []listing.Entry{
 			{ID: "s-1", Addr: "127.0.0.1:9001", Zone: "zone-a", Kind: "twin-core", Cell: 2, State: "Ready", Weight: 1.25, StartedMS: 1_790_000_000_001},
 			{ID: "s-2", Addr: "127.0.0.1:9002", Zone: "zone-b", Kind: "quad-core", Cell: 3, State: "Terminating", Weight: 2.5, StartedMS: 1_790_000_000_002},
--- a/internal/fleet/snapshot/snapshot.go
+++ b/internal/fleet/snapshot/snapshot.go
@@ -40,17 +40,17 @@
 
 // Document is a saved state. Its JSON names are the file format and don't follow renamed fields.
 type Document struct {
-	FormatVersion  int                `json:"form"`
-	Agent          string             `json:"agent"`              // the writer: name and address
-	BootID         string             `json:"run"`                // of the machine's boot in which it was written
-	SinceBoot      int64              `json:"since_boot"`         // milliseconds from that boot until it was written
-	PreviousWrites uint64             `json:"writes"`             // that the same agent made before
-	ListVersion    int64              `json:"version"`            // of the endpoint list
-	Servers        []listing.Entry    `json:"servers"`            // the endpoint list
-	Capacity       map[string]float64 `json:"capacity,omitempty"` // requests a second of a warm server, by server id
-	ClassRates     map[string]float64 `json:"usual,omitempty"`    // usual requests a second at this agent, by class name
-	Utilization    float64            `json:"use,omitempty"`      // usual utilization of the servers, from 0 to 1
-	Denylist       denylist.Snapshot  `json:"bans"`
+	FormatVersion int                `json:"form"`
+	Agent         string             `json:"agent"`              // the writer: name and address
+	BootID        string             `json:"run"`                // of the machine's boot in which it was written
+	SinceBoot     int64              `json:"since_boot"`         // milliseconds from that boot until it was written
+	WriteCount    uint64             `json:"writes"`             // that the same agent made before
+	ListVersion   int64              `json:"version"`            // of the endpoint list
+	Servers       []listing.Entry    `json:"servers"`            // the endpoint list
+	Capacity      map[string]float64 `json:"capacity,omitempty"` // requests a second of a warm server, by server id
+	ClassRates    map[string]float64 `json:"usual,omitempty"`    // usual requests a second at this agent, by class name
+	Utilization   float64            `json:"use,omitempty"`      // usual utilization of the servers, from 0 to 1
+	Denylist      denylist.Snapshot  `json:"bans"`
 }
 
 // Decode reads a document that Encode wrote. After an error nothing of the document may be used.
--- a/internal/fleet/snapshot/snapshot_test.go
+++ b/internal/fleet/snapshot/snapshot_test.go
@@ -9,7 +9,7 @@
 )
 
 func sampleDocument() Document {
-	return Document{Agent: "n0 127.0.0.1:8081", BootID: "run-1", SinceBoot: 60_000, PreviousWrites: 7, ListVersion: 41, Utilization: 0.5,
+	return Document{Agent: "n0 127.0.0.1:8081", BootID: "run-1", SinceBoot: 60_000, WriteCount: 7, ListVersion: 41, Utilization: 0.5,
 		Servers: []listing.Entry{{ID: "s-1", Addr: "127.0.0.1:9001", State: "Ready", Weight: 1, StartedMS: 1_790_000_000_000},
 			{ID: "s-2", Addr: "127.0.0.1:9002", Cell: 1, State: "Terminating", Weight: 1}},
 		Capacity: map[string]float64{"s-1": 45}, ClassRates: map[string]float64{"form-check": 40, "gone-class": 1}}
