--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -66,14 +66,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conns := connpool.New(time.Second, time.Minute, 10)
 	core := engine.New(policy, clock, conns, quiet)
-	core.Count(site.Logic.Classes)
-	core.TurnedAway(&engine.Call{ID: "r"})
+	core.TrackLatency(site.Balancer.Classes)
+	core.CountRejected(&engine.Call{ID: "r"})
 	conns.Update(true, []engine.Member{{Server: balancer.Server{ID: "s-1"}, Addr: agenttest.Refusing(t)}})
 	if _, err := conns.Get(t.Context(), conns.Backend("s-1")); err == nil {
 		t.Fatal("a connection to where nothing listens")
--- a/internal/agent/join.go
+++ b/internal/agent/join.go
@@ -14,7 +14,7 @@
 
 // joining is what switched-on joins are at work with.
 type joining struct {
-	atFront  http1.Joins
+	atFront  http1.Coalescing
 	logEvery time.Duration
 }
 
@@ -31,13 +31,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("joining like requests: %w", err)
 	}
-	j := &joining{logEvery: set.LogEvery, atFront: http1.Joins{Identity: identity, Apart: set.Apart}}
+	j := &joining{logEvery: set.LogEvery, atFront: http1.Coalescing{Identity: identity, TenantsApart: set.Apart}}
 	j.atFront.Classes.Store(joined(set.Options.Classes))
 	after := site.MaxRetryAfter
 	for _, c := range site.Classes { // as the module words its refusals
 		after = min(after, c.LatencyObjective/2)
 	}
-	core.Join(set.Options, after)
+	core.SetCoalescing(set.Options, after)
 	return j, nil
 }
 
@@ -45,12 +45,12 @@
 func joined(classes []coalesce.Class) *[]bool {
 	out := make([]bool, len(classes))
 	for i, c := range classes {
-		out[i] = c.Joined
+		out[i] = c.Coalesces
 	}
 	return &out
 }
 
-func (j *joining) front() *http1.Joins {
+func (j *joining) front() *http1.Coalescing {
 	if j == nil {
 		return nil
 	}
@@ -61,13 +61,13 @@
 func logJoins(ctx context.Context, core *engine.Engine, interval time.Duration, log *slog.Logger) {
 	var last coalesce.Counts
 	every(ctx, interval, func() {
-		c := core.Load().Joins
-		if c.Flights == last.Flights && c.Alone == last.Alone {
+		c := core.Stats().Coalescing
+		if c.Flights == last.Flights && c.NotCoalesced == last.NotCoalesced {
 			return
 		}
-		log.Info("joined like requests", "flights", c.Flights-last.Flights, "joined", c.Joined-last.Joined,
-			"shared", c.Shared-last.Shared, "parted", c.Parted-last.Parted, "again", c.Again-last.Again,
-			"private", c.Private-last.Private, "alone", c.Alone-last.Alone, "waiting", c.Waiting, "groups", c.Groups)
+		log.Info("joined like requests", "flights", c.Flights-last.Flights, "joined", c.Followers-last.Followers,
+			"shared", c.Shared-last.Shared, "parted", c.LateFlights-last.LateFlights, "again", c.NextFlights-last.NextFlights,
+			"private", c.Private-last.Private, "alone", c.NotCoalesced-last.NotCoalesced, "waiting", c.Waiting, "groups", c.Groups)
 		last = c
 	})
 }
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -46,7 +46,7 @@
 type keeping struct {
 	set     Recovery
 	file    atomicfile.File
-	reader  listing.Reader
+	reader  listing.Decoder
 	agent   string
 	log     *slog.Logger
 	trust   ondisk.Trust
@@ -70,14 +70,14 @@
 	if x.Recovery == nil {
 		return nil, nil
 	}
-	k := &keeping{set: *x.Recovery, reader: listing.Reader{Zones: cfg.Site.Zones, Clock: clk}, agent: cfg.Name + " " + cfg.Listen, log: log,
+	k := &keeping{set: *x.Recovery, reader: listing.Decoder{Zones: cfg.Site.Zones, Clock: clk}, agent: cfg.Name + " " + cfg.Listen, log: log,
 		wake: make(chan struct{}, 1)}
 	if err := os.MkdirAll(k.set.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("recovery: the folder for what is kept: %w", err)
 	}
 	k.file = atomicfile.File{Path: filepath.Join(k.set.Dir, knowledge), FS: x.disk()}
 	k.repeats = clientsReturn
-	for _, c := range cfg.Site.Logic.Classes {
+	for _, c := range cfg.Site.Balancer.Classes {
 		k.repeats = max(k.repeats, c.Deadline+c.DedupWindow+clientsReturn)
 	}
 	if x.Ties == nil || x.Ties.Dir == "" || !x.Ties.Sync {
@@ -92,14 +92,14 @@
 		k.before, err = ondisk.Decode(text)
 	}
 	switch {
-	case errors.Is(err, atomicfile.ErrNone):
+	case errors.Is(err, atomicfile.ErrNotFound):
 		log.Info("nothing is kept from before")
 		return k, nil
 	case errors.Is(err, os.ErrPermission):
 		log.Error("what is kept can't be read: the agent begins with nothing", "file", k.file.Path, "error", err)
 		return k, nil
 	case err != nil:
-		aside, failed := k.file.SetAside(time.Now())
+		aside, failed := k.file.Quarantine(time.Now())
 		log.Error("what is kept is not whole: the agent begins with nothing", "file", k.file.Path, "error", err, "kept_as", aside, "not_set_aside", failed)
 		return k, nil
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return ondisk.Reader{}, err
 	}
-	_, since, err := bindinglog.SinceBoot()
+	_, since, err := bindinglog.BootTime()
 	return ondisk.Reader{Agent: k.agent, BootID: run, SinceBoot: since}, err
 }
 
@@ -163,7 +163,7 @@
 // attach puts the recovery at the engine's door, before it runs.
 func (k *keeping) attach(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Admitter, heard func() bool, askFor time.Duration) {
 	k.core = core
-	site := cfg.Site.Logic
+	site := cfg.Site.Balancer
 	o := recovery.Options{Agents: site.Balancers, Self: site.Index, ColdCapacityRatio: site.SlowStartInitialRatio, WarmupTime: site.SlowStartDuration, ColdOverloadFactor: site.WarmingOverloadRatio,
 		MaxRetryAfter: site.MaxRetryAfter, PeerPollTime: askFor, Seed: cfg.Seed}
 	for _, c := range site.Classes {
@@ -179,14 +179,14 @@
 	default:
 		r.Start(clk.Now(), recovery.Baseline{}, "nothing is known from before")
 	}
-	core.Return(r, heard, func() {
+	core.SetRecovery(r, heard, func() {
 		select {
 		case k.wake <- struct{}{}:
 		default:
 		}
 	})
 	if k.trust != ondisk.TrustEverything { // whatever is on the disk: it may be a backup's, or of before the last that was sent
-		core.Forgot(clk.Now() + k.repeats)
+		core.FailUnknownRepeatsUntil(clk.Now() + k.repeats)
 	}
 }
 
@@ -278,8 +278,8 @@
 
 // document is what the agent knows now; ok is false before it has been told of any server.
 func (k *keeping) document(ctx context.Context) (d ondisk.Document, ok bool, err error) {
-	known, err := k.core.Known(ctx)
-	if err != nil || len(known.Members) == 0 && len(known.Bans.DeniedSince) == 0 {
+	known, err := k.core.Snapshot(ctx)
+	if err != nil || len(known.Members) == 0 && len(known.Denylist.DeniedSince) == 0 {
 		return d, false, err
 	}
 	now, err := k.now()
@@ -287,17 +287,17 @@
 		return d, false, err
 	}
 	d = ondisk.Document{Agent: now.Agent, BootID: now.BootID, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
-		ClassRates: map[string]float64{}, Utilization: rounded(known.Before.Utilization), Denylist: known.Bans}
+		ClassRates: map[string]float64{}, Utilization: rounded(known.Recovery.Utilization), Denylist: known.Denylist}
 	for _, m := range known.Members {
-		d.Servers = append(d.Servers, k.reader.Entry(m))
+		d.Servers = append(d.Servers, k.reader.Encode(m))
 	}
-	for _, s := range known.Before.Servers {
+	for _, s := range known.Recovery.Servers {
 		if s.Capacity > 0 {
 			d.Capacity[s.ID] = rounded(s.Capacity)
 		}
 	}
-	names := k.core.Tally().Classes
-	for class, rate := range known.Before.ClassRates {
+	names := k.core.Counters().Classes
+	for class, rate := range known.Recovery.ClassRates {
 		if class < len(names) && rate > 0 {
 			d.ClassRates[names[class]] = rounded(rate)
 		}
@@ -324,7 +324,7 @@
 func (k *keeping) say(ctx context.Context, clk engine.Clock) {
 	last, logged := recovery.Status{}, time.Duration(0)
 	every(ctx, statusLook, func() {
-		st := k.core.Load().Recovery
+		st := k.core.Stats().Recovery
 		if st == nil {
 			return
 		}
--- a/internal/downstream/extproc/equivalence_test.go
+++ b/internal/downstream/extproc/equivalence_test.go
@@ -107,14 +107,14 @@
 func changes(e *engine.Engine, clock engine.Clock) {
 	tell := func(after time.Duration, ev engine.Event) {
 		time.Sleep(after)
-		e.Tell(ev)
+		e.Post(ev)
 	}
-	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Draining)}})
-	tell(300*time.Millisecond, engine.Listed{Members: []engine.Member{member(1, balancer.Removed)}})
-	tell(200*time.Millisecond, engine.ListUnavailable{})
+	tell(300*time.Millisecond, engine.EndpointUpdate{Members: []engine.Member{member(1, balancer.Draining)}})
+	tell(300*time.Millisecond, engine.EndpointUpdate{Members: []engine.Member{member(1, balancer.Removed)}})
+	tell(200*time.Millisecond, engine.EndpointsUnavailable{})
 	restarted := member(2, balancer.Ready)
 	restarted.Started = clock.Now()
-	tell(200*time.Millisecond, engine.Listed{Members: []engine.Member{restarted, member(9, balancer.Ready)}})
+	tell(200*time.Millisecond, engine.EndpointUpdate{Members: []engine.Member{restarted, member(9, balancer.Ready)}})
 }
 
 // scripted is a carrier that plays the recording.
@@ -123,7 +123,7 @@
 	got    *decided
 }
 
-func (s scripted) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (s scripted) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	s.got.send(a.Call.ID, a.Number, a.Server)
 	p := s.stream[a.Call.ID].outcome(a.Number, a.Server)
 	time.Sleep(p.took)
@@ -147,8 +147,8 @@
 
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{clock: engine.NewClock(), site: testSite(t)}
-	w.site.Logic.AllowHedging = false // a proxy carries one copy of a request
-	policy, err := balancer.New(w.site.Logic, seed)
+	w.site.Balancer.AllowHedging = false // a proxy carries one copy of a request
+	policy, err := balancer.New(w.site.Balancer, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 	for i := range 9 {
 		members = append(members, member(i, balancer.Ready))
 	}
-	w.engine.Tell(engine.Listed{Full: true, Members: members})
+	w.engine.Post(engine.EndpointUpdate{Full: true, Members: members})
 	go changes(w.engine, w.clock)
 }
 
@@ -191,8 +191,8 @@
 		for _, q := range stream {
 			byID[q.id] = q
 		}
-		front := downstreamhttp1.New(downstreamhttp1.Options{Engine: w.engine, Clock: w.clock, Carrier: scripted{byID, got},
-			Rules: requesthead.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
+		front := downstreamhttp1.New(downstreamhttp1.Options{Engine: w.engine, Clock: w.clock, Transport: scripted{byID, got},
+			Rules: requesthead.Rules{Classes: w.site.Balancer.Classes, Tenants: w.site.Tenants}, Log: slog.New(slog.DiscardHandler)}, connlimit.New(nil, 10000, connlimit.Options{}))
 		w.start(t)
 		play(stream, func(q recorded) {
 			method := http.MethodPost
@@ -224,8 +224,8 @@
 		set := testSet()
 		set.MaxOpen, set.MaxStreams = 10000, 10000
 		server := New(Options{Settings: set, Engine: w.engine, Clock: w.clock, Pool: w.pool, ReportFields: w.site.ReportFields,
-			Rules:   requesthead.Rules{Classes: w.site.Logic.Classes, Tenants: w.site.Tenants},
-			Longest: twoSeconds, Log: slog.New(slog.DiscardHandler)})
+			Rules:       requesthead.Rules{Classes: w.site.Balancer.Classes, Tenants: w.site.Tenants},
+			MaxDeadline: twoSeconds, Log: slog.New(slog.DiscardHandler)})
 		w.start(t)
 		l := bufconn.Listen(1 << 20)
 		ctx, stop := context.WithCancel(context.Background())
--- a/internal/engine/shared.go
+++ b/internal/engine/shared.go
@@ -9,8 +9,8 @@
 	"appleledge/internal/fleet/corroborate"
 )
 
-// Sharer is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package overload.
-type Sharer interface {
+// OverloadHandler is what makes an agent one of a fleet that handles overload together. It learns what the engine does; see package overload.
+type OverloadHandler interface {
 	// AllowsRetry reports whether an attempt beyond a call's first may go out.
 	AllowsRetry(now time.Duration) bool
 	AttemptSent(now time.Duration, server string, further bool)
@@ -23,10 +23,10 @@
 	ExcludedServers(now time.Duration) []string
 }
 
-// ShareBy makes the agent one of many that handle overload together. It is called before Run, after Heed.
-func (e *Engine) ShareBy(s Sharer) { e.worded.sharer = s }
+// SetOverload makes the agent one of many that handle overload together. It is called before Run, after Heed.
+func (e *Engine) SetOverload(s OverloadHandler) { e.worded.sharer = s }
 
-func (e *Engine) sharer() Sharer {
+func (e *Engine) sharer() OverloadHandler {
 	if e.worded == nil {
 		return nil
 	}
@@ -42,14 +42,14 @@
 func (shared) event() {}
 
 // HandleOverloadReport takes what another agent tells of overload.
-func (e *Engine) HandleOverloadReport(from int, body []byte) { e.Tell(Shared(from, body)) }
+func (e *Engine) HandleOverloadReport(from int, body []byte) { e.Post(OverloadReported(from, body)) }
 
-// Shared is what another agent tells, as an event.
-func Shared(from int, body []byte) Event { return shared{from, body} }
+// OverloadReported is what another agent tells, as an event.
+func OverloadReported(from int, body []byte) Event { return shared{from, body} }
 
-// Sharing runs do on the engine's goroutine, beside the Sharer. It waits until that is done.
-func (e *Engine) Sharing(ctx context.Context, do func(now time.Duration)) error {
-	return e.command(ctx, do)
+// WithOverload runs do on the engine's goroutine, beside the Sharer. It waits until that is done.
+func (e *Engine) WithOverload(ctx context.Context, do func(now time.Duration)) error {
+	return e.execute(ctx, do)
 }
 
 // heldWith are the servers that are held out on others' word of a drain, and those on their word that they are ill.
--- a/internal/fleet/overload/plan.go
+++ b/internal/fleet/overload/plan.go
@@ -76,7 +76,7 @@
 		all += asked.NewRequests[c] + asked.ClientRetries[c]
 	}
 	// What waits at servers beyond what is usual is worked off first.
-	waits := max(0, asked.InFlight-p.limit*openTime*d.set.Classes[d.order[0]].Aim.Seconds())
+	waits := max(0, asked.InFlight-p.limit*openTime*d.set.Classes[d.order[0]].LatencyObjective.Seconds())
 	left := max(leastPart*p.limit, p.limit-asked.ExtraAttempts-waits/drainIn.Seconds())
 	if all <= left || capacity == 0 {
 		return p
--- a/internal/fleet/snapshot/snapshot.go
+++ b/internal/fleet/snapshot/snapshot.go
@@ -171,7 +171,7 @@
 		baseline.ClassRates[i] = d.ClassRates[name]
 	}
 	for _, e := range d.Servers {
-		baseline.Servers = append(baseline.Servers, recovery.BaselineServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.Ready, Capacity: d.Capacity[e.ID]})
+		baseline.Servers = append(baseline.Servers, recovery.BaselineServer{ID: e.ID, Cell: e.Cell, Ready: e.State == listing.StateReady, Capacity: d.Capacity[e.ID]})
 	}
 	return baseline
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -40,11 +40,11 @@
 
 // Server shows the figures of an agent.
 type Server struct {
-	Engine *engine.Engine
-	Pool   *connpool.Pool
-	Peers  func() *gossip.Status   // nil, or returning nil: the agent knows of no others
-	Shares func() *overload.Status // nil, or returning nil: overload is handled alone
-	Log    *slog.Logger
+	Engine   *engine.Engine
+	Pool     *connpool.Pool
+	Peers    func() *gossip.Status   // nil, or returning nil: the agent knows of no others
+	Overload func() *overload.Status // nil, or returning nil: overload is handled alone
+	Log      *slog.Logger
 }
 
 // Serve answers GET /metrics until the context ends.
@@ -67,47 +67,47 @@
 
 // Write writes all figures in Prometheus' text format.
 func (s *Server) Write(w io.Writer) {
-	l := s.Engine.Load()
+	l := s.Engine.Stats()
 	page := page{w}
 	page.gauge("appleledge_ready", "", bit(s.Engine.Ready()))
 	page.gauge("appleledge_calls", "", float64(l.Calls))
-	s.pool(page, s.Pool.Count())
+	s.pool(page, s.Pool.Stats())
 	for i, id := range slices.Sorted(maps.Keys(l.InFlight)) {
 		if i == mostServers {
 			break
 		}
 		page.gauge("appleledge_attempts_in_flight", fmt.Sprintf("server=%q", id), float64(l.InFlight[id]))
 	}
-	s.tally(page, l.Tally)
+	s.tally(page, l.Counters)
 	s.joins(page, l)
-	s.door(page, l.Door, l.Tally.Classes)
+	s.door(page, l.Admission, l.Counters.Classes)
 	s.generation(page, l.Generation)
-	s.ties(page, l.Ties)
-	s.recovery(page, l.Recovery, l.Tally.Classes)
+	s.ties(page, l.Affinity)
+	s.recovery(page, l.Recovery, l.Counters.Classes)
 	s.peers(page)
-	s.overload(page, l.Tally.Classes)
+	s.overload(page, l.Counters.Classes)
 	metrics.WriteProcessMetrics(w)
 }
 
-func (s *Server) pool(p page, c connpool.Counts) {
+func (s *Server) pool(p page, c connpool.Stats) {
 	p.gauge("appleledge_connections", `state="in_use"`, float64(c.Open-c.Idle))
 	p.gauge("appleledge_connections", `state="idle"`, float64(c.Idle))
-	for name, n := range map[string]uint64{"dials": c.Dials, "failed_dials": c.Failed, "reused": c.Reused, "found_dead": c.Dead, "no_room": c.NoRoom} {
+	for name, n := range map[string]uint64{"dials": c.Dials, "failed_dials": c.FailedDials, "reused": c.Reused, "found_dead": c.Dead, "no_room": c.Exhausted} {
 		p.count("appleledge_connections_"+name+"_total", "", n)
 	}
 }
 
-func (s *Server) tally(p page, t engine.Tally) {
+func (s *Server) tally(p page, t engine.Counters) {
 	for class, counts := range t.Answers {
 		name := t.Classes[class]
 		for kind, n := range counts {
 			p.count("appleledge_answers_total", fmt.Sprintf("class=%q,kind=%q", name, engine.AnswerKinds[kind]), n)
 		}
 		p.count("appleledge_clients_left_total", fmt.Sprintf("class=%q", name), t.Left[class])
-		if class >= len(t.Times) {
+		if class >= len(t.Latencies) {
 			continue // nobody has asked for times
 		}
-		times := t.Times[class]
+		times := t.Latencies[class]
 		for _, q := range slices.Sorted(maps.Keys(times.Quantiles)) {
 			p.gauge("appleledge_served_seconds", fmt.Sprintf(`class=%q,quantile="%v"`, name, q), times.Quantiles[q].Seconds())
 		}
@@ -117,7 +117,7 @@
 	for kind, n := range t.Sends {
 		p.count("appleledge_sends_total", fmt.Sprintf("kind=%q", engine.SendKinds[kind]), n)
 	}
-	p.count("appleledge_sends_cold_total", "", t.Cold)
+	p.count("appleledge_sends_cold_total", "", t.SlowStart)
 	for why, n := range t.GivenUp {
 		p.count("appleledge_given_up_total", fmt.Sprintf("reason=%q", balancer.ReasonNames[why]), n)
 	}
@@ -126,10 +126,10 @@
 	}
 }
 
-func (s *Server) joins(p page, l engine.Load) {
-	c := l.Joins
-	for name, n := range map[string]uint64{"flights": c.Flights, "joined": c.Joined, "alone": c.Alone, "parted": c.Parted,
-		"again": c.Again, "private": c.Private, "shared": c.Shared} {
+func (s *Server) joins(p page, l engine.Stats) {
+	c := l.Coalescing
+	for name, n := range map[string]uint64{"flights": c.Flights, "joined": c.Followers, "alone": c.NotCoalesced, "parted": c.LateFlights,
+		"again": c.NextFlights, "private": c.Private, "shared": c.Shared} {
 		p.count("appleledge_join_"+name+"_total", "", n)
 	}
 	p.gauge("appleledge_join_waiting", "", float64(c.Waiting))
@@ -137,15 +137,15 @@
 }
 
 func (s *Server) door(p page, c admission.Counts, classes []string) {
-	for state := admission.Calm; state <= admission.Recovering; state++ {
+	for state := admission.Normal; state <= admission.Recovering; state++ {
 		p.gauge("appleledge_storm_state", fmt.Sprintf("state=%q", state), bit(c.State == state))
 	}
-	p.count("appleledge_storms_total", "", c.Storms)
+	p.count("appleledge_storms_total", "", c.Overloads)
 	p.gauge("appleledge_storm_limit", "", c.Limit)
 	p.gauge("appleledge_storm_in_flight", "", float64(c.InFlight))
-	p.count("appleledge_storm_too_late_total", "", c.Late)
-	p.count("appleledge_storm_bound_total", "", c.Bound)
-	for class, n := range c.Refused {
+	p.count("appleledge_storm_too_late_total", "", c.TooLate)
+	p.count("appleledge_storm_bound_total", "", c.OverLimit)
+	for class, n := range c.Rejected {
 		p.count("appleledge_storm_refused_total", fmt.Sprintf(`class=%q,try="first"`, classes[class]), n[0])
 		p.count("appleledge_storm_refused_total", fmt.Sprintf(`class=%q,try="again"`, classes[class]), n[1])
 	}
@@ -164,8 +164,8 @@
 
 func (s *Server) ties(p page, c affinity.Counts) {
 	p.gauge("appleledge_ties", "", float64(c.Entries))
-	for name, n := range map[string]uint64{"tied": c.Tied, "lost": c.Lost, "overflowed": c.Overflowed, "evicted": c.Evicted,
-		"unprotected": c.Unprotected, "undurable": c.Undurable, "restored": c.Restored} {
+	for name, n := range map[string]uint64{"tied": c.Hits, "lost": c.PodUnknown, "overflowed": c.Overflowed, "evicted": c.Evicted,
+		"unprotected": c.Unprotected, "undurable": c.NotDurable, "restored": c.Restored} {
 		p.count("appleledge_ties_"+name+"_total", "", n)
 	}
 }
@@ -220,10 +220,10 @@
 }
 
 func (s *Server) overload(p page, classes []string) {
-	if s.Shares == nil {
+	if s.Overload == nil {
 		return
 	}
-	st := s.Shares()
+	st := s.Overload()
 	if st == nil {
 		return
 	}
