--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -264,7 +264,7 @@
 	if d.HasSameContent(k.lastWritten) && time.Since(k.writtenAt) < maxSnapshotAge {
 		return nil
 	}
-	d.PreviousWrites = max(k.lastWritten.PreviousWrites, k.previous.PreviousWrites) + 1
+	d.WriteCount = max(k.lastWritten.WriteCount, k.previous.WriteCount) + 1
 	text, err := d.Encode()
 	if err != nil {
 		return err
