--- a/internal/affinity/bindinglog/bindinglog.go
+++ b/internal/affinity/bindinglog/bindinglog.go
@@ -73,7 +73,7 @@
 	flushNeeded   chan struct{}
 
 	// Of the goroutine that writes:
-	file         atomicfile.Handle // nil where the next write creates one
+	file         atomicfile.WritableFile // nil where the next write creates one
 	fileName     string
 	fileBytes    int
 	lastWrite    time.Duration
--- a/internal/affinity/bindinglog/bindinglog_test.go
+++ b/internal/affinity/bindinglog/bindinglog_test.go
@@ -55,7 +55,7 @@
 		for at := range 14 {
 			for seed := range uint64(20) {
 				disk := faultfs.New(seed)
-				disk.Left, disk.Fault = at, fault
+				disk.OperationsUntilFault, disk.FaultError = at, fault
 				l := openLog(t, c.options(disk, true))
 				acknowledged, appended := []int{}, 0
 				for batch := range 4 {
@@ -73,8 +73,8 @@
 						}
 					}
 				}
-				disk.Left = -1
-				found := readAll(t, c.options(disk.Restart(), true))
+				disk.OperationsUntilFault = -1
+				found := readAll(t, c.options(disk.Reboot(), true))
 				var got []int
 				for _, r := range found.Records {
 					got = append(got, int(r.Key[0]))
@@ -177,7 +177,7 @@
 		t.Errorf("after a reboot %+v", found)
 	}
 	files := func() int {
-		names, err := atomicfile.OS{}.Names(o.Dir)
+		names, err := atomicfile.OS{}.List(o.Dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -218,7 +218,7 @@
 	if err := os.WriteFile(filepath.Join(o.Dir, secretFileName), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := LoadOrCreateSecret(o); !errors.Is(err, atomicfile.ErrBroken) {
+	if _, err := LoadOrCreateSecret(o); !errors.Is(err, atomicfile.ErrCorrupt) {
 		t.Errorf("a damaged one: %v", err)
 	}
 }
--- a/internal/affinity/bindinglog/inspect.go
+++ b/internal/affinity/bindinglog/inspect.go
@@ -26,7 +26,7 @@
 
 // Inspect reads the files of a folder, quarantined ones too, and changes nothing. It needs no running agent.
 func Inspect(f atomicfile.FS, dir string) (reports []FileReport, err error) {
-	names, err := f.Names(dir)
+	names, err := f.List(dir)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/affinity/bindinglog/read.go
+++ b/internal/affinity/bindinglog/read.go
@@ -25,7 +25,7 @@
 // its process may still be writing, or was killed while it did. An error such as ErrNewerFormat ends the call; what was read before
 // it is returned with it.
 func (l *Log) ReadNew() (found ReadResult, err error) {
-	names, err := l.options.FS.Names(l.options.Dir)
+	names, err := l.options.FS.List(l.options.Dir)
 	if err != nil {
 		return found, err
 	}
--- a/internal/affinity/bindinglog/retention.go
+++ b/internal/affinity/bindinglog/retention.go
@@ -17,7 +17,7 @@
 // than Retention without another record (see write), so a file is of no use Retention after its last record. The file of another process
 // is read once more before it goes, as records may have been added since it was seen first. It is called by the goroutine that writes.
 func (l *Log) RemoveExpired() error {
-	names, err := l.options.FS.Names(l.options.Dir)
+	names, err := l.options.FS.List(l.options.Dir)
 	if err != nil {
 		return err
 	}
--- a/internal/affinity/bindinglog/secret.go
+++ b/internal/affinity/bindinglog/secret.go
@@ -15,14 +15,14 @@
 func LoadOrCreateSecret(o Options) (s affinity.Secret, err error) {
 	f := atomicfile.File{Path: filepath.Join(o.Dir, secretFileName), FS: o.FS}
 	content, err := f.Load()
-	if errors.Is(err, atomicfile.ErrNone) {
+	if errors.Is(err, atomicfile.ErrNotFound) {
 		if _, err := rand.Read(s[:]); err != nil {
 			return s, err
 		}
 		return s, f.Save(s[:])
 	}
 	if err == nil && len(content) != len(s) {
-		err = atomicfile.ErrBroken
+		err = atomicfile.ErrCorrupt
 	}
 	if err != nil {
 		return s, fmt.Errorf("the secret of ties: %w", err)
