--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -1,5 +1,7 @@
-// Package file is a membership source that watches a file on disk: a list of servers in the form of the platform's
-// discovery (package listing).
+// Package file is the membership source that watches a file on disk: an endpoint list in the form of package listing.
+//
+// A file that can't be read or used changes nothing: the last list stays in force, the source counts as disconnected, and the reason is
+// logged once. Nothing is stored.
 package file
 
 import (
@@ -17,47 +19,49 @@
 	"appleledge/internal/membership/listing"
 )
 
-// most is how long a file may be, in bytes: over 100,000 servers.
-const most = 16 << 20
+// maxFileBytes bounds the file: over 100,000 servers.
+const maxFileBytes = 16 << 20
 
-// Source watches a file. It looks at the file every Poll, by its time and size and then by its text, which holds also
-// where a file is replaced by a rename or by way of a link, as configuration maps are.
+// Source watches a file. It polls every PollInterval, by the file's time and size and then by a hash of its text, which holds also where
+// the file is replaced by a rename or by way of a link, as Kubernetes replaces configuration maps.
 type Source struct {
 	Path         string
 	PollInterval time.Duration
 	Decoder      listing.Decoder
 	Log          *slog.Logger
 
-	seen     os.FileInfo // as of the last look that read the text
-	sum      uint64      // of the last text
-	known    bool        // there was one
-	complain string      // the last error that was logged
+	// Of the goroutine in Run:
+	lastInfo  os.FileInfo // of the last poll that read the text
+	lastHash  uint64      // of the last text that was used
+	hasRead   bool        // there was one
+	lastError string      // the last one that was logged; empty while the file can be used
 }
 
-// Run watches the file until the context ends. What can't be read or used changes nothing: the last list stands.
+// Run watches the file until the context ends. It is called once.
 func (s *Source) Run(ctx context.Context, to membership.Sink) {
-	t := time.NewTicker(s.PollInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(s.PollInterval)
+	defer ticker.Stop()
 	for {
-		if err := s.look(to); err != nil {
-			if text := err.Error(); text != s.complain { // the same over and over must not fill the log
-				s.complain = text
+		if err := s.poll(to); err != nil {
+			if text := err.Error(); text != s.lastError { // else a broken file would fill the log
+				s.lastError = text
 				s.Log.Warn("list of servers not read, keeping the last one", "file", s.Path, "error", err)
 			}
 			to.Disconnected(err)
 		} else {
-			s.complain = ""
+			s.lastError = ""
 		}
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look reads the file if it may have changed.
-func (s *Source) look(to membership.Sink) error {
+// poll reads the file if it may have changed. After an error it is read again, and reported even if it is as before: that ends the
+// disconnection.
+func (s *Source) poll(to membership.Sink) error {
 	f, err := os.Open(s.Path)
 	if err != nil {
 		return err
@@ -67,33 +71,33 @@
 	if err != nil {
 		return err
 	}
-	if s.complain == "" && s.seen != nil && os.SameFile(info, s.seen) && info.ModTime().Equal(s.seen.ModTime()) && info.Size() == s.seen.Size() {
+	if s.lastError == "" && s.lastInfo != nil && os.SameFile(info, s.lastInfo) && info.ModTime().Equal(s.lastInfo.ModTime()) && info.Size() == s.lastInfo.Size() {
 		return nil
 	}
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(text) > most {
-		return fmt.Errorf("%s holds more than %d bytes", s.Path, most)
+	if len(text) > maxFileBytes {
+		return fmt.Errorf("%s holds more than %d bytes", s.Path, maxFileBytes)
 	}
 	sum := xxhash.Sum64(text)
-	if s.known && sum == s.sum && s.complain == "" {
-		s.seen = info
+	if s.hasRead && sum == s.lastHash && s.lastError == "" {
+		s.lastInfo = info
 		return nil
 	}
-	u, err := s.read(text)
+	u, err := s.decode(text)
 	if err != nil {
 		return err
 	}
-	s.seen, s.sum, s.known = info, sum, true
+	s.lastInfo, s.lastHash, s.hasRead = info, sum, true
 	to.Update(u)
 	return nil
 }
 
-// read makes an update of a file's text. One bad entry refuses the file: it is written by hand or by a tool, which is to
-// be told, and half of a list is none.
-func (s *Source) read(text []byte) (u membership.Update, err error) {
+// decode makes an update of a file's text. One invalid entry rejects the whole file: it is written by hand or by a tool, whose owner is
+// to hear of the mistake, and half of a list would look as if the other half had been removed.
+func (s *Source) decode(text []byte) (u membership.Update, err error) {
 	l, err := listing.Parse(text)
 	if err != nil {
 		return u, fmt.Errorf("%s: %w", s.Path, err)
@@ -101,9 +105,9 @@
 	if l.Servers == nil {
 		return u, fmt.Errorf("%s: no \"servers\"; an empty list is written as \"servers\": []", s.Path)
 	}
-	members, bad := s.Decoder.Decode(l)
-	if len(bad) > 0 {
-		return u, fmt.Errorf("%s: server %q: %w", s.Path, bad[0].ID, bad[0].Err)
+	members, invalid := s.Decoder.Decode(l)
+	if len(invalid) > 0 {
+		return u, fmt.Errorf("%s: server %q: %w", s.Path, invalid[0].ID, invalid[0].Err)
 	}
 	return membership.Update{Full: true, Members: members}, nil
 }
--- a/internal/membership/file/file_test.go
+++ b/internal/membership/file/file_test.go
@@ -13,8 +13,9 @@
 	"appleledge/internal/membership/listing"
 )
 
-// A file is followed through edits, replacements and faults; what is wrong is named with its line and changes nothing.
-func TestWatchesAFile(t *testing.T) {
+// A file is created, edited, replaced by a rename, cut off, broken and mended. Each usable text is reported as a whole list; each fault is
+// logged once, with its line, and changes nothing.
+func TestFileIsFollowedThroughEditsAndFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "servers.json")
 	write := func(text string) {
 		t.Helper()
@@ -41,7 +42,7 @@
 				t.Fatalf("%s: %+v", what, u)
 			}
 		case <-time.After(agenttest.Patience):
-			t.Fatalf("%s: nothing is said", what)
+			t.Fatalf("%s: no update came", what)
 		}
 	}
 	fault := func(what, want string) {
@@ -63,7 +64,7 @@
 	fault("a bad entry", `server \"s-3\": address no address: missing port`)
 	write("{}")
 	fault("no servers", "an empty list is written as")
-	write(agenttest.ListText(1, true, one, two)) // as before the faults: said again, which ends the loss
+	write(agenttest.ListText(1, true, one, two)) // as before the faults: reported again, which ends the disconnection
 	update("mended", 2)
 	write(`{"servers":[]}`)
 	update("an empty list", 0)
--- a/internal/membership/file/golden_test.go
+++ b/internal/membership/file/golden_test.go
@@ -15,7 +15,7 @@
 	"appleledge/internal/membership/listing"
 )
 
-// A file in the platform's form, as committed with package listing.
+// The committed list of package listing, as a file, is reported as a whole list.
 func TestGoldenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "servers.json")
 	if err := os.WriteFile(path, golden.Read(t, "listing/full.json"), 0o600); err != nil {
@@ -24,7 +24,7 @@
 	var now time.Duration
 	s := &Source{Path: path, Decoder: listing.Decoder{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.ManualClock(&now)}}
 	to := agenttest.NewSink()
-	if err := s.look(to); err != nil {
+	if err := s.poll(to); err != nil {
 		t.Fatal(err)
 	}
 	want := membership.Update{Full: true, Members: []engine.Member{
--- a/internal/membership/listing/golden_test.go
+++ b/internal/membership/listing/golden_test.go
@@ -20,6 +20,7 @@
 	}
 }
 
+// The committed lists, a whole one and each kind of change, parse as the values that they stand for.
 func TestGoldenLists(t *testing.T) {
 	e := goldenEntries()
 	drains := e["s-1"]
@@ -39,13 +40,14 @@
 	}
 }
 
-// goldenReader has a clock that starts at 1970, and lists whose clock is 100 ms ahead.
-func goldenReader() Decoder {
+// goldenDecoder has a clock that starts at 1970, for lists whose clock is 100 ms ahead.
+func goldenDecoder() Decoder {
 	var now time.Duration
 	return Decoder{Zones: []string{"edinburgh-dc", "lerwick-dc"}, Clock: engine.ManualClock(&now), ClockOffset: 100 * time.Millisecond}
 }
 
-func TestGoldenMembers(t *testing.T) {
+// The committed lists decode into members, with start times corrected by the offset of the list's clock.
+func TestGoldenDecode(t *testing.T) {
 	for name, want := range map[string][]engine.Member{
 		"full": {
 			{Addr: "10.0.0.1:8001", Kind: "twin-core", Server: balancer.Server{ID: "s-1", Cell: 1, Weight: 1.5, Started: 1764580000023 * time.Millisecond}},
@@ -57,44 +59,44 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		members, bad := goldenReader().Decode(l)
-		if !reflect.DeepEqual(members, want) || len(bad) > 0 {
-			t.Errorf("%s: %v\n got  %+v\n want %+v", name, bad, members, want)
+		members, invalid := goldenDecoder().Decode(l)
+		if !reflect.DeepEqual(members, want) || len(invalid) > 0 {
+			t.Errorf("%s: %v\n got  %+v\n want %+v", name, invalid, members, want)
 		}
 	}
 }
 
-// Entries that can't be used, by what is logged of them.
-func TestGoldenMalformedEntries(t *testing.T) {
+// The committed list with invalid entries yields its one valid member, and the ids and errors of the others.
+func TestGoldenInvalidEntries(t *testing.T) {
 	l, err := Parse(golden.Read(t, "listing/malformed.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	members, bad := goldenReader().Decode(l)
+	members, invalid := goldenDecoder().Decode(l)
 	if len(members) != 1 || members[0].ID != "s-2" {
 		t.Errorf("%+v", members)
 	}
 	want := []string{"s-5", "s-6", "s-7"}
-	for i, b := range bad {
+	for i, b := range invalid {
 		if i >= len(want) || b.ID != want[i] || b.Err == nil {
 			t.Errorf("entry %d: %q, %v", i, b.ID, b.Err)
 		}
 	}
-	if len(bad) != len(want) {
-		t.Errorf("%d entries are malformed", len(bad))
+	if len(invalid) != len(want) {
+		t.Errorf("%d entries are invalid", len(invalid))
 	}
 }
 
-// Entries are also written, for agents that start with what others knew.
-func TestGoldenEntry(t *testing.T) {
-	r := goldenReader()
-	r.ClockOffset = 0
+// An agent writes its list for the next start. Members in each state encode as the committed entries.
+func TestGoldenEncode(t *testing.T) {
+	decoder := goldenDecoder()
+	decoder.ClockOffset = 0
 	member := engine.Member{Addr: "10.0.0.2:8002", Kind: "quad-core", Server: balancer.Server{ID: "s-2", Zone: 1, Cell: 2, Weight: 2.5,
 		Started: 1764580000456 * time.Millisecond}}
 	var out []byte
 	for _, state := range []balancer.State{balancer.Ready, balancer.Draining, balancer.Removed} {
 		member.State = state
-		text, err := json.Marshal(r.Encode(member))
+		text, err := json.Marshal(decoder.Encode(member))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/membership/listing/listing_test.go
+++ b/internal/membership/listing/listing_test.go
@@ -9,7 +9,8 @@
 	"appleledge/internal/engine"
 )
 
-func FuzzMembers(f *testing.F) {
+// Any text that parses decodes into one member or one invalid entry for each of its entries, and each member can be used.
+func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"version":41,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:1","zone":"a","cell":3,"state":"Ready","weight":1.5,"started_ms":7}]}`))
 	f.Add([]byte(`{"servers":[{"id":"s","state":"Gone"},7,{"id":"x","addr":"no","state":"Ready"},null]}`))
 	f.Add([]byte(`{"servers":`))
@@ -18,9 +19,9 @@
 		if err != nil {
 			return
 		}
-		members, bad := Decoder{Zones: []string{"a"}, Clock: engine.NewClock()}.Decode(l)
-		if len(members)+len(bad) != len(l.Servers) {
-			t.Fatalf("%d entries became %d members and %d faults", len(l.Servers), len(members), len(bad))
+		members, invalid := Decoder{Zones: []string{"a"}, Clock: engine.NewClock()}.Decode(l)
+		if len(members)+len(invalid) != len(l.Servers) {
+			t.Fatalf("%d entries became %d members and %d invalid ones", len(l.Servers), len(members), len(invalid))
 		}
 		for _, m := range members {
 			if m.ID == "" || m.Addr == "" && m.State != balancer.Removed {
@@ -30,8 +31,9 @@
 	})
 }
 
-// What can't be read is named with its line, and a bad entry with what it is; the others are read.
-func TestFaults(t *testing.T) {
+// A list is cut off or has wrong types: the error names the line. Of a list with two wrong entries the others are read, and keys of
+// later versions are skipped.
+func TestParseErrorsNameTheLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"{\"servers\":\n[{\"id\":\"a\"},\n{\"id\":\"s-2\",\"ad": "line 3: unexpected EOF",
 		"{\"servers\":\n[{\"id\":\"a\"},\n{\"id\": x}]}":        "line 3: invalid character 'x'",
@@ -47,14 +49,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	members, bad := Decoder{Clock: engine.NewClock()}.Decode(l)
-	if len(members) != 2 || members[0].ID != "s-1" || members[1].State != balancer.Removed || len(bad) != 2 {
-		t.Errorf("%+v, %+v", members, bad)
+	members, invalid := Decoder{Clock: engine.NewClock()}.Decode(l)
+	if len(members) != 2 || members[0].ID != "s-1" || members[1].State != balancer.Removed || len(invalid) != 2 {
+		t.Errorf("%+v, %+v", members, invalid)
 	}
 }
 
-// BenchmarkList is a whole list of 10,000 servers, read and made into members.
-func BenchmarkList(b *testing.B) {
+// BenchmarkParseAndDecode measures a whole list of 10,000 servers, read and made into members.
+func BenchmarkParseAndDecode(b *testing.B) {
 	var entries []string
 	for i := range 10_000 {
 		entries = append(entries, fmt.Sprintf(`{"id":"s-%08x","addr":"10.1.%d.%d:8081","zone":"a","kind":"m2","cell":%d,"state":"Ready","weight":1.0,"started_ms":0}`,
