--- a/cmd/appleledgectl/golden_test.go
+++ b/cmd/appleledgectl/golden_test.go
@@ -38,7 +38,7 @@
 	}
 	golden.Equal(t, "plan/saved.json", text)
 	got, err := plan.Decode(golden.Read(t, "plan/saved.json"))
-	if err != nil || got.Sum != p.Sum {
+	if err != nil || got.Checksum != p.Checksum {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
@@ -93,7 +93,7 @@
 		}
 		delete(s.OpenRequests, 9)
 		if bare {
-			s.IsWatched, s.PreviousHash, s.OpenRequests, s.Durable, s.Lock = false, "", nil, false, nil
+			s.IsWatched, s.PreviousHash, s.OpenRequests, s.IsDurable, s.Lock = false, "", nil, false, nil
 		}
 		if err := (&console{out: &b}).writeStatus(s); err != nil {
 			t.Fatal(err)
--- a/internal/agent/sections_test.go
+++ b/internal/agent/sections_test.go
@@ -19,19 +19,19 @@
 	b := newGate(t, "")
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
 	with := joinAll(false)
-	with.Storm = &Storm{Remember: 100, LogEvery: time.Hour}
+	with.Admission = &AdmissionOptions{MaxRemembered: 100, LogInterval: time.Hour}
 	socket := filepath.Join(t.TempDir(), "s")
-	with.Generations = &Generations{Socket: socket}
+	with.Generations = &GenerationOptions{Socket: socket}
 	a := startReloadingFor(t, d.Addr().String(), "", with)
 	client := admin.NewClient(socket)
-	limited := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Class: "refund-status", InFlight: new(int), ComeBack: fleetconfig.Time(200 * time.Millisecond)}}}
+	limited := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Class: "refund-status", MaxInFlight: new(int), RetryAfter: fleetconfig.Duration(200 * time.Millisecond)}}}
 	limited.Normalize()
 	apply := func() error {
 		p := &plan.Plan{}
-		if err := client.Call(t.Context(), http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: limited, MostTaken: 1}, p); err != nil {
+		if err := client.Call(t.Context(), http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: limited, MaxCapacityTaken: 1}, p); err != nil {
 			return err
 		}
-		return client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, By: "test"}, &admin.Applied{})
+		return client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: "test"}, &admin.ChangeResult{})
 	}
 	if err := apply(); err == nil || !strings.Contains(err.Error(), "refund-status") {
 		t.Errorf("a configuration with a class that is not there yet: %v", err)
