--- a/internal/agent/storm.go
+++ b/internal/agent/admission.go
@@ -11,7 +11,21 @@
 	"appleledge/internal/engine"
 )
 
-// newAdmissionController is a watch for storms by the platform's settings.
+// openAdmission puts the admission controller that goes by this agent alone before the balancer.
+func (a *assembly) openAdmission() error {
+	if a.features.Admission == nil {
+		return nil
+	}
+	controller := newAdmissionController(a.cfg, *a.features.Admission)
+	a.admission = controller
+	a.engine.SetAdmission(controller)
+	a.components.add(untilAnswered, func(ctx context.Context) {
+		logAdmission(ctx, a.engine, a.clock, a.features.Admission.LogInterval, a.log)
+	})
+	return nil
+}
+
+// newAdmissionController returns an admission controller for the classes and quotas of the platform's settings.
 func newAdmissionController(cfg Config, set AdmissionOptions) *admission.Controller {
 	site := cfg.Site.Balancer
 	o := admission.Options{Quotas: site.Quotas, MaxRetryAfter: site.MaxRetryAfter, MaxRemembered: set.MaxRemembered, Seed: cfg.Seed}
@@ -19,6 +33,7 @@
 	return admission.New(o)
 }
 
+// admissionClasses returns the classes in admission's terms. A class that was retired has no priority.
 func admissionClasses(classes []balancer.Class) (out []admission.Class) {
 	for _, c := range classes {
 		if c.Retired {
@@ -29,9 +44,9 @@
 	return out
 }
 
-const admissionLogPoll = 250 * time.Millisecond // between two looks at the state, for the log
+const admissionLogPoll = 250 * time.Millisecond // between two reads of the state, for the log
 
-// logAdmission logs each change of state, and every so often how it stands while it is not calm.
+// logAdmission logs each change of state, and the state at each interval while it is not normal.
 func logAdmission(ctx context.Context, core *engine.Engine, clk engine.Clock, interval time.Duration, log *slog.Logger) {
 	last, logged := admission.Counts{}, time.Duration(0)
 	callEvery(ctx, admissionLogPoll, func() {
--- a/internal/agent/ties.go
+++ b/internal/agent/affinity.go
@@ -13,7 +13,7 @@
 	"appleledge/internal/engine"
 )
 
-// AffinityOptions says how it is remembered where keyed requests went.
+// AffinityOptions configure the sticky bindings of idempotency keys to servers.
 type AffinityOptions struct {
 	Dir             string        // that keeps them over a restart; empty: nothing does
 	Sync            bool          // to the disk itself
@@ -29,7 +29,7 @@
 	affinityErrorLogInterval = 10 * time.Second // between two lines on what can't be kept
 )
 
-// tying is what keeps ties.
+// affinityLog stores bindings in a log on disk and reads those of other processes.
 type affinityLog struct {
 	log           *bindinglog.Log
 	core          *engine.Engine
@@ -37,8 +37,19 @@
 	logger        *slog.Logger
 }
 
-// tie switches ties on. What is kept of them is read before the first client is heard. The result is nil where nothing is kept
-// over a restart.
+// openAffinity switches sticky bindings on and reads what earlier processes have stored of them.
+func (a *assembly) openAffinity() error {
+	stored, err := a.features.openAffinity(a.engine, a.clock, a.cfg, a.log)
+	if err != nil || stored == nil {
+		return err
+	}
+	a.components.add(untilAnswered, func(context.Context) { stored.run(a.engine.Done()) })
+	a.components.add(untilAnswered, stored.readSiblings)
+	return nil
+}
+
+// openAffinity connects a table of bindings to the engine, and the log that stores them. What is stored is read before the
+// first client is served. The result is nil where nothing is stored over a restart.
 func (x Features) openAffinity(core *engine.Engine, clk engine.Clock, cfg Config, log *slog.Logger) (*affinityLog, error) {
 	if x.Affinity == nil {
 		return nil, nil
@@ -84,7 +95,7 @@
 	return t, nil
 }
 
-// setBootClock sets times since the machine has started, which two processes have in common.
+// setBootClock makes the log store times since the machine's boot, which all its processes have in common.
 func (x Features) setBootClock(o *bindinglog.Options, clk engine.Clock) error {
 	boot, now, err := bindinglog.BootTime()
 	if err == nil && x.Recovery != nil {
@@ -100,14 +111,14 @@
 	return nil
 }
 
-// damaged logs what could not be read.
+// logCorrupt logs records that could not be read.
 func (t *affinityLog) logCorrupt(found bindinglog.ReadResult) {
 	if found.Corrupt > 0 {
 		t.logger.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Corrupt, "kept_as", found.Quarantined)
 	}
 }
 
-// Append hands a record over to be kept.
+// Append queues a record to be stored. It implements engine's log of bindings and does not block.
 func (t *affinityLog) Append(r affinity.Record) engine.BindingCommit {
 	return commit{t.log.Append(r), t.commitTimeout}
 }
@@ -117,10 +128,10 @@
 	timeout time.Duration
 }
 
-// Wait waits for it for as long as the settings allow.
+// Wait blocks until the record is stored, or for the configured time-out, and reports whether it is.
 func (c commit) Wait() bool { return c.Commit.Wait(c.timeout) }
 
-// write keeps what is handed over until the engine has ended, and removes what is of no use any more.
+// run writes queued records until the engine has ended, and removes expired ones.
 func (t *affinityLog) run(ended <-chan struct{}) {
 	remove := time.NewTicker(expiryInterval)
 	defer remove.Stop()
@@ -144,7 +155,7 @@
 	}
 }
 
-// follow hears what other processes keep: one that drains while this one serves already, or the other way round.
+// readSiblings reads the bindings that other processes of the agent store: one drains while the other serves.
 func (t *affinityLog) readSiblings(ctx context.Context) {
 	failed := false
 	callEvery(ctx, siblingReadInterval, func() {
--- a/internal/agent/sections.go
+++ b/internal/agent/classusers.go
@@ -9,7 +9,7 @@
 	"appleledge/internal/simwire"
 )
 
-// sections are the parts that the agent's own settings switch on and that know of the platform's classes, as these change.
+// classUsers are the features that depend on the platform's request classes, which may change at a reload.
 type classUsers struct {
 	site              simwire.Site
 	coalescingOptions func([]balancer.Class) (CoalescingOptions, error) // nil: none is joined
@@ -24,11 +24,11 @@
 	return s
 }
 
-// names are the platform's names as they are now.
+// names returns the platform's names in force.
 func (s *classUsers) names() generation.Names { return *s.current.Load() }
 
-// tell adds what the sections have to hear of classes that change. The error names a setting that does not fit them any more:
-// it says what is not done for that.
+// update adds to the event what the features have to know of changed classes. The error names a setting of the agent that no
+// longer fits them, and what is not done for that reason.
 func (s *classUsers) update(r engine.SettingsChanged) (engine.SettingsChanged, error) {
 	r.Names = platformNames(s.site, r.Classes)
 	s.current.Store(&r.Names)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -15,7 +15,7 @@
 	"appleledge/internal/simwire"
 )
 
-// Config is what the platform tells an agent.
+// Config is the platform's configuration of an agent.
 type Config struct {
 	Name      string
 	Listen    string // where clients connect
@@ -37,7 +37,7 @@
 	servesKeptConnections bool // kept connections are served through a drain
 }
 
-// configFile is the form of the file that PROXY_CONFIG names.
+// configFile is the form of the file that PROXY_CONFIG names. Its untagged fields are keys of the file: a renamed field needs a tag.
 type configFile struct {
 	Name, Listen, Discovery, Operator, Seed string
 	Limits                                  struct {
@@ -138,7 +138,7 @@
 	return cfg, nil
 }
 
-// decodeSite reads the settings and checks what the agent, rather than the module, needs of them.
+// decodeSite reads the settings and checks those that the agent, rather than the balancer, depends on.
 func decodeSite(data []byte) (simwire.Site, error) {
 	if len(data) == 0 {
 		return simwire.Site{}, errors.New("missing")
@@ -155,7 +155,7 @@
 	return site, nil
 }
 
-// operatorDescriptors are the descriptors that operators' calls and upgrades need.
+// operatorDescriptors returns how many file descriptors the operators' calls and hot restarts need.
 func (c Config) operatorDescriptors() int {
 	if c.Operator == "" {
 		return 0
--- /dev/null
+++ b/internal/agent/downstream.go
@@ -0,0 +1,115 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+
+	"appleledge/internal/connlimit"
+	downstreamhttp1 "appleledge/internal/downstream/http1"
+	"appleledge/internal/fleet/overload"
+	"appleledge/internal/platformconfig"
+	upstreamhttp1 "appleledge/internal/upstream/http1"
+)
+
+// Times of a drain. New connections come for up to 0.4 s after the signal to end, and the platform kills the process
+// 0.7 s after the longest deadline at the soonest, of which it counts 3 s (platformconfig.LameDuckDuration). The drain
+// accepts for longer than the one and ends before the other.
+const (
+	drainAcceptDuration = 550 * time.Millisecond // after the signal, in which new connections are accepted
+	drainMargin         = 50 * time.Millisecond  // after the longest deadline, at which the drain ends
+)
+
+// Limits of client connections and request bodies.
+const (
+	silentClientTimeout    = 500 * time.Millisecond // after which a client that has sent nothing may be closed to make room
+	largeBodyMemoryDivisor = 4                      // the memory limit divided by this is the budget of large bodies
+)
+
+// openDownstreamServers builds the servers beside the platform's own port. Their listeners close when they have drained.
+func (a *assembly) openDownstreamServers() error {
+	core := Core{
+		Engine:         a.engine,
+		Clock:          a.clock,
+		Rules:          a.rules,
+		Pool:           a.pool,
+		Site:           a.cfg.Site,
+		MaxDeadline:    a.rules.MaxDeadline,
+		GossipStatus:   statusOf(a.gossip),
+		OverloadStatus: func() *overload.Status { return a.overload.statusOrNil() },
+		HasSibling:     a.hasSibling,
+		Log:            a.log,
+	}
+	for _, server := range a.features.DownstreamServers {
+		serve, err := server.Open(core)
+		if err != nil {
+			return fmt.Errorf("%s: %w", server.Name, err)
+		}
+		a.downstreamServers = append(a.downstreamServers, func(ctx context.Context) {
+			if err := serve(ctx); err != nil { // the platform's own port goes on
+				a.log.Error("a front has ended", "front", server.Name, "error", err)
+			}
+		})
+	}
+	return nil
+}
+
+// openClients prepares the listener of the platform's port. Where operators call, bodies may be large and connections
+// are many, so that both get their limits there.
+func (a *assembly) openClients() error {
+	var limits connlimit.Options
+	if a.cfg.Operator != "" {
+		a.largeBodies = downstreamhttp1.NewLargeBodies(int64(a.cfg.MemoryMB<<20) / largeBodyMemoryDivisor)
+		a.listener = a.largeBodies.TrackFraming(a.listener)
+		limits.FirstRequestTimeout = silentClientTimeout
+	}
+	a.clients = connlimit.New(a.listener, a.maxClientConnections, limits)
+	return nil
+}
+
+// serveClients serves the platform's port and the servers beside it until the context ends and each request that was
+// accepted by then has its answer.
+func (a *assembly) serveClients(ctx context.Context) error {
+	var malformedReport sync.Once
+	transport := &upstreamhttp1.Transport{
+		Pool:              a.pool,
+		Clock:             a.clock,
+		AllowsLargeBodies: a.largeBodies != nil,
+		ReportFields:      a.cfg.Site.ReportFields,
+		OnMalformedReport: func(err error) {
+			malformedReport.Do(func() { a.log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
+		},
+	}
+	options := downstreamhttp1.Options{
+		Rules:               a.rules,
+		Engine:              a.engine,
+		Clock:               a.clock,
+		Transport:           transport,
+		MaxInFlight:         a.cfg.Site.MaxInFlight,
+		DrainAcceptDuration: a.cfg.drainAcceptDuration,
+		LargeBodies:         a.largeBodies,
+		Log:                 a.log,
+		Coalescing:          a.coalescing.downstreamOptions(),
+	}
+	if a.restart != nil {
+		options.OnDrain = a.restart.onDrain
+	}
+	server := downstreamhttp1.New(options, a.clients)
+
+	var others sync.WaitGroup
+	defer others.Wait() // before the engine stops: what they accepted is still answered
+	for _, serve := range a.downstreamServers {
+		others.Go(func() { serve(ctx) })
+	}
+	return server.Serve(ctx, a.drainDurations)
+}
+
+// drainDurations returns how long a drain usually lasts and how long it may last at most.
+func (a *assembly) drainDurations() (usual, longest time.Duration) {
+	longest = platformconfig.LameDuckDuration(a.rules.MaxDeadline()) + drainMargin
+	if a.cfg.servesKeptConnections {
+		return a.rules.LatencyObjective(), longest
+	}
+	return longest, longest
+}
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleetview.go
@@ -10,7 +10,7 @@
 	"appleledge/internal/operator"
 )
 
-// fleetView is the fleet as this agent sees it.
+// fleetView answers operators who ask how this agent sees the fleet.
 type fleetView struct {
 	name      string
 	core      *engine.Engine
@@ -20,7 +20,7 @@
 	overload  *overloadComponent // nil: overload is handled alone
 }
 
-// calls is what operators may ask; nil where there is nothing to see.
+// handler returns the function that answers the call; nil where the agent knows nothing of a fleet.
 func (v fleetView) handler() func(context.Context) (operator.FleetView, error) {
 	if v.snapshots == nil && v.peers == nil {
 		return nil
@@ -80,7 +80,7 @@
 	return o
 }
 
-// standing says since when what is known is on disk, or why it is not.
+// persistence returns, as text, since when the present knowledge is on disk, or why it is not.
 func (k *snapshotStore) persistence() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/agent/followed.go
+++ b/internal/agent/followedstate.go
@@ -11,10 +11,11 @@
 	"appleledge/internal/generation"
 )
 
-// followInterval is how soon a process follows what another one of its agent puts in force, and takes over when that has ended.
+// followInterval is the time between two reads of another process's state, and between two attempts to take it over.
 const followInterval = 100 * time.Millisecond
 
-// kept is the state that another process of the agent keeps. That one changes it, by a rename each time; this one reads.
+// followedState is the state file of another process of the agent. That process replaces it by a rename each time; this one
+// only reads it.
 type followedState struct {
 	file     atomicfile.File
 	lastRead os.FileInfo // as it was read last; nil: there was none
@@ -40,7 +41,7 @@
 	return s, err
 }
 
-// first takes up the state before the engine runs.
+// adopt puts the state in force before the engine runs.
 func (k *followedState) adopt(m *generation.Manager, names generation.Names, now time.Duration) error {
 	s, err := k.read()
 	if err != nil || s == nil {
@@ -54,8 +55,8 @@
 	return err
 }
 
-// follow keeps up with the other process until that has ended and the state is this one's, which it reports: else the context
-// has ended before.
+// follow puts in force what the other process puts in force, until that process has ended and the state belongs to this one.
+// It reports whether that came before the end of the engine.
 func (g *generationService) follow(ctx context.Context, engine <-chan struct{}, log *slog.Logger) bool {
 	log.Info("the configuration in force is another process' of the agent, until that ends", "state", g.options.StateFile)
 	tick := time.NewTicker(followInterval)
@@ -81,7 +82,7 @@
 	}
 }
 
-// syncFollowed takes over from the other process if it has ended, or brings in force what it has put in force meanwhile.
+// syncFollowed takes the state over if the other process has ended, or else puts in force what that has changed.
 func (g *generationService) syncFollowed(ctx context.Context, log *slog.Logger) error {
 	release, locked := atomicfile.Lock(g.options.StateFile)
 	if locked == nil {
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -19,13 +19,13 @@
 	"appleledge/internal/simwire"
 )
 
-// GenerationOptions says how configurations of the fleet are taken and kept.
+// GenerationOptions configure how operators apply configurations and where the one in force is stored.
 type GenerationOptions struct {
 	Socket    string // of operators
 	StateFile string // file that keeps what is in force; empty: nothing is kept
 }
 
-// governing is what switched-on generations are at work with.
+// generationService serves operators who plan and apply configurations, and stores the one in force.
 type generationService struct {
 	options  GenerationOptions
 	changes  *admin.ChangeManager
@@ -35,8 +35,17 @@
 	followed *followedState // another process' state, which this one follows until that ends; nil: it has its own
 }
 
-// govern puts the configuration in force that the state has, and opens the operators' socket. It is called before the engine
-// runs; the result is nil where nothing is switched on.
+// openGenerations puts the stored configuration in force and opens the operators' socket.
+func (a *assembly) openGenerations() error {
+	service, err := a.features.openGenerations(a.engine, a.clock, a.cfg, a.classUsers, a.log)
+	if err != nil || service == nil {
+		return err
+	}
+	a.components.add(untilDrain, func(ctx context.Context) { service.run(ctx, a.engine.Done(), a.log) })
+	return nil
+}
+
+// openGenerations builds the service before the engine runs. The result is nil where nothing is switched on.
 func (x Features) openGenerations(core *engine.Engine, clk engine.Clock, cfg Config, s *classUsers, log *slog.Logger) (*generationService, error) {
 	if x.Generations == nil {
 		return nil, nil
@@ -55,7 +64,7 @@
 	return g, nil
 }
 
-// platformNames are the platform's names, with these classes by their numbers. Those that were dropped keep theirs.
+// platformNames returns the platform's names with these classes by number. Classes that were retired keep their numbers.
 func platformNames(site simwire.Site, classes []balancer.Class) generation.Names {
 	names := generation.Names{Tenants: site.Tenants, Zones: site.Zones, RoutableHeaders: requesthead.RoutingHeaders}
 	for _, c := range classes {
@@ -67,7 +76,8 @@
 	return names
 }
 
-// open takes up the state and opens the socket. Where another process of the agent has them, its state is followed until it ends.
+// open restores the state and opens the socket. Where another process of the agent holds the lock, its state is followed until
+// it ends.
 func (g *generationService) open(m *generation.Manager, beside bool, clk engine.Clock, log *slog.Logger) (err error) {
 	if g.options.StateFile != "" {
 		file := atomicfile.File{Path: g.options.StateFile, FS: atomicfile.OS{}}
@@ -92,9 +102,9 @@
 	return nil
 }
 
-// restore takes up the state on disk. What can't be read is set aside and the agent begins with the empty configuration; a
-// state that a newer program has written, or that does not fit the platform's names, is not touched and the agent does not
-// start: it would write over it, and who put it there meant it.
+// restore puts the stored state in force. A state that can't be read is quarantined, and the agent starts with an empty
+// configuration. A state of a newer format, or one that does not fit the platform's names, stays where it is and the agent
+// does not start: it would overwrite a configuration that somebody wants.
 func restore(m *generation.Manager, f atomicfile.File, clk engine.Clock, log *slog.Logger) error {
 	doc, err := f.Load()
 	if errors.Is(err, atomicfile.ErrNotFound) {
@@ -121,7 +131,7 @@
 	return nil
 }
 
-// run serves operators until the context ends, and keeps what changes by itself until the engine does.
+// run serves operators until the context ends, and stores changes that happen by themselves until the engine has ended.
 func (g *generationService) run(ctx context.Context, engine <-chan struct{}, log *slog.Logger) {
 	if g.followed != nil && !g.follow(ctx, engine, log) {
 		return
@@ -145,8 +155,8 @@
 	g.close()
 }
 
-// serve serves operators until the context ends, as soon as the socket is to be had: another process of the agent lets go of it
-// when it is told to end.
+// serve serves operators until the context ends, as soon as the socket is free: another process of the agent closes it when it
+// drains.
 func (g *generationService) serve(ctx context.Context, log *slog.Logger) (err error) {
 	for told := false; g.socket == nil; told = true {
 		if g.socket, err = admin.Listen(g.options.Socket); err == nil {
@@ -164,7 +174,7 @@
 	return g.server.Serve(ctx, g.socket)
 }
 
-// finalWriteTimeout is how long the end of the agent waits for a disk.
+// finalWriteTimeout limits the wait for the last write, so that a disk that hangs can't keep the process from ending.
 const finalWriteTimeout = time.Second
 
 func (g *generationService) close() {
@@ -176,7 +186,7 @@
 	}
 }
 
-// logRecord logs an entry of the history.
+// logRecord logs a record of the configuration history.
 func logRecord(log *slog.Logger, r generation.Record) {
 	level := slog.LevelInfo
 	if r.Event == generation.EventHarmFound {
--- a/internal/agent/peers.go
+++ b/internal/agent/gossip.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -12,7 +13,7 @@
 	"appleledge/internal/fleet/gossip"
 )
 
-// GossipOptions says how agents tell each other what they know.
+// GossipOptions configure the exchange between agents.
 type GossipOptions struct {
 	Listen        string   // where datagrams come; empty: as the platform says
 	Members       []string // all agents' addresses, by number; none: as the platform says
@@ -23,7 +24,23 @@
 
 const gossipDescriptors = 2 // descriptors: the socket, and the file of the key
 
-// openGossip is the agent's place among the others; nil where there is none.
+// openGossip opens the agent's place among the others. They hear nothing before connectGossip.
+func (a *assembly) openGossip() (err error) {
+	a.gossip, err = a.features.openGossip(a.cfg, a.clock, a.log)
+	return err
+}
+
+// connectGossip lets the engine send observations to the other agents and handle theirs.
+func (a *assembly) connectGossip() error {
+	if a.gossip == nil {
+		return nil
+	}
+	a.engine.SetGossip(a.features.listIsCurrent(a.discovery), a.gossip.Broadcast)
+	a.components.add(untilDrain, func(ctx context.Context) { a.gossip.Run(ctx, a.engine) })
+	return nil
+}
+
+// openGossip returns the gossip node of the agent; nil where the feature is off.
 func (x Features) openGossip(cfg Config, clk engine.Clock, log *slog.Logger) (*gossip.Node, error) {
 	if x.Gossip == nil {
 		return nil, nil
@@ -60,7 +77,7 @@
 	return n, nil
 }
 
-// statusOf reads how the others are seen.
+// statusOf returns a function that reads how the node sees the other agents; it returns nil without a node.
 func statusOf(n *gossip.Node) func() *gossip.Status {
 	return func() *gossip.Status {
 		if n == nil {
@@ -71,7 +88,7 @@
 	}
 }
 
-// peerPollTime is for how long others are asked after a loss of power.
+// peerPollTime returns how long the other agents are asked after a loss of power.
 func (x Features) peerPollTime() time.Duration {
 	if x.Gossip == nil {
 		return 0
--- a/internal/agent/upgrade.go
+++ b/internal/agent/hotrestart.go
@@ -27,7 +27,20 @@
 	discoveryTimeout = 3 * time.Second
 )
 
-// joinSiblings opens the listener for clients, or takes it over from a process of the agent that runs already.
+// openHotRestart prepares the process for others of the same agent, where there can be any.
+func (a *assembly) openHotRestart() error {
+	link := a.features.hotRestart
+	if link == nil {
+		return nil
+	}
+	a.restart = &restartHost{link: link, core: a.engine, clock: a.clock, pool: a.pool, clients: a.clients, largeBodies: a.largeBodies,
+		toBackends: a.maxUpstreamConns, fromClients: a.maxClientConnections, setMemoryShare: a.features.SetMemoryShare, snapshots: a.snapshots}
+	a.components.add(untilAnswered, func(ctx context.Context) { link.Run(ctx, a.restart) })
+	a.components.add(untilAnswered, func(ctx context.Context) { a.restart.becomeReady(ctx, a.discovery, a.log) })
+	return nil
+}
+
+// joinSiblings opens the listener for clients, or receives it from a process of the same agent that runs already.
 func joinSiblings(cfg Config, log *slog.Logger) (*hotrestart.Link, error) {
 	return hotrestart.Join(os.TempDir(), cfg.Name+" "+cfg.Listen, func() (net.Listener, error) { return listenShared(cfg.Listen) }, log)
 }
@@ -45,7 +58,7 @@
 	return share.Listen(context.Background(), "tcp", addr)
 }
 
-// upgrade is a process among others of the same agent.
+// restartHost is this process among others of the same agent. It implements hotrestart.Host.
 type restartHost struct {
 	link                    *hotrestart.Link
 	core                    *engine.Engine
@@ -59,7 +72,7 @@
 	serving                 atomic.Bool
 }
 
-// DenylistSnapshot is for handover.Host.
+// DenylistSnapshot implements hotrestart.Host.
 func (u *restartHost) DenylistSnapshot(ctx context.Context) (st denylist.Snapshot, err error) {
 	err = u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
 		st = s.Snapshot(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
@@ -68,7 +81,7 @@
 	return st, err
 }
 
-// ApplyCommand is for handover.Host. The other process may know of a server that this one has not been told of yet.
+// ApplyCommand implements hotrestart.Host. The other process may know of a server that this one has not been told of yet.
 func (u *restartHost) ApplyCommand(ctx context.Context, o hotrestart.DenylistCommand) error {
 	if err := u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
 		s.Restore(denylist.Snapshot{KnownIDs: []string{o.Server}}, u.clock.FromUnix)
@@ -83,7 +96,7 @@
 	return err
 }
 
-// SetLimitShare is for handover.Host.
+// SetLimitShare implements hotrestart.Host.
 func (u *restartHost) SetLimitShare(part float64) {
 	u.pool.SetMaxConnections(int(part * float64(u.toBackends)))
 	u.clients.SetLimit(int(part * float64(u.fromClients)))
@@ -93,7 +106,7 @@
 	}
 }
 
-// leave is told that the process is to end. It reports whether another one serves.
+// onDrain tells the other processes that this one drains, and reports whether one of them serves.
 func (u *restartHost) onDrain() bool {
 	u.link.AnnouncePhase(context.Background(), hotrestart.Draining)
 	return u.link.HasSuccessor()
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -15,13 +15,13 @@
 	"appleledge/internal/operator"
 )
 
-// maxDenied is how many servers operators may hold out, and how many that are gone are remembered by their ids.
+// maxDenied limits the servers on the denylist, and the ids of removed servers that are remembered.
 const maxDenied = 4096
 
-// reloadCounts are configurations taken and turned down at SIGHUP.
+// reloadCounts counts the configurations that were applied and rejected at SIGHUP.
 type reloadCounts struct{ applied, rejected atomic.Uint64 }
 
-// operating is the agent as operators see it.
+// operatedAgent implements operator.Agent.
 type operatedAgent struct {
 	core      *engine.Engine
 	reloads   *reloadCounts
@@ -41,7 +41,8 @@
 	return f, nil
 }
 
-// SetDenied carries an operator's order out, here and in the other processes of the agent.
+// SetDenied puts a server on the denylist or takes it off, here and in the other processes of the agent. When it returns
+// without an error, the change is durable where snapshots are on.
 func (o operatedAgent) SetDenied(ctx context.Context, server string, out bool) error {
 	do := func() error { return setDenied(ctx, o.core, server, out) }
 	var err error
@@ -68,8 +69,32 @@
 	})
 }
 
-// openOperatorServer opens the operators' listener where the configuration names one. What it returns serves until the context
-// ends; it is nil where there is none.
+// openOperators opens the port of the operators' calls, where the configuration names one.
+func (a *assembly) openOperators() error {
+	view := fleetView{a.cfg.Name, a.engine, a.clock, a.snapshots, a.gossip, a.overload}
+	serve, err := openOperatorServer(a.cfg, operatedAgent{core: a.engine, reloads: &a.reloader.counts, link: a.features.hotRestart, ready: a.isReady,
+		snapshots: a.snapshots, fleetView: view.handler()}, a.clock, a.log)
+	if err != nil || serve == nil {
+		return err
+	}
+	a.components.add(untilAnswered, func(ctx context.Context) {
+		if err := serve(ctx); err != nil { // clients are served all the same
+			a.log.Error("operators can't call any more", "error", err)
+		}
+	})
+	return nil
+}
+
+// isReady reports whether new requests are welcome: there are backends, and no drain has begun.
+func (a *assembly) isReady() bool {
+	if !a.engine.Ready() || a.isDraining() {
+		return false
+	}
+	return a.restart == nil || a.restart.serving.Load()
+}
+
+// openOperatorServer opens the listener of the operators' calls. The function that it returns serves until the context ends; it
+// is nil where the configuration names no address.
 func openOperatorServer(cfg Config, o operatedAgent, clk engine.Clock, log *slog.Logger) (serve func(context.Context) error, err error) {
 	if cfg.Operator == "" {
 		return nil, nil
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -11,16 +11,16 @@
 	"appleledge/internal/fleet/overload"
 )
 
-// OverloadOptions says how agents handle overload together.
+// OverloadOptions configure admission control by the whole fleet.
 type OverloadOptions struct {
 	MaxRemembered int           // requests that were not served, to know their repeats by
 	LogInterval   time.Duration // between two lines while some are refused
 }
 
-// payloadPoll is between two looks whether there is something to tell.
+// payloadPoll is the time between two checks whether there is a payload to send.
 const payloadPoll = 50 * time.Millisecond
 
-// sharing is the agent's part of what the fleet decides on overload.
+// overloadComponent is the agent's part of the fleet's admission control.
 type overloadComponent struct {
 	options   OverloadOptions
 	admission *overload.AdmissionController
@@ -28,8 +28,23 @@
 	log       *slog.Logger
 }
 
-// openOverload puts the fleet's door before the module; nil where overload is handled alone. The door is behind a recovery, if there
-// is one.
+// openOverload puts the fleet's admission controller before the balancer, in the place of the agent's own.
+func (a *assembly) openOverload() error {
+	a.overload = a.features.openOverload(a.engine, a.cfg, a.log)
+	if a.overload == nil {
+		return nil
+	}
+	a.admission = a.overload.admission
+	if err := a.overload.attach(a.gossip); err != nil {
+		return err
+	}
+	a.components.add(untilDrain, func(ctx context.Context) { a.overload.sendPayloads(ctx, a.gossip) })
+	a.components.add(untilAnswered, func(ctx context.Context) { a.overload.logChanges(ctx, a.clock) })
+	return nil
+}
+
+// openOverload connects the fleet's admission controller to the engine; nil where the feature is off. A recovery ramp, if
+// there is one, stands before it.
 func (x Features) openOverload(core *engine.Engine, cfg Config, log *slog.Logger) *overloadComponent {
 	if x.Overload == nil {
 		return nil
@@ -42,7 +57,7 @@
 	return s
 }
 
-// attach lets the door learn what the engine does, once the others are known. Who the others are says how many there are.
+// attach connects the controller to the events of the engine and tells it how many agents there are.
 func (s *overloadComponent) attach(others *gossip.Node) error {
 	if others == nil {
 		return errors.New("overload: the agent knows of no others")
@@ -52,7 +67,7 @@
 	return nil
 }
 
-// tell tells the others until the context ends.
+// sendPayloads sends what the controller has to tell to other agents, until the context ends.
 func (s *overloadComponent) sendPayloads(ctx context.Context, others *gossip.Node) {
 	callEvery(ctx, payloadPoll, func() {
 		var body []byte
@@ -63,7 +78,7 @@
 	})
 }
 
-// look returns how the door stands; nil where there is none, or the engine has ended.
+// statusOrNil returns the status of the controller; nil without one, or when the engine has ended.
 func (s *overloadComponent) statusOrNil() *overload.Status {
 	if s == nil {
 		return nil
@@ -75,13 +90,13 @@
 	return &st
 }
 
-// status returns how the door stands.
+// status returns the status of the controller.
 func (s *overloadComponent) status(ctx context.Context) (st overload.Status, err error) {
 	err = s.core.WithOverload(ctx, func(now time.Duration) { st = s.admission.Status(now) })
 	return st, err
 }
 
-// say logs when requests begin to be refused and when that ends, and every so often how it stands meanwhile.
+// logChanges logs when rejection begins and ends, and the status at each interval in between.
 func (s *overloadComponent) logChanges(ctx context.Context, clk engine.Clock) {
 	refused, logged := false, time.Duration(0)
 	callEvery(ctx, admissionLogPoll, func() {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -12,13 +12,13 @@
 	"appleledge/internal/platformconfig"
 )
 
-// Reloads says when the configuration is to be read again, and how.
+// Reloads tells when the configuration has to be read again, and how.
 type Reloads struct {
 	Signals <-chan os.Signal
 	Load    func() (Config, error)
 }
 
-// reload is what a new configuration changes in a running agent.
+// reloader puts a new configuration in force in a running agent.
 type reloader struct {
 	clock      engine.Clock
 	core       *engine.Engine
@@ -32,6 +32,18 @@
 	log        *slog.Logger
 }
 
+// openReloads prepares what a new configuration changes in the running agent.
+func (a *assembly) openReloads() error {
+	a.engine.SetClassNames(a.cfg.Site.Balancer.Classes)
+	a.reloader = &reloader{clock: a.clock, core: a.engine, discovery: a.discovery, settings: a.settings, rules: a.rules,
+		statedKeys: a.cfg.statedKeys, classUsers: a.classUsers, log: a.log}
+	if a.gossip != nil {
+		a.reloader.reloadKeys = func() error { return a.gossip.ReloadKeys(a.features.Gossip.KeyFile) }
+	}
+	a.components.add(untilAnswered, func(ctx context.Context) { a.reloads.follow(ctx, a.reloader) })
+	return nil
+}
+
 // follow reads the configuration again at each signal and puts it in force. A file that can't be used changes nothing: the
 // agent goes on with what it has.
 func (r Reloads) follow(ctx context.Context, to *reloader) {
@@ -59,7 +71,7 @@
 	}
 }
 
-// take puts a configuration in force. The module hears of it before the first request comes under it.
+// apply puts a configuration in force. The engine gets the settings before the first request is checked by them.
 func (r *reloader) apply(c Config) error {
 	if err := c.statedKeys.checkStates(r.statedKeys); err != nil {
 		return err
--- a/internal/agent/keys.go
+++ b/internal/agent/statedkeys.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// keys are the names of what a configuration states, as paths. An entry of a list counts where all entries state it.
+// statedKeys are the paths of the keys that a configuration file states. A key of a list's entries counts if all entries state it.
 type statedKeys map[string]bool
 
-// optional are names that the platform may leave out at any time.
+// optionalKeys are those that the platform may leave out at any time.
 var optionalKeys = []string{"known", "operator", "AimStretch", "PassesDeadline", "WarmKeys"}
 
-// parseStatedKeys reads the names from a configuration's text.
+// parseStatedKeys returns the keys of a configuration's text.
 func parseStatedKeys(data []byte) (statedKeys, error) {
 	var all map[string]any
 	if err := json.Unmarshal(data, &all); err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// lacks says which of the names of another configuration are missing.
+// checkStates returns an error that names the keys of an earlier configuration which are missing in this one.
 func (k statedKeys) checkStates(before statedKeys) error {
 	var missing []string
 	for name := range before {
--- a/internal/agent/figures.go
+++ b/internal/agent/stats.go
@@ -13,15 +13,27 @@
 	"appleledge/internal/upstream/connpool"
 )
 
-// counters are the parts of an agent that count.
+// openStats logs counters at intervals, where the settings say so.
+func (a *assembly) openStats() error {
+	interval := a.features.StatsLogInterval
+	if interval == 0 {
+		return nil
+	}
+	a.engine.TrackLatency(a.cfg.Site.Balancer.Classes)
+	sources := statSources{a.engine, a.pool, a.discovery}
+	a.components.add(untilAnswered, func(ctx context.Context) { sources.logEvery(ctx, interval, a.log) })
+	return nil
+}
+
+// statSources are the parts of an agent that count.
 type statSources struct {
 	core      *engine.Engine
 	pool      *connpool.Pool
 	discovery *platform.Discovery
 }
 
-// log logs what has been counted since the last line, at intervals, and how much is held; what is 0 is left out. A line
-// has as many figures as there are kinds of them, whatever comes.
+// logEvery logs, at intervals, what was counted since the last line, without zeros, and the gauges. The number of attributes
+// of a line is bounded by the kinds of counters.
 func (f statSources) logEvery(ctx context.Context, interval time.Duration, log *slog.Logger) {
 	last := map[string]uint64{}
 	callEvery(ctx, interval, func() {
@@ -36,7 +48,7 @@
 	})
 }
 
-// held is what the agent holds and believes now. Shares are in thousandths, so that their sum over agents is one.
+// gauges returns the present values, as attributes. Ratios are in thousandths, so that they can be added up over agents.
 func (f statSources) gauges() []any {
 	c, p := f.pool.Stats(), f.core.Stats().Balancer
 	share := func(x float64) int { return int(math.Round(1000 * x)) }
@@ -44,7 +56,7 @@
 		"held_waiting", share(p.InFlightLatencyRatio), "held_shed", share(p.ShedRatio), "held_view", p.SubsetSize, "held_cold", p.WarmingUp, "held_ejected", p.Ejected}
 }
 
-// count is a figure that only grows.
+// counter is a value that only grows.
 type counter struct {
 	name  string
 	value uint64
