--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -20,7 +20,7 @@
 
 // The keys that the platform may leave out of a configuration.
 func TestGoldenOptionalKeys(t *testing.T) {
-	golden.Equal(t, "agent/optional_keys.txt", fmt.Appendf(nil, "%q\n", optional))
+	golden.Equal(t, "agent/optional_keys.txt", fmt.Appendf(nil, "%q\n", optionalKeys))
 }
 
 // stormy is a door that counts what the test says.
@@ -41,14 +41,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f, clock := goldenCounters(t), engine.NewClock()
-	core := engine.New(policy, clock, f.conns, slog.New(slog.DiscardHandler))
-	core.Count(site.Logic.Classes)
-	core.Guard(stormy{})
+	core := engine.New(policy, clock, f.pool, slog.New(slog.DiscardHandler))
+	core.TrackLatency(site.Balancer.Classes)
+	core.SetAdmission(stormy{})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
@@ -56,7 +56,7 @@
 	logged := make(chan struct{})
 	go func() {
 		defer close(logged)
-		logStorms(ctx, core, clock, time.Hour, slog.New(slog.NewTextHandler(log, nil)))
+		logAdmission(ctx, core, clock, time.Hour, slog.New(slog.NewTextHandler(log, nil)))
 	}()
 	agenttest.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
 	stop()
@@ -72,16 +72,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 20 * time.Second
-	clock := engine.DrivenClock(&now)
-	core := engine.New(policy, clock, goldenCounters(t).conns, slog.New(slog.DiscardHandler))
-	core.Count(site.Logic.Classes)
+	clock := engine.ManualClock(&now)
+	core := engine.New(policy, clock, goldenCounters(t).pool, slog.New(slog.DiscardHandler))
+	core.TrackLatency(site.Balancer.Classes)
 	var classes []recovery.Class
-	for _, c := range site.Logic.Classes {
+	for _, c := range site.Balancer.Classes {
 		classes = append(classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, IsIdempotent: c.Effect == balancer.Idempotent})
 	}
 	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdCapacityRatio: 0.32, WarmupTime: 8 * time.Second, ColdOverloadFactor: 3, MaxRetryAfter: time.Second}, nil)
@@ -91,14 +91,14 @@
 	}
 	r.Start(18*time.Second, before, "power")
 	r.ObserveAttempt(19*time.Second, "s-1", true, false, 20, 0.8)
-	core.Return(r, func() bool { return true }, func() {})
+	core.SetRecovery(r, func() bool { return true }, func() {})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); core.Run(ctx) }()
 	log := &agenttest.LockedBuffer{}
-	k := &keeping{set: Recovery{LogEvery: time.Hour}, core: core, log: slog.New(slog.NewTextHandler(log, nil))}
+	k := &snapshotStore{options: RecoveryOptions{LogInterval: time.Hour}, core: core, log: slog.New(slog.NewTextHandler(log, nil))}
 	said := make(chan struct{})
-	go func() { defer close(said); k.say(ctx, clock) }()
+	go func() { defer close(said); k.logRecovery(ctx, clock) }()
 	agenttest.Eventually(t, "a line", func() bool { return log.Count("\n") > 0 })
 	stop()
 	<-done
--- a/internal/agent/join_test.go
+++ b/internal/agent/join_test.go
@@ -20,11 +20,11 @@
 )
 
 // joinAll is a [join] section for every class, the ones that must not run twice too: the engine has to keep those out.
-func joinAll(apart bool) Extras {
-	return Extras{Join: func(classes []balancer.Class) (Joins, error) {
-		j := Joins{Apart: apart, LogEvery: time.Hour, Options: coalesce.Options{MaxGroups: 64, MaxFollowers: 64, PauseAfterPrivate: time.Hour}}
+func joinAll(apart bool) Features {
+	return Features{Coalescing: func(classes []balancer.Class) (CoalescingOptions, error) {
+		j := CoalescingOptions{TenantsApart: apart, LogInterval: time.Hour, Groups: coalesce.Options{MaxGroups: 64, MaxFollowers: 64, PauseAfterPrivate: time.Hour}}
 		for _, c := range classes {
-			j.Options.Classes = append(j.Options.Classes, coalesce.Class{Coalesces: true, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
+			j.Groups.Classes = append(j.Groups.Classes, coalesce.Class{Coalesces: true, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
 		}
 		return j, nil
 	}}
@@ -57,16 +57,16 @@
 
 // startJoining starts an agent that joins, with a backend, and returns its engine as well. Aims are far off, so that nobody
 // leads a flight of his own because the machine is slow.
-func startJoining(t *testing.T, b *agenttest.Backend, with Extras) (*running, *engine.Engine) {
+func startJoining(t *testing.T, b *agenttest.Backend, with Features) (*running, *engine.Engine) {
 	var core *engine.Engine
-	with.Fronts = []Front{{Name: "look-out", Open: func(c Core) (func(context.Context) error, error) {
+	with.DownstreamServers = []DownstreamServer{{Name: "look-out", Open: func(c Core) (func(context.Context) error, error) {
 		core = c.Engine
 		return func(ctx context.Context) error { <-ctx.Done(); return nil }, nil
 	}}}
 	d := newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0))
 	a := startOn(t, d, time.Millisecond, func(cfg *Config) {
-		for i := range cfg.Site.Logic.Classes {
-			cfg.Site.Logic.Classes[i].LatencyObjective = time.Minute
+		for i := range cfg.Site.Balancer.Classes {
+			cfg.Site.Balancer.Classes[i].LatencyObjective = time.Minute
 		}
 	}, with, slog.New(slog.DiscardHandler))
 	return a, core
@@ -76,7 +76,7 @@
 func begin(t *testing.T, core *engine.Engine, r *http.Request, calls int, replies chan<- reply) {
 	t.Helper()
 	go func() { replies <- send(t, r) }()
-	eventually(t, "the request is with the engine", func() bool { return core.Load().Calls == calls })
+	eventually(t, "the request is with the engine", func() bool { return core.Stats().Calls == calls })
 }
 
 // Which requests are answered together, over sockets: the number of them that reach the backend, of three.
@@ -165,7 +165,7 @@
 			served := "answer 1"
 			if how == "leaves" { // and the attempt fails: there is another one, for the caller who is still there
 				leave()
-				eventually(t, "its place is given up", func() bool { return core.Load().Joins.Waiting == 1 && <-ended == 0 })
+				eventually(t, "its place is given up", func() bool { return core.Stats().Coalescing.Waiting == 1 && <-ended == 0 })
 				g.breaks.Store(true)
 				served = "answer 2"
 			}
@@ -192,7 +192,7 @@
 			time.Sleep(20 * time.Millisecond)
 			return says(served)(c, r, n)
 		})
-		with := Extras{}
+		with := Features{}
 		if on {
 			with = joinAll(false)
 		}
@@ -224,7 +224,7 @@
 		if reached[on] = b.Requests(); bad.Load() > 0 {
 			t.Errorf("joining %v: %d requests were not served", on, bad.Load())
 		}
-		if c := core.Load(); c.Calls > 0 || c.Joins.Waiting+c.Joins.Groups > 0 {
+		if c := core.Stats(); c.Calls > 0 || c.Coalescing.Waiting+c.Coalescing.Groups > 0 {
 			t.Errorf("left at the end: %+v", c)
 		}
 	}
--- a/internal/downstream/extproc/harness_test.go
+++ b/internal/downstream/extproc/harness_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site.Logic.MaxRetryAfter = site.MaxRetryAfter
+	site.Balancer.MaxRetryAfter = site.MaxRetryAfter
 	return site
 }
 
@@ -73,7 +73,7 @@
 	if o.site != nil {
 		o.site(&site)
 	}
-	policy, err := balancer.New(site.Logic, 1)
+	policy, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 	r.pool = connpool.New(time.Second, time.Minute, 100)
 	r.engine = engine.New(policy, clock, r.pool, log)
 	var longest time.Duration
-	for _, c := range site.Logic.Classes {
+	for _, c := range site.Balancer.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	r.server = New(Options{Settings: set, Engine: r.engine, Clock: clock, Pool: r.pool, ReportFields: site.ReportFields,
-		Rules: requesthead.Rules{Classes: site.Logic.Classes, Tenants: site.Tenants}, Longest: func() time.Duration { return longest }, Log: log})
+		Rules: requesthead.Rules{Classes: site.Balancer.Classes, Tenants: site.Tenants}, MaxDeadline: func() time.Duration { return longest }, Log: log})
 	if o.linger > 0 {
 		r.server.linger = o.linger
 	}
@@ -116,7 +116,7 @@
 	for i := range n {
 		members = append(members, member(i, balancer.Ready))
 	}
-	r.engine.Tell(engine.Listed{Full: true, Members: members})
+	r.engine.Post(engine.EndpointUpdate{Full: true, Members: members})
 }
 
 func member(i int, state balancer.State) engine.Member {
@@ -143,7 +143,7 @@
 func (r *rig) quiet() {
 	r.t.Helper()
 	agenttest.Eventually(r.t, "nothing is open", func() bool {
-		l := r.engine.Load()
+		l := r.engine.Stats()
 		return l.Calls == 0 && len(l.InFlight) == 0 && r.server.held.Load() == 0 && r.server.streams.Load() == 0
 	})
 }
@@ -151,7 +151,7 @@
 // noneOut waits until no attempt is in flight.
 func (r *rig) noneOut() {
 	r.t.Helper()
-	agenttest.Eventually(r.t, "no attempt is in flight", func() bool { return len(r.engine.Load().InFlight) == 0 })
+	agenttest.Eventually(r.t, "no attempt is in flight", func() bool { return len(r.engine.Stats().InFlight) == 0 })
 }
 
 var lastID atomic.Int64
--- a/internal/downstream/extproc/server_test.go
+++ b/internal/downstream/extproc/server_test.go
@@ -43,12 +43,12 @@
 	if left := a.header["x-timeout"]; left == "" || left == "2000m" {
 		t.Errorf("the server is told to be waited for for %q", left)
 	}
-	if l := r.engine.Load(); l.Calls != 1 || len(l.InFlight) != 1 {
+	if l := r.engine.Stats(); l.Calls != 1 || len(l.InFlight) != 1 {
 		t.Errorf("%+v", l)
 	}
 	a.answer(whole("200", "x-server-load", "util=0.5,qps=10,eps=0"))
 	r.quiet()
-	if c := r.server.Counts.Snapshot(); c.Decisions != 1 || c.Served != 1 || c.GaveUpAfter+c.GaveUpBefore != 0 {
+	if c := r.server.Counts.Snapshot(); c.Decisions != 1 || c.Served != 1 || c.AbandonedAfterDecision+c.AbandonedBeforeDecision != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -139,7 +139,7 @@
 	r.run()
 	r.list(2)
 	r.quiet()
-	if c := r.server.Counts.Snapshot(); c.Decisions != 0 || c.GaveUpBefore != 1 {
+	if c := r.server.Counts.Snapshot(); c.Decisions != 0 || c.AbandonedBeforeDecision != 1 {
 		t.Errorf("%+v", c)
 	}
 	if a := ask(t, client, q); a.to == "" {
@@ -212,8 +212,8 @@
 			s.KeepaliveTime, s.KeepaliveWait = settings.Duration(time.Second), settings.Duration(500*time.Millisecond)
 		},
 		site: func(s *simwire.Site) {
-			for i := range s.Logic.Classes {
-				s.Logic.Classes[i].Deadline = time.Hour
+			for i := range s.Balancer.Classes {
+				s.Balancer.Classes[i].Deadline = time.Hour
 			}
 		},
 	})
@@ -226,7 +226,7 @@
 	silence()
 	r.noneOut()
 	agenttest.Eventually(t, "the stream has ended", func() bool { return r.server.streams.Load() == 0 })
-	if c := r.server.Counts.Snapshot(); c.GaveUpAfter != 1 || c.Unknown != 1 {
+	if c := r.server.Counts.Snapshot(); c.AbandonedAfterDecision != 1 || c.Unknown != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -256,7 +256,7 @@
 		}
 	}
 	r.quiet()
-	if c := r.server.Counts.Snapshot(); c.UnknownHints != 41 || c.Refused != 3 {
+	if c := r.server.Counts.Snapshot(); c.UnknownHints != 41 || c.Rejected != 3 {
 		t.Errorf("%+v", c)
 	}
 	if n := r.log.Count("127.9.9.9"); n != 1 {
@@ -312,7 +312,7 @@
 	} else {
 		again.answer(whole("200", ServedHeader, again.to))
 	}
-	if c := r.server.Counts.Snapshot(); c.Elsewhere != 3 || c.UnknownServed != 2 || c.Served != 1 {
+	if c := r.server.Counts.Snapshot(); c.ServedElsewhere != 3 || c.UnknownServed != 2 || c.Served != 1 {
 		t.Errorf("%+v", c)
 	}
 	if n := r.log.Count("127.9.9.9"); n != 1 {
@@ -347,11 +347,11 @@
 			open = append(open, b)
 		}
 	}
-	if c := r.server.Counts.Snapshot(); c.Unusable == 0 {
+	if c := r.server.Counts.Snapshot(); c.DecisionsRejected == 0 {
 		t.Errorf("the module never chose it, so that nothing was tested: %+v", c)
 	}
-	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Draining)}})
-	r.engine.Tell(engine.Listed{Members: []engine.Member{member(drained, balancer.Removed)}})
+	r.engine.Post(engine.EndpointUpdate{Members: []engine.Member{member(drained, balancer.Draining)}})
+	r.engine.Post(engine.EndpointUpdate{Members: []engine.Member{member(drained, balancer.Removed)}})
 	for _, b := range append(open, a) {
 		b.answer(whole("200"))
 	}
@@ -370,16 +370,16 @@
 		}
 	}
 	refusedAtOnce("before the first list")
-	r.engine.Tell(engine.ListUnavailable{})
+	r.engine.Post(engine.EndpointsUnavailable{})
 	refusedAtOnce("with the list away from the start")
 	r.list(2)
-	r.engine.Tell(engine.ListUnavailable{})
+	r.engine.Post(engine.EndpointsUnavailable{})
 	if a := ask(t, client, request{id: newID(), class: "refund-record"}); a.to == "" {
 		t.Errorf("with the list away, the last one stands: %v", a.raw)
 	} else {
 		a.answer(whole("200"))
 	}
-	r.engine.Tell(engine.Listed{Full: true})
+	r.engine.Post(engine.EndpointUpdate{Full: true})
 	refusedAtOnce("with an empty list")
 	r.quiet()
 }
@@ -435,7 +435,7 @@
 		}
 		got[0].answer(whole("200"))
 	}
-	direct := &engine.Call{ID: newID(), Deadline: time.Hour, Caller: ignore{}, Carrier: never{}}
+	direct := &engine.Call{ID: newID(), Deadline: time.Hour, Responder: ignore{}, Transport: never{}}
 	r.engine.Arrive(direct)
 	if a := ask(t, client, request{id: direct.ID, class: "form-check"}); a.status != http.StatusConflict {
 		t.Errorf("with the id of a request in direct mode: %v", a.raw)
@@ -451,7 +451,7 @@
 // never is a carrier that waits until the end.
 type never struct{}
 
-func (never) Carry(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (never) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	<-ctx.Done()
 	return engine.Outcome{Attempt: a, Result: balancer.TimedOut, Report: balancer.NoReport}
 }
@@ -475,7 +475,7 @@
 		t.Fatalf("the next try: %v", second.raw)
 	}
 	first.answer(whole("200")) // it lost, and must not end the second
-	if l := r.engine.Load(); l.Calls != 1 || len(l.InFlight) != 1 {
+	if l := r.engine.Stats(); l.Calls != 1 || len(l.InFlight) != 1 {
 		t.Errorf("%+v", l)
 	}
 	second.answer(whole("200"))
@@ -600,7 +600,7 @@
 	client := r.client()
 	q := request{id: newID(), class: "pay", change: map[string]string{"x-timeout": "200m"}}
 	a := ask(t, client, q)
-	agenttest.Eventually(t, "the request is over", func() bool { return r.engine.Load().Calls == 0 })
+	agenttest.Eventually(t, "the request is over", func() bool { return r.engine.Stats().Calls == 0 })
 	if again := ask(t, client, q); again.status != http.StatusBadGateway {
 		t.Errorf("the next try: %v", again.raw)
 	}
@@ -736,7 +736,7 @@
 	if resp, err := o.stream.Recv(); err == nil || err.Error() != "EOF" {
 		t.Errorf("%v, %v", resp, err)
 	}
-	if c := r.server.Counts.Snapshot(); c.Decisions != 0 || c.Observed != 1 {
+	if c := r.server.Counts.Snapshot(); c.Decisions != 0 || c.ObserveOnly != 1 {
 		t.Errorf("%+v", c)
 	}
 	r.quiet()
@@ -749,7 +749,7 @@
 	m := request{id: newID(), class: "pay"}.message()
 	m.ObservabilityMode = true
 	o.send(m)
-	agenttest.Eventually(t, "it is seen", func() bool { return r.server.Counts.Snapshot().Observed == 1 })
+	agenttest.Eventually(t, "it is seen", func() bool { return r.server.Counts.Snapshot().ObserveOnly == 1 })
 	time.Sleep(400 * time.Millisecond)
 	if err := o.finish(); err != nil {
 		t.Errorf("it was broken: %v", err)
@@ -765,7 +765,7 @@
 		ask(t, client, request{id: newID(), class: "pay"}).answer(whole("200"))
 		r.noneOut()
 	}
-	if n := r.engine.Load().ForgottenEarly; n != 1 {
+	if n := r.engine.Stats().ForgottenEarly; n != 1 {
 		t.Errorf("%d forgotten", n)
 	}
 }
@@ -831,8 +831,8 @@
 // A proxy that keeps its stream open holds the drain up for as long as a client may wait, and no longer.
 func TestDrainEndsWithoutTheProxy(t *testing.T) {
 	r := newRig(t, options{site: func(s *simwire.Site) {
-		for i := range s.Logic.Classes {
-			s.Logic.Classes[i].Deadline = 500 * time.Millisecond
+		for i := range s.Balancer.Classes {
+			s.Balancer.Classes[i].Deadline = 500 * time.Millisecond
 		}
 	}})
 	r.list(2)
--- a/internal/fleet/overload/admission.go
+++ b/internal/fleet/overload/admission.go
@@ -151,7 +151,7 @@
 // kind is a class or a tenant as digests tell them apart.
 func kind(i, kinds int) int { return min(max(i, 0), kinds-1) }
 
-// Arrive is of engine.Door.
+// Arrive is of engine.AdmissionController.
 func (d *AdmissionController) Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection) {
 	pass, refusal := d.alone.Arrive(now, a)
 	// Of a class that may be repeated at will many ask for the same: there the key tells no repeat for certain.
@@ -229,7 +229,7 @@
 	return time.Duration(float64(d.set.MaxRetryAfter) * (least + (1-least)*d.rng.Float64()))
 }
 
-// Done is of engine.Door.
+// Done is of engine.AdmissionController.
 func (d *AdmissionController) Done(now time.Duration, p *admission.Permit, end admission.Outcome) {
 	class, took, by := p.Completion(now)
 	d.open = max(0, d.open-1)
@@ -250,7 +250,7 @@
 	}
 }
 
-// Counts is of engine.Door.
+// Counts is of engine.AdmissionController.
 func (d *AdmissionController) Counts() admission.Counts { return d.alone.Counts() }
 
 // AllowsRetry reports whether an attempt beyond a call's first may go out: all agents' together keep to a share of the fleet's first tries. As long as little of it is spent
