--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -59,7 +59,7 @@
 	serving                 atomic.Bool
 }
 
-// DenylistSnapshot is for handover.Host.
+// DenylistSnapshot implements hotrestart.Host.
 func (u *upgrade) DenylistSnapshot(ctx context.Context) (st denylist.Snapshot, err error) {
 	err = u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
 		st = s.Snapshot(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
@@ -68,7 +68,7 @@
 	return st, err
 }
 
-// ApplyCommand is for handover.Host. The other process may know of a server that this one has not been told of yet.
+// ApplyCommand implements hotrestart.Host. The other process may know of a server that this one has not been told of yet.
 func (u *upgrade) ApplyCommand(ctx context.Context, o hotrestart.DenylistCommand) error {
 	if err := u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
 		s.Restore(denylist.Snapshot{KnownIDs: []string{o.Server}}, u.clock.FromUnix)
@@ -83,7 +83,7 @@
 	return err
 }
 
-// SetLimitShare is for handover.Host.
+// SetLimitShare implements hotrestart.Host.
 func (u *upgrade) SetLimitShare(part float64) {
 	u.conns.SetMaxConnections(int(part * float64(u.toBackends)))
 	u.clients.SetLimit(int(part * float64(u.fromClients)))
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -16,33 +16,41 @@
 	"appleledge/internal/besteffort"
 )
 
-// A machine that stops at any operation of a write, or a disk that fails at it, leaves the old document or the new one; one
-// whose writing was acknowledged is the new one.
-func TestOldOrNewWhateverHappens(t *testing.T) {
-	old, fresh := []byte("the old one"), bytes.Repeat([]byte("the new one "), 50)
+// saveWithFault saves newDoc over oldDoc on a disk that crashes (fault nil) or fails at operation at, reboots it, and checks what is
+// left. It reports whether the save was acknowledged.
+func saveWithFault(t *testing.T, seed uint64, at int, fault error, oldDoc, newDoc []byte) (acknowledged bool) {
+	t.Helper()
+	d := faultfs.New(seed)
+	if err := (File{"f", d}).Save(oldDoc); err != nil {
+		t.Fatal(err)
+	}
+	d.OperationsUntilFault, d.FaultError = at, fault
+	err := File{"f", d}.Save(newDoc)
+	if acknowledged = err == nil; !acknowledged && fault != nil && !errors.Is(err, fault) {
+		t.Fatalf("the error at %d is %v", at, err)
+	}
+	d.OperationsUntilFault = -1
+	after := d.Reboot()
+	got, loadErr := File{"f", after}.Load()
+	if loadErr != nil || !bytes.Equal(got, newDoc) && (acknowledged || !bytes.Equal(got, oldDoc)) {
+		t.Fatalf("fault %v at operation %d, seed %d: acknowledged %v, and then %q, %v", fault, at, seed, acknowledged, got, loadErr)
+	}
+	if err := (File{"f", after}).Save(oldDoc); err != nil { // what is left must not keep the next save from working
+		t.Fatal(err)
+	}
+	return acknowledged
+}
+
+// The machine crashes at any single operation of a Save, or the disk fails there. After the reboot the document is the old one or
+// the new one, and it is the new one if the Save was acknowledged. What the Save has left does not keep the next one from working.
+func TestCrashLeavesOldOrNewDocument(t *testing.T) {
+	oldDoc, newDoc := []byte("the old one"), bytes.Repeat([]byte("the new one "), 50)
 	cases := 0
 	for _, fault := range []error{nil, syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
 		for at := 0; ; at++ {
 			acknowledged := false
 			for seed := range uint64(40) {
-				d := faultfs.New(seed)
-				if err := (File{"f", d}).Save(old); err != nil {
-					t.Fatal(err)
-				}
-				d.OperationsUntilFault, d.FaultError = at, fault
-				err := File{"f", d}.Save(fresh)
-				if acknowledged = err == nil; !acknowledged && fault != nil && !errors.Is(err, fault) {
-					t.Fatalf("the error at %d is %v", at, err)
-				}
-				d.OperationsUntilFault = -1
-				after := d.Reboot()
-				got, loadErr := File{"f", after}.Load()
-				if loadErr != nil || !bytes.Equal(got, fresh) && (acknowledged || !bytes.Equal(got, old)) {
-					t.Fatalf("fault %v at operation %d, seed %d: acknowledged %v, and then %q, %v", fault, at, seed, acknowledged, got, loadErr)
-				}
-				if err := (File{"f", after}).Save(old); err != nil { // what is left lies in nobody's way
-					t.Fatal(err)
-				}
+				acknowledged = saveWithFault(t, seed, at, fault, oldDoc, newDoc)
 				cases++
 			}
 			if acknowledged {
@@ -55,8 +63,9 @@
 	}
 }
 
-// Every byte that is lost or altered is noticed, and the broken document is kept under another name.
-func TestBrokenDocuments(t *testing.T) {
+// A disk loses or alters a single byte of the file, anywhere, or adds one. Load reports a corrupt document each time, and Quarantine
+// keeps the file under another name, after which there is no document.
+func TestLoadDetectsCorruptDocument(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	f := File{path, OS{}}
 	if _, err := f.Load(); !errors.Is(err, ErrNotFound) {
@@ -90,8 +99,9 @@
 	}
 }
 
-// One process at a time has a document, and a lock ends with whoever holds it.
-func TestLock(t *testing.T) {
+// A second process asks for the lock while the first holds it, and gets ErrLocked at once. It gets the lock when the first has
+// released it.
+func TestLockIsExclusiveUntilReleased(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	release, err := Lock(path)
 	if err != nil {
--- a/internal/atomicfile/faultfs/faultfs.go
+++ b/internal/atomicfile/faultfs/faultfs.go
@@ -1,4 +1,7 @@
-// Package faultfs is a stand-in for a disk, for tests of what survives a machine that stops and a disk that fails.
+// Package faultfs simulates a disk in memory, for tests of what survives a machine that crashes and a disk that fails.
+//
+// A test lets a Disk crash or fail at its n-th operation, for every n, and asks after Reboot what is left. The seed decides how much
+// of what was not synced is left, so that a failing run can be repeated.
 package faultfs
 
 import (
@@ -6,6 +9,7 @@
 	"errors"
 	"io"
 	"io/fs"
+	"maps"
 	"math/rand/v2"
 	"path/filepath"
 	"slices"
@@ -13,144 +17,138 @@
 	"appleledge/internal/atomicfile"
 )
 
-// Disk is a file system that forgets what was not synced when its machine stops: the contents of files, and the names in
-// folders. It stops, or fails, at a chosen one of its operations. It is not safe for concurrent use.
+// Disk is an atomicfile.FS that loses what was not synced when its machine crashes: contents of files, and names in directories.
+// Reading costs no operation and never fails. It is not safe for concurrent use.
 type Disk struct {
-	OperationsUntilFault int   // operations until the fault; below 0 there is none
-	FaultError           error // nil: the machine stops
+	OperationsUntilFault int   // that still succeed; below 0: there is no fault
+	FaultError           error // what the fault's operation returns; nil: the machine crashes at it
 
-	now, lasting map[string]*content // by name
-	stopped      bool
-	rng          *rand.Rand
+	files, durableNames map[string]*content // by name: as they are, and as of the last SyncDir
+	isCrashed           bool
+	rng                 *rand.Rand
 }
 
-type content struct{ now, lasting []byte }
+// content is a file's bytes as they are, and as of its last Sync.
+type content struct{ current, durable []byte }
 
-// ErrCrashed says that the machine has stopped.
+// ErrCrashed is what every operation returns once the machine has crashed.
 var ErrCrashed = errors.New("the machine has stopped")
 
-// New returns an empty disk. The seed says what is left of what was not synced.
+// New returns an empty disk without a fault.
 func New(seed uint64) *Disk {
-	return &Disk{now: map[string]*content{}, lasting: map[string]*content{}, OperationsUntilFault: -1, rng: rand.New(rand.NewPCG(seed, 0))}
+	return &Disk{files: map[string]*content{}, durableNames: map[string]*content{}, OperationsUntilFault: -1, rng: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// step counts an operation, and says whether it is the one that goes wrong.
-func (d *Disk) step() error {
-	if d.stopped {
+// countOperation counts an operation and returns its error if it is the one that fails.
+func (d *Disk) countOperation() error {
+	if d.isCrashed {
 		return ErrCrashed
 	}
 	if d.OperationsUntilFault--; d.OperationsUntilFault == -1 {
 		if d.FaultError != nil {
 			return d.FaultError
 		}
-		d.stopped = true
+		d.isCrashed = true
 		return ErrCrashed
 	}
 	return nil
 }
 
-// Reboot is the machine after it has stopped: of what was not synced any part may be there. Bytes that were never synced are
-// cut anywhere, and names that were not are old or new.
+// Reboot returns the disk as the machine finds it after a crash. Any part of what was not synced may be there: bytes that were
+// appended since the last Sync are cut anywhere, and names are those of now or of the last SyncDir.
 func (d *Disk) Reboot() *Disk {
-	fresh := New(d.rng.Uint64())
-	pick := d.now
+	rebooted := New(d.rng.Uint64())
+	names := d.files
 	if d.rng.IntN(2) == 0 {
-		pick = d.lasting
+		names = d.durableNames
 	}
-	for name, c := range pick {
-		kept := c.lasting
-		if len(c.now) > len(c.lasting) && bytes.HasPrefix(c.now, c.lasting) {
-			kept = c.now[:len(c.lasting)+d.rng.IntN(len(c.now)-len(c.lasting)+1)]
+	for name, c := range names {
+		kept := c.durable
+		if len(c.current) > len(c.durable) && bytes.HasPrefix(c.current, c.durable) {
+			kept = c.current[:len(c.durable)+d.rng.IntN(len(c.current)-len(c.durable)+1)]
 		}
-		fresh.now[name] = &content{kept, kept}
+		rebooted.files[name] = &content{kept, kept}
 	}
-	fresh.lasting = fresh.names()
-	return fresh
+	rebooted.durableNames = maps.Clone(rebooted.files)
+	return rebooted
 }
 
-func (d *Disk) names() map[string]*content {
-	out := map[string]*content{}
-	for n, c := range d.now {
-		out[n] = c
-	}
-	return out
-}
-
-// Create opens a file for writing, anew.
+// Create opens a file for writing, empty.
 func (d *Disk) Create(name string) (atomicfile.WritableFile, error) {
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return nil, err
 	}
 	c := &content{}
-	d.now[name] = c
-	return &handle{d, c}, nil
+	d.files[name] = c
+	return &writableFile{d, c}, nil
 }
 
-type handle struct {
-	d *Disk
-	c *content
+type writableFile struct {
+	disk    *Disk
+	content *content
 }
 
-func (h *handle) Write(p []byte) (int, error) {
-	if err := h.d.step(); err != nil { // a part of it arrives
-		n := h.d.rng.IntN(len(p) + 1)
-		h.c.now = append(h.c.now, p[:n]...)
+// Write appends p; where it fails, a part of p.
+func (f *writableFile) Write(p []byte) (int, error) {
+	if err := f.disk.countOperation(); err != nil {
+		n := f.disk.rng.IntN(len(p) + 1)
+		f.content.current = append(f.content.current, p[:n]...)
 		return n, err
 	}
-	h.c.now = append(h.c.now, p...)
+	f.content.current = append(f.content.current, p...)
 	return len(p), nil
 }
 
-func (h *handle) Sync() error {
-	if err := h.d.step(); err != nil {
+func (f *writableFile) Sync() error {
+	if err := f.disk.countOperation(); err != nil {
 		return err
 	}
-	h.c.lasting = h.c.now
+	f.content.durable = f.content.current
 	return nil
 }
 
-func (h *handle) Close() error { return h.d.step() }
+func (f *writableFile) Close() error { return f.disk.countOperation() }
 
 // Open opens a file for reading.
 func (d *Disk) Open(name string) (io.ReadCloser, error) {
-	c := d.now[name]
+	c := d.files[name]
 	if c == nil {
 		return nil, fs.ErrNotExist
 	}
-	return io.NopCloser(bytes.NewReader(c.now)), nil
+	return io.NopCloser(bytes.NewReader(c.current)), nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces the one that has the new name.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.now[to] = d.now[from]
-	delete(d.now, from)
+	d.files[to] = d.files[from]
+	delete(d.files, from)
 	return nil
 }
 
 // Remove removes a file.
 func (d *Disk) Remove(name string) error {
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	delete(d.now, name)
+	delete(d.files, name)
 	return nil
 }
 
-// SyncDir makes the names last.
+// SyncDir makes all names durable.
 func (d *Disk) SyncDir(string) error {
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.lasting = d.names()
+	d.durableNames = maps.Clone(d.files)
 	return nil
 }
 
-// List lists the names in a folder, sorted.
+// List returns the sorted names of the files in a directory.
 func (d *Disk) List(dir string) (names []string, err error) {
-	for name := range d.now {
+	for name := range d.files {
 		if filepath.Dir(name) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(name))
 		}
--- a/internal/atomicfile/golden_test.go
+++ b/internal/atomicfile/golden_test.go
@@ -13,22 +13,24 @@
 	"appleledge/internal/golden"
 )
 
-// noting notes the names of the files that are created.
-type noting struct {
+// recordingFS records the names of the files that are created.
+type recordingFS struct {
 	OS
 	created *[]string
 }
 
-func (n noting) Create(name string) (WritableFile, error) {
-	*n.created = append(*n.created, name)
-	return n.OS.Create(name)
+func (r recordingFS) Create(name string) (WritableFile, error) {
+	*r.created = append(*r.created, name)
+	return r.OS.Create(name)
 }
 
+// A document has the committed bytes and is read back from them; the lock, the quarantined file and the temporary one have the
+// committed names.
 func TestGoldenDocument(t *testing.T) {
 	const doc = "{\"a document\":1}\n\x00\xff"
 	dir := t.TempDir()
 	var created []string
-	f := File{Path: filepath.Join(dir, "written"), FS: noting{OS{}, &created}}
+	f := File{Path: filepath.Join(dir, "written"), FS: recordingFS{OS{}, &created}}
 	if err := f.Save([]byte(doc)); err != nil {
 		t.Fatal(err)
 	}
