--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -17,35 +17,35 @@
 	"appleledge/internal/golden"
 )
 
-// goldenState is what operators hold out.
-func goldenState() denylist.Snapshot {
+// goldenSnapshot is what operators deny.
+func goldenSnapshot() denylist.Snapshot {
 	return denylist.Snapshot{DeniedSince: map[string]int64{"a": 1_790_000_000_001}, AllowedSince: map[string]int64{"b": 1_790_000_000_002}, KnownIDs: []string{"a", "b", "c"}}
 }
 
-// goldenMessages are those that processes send, of each kind and in each phase, and one with all fields.
+// goldenMessages are messages of each kind and in each phase, and one with all fields.
 func goldenMessages() []message {
-	state := goldenState()
+	snapshot := goldenSnapshot()
 	return []message{
-		{Phase: Starting, Ask: 11},
-		{Phase: Starting, Bans: &state},
-		{Phase: Serving, Ask: 12},
-		{Phase: Serving, Order: &DenylistCommand{Server: "d", Deny: true}, Ask: 13},
-		{Phase: Serving, Order: &DenylistCommand{Server: "e"}, Ask: 14},
-		{Phase: Serving, Reply: 15},
-		{Phase: Draining, Ask: 16},
-		{Phase: Draining, Bans: &state, Order: &DenylistCommand{Server: "f", Deny: true}, Ask: 17, Reply: 18},
+		{Phase: Starting, RequestID: 11},
+		{Phase: Starting, Denylist: &snapshot},
+		{Phase: Serving, RequestID: 12},
+		{Phase: Serving, Command: &DenylistCommand{Server: "d", Deny: true}, RequestID: 13},
+		{Phase: Serving, Command: &DenylistCommand{Server: "e"}, RequestID: 14},
+		{Phase: Serving, ReplyTo: 15},
+		{Phase: Draining, RequestID: 16},
+		{Phase: Draining, Denylist: &snapshot, Command: &DenylistCommand{Server: "f", Deny: true}, RequestID: 17, ReplyTo: 18},
 	}
 }
 
-// alone is a link without others, and without a folder.
-func alone() *Link {
-	return &Link{log: slog.New(slog.DiscardHandler), process: NewProcess(), peers: map[int]*peer{}, wait: map[int]chan<- struct{}{}}
+// newTestLink returns a Link without peers and without a directory.
+func newTestLink() *Link {
+	return &Link{log: slog.New(slog.DiscardHandler), process: NewProcess(), peers: map[int]*peer{}, pendingReplies: map[int]chan<- struct{}{}}
 }
 
-// connection is a pair of ends that is closed with the test.
-func connection(t *testing.T) (near, far *net.UnixConn) {
+// testSocketPair returns two ends of a connection that is closed with the test.
+func testSocketPair(t *testing.T) (near, far *net.UnixConn) {
 	t.Helper()
-	near, far, err := pair()
+	near, far, err := socketPair()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,9 +58,10 @@
 	return near, far
 }
 
+// Messages have the committed bytes and are read back as the same.
 func TestGoldenMessages(t *testing.T) {
-	near, far := connection(t)
-	link, p, got := alone(), newPeer(near), make([]byte, 1<<16)
+	near, far := testSocketPair(t)
+	link, p, got := newTestLink(), newPeer(near), make([]byte, 1<<16)
 	size := 0
 	for _, m := range goldenMessages() {
 		link.process.SetPhase(m.Phase)
@@ -75,7 +76,7 @@
 	}
 	golden.Equal(t, "handover/messages", got[:size])
 
-	near, far = connection(t)
+	near, far = testSocketPair(t)
 	if _, err := far.Write(golden.Read(t, "handover/messages")); err != nil {
 		t.Fatal(err)
 	}
@@ -87,18 +88,19 @@
 	}
 }
 
-// What a process that starts gets first: a byte that carries the listener, and the bans. The reader has an old process' committed bytes.
+// A process that joins gets a byte that carries the listener, and then the denylist, in the committed bytes. It reads an old process's
+// committed bytes as the same.
 func TestGoldenWelcome(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer besteffort.Close(l)
-	near, far := connection(t)
-	link, set := alone(), denylist.New(10)
-	link.user, link.gate = os.Geteuid(), NewGatedListener(l.(*net.TCPListener))
-	set.Restore(goldenState(), func(ms int64) time.Duration { return time.Duration(ms) })
-	link.host = &host{Link: link, set: set}
+	near, far := testSocketPair(t)
+	link, set := newTestLink(), denylist.New(10)
+	link.uid, link.listener = os.Geteuid(), NewGatedListener(l.(*net.TCPListener))
+	set.Restore(goldenSnapshot(), func(ms int64) time.Duration { return time.Duration(ms) })
+	link.host = &testHost{Link: link, set: set}
 	link.process.SetPhase(Serving)
 	if err := link.welcome(t.Context(), newPeer(near)); err != nil {
 		t.Fatal(err)
@@ -125,22 +127,22 @@
 			besteffort.Close(c)
 		}
 	}()
-	j, passed, err := join(path)
+	j, passed, err := joinPeer(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer besteffort.Close(j.conn)
-	state := goldenState()
-	if want := (message{Phase: Serving, Bans: &state}); passed != nil || !reflect.DeepEqual(j.first, want) {
+	snapshot := goldenSnapshot()
+	if want := (message{Phase: Serving, Denylist: &snapshot}); passed != nil || !reflect.DeepEqual(j.first, want) {
 		t.Errorf("the committed welcome reads as %+v, with the listener %v", j.first, passed)
 	}
 }
 
-// By the names of their sockets an old and a new process find each other; by those of the phases they tell of them in the log.
+// An old and a new version find each other by the names of their sockets; logs have the names of the phases.
 func TestGoldenNames(t *testing.T) {
 	var got strings.Builder
 	for _, agent := range []string{"n0 127.0.0.1:8081", "another with a long name of many words 0.0.0.0:80"} {
-		fmt.Fprintf(&got, "%s: %s*%s\n", agent, prefix(agent), suffix)
+		fmt.Fprintf(&got, "%s: %s*%s\n", agent, socketPrefix(agent), socketSuffix)
 	}
 	for phase := Starting - 1; phase <= Draining+1; phase++ {
 		fmt.Fprintf(&got, "%d: %v\n", phase, phase)
--- a/internal/hotrestart/golden_texts_test.go
+++ b/internal/hotrestart/golden_texts_test.go
@@ -7,6 +7,7 @@
 	"appleledge/internal/golden"
 )
 
+// The phases' numbers are part of messages, their texts of the log.
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
 	for i, p := range []Phase{Starting, Serving, Draining, Draining + 1} {
--- a/internal/hotrestart/link_test.go
+++ b/internal/hotrestart/link_test.go
@@ -19,34 +19,34 @@
 	"appleledge/internal/denylist"
 )
 
-// host is a process under test.
-type host struct {
+// testHost is a process under test, with its own denylist.
+type testHost struct {
 	*Link
-	end func() // as its death does
+	end func() // ends the process as a crash does
 
-	mu    sync.Mutex
-	set   *denylist.Set
-	share float64
-	asked chan struct{} // told when the bans are asked for, which then wait for told; nil: they do not
-	told  chan struct{}
+	mu                sync.Mutex
+	set               *denylist.Set
+	share             float64
+	snapshotRequested chan struct{} // signalled by DenylistSnapshot, which then waits for snapshotReleased; nil: it does not
+	snapshotReleased  chan struct{}
 }
 
-func (h *host) DenylistSnapshot(context.Context) (denylist.Snapshot, error) {
+func (h *testHost) DenylistSnapshot(context.Context) (denylist.Snapshot, error) {
 	h.mu.Lock()
-	state, asked, told := h.state(), h.asked, h.told
+	snapshot, requested, released := h.snapshot(), h.snapshotRequested, h.snapshotReleased
 	h.mu.Unlock()
-	if asked != nil {
-		asked <- struct{}{}
-		<-told
+	if requested != nil {
+		requested <- struct{}{}
+		<-released
 	}
-	return state, nil
+	return snapshot, nil
 }
 
-func (h *host) state() denylist.Snapshot {
+func (h *testHost) snapshot() denylist.Snapshot {
 	return h.set.Snapshot(func(d time.Duration) int64 { return int64(d) })
 }
 
-func (h *host) ApplyCommand(_ context.Context, o DenylistCommand) error {
+func (h *testHost) ApplyCommand(_ context.Context, o DenylistCommand) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if o.Deny {
@@ -55,13 +55,13 @@
 	return h.set.Allow(time.Second, o.Server)
 }
 
-func (h *host) SetLimitShare(part float64) {
+func (h *testHost) SetLimitShare(share float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.share = part
+	h.share = share
 }
 
-func (h *host) has(share float64) func() bool {
+func (h *testHost) has(share float64) func() bool {
 	return func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -69,26 +69,26 @@
 	}
 }
 
-func (h *host) out() []string {
+func (h *testHost) deniedIDs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.set.DeniedIDs()
 }
 
-// give is an operator's order to this process.
-func (h *host) give(t *testing.T, server string, out bool) {
+// command gives this process an operator's command.
+func (h *testHost) command(t *testing.T, server string, deny bool) {
 	t.Helper()
-	o := DenylistCommand{server, out}
+	o := DenylistCommand{server, deny}
 	if err := h.ApplyEverywhere(t.Context(), o, func() error { return h.ApplyCommand(t.Context(), o) }); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// process starts a process in a folder; listens says whether it may open a listener of its own.
-func process(t *testing.T, dir string, listens bool) *host {
+// startProcess starts a process of one agent in a directory; mayListen says whether it may open a listener of its own.
+func startProcess(t *testing.T, dir string, mayListen bool) *testHost {
 	t.Helper()
 	listen := func() (net.Listener, error) {
-		if !listens {
+		if !mayListen {
 			t.Error("a listener was opened, though another process has one")
 		}
 		return net.Listen("tcp", "127.0.0.1:0")
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &host{Link: link, set: denylist.New(10)}
+	h := &testHost{Link: link, set: denylist.New(10)}
 	for _, id := range []string{"a", "b"} {
 		h.set.MarkListed(id, 0)
 	}
@@ -105,26 +105,29 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); link.Run(ctx, h) }()
-	h.end = func() { stop(); <-done; besteffort.Close(link.gate) }
+	h.end = func() { stop(); <-done; besteffort.Close(link.listener) }
 	t.Cleanup(h.end)
 	return h
 }
 
-func TestTwoProcessesAreOneAgent(t *testing.T) {
+// A new process joins an old one. It denies what operators have denied, both use half of the limits, and a command given to either
+// reaches the other before it returns. When the new one serves, the old one knows of its successor and leaves connections to it;
+// after its end the new one has all of the limits, and a third process can join in turn.
+func TestTwoProcessesActAsOneAgent(t *testing.T) {
 	dir := t.TempDir()
-	old := process(t, dir, true)
+	old := startProcess(t, dir, true)
 	old.AnnouncePhase(t.Context(), Serving)
-	old.give(t, "a", true)
-	fresh := process(t, dir, false)
+	old.command(t, "a", true)
+	fresh := startProcess(t, dir, false)
 	agenttest.Eventually(t, "each has half", func() bool { return old.has(0.5)() && fresh.has(0.5)() })
-	if got := fresh.out(); !slices.Equal(got, []string{"a"}) {
-		t.Fatalf("the new process holds out %v", got)
-	}
-	fresh.give(t, "b", true) // from its return both have it
-	old.give(t, "a", false)
-	for name, h := range map[string]*host{"old": old, "new": fresh} {
-		if got := h.out(); !slices.Equal(got, []string{"b"}) {
-			t.Errorf("the %s process holds out %v", name, got)
+	if got := fresh.deniedIDs(); !slices.Equal(got, []string{"a"}) {
+		t.Fatalf("the new process denies %v", got)
+	}
+	fresh.command(t, "b", true) // when it returns both have it
+	old.command(t, "a", false)
+	for name, h := range map[string]*testHost{"old": old, "new": fresh} {
+		if got := h.deniedIDs(); !slices.Equal(got, []string{"b"}) {
+			t.Errorf("the %s process denies %v", name, got)
 		}
 	}
 	if fresh.Listener().Addr().String() != old.Listener().Addr().String() {
@@ -140,24 +143,24 @@
 		t.Fatal(err)
 	}
 	defer besteffort.Close(far)
-	c, err := fresh.Listener().Accept() // the old one, whose gate is shut, would keep it
+	c, err := fresh.Listener().Accept() // the old one, whose listener is shut, would keep it
 	if err != nil {
 		t.Fatal(err)
 	}
 	besteffort.Close(c)
 	old.end()
 	agenttest.Eventually(t, "the new one has all", fresh.has(1))
-	next := process(t, dir, false) // a second upgrade in a row
-	if got := next.out(); !slices.Equal(got, []string{"b"}) {
-		t.Errorf("the third process holds out %v", got)
+	next := startProcess(t, dir, false) // a second upgrade in a row
+	if got := next.deniedIDs(); !slices.Equal(got, []string{"b"}) {
+		t.Errorf("the third process denies %v", got)
 	}
-	next.end() // and dies before its yes
+	next.end() // and dies before it serves
 	agenttest.Eventually(t, "the second one has all again", fresh.has(1))
 }
 
-// Two processes that start in the same moment are one agent: whichever looks for the other first, one finds the other. Here the second one starts
-// while the first has looked and found nobody, and has no listener yet.
-func TestTwoThatStartTogetherMeet(t *testing.T) {
+// The second process starts while the first has looked for others, found none, and has no listener yet. It waits for the first one's
+// listener and shares it: two processes that start together become one agent.
+func TestProcessesStartedTogetherFindEachOther(t *testing.T) {
 	dir := t.TempDir()
 	var second *Link
 	looked, joined := make(chan struct{}), make(chan error, 1)
@@ -176,7 +179,7 @@
 				return true
 			default:
 				files, err := os.ReadDir(dir)
-				return err == nil && len(files) == 2 // and waits for the first one's word
+				return err == nil && len(files) == 2 // and waits for the first one's listener
 			}
 		})
 		return net.Listen("tcp", "127.0.0.1:0")
@@ -188,46 +191,48 @@
 	var both sync.WaitGroup
 	defer both.Wait()
 	defer stop()
-	both.Go(func() { first.Run(ctx, &host{Link: first, set: denylist.New(10)}) })
+	both.Go(func() { first.Run(ctx, &testHost{Link: first, set: denylist.New(10)}) })
 	if err := <-joined; err != nil {
 		t.Fatal(err)
 	}
-	both.Go(func() { second.Run(ctx, &host{Link: second, set: denylist.New(10)}) })
-	defer besteffort.Close(second.gate)
-	defer besteffort.Close(first.gate)
+	both.Go(func() { second.Run(ctx, &testHost{Link: second, set: denylist.New(10)}) })
+	defer besteffort.Close(second.listener)
+	defer besteffort.Close(first.listener)
 	if second.IsAlone() || second.Listener().Addr().String() != first.Listener().Addr().String() {
 		t.Error("the second one does not know of the first")
 	}
 	agenttest.Eventually(t, "nor is the first one alone", func() bool { return !first.IsAlone() })
 }
 
-// An order that comes while a process joins, behind the moment in which the bans were written down for it, is not missed.
-func TestAnOrderCrossesAProcessThatJoins(t *testing.T) {
+// An operator's command comes while a process joins, after the snapshot of the denylist for it was taken. The command waits until the
+// process has joined and reaches it too.
+func TestCommandDuringJoinReachesJoiningProcess(t *testing.T) {
 	dir := t.TempDir()
-	old := process(t, dir, true)
+	old := startProcess(t, dir, true)
 	old.AnnouncePhase(t.Context(), Serving)
-	asked, told := make(chan struct{}), make(chan struct{})
+	requested, released := make(chan struct{}), make(chan struct{})
 	old.mu.Lock()
-	old.asked, old.told = asked, told
+	old.snapshotRequested, old.snapshotReleased = requested, released
 	old.mu.Unlock()
-	joined := make(chan *host)
-	go func() { joined <- process(t, dir, false) }()
-	<-asked
+	joined := make(chan *testHost)
+	go func() { joined <- startProcess(t, dir, false) }()
+	<-requested
 	given := make(chan struct{})
-	go func() { defer close(given); old.give(t, "a", true) }()
+	go func() { defer close(given); old.command(t, "a", true) }()
 	select {
 	case <-given:
 		t.Error("it was carried out while a process that does not know of it joined")
-	case <-time.After(joinTime / 50): // nothing may come
+	case <-time.After(joinTimeout / 50): // nothing may come
 	}
-	close(told)
+	close(released)
 	fresh := <-joined
 	<-given
-	agenttest.Eventually(t, "the new process has it too", func() bool { return slices.Equal(fresh.out(), []string{"a"}) })
+	agenttest.Eventually(t, "the new process has it too", func() bool { return slices.Equal(fresh.deniedIDs(), []string{"a"}) })
 }
 
-// One that holds the folder's lock and does nothing keeps nobody from starting.
-func TestALockThatIsHeld(t *testing.T) {
+// Another process holds the directory's lock and does nothing. A process that starts waits for a bounded time and starts without the
+// lock.
+func TestHeldDirectoryLockDelaysStartOnly(t *testing.T) {
 	dir := t.TempDir()
 	held, err := os.Open(dir)
 	if err != nil {
@@ -238,23 +243,24 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	if h := process(t, dir, true); !h.IsAlone() {
+	if h := startProcess(t, dir, true); !h.IsAlone() {
 		t.Error("it is not alone")
 	}
-	if took := time.Since(began); took < lockMost || took > agenttest.Patience {
+	if took := time.Since(began); took < directoryLockTimeout || took > agenttest.Patience {
 		t.Errorf("it took %v", took)
 	}
 }
 
-// The folder may lie deeper than the path of a socket can say.
-func TestAFolderWithALongName(t *testing.T) {
+// The directory's path is longer than the path of a socket may be. Processes find each other all the same, and the one that ends
+// leaves no file.
+func TestDirectoryWithLongPath(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("deep", 40))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	old := process(t, dir, true)
+	old := startProcess(t, dir, true)
 	old.AnnouncePhase(t.Context(), Serving)
-	if fresh := process(t, dir, false); fresh.IsAlone() {
+	if fresh := startProcess(t, dir, false); fresh.IsAlone() {
 		t.Error("the new one is alone")
 	}
 	old.end()
@@ -263,16 +269,17 @@
 	}
 }
 
-func TestAProcessThatDiesKeepsNothing(t *testing.T) {
+// A process was killed and has left the file of its socket. The next process removes it and is alone.
+func TestStaleSocketIsRemoved(t *testing.T) {
 	dir := t.TempDir()
-	stale := filepath.Join(dir, prefix("n0")+"1"+suffix)
+	stale := filepath.Join(dir, socketPrefix("n0")+"1"+socketSuffix)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: stale, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.SetUnlinkOnClose(false) // as a killed process leaves it
 	besteffort.Close(l)
-	h := process(t, dir, true)
+	h := startProcess(t, dir, true)
 	if _, err := os.Lstat(stale); err == nil {
 		t.Error("the file of a process that is gone is still there")
 	}
@@ -281,8 +288,9 @@
 	}
 }
 
-// A process of another user gets neither the clients' socket nor the bans, and counts for nothing.
-func TestAStrangerDoesNotJoin(t *testing.T) {
+// A process of another user connects to the agent's socket. It gets neither the listener nor the denylist, does not count as a peer,
+// and the log says why.
+func TestProcessOfAnotherUserIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	log := &agenttest.LockedBuffer{}
 	open := func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
@@ -290,14 +298,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	link.user++ // so that this user is a stranger to it
-	h := &host{Link: link, set: denylist.New(10)}
+	link.uid++ // so that this user is a stranger to it
+	h := &testHost{Link: link, set: denylist.New(10)}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); link.Run(ctx, h) }()
-	defer func() { stop(); <-done; besteffort.Close(link.gate) }()
+	defer func() { stop(); <-done; besteffort.Close(link.listener) }()
 	link.AnnouncePhase(t.Context(), Serving)
-	if stranger := process(t, dir, true); !stranger.IsAlone() || stranger.Listener().Addr().String() == link.Listener().Addr().String() {
+	if stranger := startProcess(t, dir, true); !stranger.IsAlone() || stranger.Listener().Addr().String() == link.Listener().Addr().String() {
 		t.Error("it was let in")
 	}
 	agenttest.Eventually(t, "the log says why", func() bool { return log.Count("is not the agent's") == 1 })
@@ -306,49 +314,50 @@
 	}
 }
 
-// One that hangs, or is no process of ours, must not keep a new one from starting.
-func TestAPeerThatSaysNothing(t *testing.T) {
+// Behind a socket is a process that accepts and says nothing. A process that starts gives up on it after a bounded time and starts
+// alone.
+func TestSilentPeerDelaysStartOnly(t *testing.T) {
 	dir := t.TempDir()
-	l, err := net.Listen("unix", filepath.Join(dir, prefix("n0")+"1"+suffix))
+	l, err := net.Listen("unix", filepath.Join(dir, socketPrefix("n0")+"1"+socketSuffix))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer besteffort.Close(l)
 	began := time.Now()
-	if h := process(t, dir, true); !h.IsAlone() {
+	if h := startProcess(t, dir, true); !h.IsAlone() {
 		t.Error("it counts as a process")
 	}
-	if took := time.Since(began); took > 5*joinTime {
+	if took := time.Since(began); took > 5*joinTimeout {
 		t.Errorf("it took %v", took)
 	}
 }
 
-// What comes over the socket is an own process' word; whatever it is, it is read within bounds.
+// Another version of the program sends anything. The messages are read within bounds of memory, and the peer is removed at their end.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte(`{"phase":1,"bans":{"out":{"a":5},"seen":["a"]}}` + "\n"))
 	f.Add([]byte(`{"phase":-1,"order":{"server":"a","out":true},"ask":3}` + "\n" + `{"reply":3}` + "\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		near, far, err := pair()
+		near, far, err := socketPair()
 		if err != nil {
 			t.Skip(err)
 		}
 		defer besteffort.Close(near)
-		link := &Link{log: slog.New(slog.DiscardHandler), process: NewProcess(), peers: map[int]*peer{}, wait: map[int]chan<- struct{}{}}
+		link := &Link{log: slog.New(slog.DiscardHandler), process: NewProcess(), peers: map[int]*peer{}, pendingReplies: map[int]chan<- struct{}{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer besteffort.Close(l)
-		link.gate = NewGatedListener(l.(*net.TCPListener))
-		h := &host{Link: link, set: denylist.New(2)}
+		link.listener = NewGatedListener(l.(*net.TCPListener))
+		h := &testHost{Link: link, set: denylist.New(2)}
 		link.host = h
 		p := newPeer(near)
 		link.add(p, message{})
 		go func() { besteffort.IgnoreResult(far.Write(text)); besteffort.Ignore(far.CloseWrite()) }()
 		link.follow(t.Context(), p)
 		besteffort.Close(far)
-		if n := len(h.out()); n > 2 {
-			t.Errorf("%d are held out", n)
+		if n := len(h.deniedIDs()); n > 2 {
+			t.Errorf("%d are denied", n)
 		}
 		if !link.IsAlone() {
 			t.Error("it is still there")
@@ -356,8 +365,8 @@
 	})
 }
 
-// pair are two ends of a connection.
-func pair() (near, far *net.UnixConn, err error) {
+// socketPair returns two ends of a connection.
+func socketPair() (near, far *net.UnixConn, err error) {
 	dir, err := os.MkdirTemp("", "link")
 	if err != nil {
 		return nil, nil, err
@@ -375,9 +384,9 @@
 	return near, far, err
 }
 
-// A call to accept that waits as its gate shuts may take the connection that comes in that very moment. All others are left for the process
-// that has the socket as well, until the gate opens again.
-func TestAGateThatShutsLeavesWhatComes(t *testing.T) {
+// A listener is shut while a call of Accept waits. That call may take the connection that arrives in that very moment; all others are
+// left for the process that has the same socket, until the listener is open again.
+func TestShutListenerLeavesConnectionsToOtherProcess(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -448,7 +457,7 @@
 	}
 	select {
 	case err := <-here:
-		t.Fatalf("accepted by a gate that is shut, %v", err)
+		t.Fatalf("accepted by a listener that is shut, %v", err)
 	default:
 	}
 	besteffort.Close(other)
@@ -459,6 +468,6 @@
 	here = accept(g)
 	besteffort.Close(g)
 	if err := <-here; err == nil {
-		t.Error("accepted by a gate that is closed")
+		t.Error("accepted by a listener that is closed")
 	}
 }
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -1,62 +1,62 @@
-// Package hotrestart makes an old and a new process one agent while one replaces the other: they share the socket that clients
-// connect to, the limits, and what operators order.
 package hotrestart
 
-// Phase is how far a process has come.
+// Phase is a stage in a process's life. Its numbers are part of the messages and its texts of the log.
 type Phase int
 
 // The phases, in their order.
 const (
-	Starting Phase = iota // can't serve yet
+	Starting Phase = iota // cannot serve yet
 	Serving
-	Draining // told to end
+	Draining // told to end: it finishes what it has
 )
 
-var phases = [...]string{Starting: "starting", Serving: "serving", Draining: "leaving"}
+var phaseNames = [...]string{Starting: "starting", Serving: "serving", Draining: "leaving"}
 
 func (p Phase) String() string {
-	if p < 0 || int(p) >= len(phases) {
+	if p < 0 || int(p) >= len(phaseNames) {
 		return "unknown"
 	}
-	return phases[p]
+	return phaseNames[p]
 }
 
-// Process decides what one process of an agent does, by its own phase and those of the others that live. It does no I/O.
+// Process decides what one process of an agent does, by its own phase and those of its live peers. It does no I/O and is not safe
+// for concurrent use.
 //
-// Invariants: as long as any process lives that has been ready, at least one takes new connections; a phase never goes back;
-// the shares of all come to one as soon as all know of each other.
+// Invariants: as long as any process lives that has been ready, at least one accepts new connections; a phase never goes back;
+// the limit shares of all processes add up to one as soon as all know of each other.
 type Process struct {
 	phase Phase
-	peers map[int]Phase // by link
+	peers map[int]Phase // by the Link's number of the peer
 }
 
-// NewProcess returns a process that starts, beside no other.
+// NewProcess returns a process in the phase Starting, without peers.
 func NewProcess() *Process { return &Process{peers: map[int]Phase{}} }
 
-// AnnouncePhase notes a phase of the process itself.
-func (p *Process) SetPhase(to Phase) { p.phase = max(p.phase, to) }
+// SetPhase advances the process's own phase. An earlier phase than the present one is ignored.
+func (p *Process) SetPhase(phase Phase) { p.phase = max(p.phase, phase) }
 
-// ObservePeer notes another process, or a new phase of it.
-func (p *Process) ObservePeer(link int, phase Phase) { p.peers[link] = max(p.peers[link], phase) }
+// ObservePeer notes a peer, or a new phase of it. An earlier phase than the known one is ignored: messages may cross.
+func (p *Process) ObservePeer(peer int, phase Phase) { p.peers[peer] = max(p.peers[peer], phase) }
 
-// RemovePeer notes that another one has ended.
-func (p *Process) RemovePeer(link int) { delete(p.peers, link) }
+// RemovePeer notes that a peer has ended.
+func (p *Process) RemovePeer(peer int) { delete(p.peers, peer) }
 
-// Phase is the process' own.
+// Phase returns the process's own phase.
 func (p *Process) Phase() Phase { return p.phase }
 
-// ShouldAccept reports whether the process takes new connections.
+// ShouldAccept reports whether the process accepts new connections. One that starts leaves them to its peers; without peers it
+// accepts, and answers itself that it is not ready. One that drains accepts until another serves, so that there is no gap.
 func (p *Process) ShouldAccept() bool {
 	switch p.phase {
 	case Serving:
 		return true
-	case Starting: // the others serve, until this one is ready; a process alone says itself that it is not
+	case Starting:
 		return len(p.peers) == 0
 	}
 	return !p.HasSuccessor()
 }
 
-// HasSuccessor reports whether another process serves.
+// HasSuccessor reports whether a peer serves.
 func (p *Process) HasSuccessor() bool {
 	for _, phase := range p.peers {
 		if phase == Serving {
@@ -66,5 +66,5 @@
 	return false
 }
 
-// SetLimitShare is the part of the agent's limits that the process may use.
+// LimitShare returns the part of the agent's limits that the process may use, above 0 and at most 1.
 func (p *Process) LimitShare() float64 { return 1 / float64(1+len(p.peers)) }
--- a/internal/hotrestart/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -6,14 +6,14 @@
 	"pgregory.net/rapid"
 )
 
-// Several processes of one agent start, become ready, are told to leave and die, in any order that the platform or a mishap can
-// bring, each heard of by the others: as long as one that has been ready lives, somebody takes new connections; one that could
-// not serve takes none from those that can; and the shares come to one.
-func TestProcessesAsAModel(t *testing.T) {
+// Several processes of one agent start, become ready, are told to end and die, in any order, and each hears of the others' phases,
+// late at times. As long as one lives that has been ready, somebody accepts new connections; a process that cannot serve accepts
+// none beside one that can; and the limit shares add up to one.
+func TestProcessInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		live := map[int]*Process{}
 		next := 0
-		some := func(t *rapid.T) int {
+		drawLive := func(t *rapid.T) int {
 			var ids []int
 			for id := range next {
 				if live[id] != nil {
@@ -35,7 +35,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
-				if len(live) > mostPeers {
+				if len(live) > maxPeers {
 					t.Skip("there are enough")
 				}
 				p := NewProcess()
@@ -46,10 +46,10 @@
 				live[next] = p
 				next++
 			},
-			"ready": func(t *rapid.T) { enter(some(t), Serving) },
-			"leave": func(t *rapid.T) { enter(some(t), Draining) },
-			"an old word comes late": func(t *rapid.T) {
-				id := some(t)
+			"ready": func(t *rapid.T) { enter(drawLive(t), Serving) },
+			"leave": func(t *rapid.T) { enter(drawLive(t), Draining) },
+			"an old message comes late": func(t *rapid.T) {
+				id := drawLive(t)
 				for other, p := range live {
 					if other != id {
 						p.ObservePeer(id, Phase(rapid.IntRange(0, int(live[id].Phase())).Draw(t, "phase")))
@@ -57,7 +57,7 @@
 				}
 			},
 			"die": func(t *rapid.T) {
-				id := some(t)
+				id := drawLive(t)
 				delete(live, id)
 				for _, p := range live {
 					p.RemovePeer(id)
@@ -76,15 +76,15 @@
 					if p.ShouldAccept() {
 						accepting++
 						if p.Phase() == Starting && len(live) > 1 {
-							t.Fatal("one that is not ready takes connections from others")
+							t.Fatal("one that is not ready accepts connections beside others")
 						}
 					}
 				}
 				switch {
 				case ready > 0 && accepting == 0:
-					t.Fatal("nobody takes new connections")
+					t.Fatal("nobody accepts new connections")
 				case serving > 0 && accepting != serving:
-					t.Fatalf("%d serve and %d take new connections", serving, accepting)
+					t.Fatalf("%d serve and %d accept new connections", serving, accepting)
 				case len(live) > 0 && (shares < 0.999 || shares > 1.001):
 					t.Fatalf("the shares come to %v", shares)
 				}
@@ -93,8 +93,9 @@
 	})
 }
 
-// A word that is older than one that was heard changes nothing: the process that serves goes on taking what connects.
-func TestAnOldWordChangesNothing(t *testing.T) {
+// Two messages of a process cross, and the older one arrives last. The earlier phase that it tells is ignored, so that the draining
+// process does not accept connections again beside the one that serves.
+func TestOlderPhaseIsIgnored(t *testing.T) {
 	a, b := NewProcess(), NewProcess()
 	a.ObservePeer(1, Starting)
 	b.ObservePeer(0, a.Phase())
@@ -104,6 +105,6 @@
 	b.ObservePeer(0, a.Phase())
 	b.ObservePeer(0, Starting) // which a said before
 	if !a.ShouldAccept() || b.ShouldAccept() {
-		t.Errorf("the one that serves takes new connections: %v, the one that leaves: %v", a.ShouldAccept(), b.ShouldAccept())
+		t.Errorf("the one that serves accepts new connections: %v, the one that leaves: %v", a.ShouldAccept(), b.ShouldAccept())
 	}
 }
