--- a/internal/unixsocket/localsocket_test.go
+++ b/internal/unixsocket/unixsocket_test.go
@@ -11,13 +11,15 @@
 	"appleledge/internal/besteffort"
 )
 
-func TestSocketsOpenedAtOnceAreTheirOwnersAndLeaveTheUmaskAlone(t *testing.T) {
+// Eight goroutines open and close sockets at once. Each socket is its owner's alone from the start, its file is removed on Close, and
+// the umask of the process is as it was.
+func TestConcurrentListenIsOwnerOnlyAndKeepsUmask(t *testing.T) {
 	dir := t.TempDir()
 	before := syscall.Umask(0o022)
 	defer syscall.Umask(before)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range 8 {
-		all.Go(func() {
+		running.Go(func() {
 			for j := range 100 {
 				path := filepath.Join(dir, fmt.Sprintf("%d-%d", i, j))
 				l, err := Listen(path)
@@ -35,13 +37,14 @@
 			}
 		})
 	}
-	all.Wait()
+	running.Wait()
 	if now := syscall.Umask(0o022); now != 0o022 {
 		t.Errorf("the umask has become %03o", now)
 	}
 }
 
-func TestAPathThatIsTakenIsAnError(t *testing.T) {
+// A second listener is opened at the path of the first, and gets an error.
+func TestListenOnExistingPathFails(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := Listen(path)
 	if err != nil {
