--- a/internal/agent/golden_texts_test.go
+++ b/internal/agent/golden_texts_test.go
@@ -82,7 +82,7 @@
 	core.TrackLatency(site.Balancer.Classes)
 	var classes []recovery.Class
 	for _, c := range site.Balancer.Classes {
-		classes = append(classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, IsIdempotent: c.Effect == balancer.Idempotent})
+		classes = append(classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, Idempotent: c.Effect == balancer.Idempotent})
 	}
 	r := recovery.New(recovery.Options{Classes: classes, Agents: 2, ColdCapacityRatio: 0.32, WarmupTime: 8 * time.Second, ColdOverloadFactor: 3, MaxRetryAfter: time.Second}, nil)
 	before := recovery.Baseline{ClassRates: []float64{40, 20, 10}, Utilization: 0.5}
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -167,7 +167,7 @@
 	o := recovery.Options{Agents: site.Balancers, Self: site.Index, ColdCapacityRatio: site.SlowStartInitialRatio, WarmupTime: site.SlowStartDuration, ColdOverloadFactor: site.WarmingOverloadRatio,
 		MaxRetryAfter: site.MaxRetryAfter, PeerPollTime: askFor, Seed: cfg.Seed}
 	for _, c := range site.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, IsIdempotent: c.Effect == balancer.Idempotent})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, Idempotent: c.Effect == balancer.Idempotent})
 	}
 	r := recovery.New(o, behind)
 	before := k.before.RecoveryBaseline(k.classes(site.Classes))
--- a/internal/engine/returning_test.go
+++ b/internal/engine/returning_test.go
@@ -14,7 +14,7 @@
 func returningEngine(t *testing.T, change func(*tiedEngine)) *tiedEngine {
 	return newTied(t, func(x *tiedEngine) {
 		x.SetRecovery(recovery.New(recovery.Options{Agents: 1, ColdCapacityRatio: 0.3, WarmupTime: time.Second,
-			Classes: []recovery.Class{{Priority: 1, LatencyObjective: time.Second, IsIdempotent: true}, {Priority: 5, LatencyObjective: time.Second}}}, nil), func() bool { return true }, func() {})
+			Classes: []recovery.Class{{Priority: 1, LatencyObjective: time.Second, Idempotent: true}, {Priority: 5, LatencyObjective: time.Second}}}, nil), func() bool { return true }, func() {})
 		change(x)
 	})
 }
--- a/internal/fleet/recovery/baseline.go
+++ b/internal/fleet/recovery/baseline.go
@@ -9,145 +9,150 @@
 	"appleledge/internal/admission"
 )
 
-// Baseline is what an agent knew before: the part of what is kept that a Recovery goes by.
+// Baseline is what was usual before an outage. It is what an agent saves for its next start; see package snapshot.
 type Baseline struct {
-	Servers     []BaselineServer
-	ClassRates  []float64 // requests a second that it was served, by class; none where it is not known
-	Utilization float64   // how busy servers were, from 0 to 1; 0: not known
+	Servers     []BaselineServer // by id
+	ClassRates  []float64        // requests a second that this agent was asked for, by class; empty: not known
+	Utilization float64          // of the servers, from 0 to 1; 0: not known
 }
 
 // BaselineServer is a server as it was.
 type BaselineServer struct {
 	ID       string
-	Cell     int
+	Cell     int // the pod that it belongs to
 	Ready    bool
 	Capacity float64 // requests a second when warm; 0: not known
 }
 
-// AdmissionRate is the sum over the classes.
+// TotalRate returns the sum of the classes' rates.
 func (b Baseline) TotalRate() (sum float64) {
-	for _, x := range b.ClassRates {
-		sum += x
+	for _, rate := range b.ClassRates {
+		sum += rate
 	}
 	return sum
 }
 
-func (b Baseline) usual(class int) float64 {
+// classRate returns a class's rate; 0 if it isn't known.
+func (b Baseline) classRate(class int) float64 {
 	if class < len(b.ClassRates) {
 		return b.ClassRates[class]
 	}
 	return 0
 }
 
+// How a trafficProfile averages.
 const (
-	habitTime   = 20 * time.Second       // over which rates are averaged
-	habitLook   = 500 * time.Millisecond // between two looks
-	useSure     = 0.25                   // use from which a report tells a capacity for certain
-	habitWeight = 0.05                   // of a report in a capacity
-	askedTime   = 2 * time.Second        // over which first tries are averaged, where nothing is known
+	classRateAveraging    = 20 * time.Second
+	classRateInterval     = 500 * time.Millisecond
+	firstAttemptAveraging = 2 * time.Second
+	minCapacityProof      = 0.25 // utilization from which a report says what a server's capacity is
+	capacityWeight        = 0.05 // of a report, in the average of a server's capacity
+	utilizationWeight     = capacityWeight / 2
 )
 
-// trafficProfile are what is usual for an agent: what a recovery goes by, later.
+// trafficProfile learns in FullService what is usual for the agent.
 type trafficProfile struct {
-	usual  []float64 // requests a second, by class
-	counts []float64 // since the last look
-	use    float64
-	looked time.Duration
-	firsts float64 // first tries lately, fading
-	at     time.Duration
-	start  time.Duration
+	classRates    []float64 // averaged first attempts a second, by class
+	arrivals      []float64 // first attempts since updatedAt, by class
+	utilization   float64   // averaged, of the servers; 0: not known
+	updatedAt     time.Duration
+	firstAttempts float64 // decaying count, at decayedAt
+	decayedAt     time.Duration
+	firstArrival  time.Duration // 0: none
 }
 
-func (h *trafficProfile) classes(n int) {
-	for len(h.usual) < n {
-		h.usual, h.counts = append(h.usual, 0), append(h.counts, 0)
+func (t *trafficProfile) growTo(classes int) {
+	for len(t.classRates) < classes {
+		t.classRates, t.arrivals = append(t.classRates, 0), append(t.arrivals, 0)
 	}
 }
 
-// asked counts an arrival.
-func (h *trafficProfile) asked(now time.Duration, a admission.Request) {
+// countArrival counts a request. Clients' retries don't count: in an outage they are many times what is usual.
+func (t *trafficProfile) countArrival(now time.Duration, a admission.Request) {
 	if a.IsRetry {
 		return
 	}
-	if h.start == 0 {
-		h.start, h.at = now, now
+	if t.firstArrival == 0 {
+		t.firstArrival, t.decayedAt = now, now
 	}
-	h.counts[a.Class]++
-	h.firsts = h.firsts*math.Exp(-(now-h.at).Seconds()/askedTime.Seconds()) + 1
-	h.at = now
+	t.arrivals[a.Class]++
+	t.firstAttempts = t.firstAttempts*math.Exp(-(now-t.decayedAt).Seconds()/firstAttemptAveraging.Seconds()) + 1
+	t.decayedAt = now
 }
 
-// askedRate is how many first tries come a second.
-func (h *trafficProfile) askedRate(now time.Duration) float64 {
-	over := askedTime.Seconds() * (1 - math.Exp(-max(0.1, (now-h.start).Seconds())/askedTime.Seconds()))
-	return h.firsts * math.Exp(-(now-h.at).Seconds()/askedTime.Seconds()) / over
+// firstAttemptRate returns how many first attempts a second have come lately.
+func (t *trafficProfile) firstAttemptRate(now time.Duration) float64 {
+	window := firstAttemptAveraging.Seconds() * (1 - math.Exp(-max(0.1, (now-t.firstArrival).Seconds())/firstAttemptAveraging.Seconds()))
+	return t.firstAttempts * math.Exp(-(now-t.decayedAt).Seconds()/firstAttemptAveraging.Seconds()) / window
 }
 
-// look averages the rates of first tries, in calm.
-func (h *trafficProfile) look(now time.Duration) {
-	passed := now - h.looked
-	if passed < habitLook {
+// update averages the classes' rates, when an interval is over.
+func (t *trafficProfile) update(now time.Duration) {
+	passed := now - t.updatedAt
+	if passed < classRateInterval {
 		return
 	}
-	if h.looked = now; passed > 4*habitLook && h.use == 0 && slices.Max(append(h.usual, 0)) == 0 {
-		clear(h.counts) // the first look
+	isFirst := passed > 4*classRateInterval && t.utilization == 0 && slices.Max(append(t.classRates, 0)) == 0
+	if t.updatedAt = now; isFirst { // the counts are of an interval whose length isn't known
+		clear(t.arrivals)
 		return
 	}
-	keep := math.Exp(-float64(passed) / float64(habitTime))
-	for i := range h.usual {
-		rate := h.counts[i] / passed.Seconds()
-		if h.usual[i] == 0 {
-			h.usual[i] = rate
+	keep := math.Exp(-float64(passed) / float64(classRateAveraging))
+	for i := range t.classRates {
+		rate := t.arrivals[i] / passed.Seconds()
+		if t.classRates[i] == 0 {
+			t.classRates[i] = rate
 		}
-		h.usual[i] = keep*h.usual[i] + (1-keep)*rate
-		h.counts[i] = 0
+		t.classRates[i] = keep*t.classRates[i] + (1-keep)*rate
+		t.arrivals[i] = 0
 	}
 }
 
-// reported learns from a server's report, in calm.
-func (h *trafficProfile) reported(now time.Duration, s *server) {
-	if s.asOf != now {
+// learnFromReport averages the utilization of the servers and the capacity of one, if its report is of now.
+func (t *trafficProfile) learnFromReport(now time.Duration, s *server) {
+	if s.reportedAt != now {
 		return
 	}
-	if h.use == 0 {
-		h.use = s.use
+	if t.utilization == 0 {
+		t.utilization = s.reportedUtilization
 	}
-	h.use += habitWeight / 2 * (s.use - h.use)
-	if s.use < useSure {
+	t.utilization += utilizationWeight * (s.reportedUtilization - t.utilization)
+	if s.reportedUtilization < minCapacityProof {
 		return
 	}
-	c := s.rate / s.use
-	if s.capacity == 0 {
-		s.capacity = c
+	capacity := s.reportedRate / s.reportedUtilization
+	if s.warmCapacity == 0 {
+		s.warmCapacity = capacity
 	}
-	s.capacity += habitWeight * (c - s.capacity)
+	s.warmCapacity += capacityWeight * (capacity - s.warmCapacity)
 }
 
-// before is what is usual, as what a recovery goes by.
-func (h *trafficProfile) before(r *Controller) Baseline {
-	b := Baseline{ClassRates: slices.Clone(h.usual), Utilization: h.use}
+// baseline returns what is usual now.
+func (t *trafficProfile) baseline(r *Controller) Baseline {
+	b := Baseline{ClassRates: slices.Clone(t.classRates), Utilization: t.utilization}
 	for _, s := range r.servers {
-		b.Servers = append(b.Servers, BaselineServer{s.id, s.cell, s.ready, s.capacity})
+		b.Servers = append(b.Servers, BaselineServer{s.id, s.cell, s.isReady, s.warmCapacity})
 	}
 	slices.SortFunc(b.Servers, func(x, y BaselineServer) int { return strings.Compare(x.ID, y.ID) })
 	return b
 }
 
-// Resume goes on with what is known from before, where it is known that nothing has lost power since.
+// Resume goes on from a baseline in FullService, where it is known that no server has lost power since.
 func (r *Controller) Resume(before Baseline) {
-	copy(r.habits.usual, before.ClassRates)
-	r.habits.use = before.Utilization
+	copy(r.traffic.classRates, before.ClassRates)
+	r.traffic.utilization = before.Utilization
 	for _, s := range before.Servers {
 		own := r.server(s.ID)
-		own.cell, own.ready, own.capacity = s.Cell, s.Ready, s.Capacity
+		own.cell, own.isReady, own.warmCapacity = s.Cell, s.Ready, s.Capacity
 	}
 }
 
-// Baseline is what is to be kept: what is usual, or, while a recovery is under way, what that goes by.
+// Baseline returns what is to be saved for the next start: what is usual now or, while a recovery is under way, what was usual before it,
+// as what is admitted now says nothing of that.
 func (r *Controller) Baseline() Baseline {
-	b := r.habits.before(r)
+	b := r.traffic.baseline(r)
 	if r.phase != FullService {
-		b.ClassRates, b.Utilization = slices.Clone(r.base.ClassRates), r.base.Utilization
+		b.ClassRates, b.Utilization = slices.Clone(r.baseline.ClassRates), r.baseline.Utilization
 	}
 	return b
 }
--- a/internal/fleet/recovery/decisions_test.go
+++ b/internal/fleet/recovery/decisions_test.go
@@ -27,12 +27,12 @@
 	end admission.Outcome
 }
 
-// decisionTrace is a toy fleet of twelve pods that loses its power, comes back pod by pod, restarts as a whole, and is met by an agent
-// that starts with what it knew, with nothing, and with all as it was. Rates and parts of the
-// capacity are rounded here: the module adds them up over a map, in an order of chance, on which their last bits hang.
+// decisionTrace is a simulated fleet of twelve servers that loses power, returns server by server and restarts as a whole; meanwhile the
+// agent restarts with a baseline, without one, and resumes. Rates and ratios are rounded here: the Controller adds them up over a map in
+// random order, on which their last bits depend.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
-	classes := []Class{{Name: "a", Priority: 1, LatencyObjective: 300e6, IsIdempotent: true}, {Name: "b", Priority: 10, LatencyObjective: 400e6}, {Name: "c", Priority: 4, LatencyObjective: 300e6, IsIdempotent: true}}
+	classes := []Class{{Name: "a", Priority: 1, LatencyObjective: 300e6, Idempotent: true}, {Name: "b", Priority: 10, LatencyObjective: 400e6}, {Name: "c", Priority: 4, LatencyObjective: 300e6, Idempotent: true}}
 	watched := []admission.Class{{Priority: 1, LatencyObjective: 300e6, Idempotent: true}, {Priority: 10, LatencyObjective: 400e6}, {Priority: 4, LatencyObjective: 300e6, Idempotent: true}}
 	make := func(askFor time.Duration) *Controller {
 		var behind Admitter
@@ -227,7 +227,7 @@
 	return tr
 }
 
-// rounded is a sum whose last bits are chance. Nine digits end in no tie here: times are in steps of 10 ms.
+// rounded is a sum whose last bits are random. Nine digits end in no tie here: times are in steps of 10 ms.
 func rounded(x float64) string { return strconv.FormatFloat(x, 'g', 9, 64) }
 
 // The decisions of a seeded run are committed as a hash: not one of them may change.
--- a/internal/fleet/recovery/golden_texts_test.go
+++ b/internal/fleet/recovery/golden_texts_test.go
@@ -8,7 +8,7 @@
 	"appleledge/internal/golden"
 )
 
-// The phases, and the reasons that a recovery gives from a loss of power to full service, and when servers are seen to go.
+// The words for phases, and the reasons for them from a loss of power to full service and at an outage, which logs show, never change.
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
 	for i, p := range []Phase{FullService, NoEndpoints, PollingPeers, TrialRequests, TopPriority, Ramping} {
@@ -23,11 +23,11 @@
 		}
 	}
 	for _, c := range []struct{ rate, refunds float64 }{{20, 21}, {200, 21}, {200, 500}} { // what is asked a second, and what refunds were before
-		o := options(4, 0)
+		o := testOptions(4, 0)
 		o.PeerPollTime = 300 * time.Millisecond
 		r = New(o, nil)
 		note(0)
-		r.Start(start, known(12, 42, c.refunds, 0.5), "power")
+		r.Start(start, testBaseline(12, 42, c.refunds, 0.5), "power")
 		note(start)
 		for i := range int(25 * c.rate) {
 			now := start + time.Duration(float64(i)/c.rate*float64(second))
@@ -38,7 +38,7 @@
 			if i%3 == 0 {
 				class = refund
 			}
-			r.Arrive(now, ask(class))
+			r.Arrive(now, request(class))
 			r.Tick(now)
 			note(now)
 		}
@@ -53,7 +53,7 @@
 		begins  bool
 		started time.Duration
 	}{{true, 0}, {true, start + 19*second}, {false, start + 19*second}} { // the list says so of a fleet of which nothing is known
-		r = New(options(4, 0), nil)
+		r = New(testOptions(4, 0), nil)
 		if c.begins {
 			r.Start(start, Baseline{}, "nothing")
 		}
--- a/internal/fleet/recovery/recovery_test.go
+++ b/internal/fleet/recovery/recovery_test.go
@@ -17,13 +17,13 @@
 	start        = 10 * second // of a recovery, on the tests' clock
 )
 
-func options(agents, self int) Options {
+func testOptions(agents, self int) Options {
 	return Options{Agents: agents, Self: self, ColdCapacityRatio: 0.32, WarmupTime: 8700 * time.Millisecond, ColdOverloadFactor: 3, MaxRetryAfter: second, Seed: uint64(self),
 		Classes: []Class{{"form-check", 2, 600 * time.Millisecond, true}, {"refund-record", 10, 600 * time.Millisecond, false}}}
 }
 
-// known is what an agent remembers that was served so much, of a fleet that was that busy.
-func known(servers int, forms, refunds, use float64) Baseline {
+// testBaseline is that of an agent with such rates of form-checks and refunds, in a fleet of that utilization.
+func testBaseline(servers int, forms, refunds, use float64) Baseline {
 	b := Baseline{ClassRates: []float64{forms, refunds}, Utilization: use}
 	for i := range servers {
 		b.Servers = append(b.Servers, BaselineServer{ID: fmt.Sprint("s-", i), Cell: i / 3, Ready: true, Capacity: 45})
@@ -31,12 +31,12 @@
 	return b
 }
 
-func ask(class int) admission.Request { return admission.Request{Class: class, Deadline: 1 << 62} }
+func request(class int) admission.Request { return admission.Request{Class: class, Deadline: 1 << 62} }
 
-// All agents come back at once to a fleet that is cold, with clients who ask for several times the usual, and nobody hears of
-// anybody: in no 3 s does the sum of what is let in come to what would topple the fleet, whatever it was used to and however the
-// load is spread. Agents that remember nothing are among them.
-func TestTheSumOverAllAgentsTopplesNothing(t *testing.T) {
+// One to a hundred agents return at once to a cold fleet, with clients that ask for up to five times the usual, and receive nothing of each
+// other; some agents remember nothing. Whatever the utilization was and however the load is spread, in no 3 s do they admit together what
+// would overload the fleet.
+func TestAdmittedSumNeverOverloadsColdFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const servers = 12
 		agents := rapid.SampledFrom([]int{1, 3, 20, 100}).Draw(t, "agents")
@@ -50,8 +50,8 @@
 		for i := range agents {
 			rate := use * capacity / float64(agents) * (0.3 + 0.7*random.ExpFloat64())
 			rates = append(rates, rate)
-			r := New(options(agents, i), nil)
-			before := known(servers, rate*0.67, rate*0.33, use)
+			r := New(testOptions(agents, i), nil)
+			before := testBaseline(servers, rate*0.67, rate*0.33, use)
 			if random.Float64() < empty {
 				before = Baseline{Servers: before.Servers}
 			}
@@ -63,7 +63,7 @@
 			served += r
 		}
 		capacity = max(capacity, served/use) // what was served was within what it can do
-		step, let, window := 20*time.Millisecond, []int{}, 0
+		step, admitted, window := 20*time.Millisecond, []int{}, 0
 		for now := start; now < start+6*second; now += step {
 			n := 0
 			for i, r := range all {
@@ -71,7 +71,7 @@
 					r.ObserveAttempt(now, fmt.Sprint("s-", i%servers), true, false, -1, -1)
 				}
 				for x := random.Float64(); x < rates[i]*times*step.Seconds(); x++ {
-					a := ask(form)
+					a := request(form)
 					if random.Float64() < 0.33 {
 						a.Class = refund
 					}
@@ -81,25 +81,25 @@
 					}
 				}
 			}
-			let = append(let, n)
-			if window += n; len(let) > 150 {
-				window -= let[len(let)-151]
+			admitted = append(admitted, n)
+			if window += n; len(admitted) > 150 {
+				window -= admitted[len(admitted)-151]
 			}
 			cold := 0.32 + 0.68*max(0, (now-start-3*second).Seconds())/8.7
-			if most := 3 * cold * capacity * min(3, (now-start).Seconds()+0.5); float64(window) > most {
-				t.Fatalf("%v after the start %d were let in within 3 s, %.0f topple it", now-start, window, most)
+			if limit := 3 * cold * capacity * min(3, (now-start).Seconds()+0.5); float64(window) > limit {
+				t.Fatalf("%v after the start %d were admitted within 3 s, %.0f overload it", now-start, window, limit)
 			}
 		}
 	})
 }
 
-// Of what a cold fleet can do the class that is worth most gets what it asks, and the other what is left; service returns in the
-// stated order, and all is let in at the end.
-func TestRefundsComeFirst(t *testing.T) {
-	r := New(options(4, 0), nil)
-	r.Start(start, known(12, 42, 21, 0.5), "power")
+// A cold fleet can't serve all that is asked. Refunds, the class of the highest priority, get nearly all that they ask for and form-checks
+// what is left. The phases run from TrialRequests to FullService, and a rejected client is told to return after 0.3 to 1 s.
+func TestTopPriorityClassIsServedFirst(t *testing.T) {
+	r := New(testOptions(4, 0), nil)
+	r.Start(start, testBaseline(12, 42, 21, 0.5), "power")
 	var phases []Phase
-	let, asked := [2]int{}, [2]int{}
+	admitted, asked := [2]int{}, [2]int{}
 	for i := range 15 * 60 {
 		now := start + time.Duration(i)*second/60
 		if i == 20 {
@@ -110,57 +110,58 @@
 			if i%3 == 0 {
 				class = refund
 			}
-			p, told := r.Arrive(now, ask(class))
+			p, rejection := r.Arrive(now, request(class))
 			if now < start+4*second {
 				asked[class]++
 				if p != nil {
-					let[class]++
+					admitted[class]++
 				}
 			}
-			if p == nil && (told.RetryAfter < 300*time.Millisecond || told.RetryAfter > second) {
-				t.Fatalf("to come back after %v", told.RetryAfter)
+			if p == nil && (rejection.RetryAfter < 300*time.Millisecond || rejection.RetryAfter > second) {
+				t.Fatalf("Retry-After is %v", rejection.RetryAfter)
 			}
 		}
 		if st := r.Status(now); len(phases) == 0 || phases[len(phases)-1] != st.Phase {
 			phases = append(phases, st.Phase)
 		}
 	}
-	if part := float64(let[form]) / float64(asked[form]); part > 0.6 || let[form] == 0 {
-		t.Errorf("%.2f of the form-checks were let in to a cold fleet", part)
+	if ratio := float64(admitted[form]) / float64(asked[form]); ratio > 0.6 || admitted[form] == 0 {
+		t.Errorf("%.2f of the form-checks were admitted to a cold fleet", ratio)
 	}
-	if part := float64(let[refund]) / float64(asked[refund]); part < 0.85 || part < 1.5*float64(let[form])/float64(asked[form]) {
-		t.Errorf("%.2f of the refunds were let in, %v of %v", part, let, asked)
+	if ratio := float64(admitted[refund]) / float64(asked[refund]); ratio < 0.85 || ratio < 1.5*float64(admitted[form])/float64(asked[form]) {
+		t.Errorf("%.2f of the refunds were admitted, %v of %v", ratio, admitted, asked)
 	}
 	if phases[0] != TrialRequests || phases[len(phases)-1] != FullService {
 		t.Errorf("the phases were %v", phases)
 	}
 }
 
-// As long as the class that is worth most does not get all that it asks, the other gets next to nothing.
-func TestNothingIsLeftForOthers(t *testing.T) {
-	r := New(options(1, 0), nil)
-	r.Start(start, known(12, 40, 160, 0.9), "power")
+// Refunds alone ask for more than a cold fleet can serve. While they do, form-checks get next to nothing, though they are asked for too.
+func TestLowerClassWaitsForTopPriority(t *testing.T) {
+	r := New(testOptions(1, 0), nil)
+	r.Start(start, testBaseline(12, 40, 160, 0.9), "power")
 	r.ObserveAttempt(start, "s-1", true, false, 20, 0.8)
-	let := [2]int{}
+	admitted := [2]int{}
 	for i := range 400 { // in 2 s
-		if p, _ := r.Arrive(start+time.Duration(i)*5*time.Millisecond, ask(min(i%5, 1))); p != nil {
-			let[min(i%5, 1)]++
+		if p, _ := r.Arrive(start+time.Duration(i)*5*time.Millisecond, request(min(i%5, 1))); p != nil {
+			admitted[min(i%5, 1)]++
 		}
 	}
-	if let[refund] < 50 || let[refund] > 250 || let[form] > 8 {
-		t.Errorf("%d form-checks and %d refunds were let in", let[form], let[refund])
+	if admitted[refund] < 50 || admitted[refund] > 250 || admitted[form] > 8 {
+		t.Errorf("%d form-checks and %d refunds were admitted", admitted[form], admitted[refund])
 	}
 }
 
-// With servers that are still dark the agents dial seldom, ever less, and each server is found by the one whose turn it is.
-func TestTrialsOfADarkFleetAreFew(t *testing.T) {
+// All servers stay down for a minute. The 50 agents dial them less and less often, so that the servers aren't met by a storm of connections
+// when they return, but often enough in the last 10 s to find them. The first dials are spread over the servers.
+func TestTrialsOfUnreachableFleetAreRare(t *testing.T) {
 	const agents, servers = 50, 12
 	dials, late, first := 0, 0, map[string]int{}
 	for self := range agents {
-		r := New(options(agents, self), nil)
-		r.Start(start, known(servers, 60, 40, 0.5), "power")
+		r := New(testOptions(agents, self), nil)
+		r.Start(start, testBaseline(servers, 60, 40, 0.5), "power")
 		for now := start; now < start+60*second; now += 20 * time.Millisecond {
-			p, _ := r.Arrive(now, ask(form))
+			p, _ := r.Arrive(now, request(form))
 			if p == nil {
 				continue
 			}
@@ -182,9 +183,9 @@
 			t.Fatal(r.phase)
 		}
 	}
-	// Whose turn a server is tries it four times until tryMost and then every 1 to 3 s; others wait for four times as long.
-	if most := servers * (10 + 5*agents); dials > most || dials < servers*agents {
-		t.Errorf("%d dials in 10 s, at most %d are meant", dials, most)
+	// The agent whose turn a server is tries it four times until maxTrialBackoff and then every 1 to 3 s; others wait for four times as long.
+	if limit := servers * (10 + 5*agents); dials > limit || dials < servers*agents {
+		t.Errorf("%d dials in 10 s, at most %d are meant", dials, limit)
 	}
 	if late < servers*agents/2 {
 		t.Errorf("%d dials in the last 10 s: some would not find the servers when they are back", late)
@@ -194,12 +195,13 @@
 	}
 }
 
-// A trial of which nothing is heard, as the module did not know the server yet or it hangs, does not keep it from being tried again.
-func TestATrialOfWhichNothingIsHeard(t *testing.T) {
-	r := New(options(1, 0), nil)
-	r.Start(start, known(3, 60, 40, 0.5), "power")
+// Trials end without a result, as the server hangs or the balancer didn't know it yet. Such a server is tried again nevertheless, for the
+// whole 30 s.
+func TestLostTrialIsRepeated(t *testing.T) {
+	r := New(testOptions(1, 0), nil)
+	r.Start(start, testBaseline(3, 60, 40, 0.5), "power")
 	for now := start; now < start+30*second; now += 20 * time.Millisecond {
-		p, _ := r.Arrive(now, ask(form))
+		p, _ := r.Arrive(now, request(form))
 		if p == nil {
 			continue
 		}
@@ -211,8 +213,9 @@
 	t.Error("no server is tried any more")
 }
 
-// A server's start is told to the module as its age and the others' want it.
-func TestStartsAsTheModuleIsTold(t *testing.T) {
+// What start time the balancer is told of a server: in normal operation the list's, in a recovery none for servers that return together with
+// the fleet, and the real one for a server that returns later than the others. Each case is one sequence of lists and answers.
+func TestEffectiveStart(t *testing.T) {
 	list := func(r *Controller, now, started time.Duration, ids ...string) {
 		for _, id := range ids {
 			r.UpdateServer(now, Server{ID: id, Ready: true, Started: started}, true)
@@ -225,50 +228,51 @@
 		id   string
 		want time.Duration
 	}{
-		{"in calm the list's", func(r *Controller) { list(r, 5*second, 4*second, "s-0") }, "s-0", 4 * second},
-		{"of a fleet that is cold as a whole, none", func(r *Controller) {
-			r.Start(start, known(3, 1, 1, 0.5), "power")
+		{"in normal operation: the list's", func(r *Controller) { list(r, 5*second, 4*second, "s-0") }, "s-0", 4 * second},
+		{"the fleet is cold as a whole: none", func(r *Controller) {
+			r.Start(start, testBaseline(3, 1, 1, 0.5), "power")
 			list(r, start+second, start, "s-0", "s-1", "s-2")
 		}, "s-0", 0},
-		{"of one that answers long after the first, its answer", func(r *Controller) {
-			r.Start(start, known(3, 1, 1, 0.5), "power")
+		{"it answers long after the first: its answer", func(r *Controller) {
+			r.Start(start, testBaseline(3, 1, 1, 0.5), "power")
 			r.ObserveAttempt(start+second, "s-0", true, false, -1, -1)
 			r.ObserveAttempt(start+5*second, "s-1", true, false, -1, -1)
 		}, "s-1", start + 5*second},
-		{"of one that answers soon after the first, none", func(r *Controller) {
-			r.Start(start, known(3, 1, 1, 0.5), "power")
+		{"it answers soon after the first: none", func(r *Controller) {
+			r.Start(start, testBaseline(3, 1, 1, 0.5), "power")
 			r.ObserveAttempt(start+second, "s-0", true, false, -1, -1)
 			r.ObserveAttempt(start+2*second, "s-1", true, false, -1, -1)
 		}, "s-1", 0},
-		{"of one that the list has started since it answered, the list's", func(r *Controller) {
-			r.Start(start, known(3, 1, 1, 0.5), "power")
+		{"the list says that it started after its answer: the list's", func(r *Controller) {
+			r.Start(start, testBaseline(3, 1, 1, 0.5), "power")
 			r.ObserveAttempt(start+second, "s-0", true, false, -1, -1)
 			list(r, start+9*second, start+8*second, "s-0")
 		}, "s-0", start + 8*second},
-		{"of one that the list says has run for long, none", func(r *Controller) {
-			r.Start(start, known(3, 1, 1, 0.5), "power")
+		{"the list says that it has run for long: none", func(r *Controller) {
+			r.Start(start, testBaseline(3, 1, 1, 0.5), "power")
 			list(r, start+second, 0, "s-0", "s-1", "s-2")
 		}, "s-0", 0},
-		{"of a few that start in calm, the list's", func(r *Controller) {
+		{"it starts alone in normal operation: the list's", func(r *Controller) {
 			list(r, start, 0, "s-0", "s-1", "s-2")
 			list(r, start+second, start+second, "s-1")
 		}, "s-1", start + second},
-		{"of all that start at once in calm, none", func(r *Controller) {
+		{"all start at once in normal operation: none", func(r *Controller) {
 			list(r, start, 0, "s-0", "s-1", "s-2")
 			list(r, start+second, start+second, "s-0", "s-1", "s-2")
 		}, "s-2", 0},
 	} {
-		r := New(options(1, 0), nil)
-		if c.do(r); r.EffectiveStart(c.id, r.servers[c.id].started) != c.want {
+		r := New(testOptions(1, 0), nil)
+		if c.do(r); r.EffectiveStart(c.id, r.servers[c.id].listedStart) != c.want {
 			t.Errorf("%s: %v, want %v", c.name, r.EffectiveStart(c.id, 0), c.want)
 		}
 	}
 }
 
-// A pod may be asked for its memory only while one of its servers may have run on.
-func TestAPodThatMayHaveForgotten(t *testing.T) {
-	fresh := func() *Controller {
-		r := New(options(1, 0), nil)
+// A request was sent to a pod of three servers. A retry of it may go there only while at least one of the three may have run without a break
+// since: it would recognize the retry. Each case says what happens to the servers or the agent after the request.
+func TestAllowsRetryIn(t *testing.T) {
+	sixServers := func() *Controller {
+		r := New(testOptions(1, 0), nil)
 		for i := range 6 {
 			r.UpdateServer(second, Server{ID: fmt.Sprint("s-", i), Cell: i / 3, Ready: true}, true)
 		}
@@ -282,19 +286,19 @@
 		want bool
 	}{
 		{"nothing has happened", func(*Controller) {}, true},
-		{"one broke off", func(r *Controller) { r.ObserveAttempt(sent+1, "s-0", false, true, -1, -1) }, true},
+		{"one server broke off", func(r *Controller) { r.ObserveAttempt(sent+1, "s-0", false, true, -1, -1) }, true},
 		{"all three broke off", func(r *Controller) {
 			for i := range 3 {
 				r.ObserveAttempt(sent+1, fmt.Sprint("s-", i), false, true, -1, -1)
 			}
 		}, false},
-		{"two broke off and one has started anew", func(r *Controller) {
+		{"two broke off and one restarted", func(r *Controller) {
 			r.ObserveAttempt(sent+1, "s-0", false, true, -1, -1)
 			r.ObserveAttempt(sent+1, "s-1", false, true, -1, -1)
 			r.UpdateServer(sent+2, Server{ID: "s-2", Ready: true, Started: sent + 1}, true)
 		}, false},
-		{"all three broke off while service returned", func(r *Controller) {
-			r.Start(sent-second, known(6, 1, 1, 0.5), "power")
+		{"all three broke off during a recovery", func(r *Controller) {
+			r.Start(sent-second, testBaseline(6, 1, 1, 0.5), "power")
 			for i := range 3 {
 				r.ObserveAttempt(sent+1, fmt.Sprint("s-", i), false, true, -1, -1)
 			}
@@ -304,28 +308,29 @@
 				r.ObserveAttempt(sent+1, fmt.Sprint("s-", 3+i), false, true, -1, -1)
 			}
 		}, true},
-		{"the agent has lost power since", func(r *Controller) { r.Start(sent+second, known(6, 1, 1, 0.5), "power") }, false},
+		{"the agent lost power since", func(r *Controller) { r.Start(sent+second, testBaseline(6, 1, 1, 0.5), "power") }, false},
 	} {
-		r := fresh()
+		r := sixServers()
 		if c.do(r); r.AllowsRetryIn(0, sent) != c.want {
 			t.Errorf("%s: %v", c.name, !c.want)
 		}
 	}
 }
 
-// A door behind gets all that comes in calm, and its own passes back.
-func TestTheDoorBehind(t *testing.T) {
-	behind := admission.New(admission.Options{Classes: []admission.Class{{Priority: 2, LatencyObjective: second, Idempotent: true}, {Priority: 10, LatencyObjective: second}}, MaxRemembered: 8})
-	r := New(options(1, 0), behind)
-	calm, _ := r.Arrive(second, ask(form))
-	r.Start(start, known(3, 1, 1, 0.5), "power")
-	r.Done(start, calm, admission.OutcomeServed)
+// In FullService requests pass to the next Admitter. A recovery begins while one of its permits is out: that permit goes back to it, and the
+// permits of the recovery don't.
+func TestNextAdmitterGetsItsPermitsBack(t *testing.T) {
+	next := admission.New(admission.Options{Classes: []admission.Class{{Priority: 2, LatencyObjective: second, Idempotent: true}, {Priority: 10, LatencyObjective: second}}, MaxRemembered: 8})
+	r := New(testOptions(1, 0), next)
+	permit, _ := r.Arrive(second, request(form))
+	r.Start(start, testBaseline(3, 1, 1, 0.5), "power")
+	r.Done(start, permit, admission.OutcomeServed)
 	for range 20 {
-		if p, _ := r.Arrive(start, ask(refund)); p != nil {
+		if p, _ := r.Arrive(start, request(refund)); p != nil {
 			r.Done(start+second, p, admission.OutcomeServed)
 		}
 	}
-	if n := behind.Counts().InFlight; n != 0 {
-		t.Errorf("the door behind has %d in flight", n)
+	if n := next.Counts().InFlight; n != 0 {
+		t.Errorf("the next Admitter has %d in flight", n)
 	}
 }
--- a/internal/scenario/comeback.go
+++ b/internal/scenario/comeback.go
@@ -81,7 +81,7 @@
 	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdCapacityRatio: set.SlowStartInitialRatio, WarmupTime: set.SlowStartDuration, ColdOverloadFactor: set.WarmingOverloadRatio,
 		MaxRetryAfter: set.MaxRetryAfter, Seed: uint64(a.number*1000 + a.life)}
 	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, IsIdempotent: c.Effect == balancer.Idempotent})
+		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, Idempotent: c.Effect == balancer.Idempotent})
 	}
 	if a.others != nil {
 		o.PeerPollTime = askFor
