--- a/cmd/appleledgectl/main_test.go
+++ b/cmd/appleledgectl/main_test.go
@@ -31,7 +31,7 @@
 // TestMain lets the test binary stand in for the agent, in a process of its own that can be killed.
 func TestMain(m *testing.M) {
 	if os.Getenv("APPLELEDGE_AS_AGENT") != "" {
-		cli.Main("appleledge", func(settings.File) (agent.Extras, error) { return agent.Extras{}, nil })
+		cli.Main("appleledge", func(settings.File) (agent.Features, error) { return agent.Features{}, nil })
 		return
 	}
 	os.Exit(m.Run())
@@ -189,11 +189,11 @@
 			if json.Unmarshal([]byte(x.try("plan", x.path(fmt.Sprint(n%2)), "--json", "-o", file).out), &p) != nil {
 				break
 			}
-			under = p.Hash
+			under = p.TargetHash
 			if got := x.try("apply", file, "--auto-approve", "--force"); got.code != exitOK {
 				break
 			}
-			acknowledged = p.Hash
+			acknowledged = p.TargetHash
 		}
 		<-killed
 		besteffort.Ignore(program.Wait())
--- a/internal/agent/generations_test.go
+++ b/internal/agent/generations_test.go
@@ -86,7 +86,7 @@
 func (o *operated) start(t *testing.T, state string) {
 	t.Helper()
 	socket := filepath.Join(t.TempDir(), "s")
-	o.running = startOn(t, o.disco, time.Millisecond, func(*Config) {}, Extras{Generations: &Generations{Socket: socket, State: state}},
+	o.running = startOn(t, o.disco, time.Millisecond, func(*Config) {}, Features{Generations: &GenerationOptions{Socket: socket, StateFile: state}},
 		slog.New(slog.NewTextHandler(o.log, nil)))
 	o.client = admin.NewClient(socket)
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
@@ -105,16 +105,16 @@
 func (o *operated) plan(t *testing.T, c *fleetconfig.Config) *plan.Plan {
 	t.Helper()
 	p := &plan.Plan{}
-	if err := o.client.Call(t.Context(), http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: c, MostTaken: 1}, p); err != nil {
+	if err := o.client.Call(t.Context(), http.MethodPost, admin.PathPlan, admin.PlanRequest{Config: c, MaxCapacityTaken: 1}, p); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func (o *operated) apply(t *testing.T, c *fleetconfig.Config) admin.Applied {
+func (o *operated) apply(t *testing.T, c *fleetconfig.Config) admin.ChangeResult {
 	t.Helper()
-	var a admin.Applied
-	if err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, c), By: "test", Force: true}, &a); err != nil {
+	var a admin.ChangeResult
+	if err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, c), Actor: "test", Force: true}, &a); err != nil {
 		t.Fatal(err)
 	}
 	return a
@@ -181,7 +181,7 @@
 	left, right := to("s-0", "s-1", "s-2"), to("s-3", "s-4", "s-5")
 	zero, nowhere := 0, to("s-9")
 	bad := *right
-	bad.Limits = []fleetconfig.Limit{{Name: "l", InFlight: &zero}}
+	bad.Limits = []fleetconfig.Limit{{Name: "l", MaxInFlight: &zero}}
 	o.apply(t, left)
 	stop := o.load(t, 12, time.Millisecond)
 	began := len(o.history(t))
@@ -270,9 +270,9 @@
 	if last.Hash != a.Hash || !strings.Contains(last.Reason, "refused, failed or late") || o.log.Count("what=harmed") != 1 {
 		t.Errorf("%+v", last)
 	}
-	err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, to("s-3")), By: "test"}, &admin.Applied{})
+	err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: o.plan(t, to("s-3")), Actor: "test"}, &admin.ChangeResult{})
 	var e *admin.CallError
-	if !errors.As(err, &e) || e.Kind != admin.KindRefused || !strings.Contains(e.Error(), "done harm before") {
+	if !errors.As(err, &e) || e.Kind != admin.KindRejected || !strings.Contains(e.Error(), "done harm before") {
 		t.Errorf("applied again: %v", err)
 	}
 }
@@ -283,7 +283,7 @@
 	t.Parallel()
 	state := filepath.Join(t.TempDir(), "state")
 	o := operate(t, 4, state)
-	if a := o.apply(t, to("s-2")); !a.Durable {
+	if a := o.apply(t, to("s-2")); !a.IsDurable {
 		t.Fatalf("%+v", a)
 	}
 	again := func() {
@@ -300,7 +300,7 @@
 	}
 	second := func() error {
 		return serve(context.Background(), cfg, Reloads{}, listen(t), slog.New(slog.DiscardHandler),
-			Extras{Generations: &Generations{Socket: filepath.Join(t.TempDir(), "s"), State: state}})
+			Features{Generations: &GenerationOptions{Socket: filepath.Join(t.TempDir(), "s"), StateFile: state}})
 	}
 	if err := second(); err == nil || !strings.Contains(err.Error(), "another process has it") {
 		t.Errorf("a second agent on the state: %v", err)
@@ -331,7 +331,7 @@
 	t.Parallel()
 	o := operate(t, 2, "")
 	zero := 0
-	o.apply(t, &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "lerwick-port", InFlight: &zero, ComeBack: fleetconfig.Time(200 * time.Millisecond)}}})
+	o.apply(t, &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "lerwick-port", MaxInFlight: &zero, RetryAfter: fleetconfig.Duration(200 * time.Millisecond)}}})
 	seen := o.servers[0].Requests() + o.servers[1].Requests()
 	r := o.newRequest(t, http.MethodPost, "/refund-record", "")
 	r.Header.Set("X-Tenant-Id", "lerwick-port")
@@ -373,13 +373,13 @@
 		c := &fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{IDs: []string{id}}}}}
 		p := o.plan(t, c)
 		time.Sleep(time.Duration(rand.IntN(10)) * time.Millisecond)
-		err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, By: "test", Force: true}, &admin.Applied{})
+		err := o.client.Call(t.Context(), http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: "test", Force: true}, &admin.ChangeResult{})
 		var e *admin.CallError
 		switch refused := errors.As(err, &e); {
 		case err == nil:
 			ended["applied"]++
 			last = []string{id}
-		case refused && e.Kind == admin.KindMoved:
+		case refused && e.Kind == admin.KindOutdated:
 			ended["moved"]++
 		case refused && strings.Contains(e.Error(), generation.ErrNoChange.Error()):
 		default:
