--- a/internal/fleet/overload/decisions_test.go
+++ b/internal/fleet/overload/decisions_test.go
@@ -21,7 +21,7 @@
 }
 
 type traceCall struct {
-	door    int
+	agent   int
 	p       *admission.Permit
 	server  *traceServer
 	class   int
@@ -33,42 +33,42 @@
 	result  balancer.Result
 }
 
-type traceBody struct {
+type tracePayload struct {
 	from, to int
-	body     []byte
+	text     []byte
 	at       time.Duration
 }
 
-// decisionTrace is four doors before a toy fleet of twelve servers, which tell each other with some delay and some loss: calm, then too
-// much asked, then servers that hang or break, an agent that is gone, one that tells nonsense, and calm again.
+// decisionTrace is four controllers before a simulated fleet of twelve servers, which exchange payloads with some delay and loss: normal load,
+// then overload, servers that hang or break, an agent that dies, one that sends nonsense, and normal load again.
 func decisionTrace(seed int) *golden.Trace {
 	tr, rnd := golden.NewTrace(2000), golden.Random(seed)
 	classes := []admission.Class{{Priority: 1, LatencyObjective: 300e6, Idempotent: true}, {Priority: 10, LatencyObjective: 400e6}, {Priority: 4, LatencyObjective: 300e6, Idempotent: true}}
 	shares := []float64{0.2, 0.3, 0.5}
 	alive := []bool{true, true, true, true}
-	var doors []*AdmissionController
+	var controllers []*AdmissionController
 	for i := range 4 {
 		watch := admission.New(admission.Options{Classes: classes, Quotas: shares, MaxRetryAfter: time.Second, MaxRemembered: 200, Seed: uint64(seed*10 + i)})
 		d := New(Options{Self: 0, Agents: 1, Classes: classes, TenantQuotas: shares, MaxRetryAfter: time.Second, Seed: uint64(seed*10 + i)}, watch)
 		d.SetFleetPosition(i, 4)
 		d.HandleLiveness(alive)
-		doors = append(doors, d)
+		controllers = append(controllers, d)
 	}
 	var servers []*traceServer
 	for i := range 12 {
 		s := &traceServer{id: "s" + strconv.Itoa(i), capacity: 40}
 		servers = append(servers, s)
-		for _, d := range doors {
+		for _, d := range controllers {
 			d.UpdateServer(s.id, true, true)
 		}
 	}
 	var calls, again []traceCall
-	var bodies []traceBody
+	var payloads []tracePayload
 	now, owed, keys := time.Hour, 0.0, 0
-	mute := seed == 3 // servers that do not say what they do
+	mute := seed == 3 // servers that report no rate
 	send := func(c traceCall) {
 		c.server = servers[rnd.Below(len(servers))]
-		s, d := c.server, doors[c.door]
+		s, d := c.server, controllers[c.agent]
 		d.AttemptSent(now, s.id, c.further)
 		s.atWork++
 		c.result, c.at = balancer.OK, now+time.Duration(float64(rnd.Millis(20, 80))*(1+max(0, s.atWork-3)/3))
@@ -88,13 +88,13 @@
 	}
 	ask := func(c traceCall) {
 		a := admission.Request{Class: c.class, Tenant: c.tenant, Key: c.key, IsRetry: c.tries > 0 && rnd.Chance(0.3), MayHaveRun: rnd.Chance(0.01), Deadline: now + rnd.Millis(50, 900)}
-		p, refusal := doors[c.door].Arrive(now, a)
-		tr.Add(now, c.door, p == nil, refusal.RetryAfter, refusal.Limit, refusal.IsRetry)
+		p, rejection := controllers[c.agent].Arrive(now, a)
+		tr.Add(now, c.agent, p == nil, rejection.RetryAfter, rejection.Limit, rejection.IsRetry)
 		tr.CountIf(p == nil, "turned away")
 		if p == nil {
 			if c.tries++; c.tries < 3 {
-				c.at = now + refusal.RetryAfter + rnd.Millis(1, 50)
-				c.door = rnd.Below(4)
+				c.at = now + rejection.RetryAfter + rnd.Millis(1, 50)
+				c.agent = rnd.Below(4)
 				again = append(again, c)
 			}
 			return
@@ -118,41 +118,41 @@
 		case 2300:
 			servers[3].hangs, servers[4].down = false, false
 			alive[3] = false
-			for _, d := range doors {
+			for _, d := range controllers {
 				d.HandleLiveness(slices.Clone(alive))
 			}
 		case 2600:
-			for _, d := range doors {
+			for _, d := range controllers {
 				d.UpdateServer("s5", false, false)
 				d.UpdateServer("s6", true, false)
 				d.UpdateServer("new", true, true)
 			}
 		case 2900:
 			alive[3] = true
-			for _, d := range doors {
+			for _, d := range controllers {
 				d.HandleLiveness(slices.Clone(alive))
 			}
 		case 3100: // a claim beyond all bounds
 			b := Payload{Digests: []LoadDigest{{Agent: 2, NewRequests: []float64{9000, 9000, 9000}, ClientRetries: []float64{1, 1, 1}, Tenants: []float64{5, 5, 9000}, Requests: 30000, Admitted: 10}},
 				Reports: []LoadReport{{Server: ServerID("s1"), Utilization: 1, Capacity: 4000}}, Observations: []Observation{{Server: ServerID("s2"), Agent: 2}}}
-			bodies = append(bodies, traceBody{from: 2, to: 0, body: b.append(nil), at: now}, traceBody{from: 2, to: 1, body: []byte{0, 9, 9}, at: now},
-				traceBody{from: 1, to: 1, body: b.append(nil), at: now})
+			payloads = append(payloads, tracePayload{from: 2, to: 0, text: b.appendTo(nil), at: now}, tracePayload{from: 2, to: 1, text: []byte{0, 9, 9}, at: now},
+				tracePayload{from: 1, to: 1, text: b.appendTo(nil), at: now})
 		case 3700:
-			for _, d := range doors {
+			for _, d := range controllers {
 				d.Retune(append(slices.Clone(classes), admission.Class{Priority: 2, LatencyObjective: 200e6}))
 			}
 		}
-		rest := bodies[:0:0]
-		for _, b := range bodies {
+		rest := payloads[:0:0]
+		for _, b := range payloads {
 			if b.at > now {
 				rest = append(rest, b)
 				continue
 			}
-			err := doors[b.to].HandlePayload(now, b.from, b.body)
+			err := controllers[b.to].HandlePayload(now, b.from, b.text)
 			tr.CountIf(err == nil, "bodies taken")
 			tr.CountIf(err != nil, "bodies that are none")
 		}
-		bodies = rest
+		payloads = rest
 		ended := []traceCall{}
 		calls = slices.DeleteFunc(calls, func(c traceCall) bool {
 			if c.at <= now {
@@ -169,7 +169,7 @@
 					rep.ServedRate = -1
 				}
 			}
-			d := doors[c.door]
+			d := controllers[c.agent]
 			d.AttemptEnded(now, c.server.id, c.result, rep)
 			tr.Count("ends of result " + strconv.Itoa(int(c.result)))
 			switch {
@@ -198,7 +198,7 @@
 		}
 		for owed += rates[step/400] * 0.01 * 2 * rnd.Share(); owed >= 1; owed-- {
 			keys++
-			c := traceCall{door: rnd.Below(4), class: rnd.Below(3), tenant: rnd.Below(4) - 1}
+			c := traceCall{agent: rnd.Below(4), class: rnd.Below(3), tenant: rnd.Below(4) - 1}
 			if rnd.Chance(0.4) {
 				c.tenant = 0
 			}
@@ -207,22 +207,22 @@
 			}
 			ask(c)
 		}
-		for i, d := range doors {
+		for i, d := range controllers {
 			if step%2 == i%2 || !alive[i] {
 				continue
 			}
-			if body, to := d.NextPayload(now, 400); body != nil {
-				tr.Add(now, i, to, string(body))
+			if text, to := d.NextPayload(now, 400); text != nil {
+				tr.Add(now, i, to, string(text))
 				tr.Count("bodies told to " + strconv.Itoa(to))
 				for range to {
 					other := (i + 1 + rnd.Below(3)) % 4
-					if rnd.Chance(0.9) && !(step > 3300 && step < 3500) { // no word at all for 2 s
-						bodies = append(bodies, traceBody{i, other, body, now + rnd.Millis(1, 40)})
+					if rnd.Chance(0.9) && (step <= 3300 || step >= 3500) { // no payload at all for 2 s
+						payloads = append(payloads, tracePayload{i, other, text, now + rnd.Millis(1, 40)})
 					}
 				}
 			}
-			if held := d.ExcludedServers(now); step%5 == 0 && held != nil {
-				tr.Add(now, i, held)
+			if excluded := d.ExcludedServers(now); step%5 == 0 && excluded != nil {
+				tr.Add(now, i, excluded)
 				tr.Count("looks that hold servers out")
 			}
 			if step%20 < 2 {
--- a/internal/fleet/overload/outliers.go
+++ b/internal/fleet/overload/outliers.go
@@ -9,159 +9,169 @@
 	"appleledge/internal/balancer"
 )
 
+// When a server doesn't serve this agent.
 const (
-	voiceFor   = 5 * time.Second        // for which a voice counts
-	silentMost = 600 * time.Millisecond // without a sign from a server that owes answers, from which it is ill
-	badFor     = 3 * time.Second        // over which ends of attempts fade
-	badLeast   = 2
-	badPart    = 0.5
-	usedFor    = 10 * time.Second // for which a server counts as one that this agent uses
-	mePart     = 1.0 / 3          // of those, that are ill: it is this agent that can't be reached
-	voicesFor  = 2                // agents that have to say so
-	heldMost   = 1.0 / 3          // of the servers, that may be held out on voices
-	testers    = 2                // agents that go on with a server that all others hold out
-	wellFor    = time.Second      // after an own answer in order, in which no voice counts
+	maxSilence      = 600 * time.Millisecond // without a sign from a server that owes an answer
+	failureDecay    = 3 * time.Second        // in which the weight of an attempt's result falls to 1/e
+	minFailures     = 2
+	minFailureRatio = 0.5
+	recentUse       = 10 * time.Second // for which a server counts as one that this agent uses
+	// With more than this part of the servers that it uses failing, it is likely the agent itself that is cut off.
+	maxOwnOutlierRatio = 1.0 / 3
 )
 
-// illness is how a server does for this agent.
-type illness struct {
-	out       int           // attempts that it owes an answer to
-	waiting   time.Duration // since when, without any sign from it
-	good, bad float64       // ends, fading
-	faded     time.Duration
-	used      time.Duration // the last attempt
-	well      time.Duration // the last answer in order
+// When a server is excluded by agreement.
+const (
+	observationTTL   = 5 * time.Second
+	minReporters     = 2           // agents that must have sent observations of it
+	maxExcludedRatio = 1.0 / 3     // of the ready servers
+	testersPerServer = 2           // agents that go on using an excluded server, to learn when it is well again
+	healthyTTL       = time.Second // after an own successful answer, in which the server isn't excluded here
+)
+
+// attemptHealth is how a server does for this agent.
+type attemptHealth struct {
+	unanswered    int           // attempts that it owes an answer to
+	silentSince   time.Duration // since when there is no sign from it; counts while unanswered isn't 0
+	good, bad     float64       // decaying counts of attempts' results, at decayedAt
+	decayedAt     time.Duration
+	lastUsedAt    time.Duration // the last attempt; 0: none
+	lastHealthyAt time.Duration // the last successful answer; 0: none
 }
 
-func (i *illness) fade(now time.Duration) {
-	keep := math.Exp(-float64(now-i.faded) / float64(badFor))
-	i.good, i.bad, i.faded = i.good*keep, i.bad*keep, now
+func (h *attemptHealth) decay(now time.Duration) {
+	keep := math.Exp(-float64(now-h.decayedAt) / float64(failureDecay))
+	h.good, h.bad, h.decayedAt = h.good*keep, h.bad*keep, now
 }
 
-func (i *illness) sent(now time.Duration) {
-	if i.used = now; i.out == 0 {
-		i.waiting = now
+func (h *attemptHealth) attemptSent(now time.Duration) {
+	if h.lastUsedAt = now; h.unanswered == 0 {
+		h.silentSince = now
 	}
-	i.out++
+	h.unanswered++
 }
 
-func (i *illness) ended(now time.Duration, r balancer.Result) {
-	i.out = max(0, i.out-1)
-	i.fade(now)
+func (h *attemptHealth) attemptEnded(now time.Duration, r balancer.Result) {
+	h.unanswered = max(0, h.unanswered-1)
+	h.decay(now)
 	switch r {
 	case balancer.OK:
-		i.good++
-		i.well, i.waiting = now, now
+		h.good++
+		h.lastHealthyAt, h.silentSince = now, now
 	case balancer.Rejected:
-		i.waiting = now
+		h.silentSince = now
 	case balancer.Failed:
-		i.bad++
-		i.waiting = now
+		h.bad++
+		h.silentSince = now
 	case balancer.ConnectFailed, balancer.Reset, balancer.TimedOut:
-		i.bad++
+		h.bad++
 	}
 }
 
-// ill reports whether the server does not serve this agent.
-func (i *illness) ill(now time.Duration) bool {
-	if i.out > 0 && now-i.waiting >= silentMost {
+// isOutlier reports whether the server doesn't serve this agent.
+func (h *attemptHealth) isOutlier(now time.Duration) bool {
+	if h.unanswered > 0 && now-h.silentSince >= maxSilence {
 		return true
 	}
-	i.fade(now)
-	return i.bad >= badLeast && i.bad >= badPart*(i.bad+i.good)
+	h.decay(now)
+	return h.bad >= minFailures && h.bad >= minFailureRatio*(h.bad+h.good)
 }
 
-// voice takes one agent's word that a server does not serve it.
-func (p *FleetView) voice(now time.Duration, from int, v Observation) {
-	s, at := p.server(v.Server), now-v.Age
-	if s == nil || v.Age >= voiceFor || v.Agent >= len(p.digests) || p.dead[v.Agent] {
+// applyObservation takes over that a server doesn't serve an agent, as from has sent it.
+func (v *FleetView) applyObservation(now time.Duration, from int, o Observation) {
+	s, observedAt := v.server(o.Server), now-o.Age
+	if s == nil || o.Age >= observationTTL || o.Agent >= len(v.digests) || v.isDead[o.Agent] {
 		return
 	}
-	for i := range s.voices {
-		if o := &s.voices[i]; o.what.Agent == v.Agent {
-			if at > o.at+ageUnit {
-				o.at, o.by = at, from
-				p.counts.Observations++
+	for i := range s.observations {
+		if known := &s.observations[i]; known.value.Agent == o.Agent {
+			if observedAt > known.observedAt+ageUnit {
+				known.observedAt, known.sender = observedAt, from
+				v.counts.Observations++
 			}
 			return
 		}
 	}
-	s.voices = slices.DeleteFunc(s.voices, func(o told[Observation]) bool { return now-o.at >= voiceFor })
-	if len(s.voices) < mostVoices {
-		s.voices = append(s.voices, told[Observation]{what: v, at: at, by: from})
-		p.counts.Observations++
+	s.observations = slices.DeleteFunc(s.observations, func(known sample[Observation]) bool { return now-known.observedAt >= observationTTL })
+	if len(s.observations) < maxObservationsPerServer {
+		s.observations = append(s.observations, sample[Observation]{value: o, observedAt: observedAt, sender: from})
+		v.counts.Observations++
 	}
 }
 
-// speak raises this agent's own voice for the servers that do not serve it, unless it is so many that the fault is likely its own.
-func (p *FleetView) speak(now time.Duration) {
-	var ills []uint32
+// observeOutliers adds this agent's own observations, unless it is likely cut off itself: it would report the whole fleet then.
+func (v *FleetView) observeOutliers(now time.Duration) {
+	var outliers []uint32
 	used := 0
-	for id, s := range p.servers {
-		if s.used == 0 || now-s.used >= usedFor {
+	for id, s := range v.servers {
+		if s.lastUsedAt == 0 || now-s.lastUsedAt >= recentUse {
 			continue
 		}
-		if used++; s.ill(now) {
-			ills = append(ills, id)
+		if used++; s.isOutlier(now) {
+			outliers = append(outliers, id)
 		}
 	}
-	if float64(len(ills)) > max(1, mePart*float64(used)) {
+	if float64(len(outliers)) > max(1, maxOwnOutlierRatio*float64(used)) {
 		return
 	}
-	for _, id := range ills {
-		p.voice(now, p.self, Observation{Server: id, Agent: p.self})
+	for _, id := range outliers {
+		v.applyObservation(now, v.self, Observation{Server: id, Agent: v.self})
 	}
 }
 
-// held are the servers that are held out on the voices of several agents, sorted: those that nobody has had an answer in order from
-// since, that do not serve this agent itself, and whose trials are others'. The longest held come first, so that it is no other set
-// with each voice.
-func (p *FleetView) held(now time.Duration, ready func(uint32) bool) (ids []uint32) {
-	type claim struct {
+// excludedServers returns the servers that are excluded on the observations of several agents, sorted. The ones that were observed first
+// come first when there are too many, so that the set doesn't change with each observation.
+func (v *FleetView) excludedServers(now time.Duration, isReady func(uint32) bool) (ids []uint32) {
+	type candidate struct {
 		id    uint32
 		since time.Duration
 	}
-	var claims []claim
-	all := 0
-	for id, s := range p.servers {
-		if !ready(id) {
-			continue
-		}
-		all++
-		var voices []time.Duration
-		var by []int // who told them here: one agent can say what it likes of many
-		for _, v := range s.voices {
-			if now-v.at < voiceFor && !p.dead[v.what.Agent] {
-				voices = append(voices, v.at)
-				if !slices.Contains(by, v.by) {
-					by = append(by, v.by)
-				}
-			}
-		}
-		if len(by) < voicesFor || now-s.well < wellFor && s.well != 0 {
+	var candidates []candidate
+	ready := 0
+	for id, s := range v.servers {
+		if !isReady(id) {
 			continue
 		}
-		slices.Sort(voices)
-		if latest := voices[len(voices)-1]; s.report.at > latest || p.tests(id) {
-			continue
+		ready++
+		if since, ok := v.observedSince(now, s); ok && !v.isTester(id) {
+			candidates = append(candidates, candidate{id, since})
 		}
-		claims = append(claims, claim{id, voices[0]})
 	}
-	slices.SortFunc(claims, func(x, y claim) int { return cmp.Or(cmp.Compare(x.since, y.since), cmp.Compare(x.id, y.id)) })
-	for _, c := range claims[:min(len(claims), int(heldMost*float64(all)))] {
+	slices.SortFunc(candidates, func(x, y candidate) int { return cmp.Or(cmp.Compare(x.since, y.since), cmp.Compare(x.id, y.id)) })
+	for _, c := range candidates[:min(len(candidates), int(maxExcludedRatio*float64(ready)))] {
 		ids = append(ids, c.id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// tests reports whether this agent is one of those that go on with a server while others hold it out: by rendezvous over those that
-// live, so that nobody has to be told (D. Thaler and C. Ravishankar, 1998).
-func (p *FleetView) tests(id uint32) bool {
-	own, above := bid(id, p.self), 0
-	for i := range p.dead {
-		if i != p.self && !p.dead[i] && bid(id, i) > own {
-			if above++; above >= testers {
+// observedSince returns the time of the first of the observations of a server, if enough agents sent some, this agent has had no successful
+// answer of late, and nobody has had a report since the latest observation.
+func (v *FleetView) observedSince(now time.Duration, s *server) (first time.Duration, ok bool) {
+	latest := time.Duration(math.MinInt64)
+	first = math.MaxInt64
+	var senders []int // counted by who sent them here, as one agent can send observations in the name of many
+	for _, o := range s.observations {
+		if now-o.observedAt < observationTTL && !v.isDead[o.value.Agent] {
+			first, latest = min(first, o.observedAt), max(latest, o.observedAt)
+			if !slices.Contains(senders, o.sender) {
+				senders = append(senders, o.sender)
+			}
+		}
+	}
+	if len(senders) < minReporters || s.lastHealthyAt != 0 && now-s.lastHealthyAt < healthyTTL {
+		return 0, false
+	}
+	return first, s.report.observedAt <= latest
+}
+
+// isTester reports whether this agent is one of those that go on using a server while others exclude it: by rendezvous hashing over the
+// agents that are alive (D. Thaler and C. Ravishankar, 1998), so that the agents needn't agree on it.
+func (v *FleetView) isTester(id uint32) bool {
+	own, higher := rendezvousWeight(id, v.self), 0
+	for i := range v.isDead {
+		if i != v.self && !v.isDead[i] && rendezvousWeight(id, i) > own {
+			if higher++; higher >= testersPerServer {
 				return false
 			}
 		}
@@ -169,7 +179,7 @@
 	return true
 }
 
-func bid(id uint32, agent int) uint64 {
+func rendezvousWeight(id uint32, agent int) uint64 {
 	x := uint64(id)<<32 ^ uint64(agent+1)*0x9E3779B97F4A7C15
 	x ^= x >> 31
 	x *= 0xBF58476D1CE4E5B9
--- a/internal/fleet/overload/overload_test.go
+++ b/internal/fleet/overload/overload_test.go
@@ -19,26 +19,26 @@
 
 const check, refund = 0, 1
 
-func watch(seed uint64) *admission.Controller {
+func newLocal(seed uint64) *admission.Controller {
 	return admission.New(admission.Options{Classes: classes, MaxRetryAfter: time.Second, MaxRemembered: 100, Seed: seed})
 }
 
-func door(agents int) *AdmissionController {
-	d := New(Options{Agents: agents, Classes: classes, TenantQuotas: []float64{0.5, 0.5}, MaxRetryAfter: time.Second, Seed: 1}, watch(2))
+func newController(agents int) *AdmissionController {
+	d := New(Options{Agents: agents, Classes: classes, TenantQuotas: []float64{0.5, 0.5}, MaxRetryAfter: time.Second, Seed: 1}, newLocal(2))
 	d.HandleLiveness(slices.Repeat([]bool{true}, agents))
 	return d
 }
 
-// digest is what an agent says that is asked so much, evenly of both tenants.
-func digest(agent int, checks, refunds float64) LoadDigest {
+// testDigest is that of an agent with such rates of new requests, half of them of each tenant, that admits and serves all.
+func testDigest(agent int, checks, refunds float64) LoadDigest {
 	all := checks + refunds
 	return LoadDigest{Agent: agent, NewRequests: []float64{checks, refunds}, ClientRetries: []float64{0, 0}, Tenants: []float64{all / 2, all / 2}, Requests: all, Admitted: all, ServedInTime: all}
 }
 
 const start = 10 * time.Second
 
-// servers lets a door know of servers, with this use and capacity each, by its own answers or by others' word.
-func servers(d *AdmissionController, now time.Duration, n int, use, capacity float64, own bool) {
+// addServers lists n servers and reports the utilization and capacity of each, by own answers or by reports of others.
+func addServers(d *AdmissionController, now time.Duration, n int, use, capacity float64, own bool) {
 	for i := range n {
 		id := fmt.Sprint("s-", i)
 		d.UpdateServer(id, true, true)
@@ -46,21 +46,22 @@
 			d.AttemptSent(now, id, false)
 			d.AttemptEnded(now, id, balancer.OK, balancer.Report{Utilization: use, ServedRate: use * capacity})
 		} else {
-			d.picture.report(now, LoadReport{Server: ServerID(id), Utilization: use, Capacity: capacity}, false)
+			d.view.applyReport(now, LoadReport{Server: ServerID(id), Utilization: use, Capacity: capacity}, false)
 		}
 	}
 }
 
-// settle lets trust return.
-func settle(d *AdmissionController, now time.Duration) plan {
+// restoreTrust makes plans until the view is trusted in full, and returns the last.
+func restoreTrust(d *AdmissionController, now time.Duration) plan {
 	for range 40 {
-		d.planned = now - time.Second
-		d.look(now)
+		d.plannedAt = now - time.Second
+		d.refreshPlan(now)
 	}
 	return d.plan
 }
 
-func TestBodiesAreReadAsTheyWereWritten(t *testing.T) {
+// Any payload of the largest size is written and read again: numbers of agents and ages exactly, rates within 3%.
+func TestPayloadRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 5000)
 		rates := func(n int) (all []float64) {
@@ -71,13 +72,13 @@
 		}
 		classes, tenants := rapid.IntRange(0, MaxClasses).Draw(t, "classes"), rapid.IntRange(0, MaxTenants).Draw(t, "tenants")
 		d := LoadDigest{Agent: rapid.IntRange(0, 65535).Draw(t, "agent"), Age: time.Duration(rapid.IntRange(0, 200).Draw(t, "age")) * ageUnit,
-			NewRequests: rates(classes), ClientRetries: rates(classes), Tenants: rates(tenants), Requests: 1, Admitted: rate.Draw(t, "let in"), InFlight: 3, ServedInTime: 2, LateOrFailed: 0}
+			NewRequests: rates(classes), ClientRetries: rates(classes), Tenants: rates(tenants), Requests: 1, Admitted: rate.Draw(t, "admitted"), InFlight: 3, ServedInTime: 2, LateOrFailed: 0}
 		in := Payload{IsBusy: rapid.Bool().Draw(t, "busy"), Digests: []LoadDigest{d}, Reports: []LoadReport{{7, 0.5, rate.Draw(t, "capacity"), ageUnit}}, Observations: []Observation{{8, 9, 2 * ageUnit}}}
-		text := in.append(nil)
-		if want := 1 + digestSize(classes, tenants) + reportSize + voiceSize; len(text) != want {
+		text := in.appendTo(nil)
+		if want := 1 + digestBytes(classes, tenants) + reportBytes + observationBytes; len(text) != want {
 			t.Fatalf("%d bytes, not %d", len(text), want)
 		}
-		out, err := parse(text)
+		out, err := parsePayload(text)
 		if err != nil || out.IsBusy != in.IsBusy || len(out.Digests) != 1 || len(out.Reports) != 1 || len(out.Observations) != 1 || out.Observations[0] != in.Observations[0] {
 			t.Fatalf("%+v, %v", out, err)
 		}
@@ -90,113 +91,118 @@
 	})
 }
 
-func FuzzBody(f *testing.F) {
-	f.Add(Payload{IsBusy: true, Digests: []LoadDigest{digest(3, 10, 5)}, Reports: []LoadReport{{1, 0.5, 80, 0}}, Observations: []Observation{{1, 2, 0}}}.append(nil))
-	f.Add([]byte{0, kindDigest, 0, 1, 2, 0xff})
+// Whatever three agents send, the plan that follows has no negative, infinite or undefined rate, and the next payload keeps to its length.
+func FuzzPayload(f *testing.F) {
+	f.Add(Payload{IsBusy: true, Digests: []LoadDigest{testDigest(3, 10, 5)}, Reports: []LoadReport{{1, 0.5, 80, 0}}, Observations: []Observation{{1, 2, 0}}}.appendTo(nil))
+	f.Add([]byte{0, recordDigest, 0, 1, 2, 0xff})
 	f.Add([]byte{1, 99})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d := door(4)
+		d := newController(4)
 		for i := range 3 {
 			besteffort.Ignore(d.HandlePayload(start+time.Duration(i)*time.Second, 1+i%3, text))
 		}
-		p := settle(d, start+3*time.Second)
-		for _, x := range append(append([]float64{p.limit, p.refused, p.trust}, p.asked.NewRequests...), p.asked.ClientRetries...) {
+		p := restoreTrust(d, start+3*time.Second)
+		for _, x := range append(append([]float64{p.limit, p.rejectedRatio, p.trust}, p.demand.NewRequests...), p.demand.ClientRetries...) {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				t.Fatalf("%+v", p)
 			}
 		}
-		if body, _ := d.NextPayload(start+4*time.Second, 203); len(body) > 203 {
-			t.Fatalf("a body of %d bytes", len(body))
+		if payload, _ := d.NextPayload(start+4*time.Second, 203); len(payload) > 203 {
+			t.Fatalf("a payload of %d bytes", len(payload))
 		}
 	})
 }
 
-// askedMuch is a door among five agents, of which the others are asked so many checks a second at the least, and so much again; and its plan.
-func askedMuch(t *rapid.T, checks float64, again *rapid.Generator[float64]) (*AdmissionController, plan) {
+// overloadedController is one of five, of which the others are asked for at least so many form-checks a second and any number of refunds, and
+// for retries as drawn; and its plan.
+func overloadedController(t *rapid.T, checks float64, retries *rapid.Generator[float64]) (*AdmissionController, plan) {
 	const agents = 5
-	d := door(agents)
-	servers(d, start, 6, 0.8, rapid.Float64Range(20, 100).Draw(t, "capacity"), true)
+	d := newController(agents)
+	addServers(d, start, 6, 0.8, rapid.Float64Range(20, 100).Draw(t, "capacity"), true)
 	for i := 1; i < agents; i++ {
-		of := digest(i, rapid.Float64Range(checks, 400).Draw(t, "checks"), rapid.Float64Range(0, 400).Draw(t, "refunds"))
-		of.ClientRetries[check], of.ClientRetries[refund] = again.Draw(t, "again"), again.Draw(t, "again")
-		d.picture.take(start, of.Agent, Payload{Digests: []LoadDigest{of}})
+		of := testDigest(i, rapid.Float64Range(checks, 400).Draw(t, "checks"), rapid.Float64Range(0, 400).Draw(t, "refunds"))
+		of.ClientRetries[check], of.ClientRetries[refund] = retries.Draw(t, "retries"), retries.Draw(t, "retries")
+		d.view.applyPayload(start, of.Agent, Payload{Digests: []LoadDigest{of}})
 	}
-	return d, settle(d, start)
+	return d, restoreTrust(d, start)
 }
 
-// Whatever is asked: the worthiest are let in first, all together not over the limit, and who is refused is refused again.
-func TestOneOrderOfWorth(t *testing.T) {
+// Five agents are asked for any mix of requests. Refunds, the class of the higher priority, are admitted before form-checks, within a class
+// each bucket before the next, and all together not over the limit. A key that is rejected is rejected again on its retry.
+func TestAdmissionFollowsPriority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, p := askedMuch(t, 0, rapid.Float64Range(0, 100))
+		d, p := overloadedController(t, 0, rapid.Float64Range(0, 100))
 		if p.trust != 1 {
 			t.Fatalf("trust is %v", p.trust)
 		}
-		if p.chances == nil {
+		if p.admitProbabilities == nil {
 			return
 		}
-		last, letIn := 1.0, 0.0
+		last, admitted := 1.0, 0.0
 		for _, c := range []int{refund, check} {
-			for b, chance := range p.chances[c] {
-				want := p.asked.NewRequests[c]
+			for b, chance := range p.admitProbabilities[c] {
+				want := p.demand.NewRequests[c]
 				if b%2 == 1 {
-					want = p.asked.ClientRetries[c]
+					want = p.demand.ClientRetries[c]
 				}
 				over := 0.0
-				for _, x := range p.excess[c] {
-					over += x / 2 // both ask the same
+				for _, x := range p.overQuota[c] {
+					over += x / 2 // both tenants ask for the same
 				}
 				if b >= 2 {
 					want *= over
 				} else {
 					want *= 1 - over
 				}
-				if letIn += want * chance; want > 1e-6 {
+				if admitted += want * chance; want > 1e-6 {
 					if chance > 1e-9 && last < 1-1e-9 {
-						t.Fatalf("class %d, bucket %d is let in with %v where a worthier one is refused: %v", c, b, chance, p.chances)
+						t.Fatalf("class %d, bucket %d is admitted with %v where one before it is rejected: %v", c, b, chance, p.admitProbabilities)
 					}
 					last = chance
 				}
 			}
 		}
-		if letIn > p.limit*1.0001 {
-			t.Fatalf("%v are let in, over the limit of %v", letIn, p.limit)
+		if admitted > p.limit*1.0001 {
+			t.Fatalf("%v are admitted, over the limit of %v", admitted, p.limit)
 		}
 		for i := range 50 {
 			a := admission.Request{Class: check, Tenant: i % 2, Key: fmt.Sprint(i), Deadline: start + 2*time.Second}
-			if d.refuses(start, a, false, d.lot(start, a)) {
-				if !d.refuses(start+time.Second, a, true, d.lot(start+time.Second, a)) {
-					t.Fatal("what was refused is let in when it comes again")
+			if d.rejects(start, a, false, d.drawLot(start, a)) {
+				if !d.rejects(start+time.Second, a, true, d.drawLot(start+time.Second, a)) {
+					t.Fatal("what was rejected is admitted on its retry")
 				}
 			}
 		}
 	})
 }
 
-// Behind a kind that is let in in part alone there is no room, whatever rounding leaves of it, for kinds of which next to nothing was asked of late either.
-func TestNothingIsLeftBehindAKindLetInInPart(t *testing.T) {
+// Form-checks are admitted in part, so that nothing is left for the buckets behind them. Of retries next to nothing is asked for, as decaying
+// rates never become 0. They are rejected all the same: what rounding leaves of the capacity would admit all of them.
+func TestNothingIsAdmittedBehindPartialBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		_, p := askedMuch(t, 200, rapid.Just(1e-29)) // again: some seconds ago, as rates fade, and are never 0 again
-		inPart := false
+		_, p := overloadedController(t, 200, rapid.Just(1e-29)) // retries: some seconds ago
+		isPartial := false
 		for _, c := range []int{refund, check} {
-			for b, chance := range p.chances[c] {
-				if inPart && chance > 0 {
-					t.Fatalf("class %d, bucket %d is let in with %v: %v", c, b, chance, p.chances)
+			for b, chance := range p.admitProbabilities[c] {
+				if isPartial && chance > 0 {
+					t.Fatalf("class %d, bucket %d is admitted with %v: %v", c, b, chance, p.admitProbabilities)
 				}
-				inPart = inPart || chance < 1
+				isPartial = isPartial || chance < 1
 			}
 		}
-		if !inPart {
-			t.Fatalf("all are let in: %v", p.chances)
+		if !isPartial {
+			t.Fatalf("all are admitted: %v", p.admitProbabilities)
 		}
 	})
 }
 
-// A tenant that asks for more than its share has what others leave of theirs, and no more.
-func TestSharesHold(t *testing.T) {
+// Tenants ask for more or less than their quotas of a limit. One that asks for less is served in full, and what it leaves is divided among
+// the others by their quotas. Each case states the rates that are admitted.
+func TestUnusedQuotaGoesToOtherTenants(t *testing.T) {
 	for _, c := range []struct {
-		asked, shares []float64
+		asked, quotas []float64
 		limit         float64
-		let           []float64
+		admitted      []float64
 	}{
 		{[]float64{100, 100}, []float64{0.5, 0.5}, 300, []float64{100, 100}},
 		{[]float64{1000, 100}, []float64{0.5, 0.5}, 300, []float64{200, 100}},
@@ -204,94 +210,96 @@
 		{[]float64{1000, 10, 500}, []float64{0.4, 0.2, 0.4}, 210, []float64{100, 10, 100}},
 		{[]float64{1000, 0}, []float64{0.5, 0.5}, 0, []float64{0, 0}},
 	} {
-		over := excess(c.asked, c.shares, c.limit)
+		over := overQuotaRatios(c.asked, c.quotas, c.limit)
 		for i, x := range c.asked {
-			if got := x * (1 - over[i]); math.Abs(got-c.let[i]) > 1e-6 {
-				t.Errorf("%v by %v of %v: tenant %d has %v, not %v", c.asked, c.shares, c.limit, i, got, c.let[i])
+			if got := x * (1 - over[i]); math.Abs(got-c.admitted[i]) > 1e-6 {
+				t.Errorf("%v by %v of %v: tenant %d has %v, not %v", c.asked, c.quotas, c.limit, i, got, c.admitted[i])
 			}
 		}
 	}
 }
 
-// What one agent says moves nobody further than its bound.
-func TestOneThatIsWrong(t *testing.T) {
+// One of four agents claims a million requests, reports busy or strong servers, speaks for all others, says nothing or is dead. Each time the
+// others' view moves no further than its bound, and without own answers the view isn't trusted at all.
+func TestFaultyAgentIsBounded(t *testing.T) {
 	const now = start
 	honest := func() *AdmissionController {
-		d := door(4)
-		servers(d, now, 6, 0.45, 50, true)
+		d := newController(4)
+		addServers(d, now, 6, 0.45, 50, true)
 		for i := 1; i < 3; i++ {
-			d.picture.take(now, i, Payload{Digests: []LoadDigest{digest(i, 40, 20)}})
+			d.view.applyPayload(now, i, Payload{Digests: []LoadDigest{testDigest(i, 40, 20)}})
 		}
 		return d
 	}
-	everything := digest(3, 1e6, 1e6)
+	everything := testDigest(3, 1e6, 1e6)
 	d := honest()
-	d.picture.take(now, 3, Payload{Digests: []LoadDigest{everything}})
-	if p := settle(d, now); p.asked.NewRequests[check]+p.asked.NewRequests[refund] > 120+2*120+1 || d.picture.counts.Capped == 0 {
-		t.Errorf("its claim counts for more than its bound: %+v", p.asked)
+	d.view.applyPayload(now, 3, Payload{Digests: []LoadDigest{everything}})
+	if p := restoreTrust(d, now); p.demand.NewRequests[check]+p.demand.NewRequests[refund] > 120+2*120+1 || d.view.counts.Capped == 0 {
+		t.Errorf("its claim counts beyond its bound: %+v", p.demand)
 	}
-	// Its word of busy servers and of much that is asked refuses nobody while own answers show servers at rest.
-	d = door(4)
-	servers(d, now, 6, 0.1, 50, true)
+	// Its reports of busy servers and its claim reject nothing while own answers show servers at rest.
+	d = newController(4)
+	addServers(d, now, 6, 0.1, 50, true)
 	for range 40 { // own
-		d.own.asked(now, check, 0, false, 0, 1)
+		d.ownRates.countRequest(now, check, 0, false, 0, 1)
 	}
 	for i := range 6 {
-		d.picture.report(now+100*time.Millisecond, LoadReport{Server: ServerID(fmt.Sprint("s-", i)), Utilization: 1, Capacity: 1}, false)
+		d.view.applyReport(now+100*time.Millisecond, LoadReport{Server: ServerID(fmt.Sprint("s-", i)), Utilization: 1, Capacity: 1}, false)
 	}
-	d.picture.take(now, 3, Payload{Digests: []LoadDigest{everything}})
-	if p := settle(d, now+100*time.Millisecond); p.refused > 0 {
-		t.Errorf("%v are refused on word alone", p.refused)
+	d.view.applyPayload(now, 3, Payload{Digests: []LoadDigest{everything}})
+	if p := restoreTrust(d, now+100*time.Millisecond); p.rejectedRatio > 0 {
+		t.Errorf("%v are rejected by gossip alone", p.rejectedRatio)
 	}
-	// Nor can it say so for all the others.
+	// It can't claim in the name of all the others either.
 	d = honest()
 	for i := 1; i < 4; i++ {
-		d.picture.take(now+100*time.Millisecond, 3, Payload{Digests: []LoadDigest{digest(i, 1e6, 1e6)}})
+		d.view.applyPayload(now+100*time.Millisecond, 3, Payload{Digests: []LoadDigest{testDigest(i, 1e6, 1e6)}})
 	}
-	if a := d.picture.sum(now+100*time.Millisecond, d.digest(now+100*time.Millisecond), 300); a.NewRequests[check]+a.NewRequests[refund] > 2*300/8+1 {
-		t.Errorf("what one tells of all counts for %v", a.NewRequests)
+	if a := d.view.totalDemand(now+100*time.Millisecond, d.ownDigest(now+100*time.Millisecond), 300); a.NewRequests[check]+a.NewRequests[refund] > 2*300/8+1 {
+		t.Errorf("what one agent claims for all counts for %v", a.NewRequests)
 	}
-	// Nor does its word of strong servers let in more than twice what own answers showed.
+	// Its reports of strong servers count for no more than twice what own answers showed,
 	d = honest()
 	for i := range 6 {
-		d.picture.report(now+100*time.Millisecond, LoadReport{Server: ServerID(fmt.Sprint("s-", i)), Utilization: 0.1, Capacity: 1e6}, false)
+		d.view.applyReport(now+100*time.Millisecond, LoadReport{Server: ServerID(fmt.Sprint("s-", i)), Utilization: 0.1, Capacity: 1e6}, false)
 	}
 	any := func(uint32) bool { return true }
-	if capacity, _, _, _ := d.picture.capacity(now+100*time.Millisecond, any); capacity > 660 {
-		t.Errorf("servers are taken to do %v", capacity)
+	if load := d.view.fleetCapacity(now+100*time.Millisecond, any); load.capacity > 660 {
+		t.Errorf("servers are taken to serve %v", load.capacity)
 	}
-	d = door(4) // also of those that never answered this agent
-	servers(d, now, 1, 0.45, 50, true)
-	servers(d, now, 6, 0.1, 1e6, false)
-	if capacity, _, _, _ := d.picture.capacity(now, any); capacity > 660 {
-		t.Errorf("servers that are not known are taken to do %v", capacity)
+	d = newController(4) // also of servers that never answered this agent
+	addServers(d, now, 1, 0.45, 50, true)
+	addServers(d, now, 6, 0.1, 1e6, false)
+	if load := d.view.fleetCapacity(now, any); load.capacity > 660 {
+		t.Errorf("servers that never answered are taken to serve %v", load.capacity)
 	}
-	d = door(4) // and without any own answer it goes by its own watch
-	servers(d, now, 6, 0.1, 1e6, false)
-	d.picture.take(now, 1, Payload{Digests: []LoadDigest{digest(1, 40, 20)}})
-	if p := settle(d, now); p.trust != 0 {
-		t.Errorf("on word alone the picture is trusted %v", p.trust)
+	d = newController(4) // and without an own answer the local controller decides
+	addServers(d, now, 6, 0.1, 1e6, false)
+	d.view.applyPayload(now, 1, Payload{Digests: []LoadDigest{testDigest(1, 40, 20)}})
+	if p := restoreTrust(d, now); p.trust != 0 {
+		t.Errorf("by gossip alone the view is trusted %v", p.trust)
 	}
-	// One that claims nothing, or says nothing, is like the others at the most.
+	// An agent that says nothing counts as the mean of the others.
 	d = honest()
-	if p := settle(d, now); math.Abs(p.asked.NewRequests[check]-80*4.0/3) > 1 {
-		t.Errorf("with one of four that says nothing %v are asked", p.asked.NewRequests[check])
+	if p := restoreTrust(d, now); math.Abs(p.demand.NewRequests[check]-80*4.0/3) > 1 {
+		t.Errorf("with one of four that says nothing the demand is %v", p.demand.NewRequests[check])
 	}
-	// What was said long ago, or by one that died, does not count.
+	// An old digest, or one of a dead agent, doesn't count.
 	d = honest()
 	d.HandleLiveness([]bool{true, true, false, false})
-	if a := d.picture.sum(now, d.digest(now), 300); a.KnownAgents != 2 || a.NewRequests[check] != 40 {
+	if a := d.view.totalDemand(now, d.ownDigest(now), 300); a.KnownAgents != 2 || a.NewRequests[check] != 40 {
 		t.Errorf("%+v", a)
 	}
-	if a := d.picture.sum(now+freshFor, d.digest(now), 300); a.KnownAgents != 1 {
+	if a := d.view.totalDemand(now+digestTTL, d.ownDigest(now), 300); a.KnownAgents != 1 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// Where nothing is heard of the others, an agent decides as it would alone.
-func TestWithoutWordAnAgentGoesByItself(t *testing.T) {
+// An agent receives nothing from the nine others. For any sequence of requests it admits and rejects exactly what its local controller alone
+// would, and counts the requests in flight.
+func TestWithoutGossipAgentDecidesLocally(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, alone := door(10), watch(2)
+		d, local := newController(10), newLocal(2)
 		now := start
 		type both struct{ a, b *admission.Permit }
 		var open []both
@@ -299,9 +307,9 @@
 			now += time.Duration(rapid.IntRange(1, 30).Draw(t, "ms")) * time.Millisecond
 			a := admission.Request{Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Key: fmt.Sprint(i % 90), IsRetry: i%7 == 0, Deadline: now + 2*time.Second}
 			p, _ := d.Arrive(now, a)
-			q, _ := alone.Arrive(now, a)
+			q, _ := local.Arrive(now, a)
 			if (p == nil) != (q == nil) {
-				t.Fatalf("request %d: the fleet's door lets it in: %v, the agent's own: %v", i, p != nil, q != nil)
+				t.Fatalf("request %d: admitted %v, by the local controller alone %v", i, p != nil, q != nil)
 			}
 			if p != nil {
 				open = append(open, both{p, q})
@@ -309,30 +317,31 @@
 			if len(open) > 5 {
 				end := admission.Outcome(rapid.IntRange(0, 2).Draw(t, "end"))
 				d.Done(now, open[0].a, end)
-				alone.Done(now, open[0].b, end)
+				local.Done(now, open[0].b, end)
 				open = open[1:]
 			}
 		}
-		if d.open != len(open) {
-			t.Fatalf("%d are open, not %d", d.open, len(open))
+		if d.inFlight != len(open) {
+			t.Fatalf("%d are in flight, not %d", d.inFlight, len(open))
 		}
 	})
 }
 
-// A server is held out on the word of two agents, by all but two, as long as nobody has had an answer of it since.
-func TestIllServersAreHeldOutTogether(t *testing.T) {
+// Agents report that a server doesn't serve them. All but two testers exclude it if the observations come from two living agents, are recent,
+// and neither a report of the server nor an own answer is later. Never more than a third of the servers is excluded.
+func TestOutliersAreExcludedByAgreement(t *testing.T) {
 	const agents = 12
 	ill := ServerID("s-0")
 	holds := func(change func(d *AdmissionController)) (n int) {
 		for self := range agents {
-			d := door(agents)
+			d := newController(agents)
 			d.SetFleetPosition(self, agents)
 			d.HandleLiveness(slices.Repeat([]bool{true}, agents))
-			servers(d, start-2*time.Second, 8, 0.5, 50, false)
+			addServers(d, start-2*time.Second, 8, 0.5, 50, false)
 			change(d)
-			if held := d.ExcludedServers(start); len(held) > 0 {
-				if len(held) != 1 || held[0] != "s-0" {
-					t.Fatalf("agent %d holds out %v", self, held)
+			if excluded := d.ExcludedServers(start); len(excluded) > 0 {
+				if len(excluded) != 1 || excluded[0] != "s-0" {
+					t.Fatalf("agent %d excludes %v", self, excluded)
 				}
 				n++
 			}
@@ -341,7 +350,7 @@
 	}
 	say := func(d *AdmissionController, age time.Duration, by ...int) {
 		for _, agent := range by {
-			d.picture.voice(start, agent, Observation{ill, agent, age})
+			d.view.applyObservation(start, agent, Observation{ill, agent, age})
 		}
 	}
 	for _, c := range []struct {
@@ -349,166 +358,170 @@
 		do   func(d *AdmissionController)
 		want int
 	}{
-		{"one voice", func(d *AdmissionController) { say(d, 0, 3) }, 0},
-		{"one that says it again", func(d *AdmissionController) { say(d, time.Second, 3); say(d, 0, 3, 3) }, 0},
-		{"two voices", func(d *AdmissionController) { say(d, 0, 3, 5) }, agents - testers},
-		{"two, as one agent tells", func(d *AdmissionController) {
-			d.picture.voice(start, 3, Observation{ill, 3, 0})
-			d.picture.voice(start, 3, Observation{ill, 5, 0})
+		{"one observation", func(d *AdmissionController) { say(d, 0, 3) }, 0},
+		{"one that is repeated", func(d *AdmissionController) { say(d, time.Second, 3); say(d, 0, 3, 3) }, 0},
+		{"two observations", func(d *AdmissionController) { say(d, 0, 3, 5) }, agents - testersPerServer},
+		{"two that one agent sends", func(d *AdmissionController) {
+			d.view.applyObservation(start, 3, Observation{ill, 3, 0})
+			d.view.applyObservation(start, 3, Observation{ill, 5, 0})
 		}, 0},
-		{"two of long ago", func(d *AdmissionController) { say(d, voiceFor, 3, 5) }, 0},
-		{"one of a dead agent", func(d *AdmissionController) {
+		{"two that are old", func(d *AdmissionController) { say(d, observationTTL, 3, 5) }, 0},
+		{"one of them of a dead agent", func(d *AdmissionController) {
 			say(d, 0, 3, 5)
 			alive := slices.Repeat([]bool{true}, agents)
 			alive[5] = false
 			d.HandleLiveness(alive)
 		}, 0},
-		{"an answer since", func(d *AdmissionController) {
+		{"a report since", func(d *AdmissionController) {
 			say(d, 100*time.Millisecond, 3, 5)
-			d.picture.report(start, LoadReport{ill, 0.5, 50, 0}, false)
+			d.view.applyReport(start, LoadReport{ill, 0.5, 50, 0}, false)
 		}, 0},
 		{"an own answer just before", func(d *AdmissionController) {
-			servers(d, start-300*time.Millisecond, 1, 0.5, 50, true)
+			addServers(d, start-300*time.Millisecond, 1, 0.5, 50, true)
 			say(d, 0, 3, 5)
 		}, 0},
 	} {
 		if got := holds(c.do); got != c.want {
-			t.Errorf("%s: %d of %d agents hold it out, not %d", c.name, got, agents, c.want)
+			t.Errorf("%s: %d of %d agents exclude it, not %d", c.name, got, agents, c.want)
 		}
 	}
-	d := door(agents) // and never more than a third of the servers
-	servers(d, start-2*time.Second, 9, 0.5, 50, false)
+	d := newController(agents) // and never more than a third of the servers
+	addServers(d, start-2*time.Second, 9, 0.5, 50, false)
 	for i := range 9 {
 		for agent := range 4 {
-			d.picture.voice(start, agent+1, Observation{ServerID(fmt.Sprint("s-", i)), agent + 1, 0})
+			d.view.applyObservation(start, agent+1, Observation{ServerID(fmt.Sprint("s-", i)), agent + 1, 0})
 		}
 	}
 	if n := len(d.ExcludedServers(start)); n > 3 {
-		t.Errorf("%d of 9 servers are held out on word", n)
+		t.Errorf("%d of 9 servers are excluded", n)
 	}
 }
 
-// An agent raises its voice for a server that hangs or fails, and not when nothing that it uses answers: then it is cut off itself.
-func TestIsItMe(t *testing.T) {
+// Some of the eight servers that an agent uses hang. It reports one or two of them; where five or all hang it is likely cut off itself, and
+// reports none.
+func TestIsolatedAgentReportsNoOutliers(t *testing.T) {
 	for _, c := range []struct {
-		ills, voices int
+		hanging, reported int
 	}{{0, 0}, {1, 1}, {2, 2}, {5, 0}, {8, 0}} {
-		d := door(3)
+		d := newController(3)
 		for i := range 8 {
 			id := fmt.Sprint("s-", i)
 			d.UpdateServer(id, true, true)
 			d.AttemptSent(start, id, false)
-			if i >= c.ills {
+			if i >= c.hanging {
 				d.AttemptEnded(start+100*time.Millisecond, id, balancer.OK, balancer.NoReport)
 			}
 		}
-		d.look(start + silentMost)
+		d.refreshPlan(start + maxSilence)
 		n := 0
-		for _, s := range d.picture.servers {
-			n += len(s.voices)
+		for _, s := range d.view.servers {
+			n += len(s.observations)
 		}
-		if n != c.voices {
-			t.Errorf("%d of 8 servers hang: it raises its voice for %d, not %d", c.ills, n, c.voices)
+		if n != c.reported {
+			t.Errorf("%d of 8 servers hang: it reports %d, not %d", c.hanging, n, c.reported)
 		}
 	}
 }
 
-// Attempts beyond a call's first keep to the fleet's budget, and where little of it is spent a quiet agent may make one.
-func TestRetriesAreOneBudget(t *testing.T) {
+// Three agents together have 200 new requests a second. While their extra attempts are under half of the retry budget this agent may always
+// retry, above the budget never, and in between now and then.
+func TestRetryBudgetIsFleetWide(t *testing.T) {
 	for _, c := range []struct {
-		extra       float64
-		least, most int
+		extra           float64
+		atLeast, atMost int
 	}{{0, 1000, 1000}, {10, 1000, 1000}, {27, 100, 500}, {40, 0, 0}} {
-		d := door(3)
-		servers(d, start, 6, 0.3, 100, true)
+		d := newController(3)
+		addServers(d, start, 6, 0.3, 100, true)
 		for agent := range 2 {
-			of := digest(agent+1, 50, 50)
+			of := testDigest(agent+1, 50, 50)
 			of.ExtraAttempts = c.extra / 2
-			d.picture.take(start, of.Agent, Payload{Digests: []LoadDigest{of}})
+			d.view.applyPayload(start, of.Agent, Payload{Digests: []LoadDigest{of}})
 		}
-		settle(d, start)
+		restoreTrust(d, start)
 		n := 0
 		for range 1000 {
 			if d.AllowsRetry(start) {
 				n++
 			}
 		}
-		if n < c.least || n > c.most {
-			t.Errorf("with %v of 200 first tries tried again a second, %d of 1000 may be", c.extra, n)
+		if n < c.atLeast || n > c.atMost {
+			t.Errorf("with %v extra attempts for 200 requests a second, %d of 1000 retries are allowed", c.extra, n)
 		}
 	}
 }
 
-// What an agent remembers and tells is bounded, whatever it hears.
-func TestWhatIsRememberedIsBounded(t *testing.T) {
-	d := door(50)
+// Forty-nine agents send fifty thousand payloads of ever new agents and servers. What is remembered stays within its limits, and so does the
+// length and the number of payloads that are sent.
+func TestMemoryIsBounded(t *testing.T) {
+	d := newController(50)
 	d.UpdateServer("s", true, true)
 	for i := range 50_000 {
 		now := start + time.Duration(i)*time.Millisecond
-		besteffort.Ignore(d.HandlePayload(now, 1+i%49, Payload{Digests: []LoadDigest{digest(i%70_000%65_536, 1, 1)}, Reports: []LoadReport{{uint32(i), 0.5, 5, 0}},
-			Observations: []Observation{{uint32(i), i % 60, 0}}}.append(nil)))
+		besteffort.Ignore(d.HandlePayload(now, 1+i%49, Payload{Digests: []LoadDigest{testDigest(i%70_000%65_536, 1, 1)}, Reports: []LoadReport{{uint32(i), 0.5, 5, 0}},
+			Observations: []Observation{{uint32(i), i % 60, 0}}}.appendTo(nil)))
 		if i%500 == 0 {
-			if body, to := d.NextPayload(now, 203); len(body) > 203 || to > toBusy {
-				t.Fatalf("%d bytes to %d", len(body), to)
+			if payload, receivers := d.NextPayload(now, 203); len(payload) > 203 || receivers > busyReceivers {
+				t.Fatalf("%d bytes to %d", len(payload), receivers)
 			}
 		}
 	}
-	if p := d.picture; len(p.servers) > mostServers || len(p.order) != len(p.servers) || len(p.news) > 50 {
-		t.Errorf("%d servers, %d in order, %d agents to tell of", len(p.servers), len(p.order), len(p.news))
+	if p := d.view; len(p.servers) > maxServers || len(p.serverOrder) != len(p.servers) || len(p.relayQueue) > 50 {
+		t.Errorf("%d servers, %d in order, %d queued agents", len(p.servers), len(p.serverOrder), len(p.relayQueue))
 	}
 }
 
-// What may have run is never refused when it comes again: neither where the agent is told so, nor where it remembers it, whichever door had
-// let it in.
-func TestWhatMayHaveRunIsLetIn(t *testing.T) {
+// A refund is admitted, by the local controller or by the fleet's plan alone, and fails, so that it may have run. Then the fleet is asked for
+// far more than it can serve and new requests are rejected. The refund's retry is admitted all the same: a rejection would lose its answer.
+func TestRequestThatMayHaveRunIsAdmitted(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		storm bool // the own watch refuses it at first, and the fleet's door alone lets it in
-	}{{"let in by both", false}, {"let in by the fleet's door alone", true}} {
-		d := door(3)
-		servers(d, start, 6, 0.8, 100, true)
+		name              string
+		isLocalOverloaded bool // the local controller rejects the refund at first, and the fleet's plan alone admits it
+	}{{"admitted by both", false}, {"admitted by the fleet's plan alone", true}} {
+		d := newController(3)
+		addServers(d, start, 6, 0.8, 100, true)
 		for agent := range 2 {
-			d.picture.take(start, agent+1, Payload{Digests: []LoadDigest{digest(agent+1, 10, 10)}})
+			d.view.applyPayload(start, agent+1, Payload{Digests: []LoadDigest{testDigest(agent+1, 10, 10)}})
 		}
-		settle(d, start)
-		if c.storm { // hardly anything is served, and it has gone dark
+		restoreTrust(d, start)
+		if c.isLocalOverloaded { // hardly anything is served
 			now := start - 8*time.Second
 			for i := range 400 {
 				now += 20 * time.Millisecond
-				if p, _ := d.alone.Arrive(now, admission.Request{Class: check, Tenant: -1, Key: fmt.Sprint("other-", i), Deadline: now + time.Second}); p != nil {
-					d.alone.Done(now, p, admission.OutcomeFailed)
+				if p, _ := d.local.Arrive(now, admission.Request{Class: check, Tenant: -1, Key: fmt.Sprint("other-", i), Deadline: now + time.Second}); p != nil {
+					d.local.Done(now, p, admission.OutcomeFailed)
 				}
 			}
 		}
 		ask := admission.Request{Class: refund, Tenant: 0, Key: "refund", Deadline: start + 2*time.Second}
 		p, _ := d.Arrive(start, ask)
 		if p == nil {
-			t.Fatalf("%s: it is refused at first", c.name)
+			t.Fatalf("%s: it is rejected at first", c.name)
 		}
-		if _, _, by := p.Completion(start); (by == admission.IssuedByFleet) != c.storm {
-			t.Fatalf("%s: door %d has let it in", c.name, by)
+		if _, _, by := p.Completion(start); (by == admission.IssuedByFleet) != c.isLocalOverloaded {
+			t.Fatalf("%s: it is admitted by issuer %d", c.name, by)
 		}
 		d.Done(start+100*time.Millisecond, p, admission.OutcomeFailed)
-		for agent := range 2 { // and now much more is asked than there is room for
-			d.picture.digests[agent+1].at = 0
-			d.picture.take(start, agent+1, Payload{Digests: []LoadDigest{digest(agent+1, 4000, 4000)}})
+		for agent := range 2 { // and now far more is asked for than can be served
+			d.view.digests[agent+1].observedAt = 0
+			d.view.applyPayload(start, agent+1, Payload{Digests: []LoadDigest{testDigest(agent+1, 4000, 4000)}})
 		}
-		settle(d, start+200*time.Millisecond)
-		refused := 0
+		restoreTrust(d, start+200*time.Millisecond)
+		rejected := 0
 		for i := range 50 {
 			if p, _ := d.Arrive(start+200*time.Millisecond, admission.Request{Class: refund, Tenant: 0, Key: fmt.Sprint("new-", i), Deadline: start + 2*time.Second}); p == nil {
-				refused++
+				rejected++
 			}
 		}
 		ask.IsRetry = true
-		if p, _ := d.Arrive(start+200*time.Millisecond, ask); p == nil || refused == 0 {
-			t.Errorf("%s: a repeat of what may have run is refused, as %d of 50 new ones are", c.name, refused)
+		if p, _ := d.Arrive(start+200*time.Millisecond, ask); p == nil || rejected == 0 {
+			t.Errorf("%s: the retry of what may have run is rejected, as %d of 50 new ones are", c.name, rejected)
 		}
 	}
 }
 
-// While some are refused and servers have room, the limit rises, but only by own answers of late that are in time; it falls by anybody's.
-func TestTheLimitRisesByOwnAnswersAlone(t *testing.T) {
+// Requests are rejected, and the view shows servers with capacity or full ones. The gain rises only if the agent's own answers are recent and
+// in time; it falls whatever they are.
+func TestGainRisesOnlyByOwnAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		use    float64
@@ -517,16 +530,16 @@
 		ago    time.Duration
 		want   int // the sign of the change
 	}{
-		{"room, and own answers in time", 0.4, 9, 1, 0, 1},
-		{"room, and own answers late", 0.4, 5, 5, 0, 0},
-		{"room, and own answers of long ago", 0.4, 9, 1, proofFor, 0},
+		{"capacity, and own answers in time", 0.4, 9, 1, 0, 1},
+		{"capacity, and own answers late", 0.4, 5, 5, 0, 0},
+		{"capacity, and old own answers", 0.4, 9, 1, ownAnswersDecay, 0},
 		{"full", 1, 9, 1, 0, -1},
-		{"full, and no own answers of late", 1, 0, 0, proofFor, -1},
+		{"full, and no recent own answer", 1, 0, 0, ownAnswersDecay, -1},
 	} {
-		d := door(3)
-		d.gain, d.plan.refused, d.steered = 2, 0.5, start-time.Second
-		d.inTime, d.late, d.endedAt = c.inTime, c.late, start-c.ago
-		d.steer(start, c.use, Demand{ServedInTime: 100})
+		d := newController(3)
+		d.gain, d.plan.rejectedRatio, d.gainAdjustedAt = 2, 0.5, start-time.Second
+		d.ownInTime, d.ownLate, d.ownEndedAt = c.inTime, c.late, start-c.ago
+		d.adjustGain(start, c.use, Demand{ServedInTime: 100})
 		if got := cmp.Compare(d.gain, 2); got != c.want {
 			t.Errorf("%s: from 2 to %v", c.name, d.gain)
 		}
--- a/internal/fleet/overload/plan.go
+++ b/internal/fleet/overload/plan.go
@@ -5,222 +5,207 @@
 	"time"
 )
 
-// leastPart of the limit is let in at the least, whatever waits.
-const leastPart = 0.4
+// The rate that the fleet may admit.
+const (
+	// By how much of itself the limit is lower for all of the utilization that servers have too much. It acts at once: what agents say of
+	// their arrivals comes later than what servers say of their utilization.
+	pushbackFactor = 1.1
+	minAdmitRatio  = 0.4         // of the limit, that is admitted whatever waits at the servers
+	queueDrainTime = time.Second // in which the requests that wait at servers are to be worked off
+	usualTimeRatio = 0.6         // of the latency objective, that a request takes where none waits
+)
+
+// What servers do is known sooner than what all agents are asked for: where they serve more than agents report, the demand has grown.
+const (
+	reportedGrowthTolerance = 1.15 // times the reported attempts, that servers may serve without that
+	maxDemandGrowth         = 2.5
+	peakAttemptDecay        = 2 * time.Second
+)
 
-// pushback is by how much of it the limit is lower for what servers are busier than they should be, at once: what agents say of their
-// arrivals comes later than what servers say of their use.
-const pushback = 1.1
+// The plan counts in so far as this agent's own answers show busy servers.
+const (
+	minProofUtilization  = 0.3 // from which it begins to count,
+	fullProofUtilization = 0.5 // and from which it counts in full
+)
 
-// plan is who is let in for now.
+// plan says whom to admit for now.
 type plan struct {
-	trust    float64      // how far the picture is trusted, from 0 to 1
-	limit    float64      // tries a second that the fleet lets in
-	chances  [][4]float64 // by class and bucket; nil: all are let in
-	excess   [][]float64  // by class and tenant: part of what it asks that is over its share
-	refused  float64      // part of all that is asked that is refused
-	asked    Demand
-	capacity float64
-	use      float64
+	trust              float64      // from 0 to 1: the part of the requests to which the plan applies
+	limit              float64      // requests a second that the fleet may admit
+	admitProbabilities [][4]float64 // by class and priorityBucket; nil: all are admitted
+	overQuota          [][]float64  // by class and tenant: the part of its requests that is over its quota
+	rejectedRatio      float64      // part of the whole demand that is rejected
+	demand             Demand
+	capacity           float64 // of the servers, in requests a second
+	utilization        float64
 }
 
-// chance is that of a tenant's try of a class to be let in. What is over its share has the lesser one.
-func (p *plan) chance(class, tenant int, repeat bool) float64 {
-	if class >= len(p.chances) {
+// priorityBucket returns the bucket of a request within its class, the first of which is filled first: tenants within their quota come
+// before those over it, and first attempts before clients' retries.
+func priorityBucket(isRetry, isOverQuota bool) int {
+	bucket := 0
+	if isOverQuota {
+		bucket = 2
+	}
+	if isRetry {
+		bucket++
+	}
+	return bucket
+}
+
+// admitProbability returns the probability that a tenant's request of a class is admitted; tenant is below 0 for none.
+func (p *plan) admitProbability(class, tenant int, isRetry bool) float64 {
+	if class >= len(p.admitProbabilities) {
 		return 1
 	}
 	over := 0.0
-	if of := p.excess[class]; tenant >= 0 && len(of) > 0 {
-		over = of[kind(tenant, len(of))]
+	if ofTenants := p.overQuota[class]; tenant >= 0 && len(ofTenants) > 0 {
+		over = ofTenants[digestIndex(tenant, len(ofTenants))]
 	}
-	chances := &p.chances[class]
-	return (1-over)*chances[bucket(repeat, false)] + over*chances[bucket(repeat, true)]
+	probabilities := &p.admitProbabilities[class]
+	return (1-over)*probabilities[priorityBucket(isRetry, false)] + over*probabilities[priorityBucket(isRetry, true)]
 }
 
-const (
-	agrees    = 1.15 // times what agents say that they let in, up to which servers may do more
-	mostGrown = 2.5
-	peakFor   = 2 * time.Second
-)
-
-// bucket is a kind of request within a class, the worthiest first: tenants within their share before those over it, first tries before
-// repeats.
-func bucket(repeat, excess bool) int {
-	n := 0
-	if excess {
-		n = 2
+// newPlan fills the fleet's limit in the order of priority. An agent whose own answers show servers at rest admits all: gossip alone rejects
+// nothing.
+func (d *AdmissionController) newPlan(now time.Duration, demand Demand, capacity, utilization float64) plan {
+	d.scaleToServed(now, &demand, capacity, utilization)
+	excessUtilization := max(0, utilization-targetUtilization(demand.lateRatio()))
+	p := plan{demand: demand, utilization: utilization, capacity: capacity,
+		limit: d.gain * lateTargetUtilization * capacity * (1 - pushbackFactor*excessUtilization)}
+	requested := 0.0
+	for c := range demand.NewRequests {
+		requested += demand.NewRequests[c] + demand.ClientRetries[c]
+	}
+	available := d.availableRate(&p)
+	if requested <= available || capacity == 0 {
+		return p
 	}
-	if repeat {
-		n++
+	proof := d.overloadProof(now)
+	if proof == 0 {
+		return p
 	}
-	return n
+	admitted := d.fillBuckets(&p, available, proof)
+	p.rejectedRatio = proof * max(0, 1-admitted/requested)
+	return p
 }
 
-// newPlan fills the fleet's limit in the order of worth. That of an agent whose own servers are not busy counts for nothing.
-func (d *AdmissionController) newPlan(now time.Duration, asked Demand, capacity, use float64) plan {
-	// What servers do at present is heard of sooner than what all agents are asked: where servers do more than agents say that they let in,
-	// what is asked has grown as much meanwhile.
-	d.peak = max(d.peak*math.Exp(-float64(now-d.peakAt)/float64(peakFor)), asked.Admitted+asked.ExtraAttempts) // what servers do is of a moment ago
-	d.peakAt = now
-	if done := use * capacity; d.peak > 0 && done > agrees*d.peak {
-		grown := min(done/d.peak, mostGrown)
-		for _, rates := range [][]float64{asked.NewRequests, asked.ClientRetries, asked.Tenants} {
+// scaleToServed raises the demand where servers serve more than the agents report.
+func (d *AdmissionController) scaleToServed(now time.Duration, demand *Demand, capacity, utilization float64) {
+	decayed := d.peakAttemptRate * math.Exp(-float64(now-d.peakAttemptAt)/float64(peakAttemptDecay))
+	d.peakAttemptRate = max(decayed, demand.Admitted+demand.ExtraAttempts) // the peak, as what servers report is of a moment ago
+	d.peakAttemptAt = now
+	if served := utilization * capacity; d.peakAttemptRate > 0 && served > reportedGrowthTolerance*d.peakAttemptRate {
+		growth := min(served/d.peakAttemptRate, maxDemandGrowth)
+		for _, rates := range [][]float64{demand.NewRequests, demand.ClientRetries, demand.Tenants} {
 			for i := range rates {
-				rates[i] *= grown
+				rates[i] *= growth
 			}
 		}
 	}
-	p := plan{asked: asked, use: use, capacity: capacity, limit: d.gain * targetUse * capacity * (1 - pushback*max(0, use-aimedUse(asked.lateShare())))}
-	all := 0.0
-	for c := range asked.NewRequests {
-		all += asked.NewRequests[c] + asked.ClientRetries[c]
-	}
-	// What waits at servers beyond what is usual is worked off first.
-	waits := max(0, asked.InFlight-p.limit*openTime*d.set.Classes[d.order[0]].LatencyObjective.Seconds())
-	left := max(leastPart*p.limit, p.limit-asked.ExtraAttempts-waits/drainIn.Seconds())
-	if all <= left || capacity == 0 {
-		return p
-	}
-	proof := 1.0
-	if d.useAt != 0 && now-d.useAt < proofFor {
-		proof = min(max((d.usePeak-proofFrom)/(proofFull-proofFrom), 0), 1)
-	}
-	if proof == 0 {
-		return p
-	}
-	tenants := 0.0
-	for _, x := range asked.Tenants {
-		tenants += x
+}
+
+// availableRate returns what is left of the limit for new requests and retries: extra attempts, and the requests that wait at servers beyond
+// what is usual, are served first.
+func (d *AdmissionController) availableRate(p *plan) float64 {
+	topObjective := d.options.Classes[d.classesByPriority[0]].LatencyObjective
+	waiting := max(0, p.demand.InFlight-p.limit*usualTimeRatio*topObjective.Seconds())
+	return max(minAdmitRatio*p.limit, p.limit-p.demand.ExtraAttempts-waiting/queueDrainTime.Seconds())
+}
+
+// overloadProof returns from 0 to 1 how far this agent's own answers show busy servers; 1 if it has none of late.
+func (d *AdmissionController) overloadProof(now time.Duration) float64 {
+	if d.ownReportAt == 0 || now-d.ownReportAt >= ownAnswersDecay {
+		return 1
 	}
-	p.chances, p.excess = make([][4]float64, len(asked.NewRequests)), make([][]float64, len(asked.NewRequests))
-	letIn := 0.0
-	for _, c := range d.order {
-		of := make([]float64, len(asked.Tenants)) // what each tenant asks of the class, as far as all ask alike
-		for t, x := range asked.Tenants {
-			of[t] = x * asked.NewRequests[c] / max(tenants, math.SmallestNonzeroFloat64)
+	return min(max((d.ownPeakUtilization-minProofUtilization)/(fullProofUtilization-minProofUtilization), 0), 1)
+}
+
+// fillBuckets gives each bucket of each class, in the order of priority, what is left of the available rate, sets the probabilities by that
+// and returns the rate that is admitted.
+func (d *AdmissionController) fillBuckets(p *plan, available, proof float64) (admitted float64) {
+	demand := &p.demand
+	allTenants := 0.0
+	for _, rate := range demand.Tenants {
+		allTenants += rate
+	}
+	p.admitProbabilities, p.overQuota = make([][4]float64, len(demand.NewRequests)), make([][]float64, len(demand.NewRequests))
+	for _, c := range d.classesByPriority {
+		byTenant := make([]float64, len(demand.Tenants)) // of the class, as if all tenants asked for the same classes
+		for t, rate := range demand.Tenants {
+			byTenant[t] = rate * demand.NewRequests[c] / max(allTenants, math.SmallestNonzeroFloat64)
 		}
-		p.excess[c] = excess(of, d.set.TenantQuotas, left)
+		p.overQuota[c] = overQuotaRatios(byTenant, d.options.TenantQuotas, available)
 		over := 0.0
-		for t, x := range of {
-			over += x * p.excess[c][t] / max(asked.NewRequests[c], math.SmallestNonzeroFloat64)
+		for t, rate := range byTenant {
+			over += rate * p.overQuota[c][t] / max(demand.NewRequests[c], math.SmallestNonzeroFloat64)
 		}
-		for b := range p.chances[c] {
-			want := asked.NewRequests[c]
-			if b%2 == 1 {
-				want = asked.ClientRetries[c]
-			}
-			if b < 2 {
-				want *= 1 - over
-			} else {
-				want *= over
-			}
-			chance := 1.0
+		for bucket := range p.admitProbabilities[c] {
+			requested := demand.bucketRate(c, bucket, over)
+			probability := 1.0
 			switch {
-			case left <= 0: // also for what nobody has asked yet
-				chance = 0
-			case want > left:
-				chance = left / want
+			case available <= 0: // also for a bucket of which nothing is requested yet
+				probability = 0
+			case requested > available:
+				probability = available / requested
 			}
-			letIn += want * chance
-			if left -= want; chance < 1 {
-				left = 0 // exactly: of what rounding left of it, kinds of which next to nothing is asked would all be let in
+			admitted += requested * probability
+			// Exactly 0 behind a bucket that isn't admitted in full: what rounding leaves would admit all of the next buckets of which next to
+			// nothing is requested.
+			if available -= requested; probability < 1 {
+				available = 0
 			}
-			p.chances[c][b] = 1 - proof*(1-chance)
+			p.admitProbabilities[c][bucket] = 1 - proof*(1-probability)
 		}
 	}
-	p.refused = proof * max(0, 1-letIn/all)
-	return p
+	return admitted
 }
 
-// excess is the part of what each tenant asks that is over its share of the limit. What one does not ask of its share the others have
-// (max-min fairness by shares).
-func excess(asked, shares []float64, limit float64) []float64 {
-	over := make([]float64, len(asked))
-	given := make([]bool, len(asked))
-	for range asked {
-		sum, again := 0.0, false
-		for t := range asked {
-			if !given[t] {
-				sum += shares[t]
+// bucketRate returns how many requests a second are in a bucket of a class, of which such a part is over its tenant's quota.
+func (d *Demand) bucketRate(class, bucket int, overQuota float64) float64 {
+	rate := d.NewRequests[class]
+	if bucket%2 == 1 {
+		rate = d.ClientRetries[class]
+	}
+	if bucket < 2 {
+		return rate * (1 - overQuota)
+	}
+	return rate * overQuota
+}
+
+// overQuotaRatios returns the part of what each tenant requests that is over its quota of the limit. What a tenant doesn't use of its quota
+// goes to the others (max-min fairness, weighted by quotas).
+func overQuotaRatios(requested, quotas []float64, limit float64) []float64 {
+	over := make([]float64, len(requested))
+	isServed := make([]bool, len(requested)) // in full
+	for range requested {
+		unserved, left := 0.0, limit // quotas of the tenants that aren't served in full, and what is left for them
+		for t := range requested {
+			if !isServed[t] {
+				unserved += quotas[t]
 			}
 		}
-		left := limit
-		for t := range asked {
-			if given[t] {
-				left -= asked[t]
+		for t := range requested {
+			if isServed[t] {
+				left -= requested[t]
 			}
 		}
-		for t := range asked {
-			if !given[t] && asked[t] <= left*shares[t]/max(sum, math.SmallestNonzeroFloat64) {
-				given[t], again = true, true
+		unserved = max(unserved, math.SmallestNonzeroFloat64)
+		hasChanged := false
+		for t := range requested {
+			if !isServed[t] && requested[t] <= left*quotas[t]/unserved {
+				isServed[t], hasChanged = true, true
 			}
 		}
-		if again {
+		if hasChanged {
 			continue
 		}
-		for t := range asked {
-			if !given[t] && asked[t] > 0 {
-				over[t] = min(1, max(0, 1-max(0, left)*shares[t]/max(sum, math.SmallestNonzeroFloat64)/asked[t]))
+		for t := range requested {
+			if !isServed[t] && requested[t] > 0 {
+				over[t] = min(1, max(0, 1-max(0, left)*quotas[t]/unserved/requested[t]))
 			}
 		}
 		break
 	}
 	return over
 }
-
-// rates are what this agent is asked, a second.
-type rates struct {
-	first, again, tenants         []fading
-	all, letIn, extra, good, late fading
-}
-
-func (r *rates) room(classes, tenants int) {
-	for len(r.first) < classes {
-		r.first, r.again = append(r.first, fading{}), append(r.again, fading{})
-	}
-	for len(r.tenants) < tenants {
-		r.tenants = append(r.tenants, fading{})
-	}
-}
-
-// asked counts a request. Unmarked repeats can't be told from first tries one by one; but first tries draw any lot, and of those whose lot
-// is let in nobody comes again. So these tell how many first tries there are, and the others are repeats.
-func (r *rates) asked(now time.Duration, class, tenant int, repeat bool, lot, chance float64) {
-	r.all.add(now, 1)
-	chance = max(chance, leastLots)
-	switch {
-	case repeat:
-		r.again[class].add(now, 1)
-	case lot < chance:
-		r.first[class].add(now, 1/chance)
-		if tenant >= 0 && len(r.tenants) > 0 {
-			r.tenants[kind(tenant, len(r.tenants))].add(now, 1/chance)
-		}
-	}
-}
-
-func (r *rates) digest(now time.Duration, self, open int) LoadDigest {
-	d := LoadDigest{Agent: self, Requests: r.all.rate(now), InFlight: float64(open), Admitted: r.letIn.rate(now), ExtraAttempts: r.extra.rate(now), ServedInTime: r.good.rate(now), LateOrFailed: r.late.rate(now)}
-	for c := range r.first {
-		d.NewRequests, d.ClientRetries = append(d.NewRequests, r.first[c].rate(now)), append(d.ClientRetries, r.again[c].rate(now))
-	}
-	for t := range r.tenants {
-		d.Tenants = append(d.Tenants, r.tenants[t].rate(now))
-	}
-	return d
-}
-
-// fading is a rate over the last while.
-type fading struct {
-	count float64
-	at    time.Duration
-}
-
-func (f *fading) add(now time.Duration, n float64) {
-	f.count = f.count*math.Exp(-float64(now-f.at)/float64(rateOver)) + n
-	f.at = now
-}
-
-func (f *fading) rate(now time.Duration) float64 {
-	return f.count * math.Exp(-float64(now-f.at)/float64(rateOver)) / rateOver.Seconds()
-}
