--- a/internal/membership/xds/machine_test.go
+++ b/internal/membership/xds/client_test.go
@@ -24,30 +24,30 @@
 	"appleledge/internal/harness/controlplane"
 )
 
-func testReader() reader {
+func testParser() endpointParser {
 	now := time.Second
-	return reader{Zones: []string{"edinburgh-dc"}, Clock: engine.ManualClock(&now)}
+	return endpointParser{Zones: []string{"edinburgh-dc"}, Clock: engine.ManualClock(&now)}
 }
 
-func packed(name, version string, m proto.Message) resource {
+func testResource(name, version string, m proto.Message) resource {
 	return resource{name, version, controlplane.Packed(m)}
 }
 
-// plane is a control plane as the protocol has it, in a few lines, with some resources that can't be used.
-type plane struct {
-	clusters map[string]bool               // and whether it can be used
-	have     map[string]*assignmentInPlane // by cluster
-	version  int
+// modelPlane is a control plane as the protocol has it, with some resources that are invalid.
+type modelPlane struct {
+	clusters    map[string]bool             // and whether it can be used
+	assignments map[string]*modelAssignment // by cluster
+	version     int
 }
 
-type assignmentInPlane struct {
+type modelAssignment struct {
 	version int
-	ports   []int // of the endpoints; one of 0 spoils the assignment
+	ports   []int // of the endpoints; a port of 0 makes the assignment invalid
 }
 
-func (a *assignmentInPlane) bad() bool { return slices.Contains(a.ports, 0) }
+func (a *modelAssignment) isInvalid() bool { return slices.Contains(a.ports, 0) }
 
-func (a *assignmentInPlane) message(cluster string) *endpointv3.ClusterLoadAssignment {
+func (a *modelAssignment) message(cluster string) *endpointv3.ClusterLoadAssignment {
 	var endpoints []controlplane.Endpoint
 	for _, port := range a.ports {
 		endpoints = append(endpoints, controlplane.Endpoint{Host: "127.0.0.1", Port: port})
@@ -55,14 +55,14 @@
 	return controlplane.Assignment(cluster, "edinburgh-dc", endpoints...)
 }
 
-// Whatever a control plane sends, in either variant, with streams that break between: each response is answered once,
-// with the reason where something can't be used; the version that is held is the last good one; and the list is that of
-// the last good endpoints of the clusters that there are.
-func TestMachineModel(t *testing.T) {
+// A control plane sends clusters and endpoints, some of them invalid, in either variant, and streams break in between. Each response
+// is answered once, with the reason where something is invalid; the version that is held is the last good one; and the list is
+// that of the last good endpoints of the clusters that exist.
+func TestClientMatchesModelOfControlPlane(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		delta := rapid.Bool().Draw(t, "delta")
-		m := newMachine(testReader(), delta, nil, 0, 0)
-		p := &plane{clusters: map[string]bool{}, have: map[string]*assignmentInPlane{}}
+		isIncremental := rapid.Bool().Draw(t, "delta")
+		m := newProtocolClient(testParser(), isIncremental, nil, 0, 0)
+		p := &modelPlane{clusters: map[string]bool{}, assignments: map[string]*modelAssignment{}}
 		good := map[string][]int{}     // last good ports, by cluster
 		listed := map[string]bool{}    // what the updates add up to
 		asked, nonces := []string{}, 0 // clusters whose endpoints are asked for
@@ -72,41 +72,41 @@
 				if r.typeURL != EndpointType {
 					continue
 				}
-				if !delta {
+				if !isIncremental {
 					asked = r.names
 				}
 				asked = append(asked, r.subscribe...)
 				asked = slices.DeleteFunc(slices.Clone(asked), func(name string) bool { return slices.Contains(r.unsubscribe, name) })
-				if r.initial != nil {
-					versions = r.initial
+				if r.heldVersions != nil {
+					versions = r.heldVersions
 				}
 			}
 		}
 		connect := func() {
 			asked, versions = nil, nil
-			requests := m.connected()
-			if !requests[0].first || requests[0].typeURL != ClusterType || len(requests) > 1 && requests[1].first {
+			requests := m.openStream()
+			if !requests[0].isFirstOnStream || requests[0].typeURL != ClusterType || len(requests) > 1 && requests[1].isFirstOnStream {
 				t.Fatalf("a stream begins with %v", requests)
 			}
 			takes(requests)
 			for name, version := range versions {
-				if a := p.have[name]; a != nil && !a.bad() && version != strconv.Itoa(a.version) && good[name] != nil && slices.Equal(good[name], a.ports) {
+				if a := p.assignments[name]; a != nil && !a.isInvalid() && version != strconv.Itoa(a.version) && good[name] != nil && slices.Equal(good[name], a.ports) {
 					t.Fatalf("%s is held at %s, and is at %d", name, version, a.version)
 				}
 			}
 		}
-		respond := func(typeURL string, bad bool, r message) {
+		respond := func(typeURL string, wantNack bool, r message) {
 			nonces++
 			r.typeURL, r.nonce, r.version = typeURL, fmt.Sprint("n", nonces), strconv.Itoa(p.version)
-			before := m.endpointSub.version
-			answers, err := m.response(r)
+			before := m.endpointSub.acceptedVersion
+			answers, err := m.handleResponse(r)
 			if len(answers) == 0 || answers[0].nonce != r.nonce || answers[0].typeURL != typeURL {
 				t.Fatalf("%v is answered with %v", r, answers)
 			}
-			if (err != nil) != bad || (answers[0].refused != nil) != bad {
-				t.Fatalf("refused for %v, want %v", err, bad)
+			if (err != nil) != wantNack || (answers[0].nackReason != nil) != wantNack {
+				t.Fatalf("refused for %v, want %v", err, wantNack)
 			}
-			if !delta && typeURL == EndpointType && answers[0].version != map[bool]string{true: before, false: r.version}[bad] {
+			if !isIncremental && typeURL == EndpointType && answers[0].version != map[bool]string{true: before, false: r.version}[wantNack] {
 				t.Fatalf("version %q after %q, with %q before", answers[0].version, r.version, before)
 			}
 			takes(answers[1:])
@@ -119,9 +119,9 @@
 				if !p.clusters[name] {
 					c.ClusterDiscoveryType, bad = nil, true
 				}
-				r.resources = append(r.resources, packed(name, strconv.Itoa(p.version), c))
+				r.resources = append(r.resources, testResource(name, strconv.Itoa(p.version), c))
 			}
-			if delta {
+			if isIncremental {
 				r.removed = removed
 			}
 			respond(ClusterType, bad, r)
@@ -130,17 +130,17 @@
 			var r message
 			bad := false
 			for _, name := range names {
-				a := p.have[name]
+				a := p.assignments[name]
 				if a == nil || !slices.Contains(asked, name) {
 					continue
 				}
-				bad = bad || a.bad()
-				if !a.bad() {
+				bad = bad || a.isInvalid()
+				if !a.isInvalid() {
 					good[name] = a.ports
 				}
-				r.resources = append(r.resources, packed(name, strconv.Itoa(a.version), a.message(name)))
+				r.resources = append(r.resources, testResource(name, strconv.Itoa(a.version), a.message(name)))
 			}
-			if delta {
+			if isIncremental {
 				r.removed = removed
 			}
 			if len(r.resources)+len(r.removed) > 0 {
@@ -162,12 +162,12 @@
 				connect()
 				sendClusters()
 			case 3:
-				if delete(p.have, name); delta && slices.Contains(asked, name) {
+				if delete(p.assignments, name); isIncremental && slices.Contains(asked, name) {
 					sendEndpoints(nil, name)
 					delete(good, name)
 				}
 			default:
-				p.have[name] = &assignmentInPlane{p.version, rapid.SliceOfNDistinct(rapid.IntRange(0, 5), 0, 4, rapid.ID).Draw(t, "ports")}
+				p.assignments[name] = &modelAssignment{p.version, rapid.SliceOfNDistinct(rapid.IntRange(0, 5), 0, 4, rapid.ID).Draw(t, "ports")}
 				sendEndpoints([]string{name, fmt.Sprint("c", rapid.IntRange(0, 3).Draw(t, "other"))})
 			}
 			for name := range good { // gone with its cluster
@@ -181,14 +181,14 @@
 					want[fmt.Sprint("127.0.0.1:", port)] = true
 				}
 			}
-			if u, ok := m.update(); ok {
+			if u, ok := m.takeUpdate(); ok {
 				for _, member := range u.Members {
 					if listed[member.ID] = true; member.State == balancer.Removed {
 						delete(listed, member.ID)
 					}
 				}
 			} else if len(want) > 0 {
-				t.Fatal("nothing is said of endpoints that are known")
+				t.Fatal("no update although endpoints are known")
 			}
 			if !maps.Equal(listed, want) {
 				t.Fatalf("listed are %v, want %v", listed, want)
@@ -197,20 +197,20 @@
 	})
 }
 
-// checked reads an assignment as it comes over the wire.
-func checked(t *testing.T, m *endpointv3.ClusterLoadAssignment) (*assignment, error) {
+// parseAssignment reads an assignment as it comes over the wire.
+func parseAssignment(t *testing.T, m *endpointv3.ClusterLoadAssignment) (*assignment, error) {
 	t.Helper()
 	body, err := proto.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := testReader()
+	r := testParser()
 	_, a, err := r.parse(body, func(string) *assignment { return nil })
 	return a, err
 }
 
-// What can't be used is refused with what it is and where.
-func TestEndpointsThatAreRefused(t *testing.T) {
+// A control plane sends assignments that can't be used. Each is rejected with what is wrong and where, so that its owner can find it.
+func TestInvalidAssignmentsAreRejectedWithTheirReason(t *testing.T) {
 	one := func(change func(*endpointv3.ClusterLoadAssignment, *endpointv3.LbEndpoint)) *endpointv3.ClusterLoadAssignment {
 		a := controlplane.Assignment("c", "edinburgh-dc", controlplane.Endpoint{Host: "127.0.0.1", Port: 80})
 		change(a, a.Endpoints[0].LbEndpoints[0])
@@ -244,14 +244,15 @@
 			a.Policy = &endpointv3.ClusterLoadAssignment_Policy{DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{{}}}
 		}), "drop_overloads: "},
 	} {
-		if _, err := checked(t, c.a); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+		if _, err := parseAssignment(t, c.a); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
 	}
 }
 
-// Health, priorities, weights of localities and drops become states, members and weights.
-func TestWhatEndpointsBecome(t *testing.T) {
+// Assignments have unhealthy endpoints, reserve priorities, locality weights and drops. Members come out with the state and weight that
+// the protocol gives them.
+func TestHealthPrioritiesAndWeightsBecomeMembers(t *testing.T) {
 	endpoints := func(health ...corev3.HealthStatus) (out []controlplane.Endpoint) {
 		for _, h := range health {
 			out = append(out, controlplane.Endpoint{Host: "127.0.0.1", Port: 1 + len(out), Weight: 2, Health: h})
@@ -284,13 +285,13 @@
 		"less as its health falls":           {[]*endpointv3.LocalityLbEndpoints{locality(0, 4, 0, ok, ill), locality(0, 4, 100, ok, ok)}, "1:2.8 2:2.8d 101:2 102:2"},
 		"all ill: nobody is to get anything": {[]*endpointv3.LocalityLbEndpoints{locality(0, 0, 0, ill, drain)}, "1:2d 2:2d"},
 	} {
-		a, err := checked(t, &endpointv3.ClusterLoadAssignment{ClusterName: "c", Endpoints: c.localities})
+		a, err := parseAssignment(t, &endpointv3.ClusterLoadAssignment{ClusterName: "c", Endpoints: c.localities})
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		var got []string
-		for _, m := range a.members() {
+		for _, m := range a.activeMembers() {
 			text := fmt.Sprintf("%s:%.3g", strings.TrimPrefix(m.Addr, "127.0.0.1:"), m.Weight)
 			if m.State == balancer.Draining {
 				text += "d"
@@ -304,70 +305,71 @@
 	drop := func(n uint32, of typev3.FractionalPercent_DenominatorType) *endpointv3.ClusterLoadAssignment_Policy_DropOverload {
 		return &endpointv3.ClusterLoadAssignment_Policy_DropOverload{Category: "lb", DropPercentage: &typev3.FractionalPercent{Numerator: n, Denominator: of}}
 	}
-	share, err := dropped(&endpointv3.ClusterLoadAssignment_Policy{DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{
+	share, err := parseDropRatio(&endpointv3.ClusterLoadAssignment_Policy{DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{
 		drop(50, typev3.FractionalPercent_HUNDRED), drop(2000, typev3.FractionalPercent_TEN_THOUSAND)}})
 	if err != nil || share < 0.599 || share > 0.601 {
 		t.Errorf("half, and a fifth of the rest, make %v, %v", share, err)
 	}
 }
 
-// A control plane that sends the same refusable thing for an hour, as fast as it is answered, is answered ever less
-// often, and fills no log. What it sends well is acknowledged at once.
-func TestRefusalsSlowDown(t *testing.T) {
-	r := refusals{least: 100 * time.Millisecond, most: 10 * time.Second}
+// A control plane repeats an invalid response for an hour, as fast as it is answered. It is refused ever less often, and one line a
+// minute is logged. The first refusal after a good response goes out at once.
+func TestNacksBackOff(t *testing.T) {
+	r := nackBackoff{minBackoff: 100 * time.Millisecond, maxBackoff: 10 * time.Second}
 	sent, lines := 0, 0
 	for now := time.Second; now < time.Hour; now += 10 * time.Millisecond {
-		if r.due == 0 {
-			r.hold(now, message{nonce: fmt.Sprint(now)})
-			if _, ok := r.logNow(now, time.Minute); ok {
+		if r.dueAt == 0 {
+			r.schedule(now, message{nonce: fmt.Sprint(now)})
+			if _, ok := r.shouldLog(now, time.Minute); ok {
 				lines++
 			}
 		}
-		if _, ok := r.ready(now); ok {
+		if _, ok := r.takeDue(now); ok {
 			sent++
 		}
 	}
 	if sent < 300 || sent > 400 || lines != 60 {
 		t.Errorf("%d refusals and %d lines of log in an hour", sent, lines)
 	}
-	r.hold(time.Hour, message{nonce: "old", refused: errors.New("x")})
-	r.hold(time.Hour, message{nonce: "new", refused: errors.New("x")})
-	if answer, ok := r.ready(2 * time.Hour); !ok || answer.nonce != "new" {
+	r.schedule(time.Hour, message{nonce: "old", nackReason: errors.New("x")})
+	r.schedule(time.Hour, message{nonce: "new", nackReason: errors.New("x")})
+	if answer, ok := r.takeDue(2 * time.Hour); !ok || answer.nonce != "new" {
 		t.Errorf("the refusal names %q", answer.nonce)
 	}
-	if r.hold(2*time.Hour, message{}); r.due > 2*time.Hour+r.most {
-		t.Errorf("the next one waits until %v", r.due)
+	if r.schedule(2*time.Hour, message{}); r.dueAt > 2*time.Hour+r.maxBackoff {
+		t.Errorf("the next one waits until %v", r.dueAt)
 	}
-	r.accepted()
-	if r.hold(time.Hour, message{}); r.due != time.Hour {
+	r.reset()
+	if r.schedule(time.Hour, message{}); r.dueAt != time.Hour {
 		t.Error("the first refusal after something good waits")
 	}
 }
 
-// A cluster that can't be read takes no other away, and no refusal goes over to another stream.
-func TestUnreadableCluster(t *testing.T) {
-	m := newMachine(testReader(), false, nil, 0, 0)
-	m.connected()
-	good := []resource{packed("a", "1", controlplane.Cluster("a")), packed("b", "1", controlplane.Cluster("b"))}
-	if _, err := m.response(message{typeURL: ClusterType, nonce: "1", resources: good}); err != nil {
+// One cluster of a response can't be read. It removes no other cluster, and its refusal is not sent on another stream.
+func TestUnreadableClusterRemovesNoOther(t *testing.T) {
+	m := newProtocolClient(testParser(), false, nil, 0, 0)
+	m.openStream()
+	good := []resource{testResource("a", "1", controlplane.Cluster("a")), testResource("b", "1", controlplane.Cluster("b"))}
+	if _, err := m.handleResponse(message{typeURL: ClusterType, nonce: "1", resources: good}); err != nil {
 		t.Fatal(err)
 	}
-	bad := packed("b", "2", controlplane.Cluster("b"))
+	bad := testResource("b", "2", controlplane.Cluster("b"))
 	bad.body.Value = []byte{0xff}
-	if _, err := m.response(message{typeURL: ClusterType, nonce: "2", resources: []resource{good[0], bad}}); err == nil || len(m.named) != 2 {
-		t.Errorf("%v, and the clusters are %v", err, m.named)
+	if _, err := m.handleResponse(message{typeURL: ClusterType, nonce: "2", resources: []resource{good[0], bad}}); err == nil || len(m.endpointNames) != 2 {
+		t.Errorf("%v, and the clusters are %v", err, m.endpointNames)
 	}
-	r := refusals{least: time.Second, most: time.Minute}
-	r.hold(time.Second, message{nonce: "old"})
-	if r.forget(); r.row != 1 {
+	r := nackBackoff{minBackoff: time.Second, maxBackoff: time.Minute}
+	r.schedule(time.Second, message{nonce: "old"})
+	if r.dropPending(); r.consecutive != 1 {
 		t.Error("a new stream ends the row")
 	}
-	if _, ok := r.ready(time.Hour); ok {
+	if _, ok := r.takeDue(time.Hour); ok {
 		t.Error("a refusal of the old stream is sent on the new one")
 	}
 }
 
-// An agent that takes some of the clusters takes the same ones again, and few others when one comes or goes.
+// Two hundred agents use eight of 64 clusters each. An agent selects the same ones again, at most one other when a cluster goes, and
+// each cluster is used by enough agents.
 func TestSubsetOfClusters(t *testing.T) {
 	names := make([]string, 64)
 	for i := range names {
@@ -375,9 +377,9 @@
 	}
 	taken := map[string]int{}
 	for me := range 200 {
-		m := newMachine(testReader(), true, nil, 8, me)
-		before := slices.Clone(m.nearest(slices.Clone(names)))
-		after := m.nearest(slices.Clone(names[1:]))
+		m := newProtocolClient(testParser(), true, nil, 8, me)
+		before := slices.Clone(m.selectClusters(slices.Clone(names)))
+		after := m.selectClusters(slices.Clone(names[1:]))
 		if lost := without(before, after); len(before) != 8 || len(lost) > 1 || len(lost) == 1 && lost[0] != names[0] {
 			t.Fatalf("agent %d takes %v, and %v with one less", me, before, after)
 		}
@@ -392,15 +394,15 @@
 	}
 }
 
-// FuzzResponse checks that no response makes the machine panic, that each that was asked for is answered once, and that
+// FuzzResponse checks that no response makes the client panic, that each that was subscribed to is answered once, and that
 // no member comes out without an address.
 func FuzzResponse(f *testing.F) {
-	add := func(m proto.Message, delta bool) {
+	add := func(m proto.Message, isIncremental bool) {
 		data, err := proto.Marshal(m)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(data, delta)
+		f.Add(data, isIncremental)
 	}
 	a := controlplane.Packed(controlplane.Assignment("c", "edinburgh-dc", controlplane.Endpoint{ID: "x", Host: "127.0.0.1", Port: 80, Cell: 3}))
 	c := controlplane.Packed(controlplane.Cluster("c"))
@@ -408,11 +410,11 @@
 	add(&discoveryv3.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{c}}, false)
 	add(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: EndpointType, Nonce: "n", RemovedResources: []string{"c"},
 		Resources: []*discoveryv3.Resource{{Name: "c", Version: "2", Resource: a}}}, true)
-	f.Fuzz(func(t *testing.T, data []byte, delta bool) {
-		m := newMachine(testReader(), delta, []string{"c"}, 0, 0)
-		m.connected()
+	f.Fuzz(func(t *testing.T, data []byte, isIncremental bool) {
+		m := newProtocolClient(testParser(), isIncremental, []string{"c"}, 0, 0)
+		m.openStream()
 		var in message
-		if delta {
+		if isIncremental {
 			var r discoveryv3.DeltaDiscoveryResponse
 			if proto.Unmarshal(data, &r) != nil {
 				return
@@ -425,11 +427,11 @@
 			}
 			in, _ = fromWorld(&r, nil)
 		}
-		answers, err := m.response(in)
-		if asked := in.typeURL == EndpointType; asked != (len(answers) == 1) || asked && (answers[0].refused != nil) != (err != nil) {
+		answers, err := m.handleResponse(in)
+		if asked := in.typeURL == EndpointType; asked != (len(answers) == 1) || asked && (answers[0].nackReason != nil) != (err != nil) {
 			t.Fatalf("%v, %v", answers, err)
 		}
-		if u, ok := m.update(); ok {
+		if u, ok := m.takeUpdate(); ok {
 			for _, member := range u.Members {
 				if member.ID == "" || member.State != balancer.Removed && (member.Addr == "" || !(member.Weight > 0)) {
 					t.Fatalf("%+v", member)
@@ -452,7 +454,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		whole := &endpointv3.ClusterLoadAssignment{}
 		wrong := proto.Unmarshal(body, whole)
-		rest, raw, err := split(body)
+		rest, raw, err := splitEndpoints(body)
 		got := &endpointv3.ClusterLoadAssignment{}
 		if err != nil || proto.Unmarshal(rest, got) != nil || len(got.Endpoints) != len(raw) {
 			if wrong == nil {
@@ -480,8 +482,8 @@
 
 // BenchmarkResponse is an assignment of 160 endpoints of which one has changed, as a shard of a fleet of 10,000 sends it.
 func BenchmarkResponse(b *testing.B) {
-	m := newMachine(testReader(), true, []string{"c"}, 0, 0)
-	m.connected()
+	m := newProtocolClient(testParser(), true, []string{"c"}, 0, 0)
+	m.openStream()
 	endpoints := make([]controlplane.Endpoint, 160)
 	for i := range endpoints {
 		endpoints[i] = controlplane.Endpoint{ID: fmt.Sprintf("s-%06d", i), Host: "127.0.0.1", Port: 1 + i, Weight: 1 + i%7, Cell: i / 5}
@@ -489,14 +491,14 @@
 	responses := make([]message, 2)
 	for i := range responses {
 		endpoints[7].Weight = 10 + i
-		responses[i] = message{typeURL: EndpointType, nonce: "n", resources: []resource{packed("c", fmt.Sprint(i), controlplane.Assignment("c", "edinburgh-dc", endpoints...))}}
+		responses[i] = message{typeURL: EndpointType, nonce: "n", resources: []resource{testResource("c", fmt.Sprint(i), controlplane.Assignment("c", "edinburgh-dc", endpoints...))}}
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, err := m.response(responses[i%2]); err != nil {
+		if _, err := m.handleResponse(responses[i%2]); err != nil {
 			b.Fatal(err)
 		}
-		if u, ok := m.update(); !ok || i > 0 && len(u.Members) != 1 {
+		if u, ok := m.takeUpdate(); !ok || i > 0 && len(u.Members) != 1 {
 			b.Fatalf("%d members changed", len(u.Members))
 		}
 	}
--- a/internal/membership/xds/source_test.go
+++ b/internal/membership/xds/source_test.go
@@ -26,16 +26,16 @@
 	"appleledge/internal/membership"
 )
 
-// list is what a source has told, as a table makes it.
-type list struct {
-	mu      sync.Mutex
-	table   *membership.Table
-	members map[string]engine.Member
-	lost    []error
-	updates int
+// recordingSink collects what a source reports into one list, as the engine would have it.
+type recordingSink struct {
+	mu          sync.Mutex
+	table       *membership.Table
+	members     map[string]engine.Member
+	disconnects []error
+	updates     int
 }
 
-func (l *list) Update(u membership.Update) {
+func (l *recordingSink) Update(u membership.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.updates++
@@ -47,14 +47,14 @@
 	}
 }
 
-func (l *list) Disconnected(err error) {
+func (l *recordingSink) Disconnected(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lost = append(l.lost, err)
+	l.disconnects = append(l.disconnects, err)
 }
 
-// says lists the ids in order, with a d for those that drain.
-func (l *list) says() string {
+// summary lists the ids in order, with a d for those that drain.
+func (l *recordingSink) summary() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
@@ -68,19 +68,19 @@
 	return strings.Join(out, " ")
 }
 
-func (l *list) lostTimes() int {
+func (l *recordingSink) disconnectCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.lost)
+	return len(l.disconnects)
 }
 
-// follow runs a source on a control plane until the test ends.
-func follow(t *testing.T, addr string, log *agenttest.LockedBuffer, change func(*Options)) *list {
+// runSource runs a source on a control plane until the test ends.
+func runSource(t *testing.T, addr string, log *agenttest.LockedBuffer, change func(*Options)) *recordingSink {
 	t.Helper()
 	o := Options{Server: addr, NodeID: "n1", Zones: []string{"edinburgh-dc"}, InitialFetchTimeout: agenttest.Patience, MinBackoff: 20 * time.Millisecond,
 		MaxBackoff: 200 * time.Millisecond, KeepaliveInterval: 10 * time.Second, MaxMessageBytes: 16 << 20, LogInterval: time.Minute}
 	change(&o)
-	l := &list{table: membership.NewTable(membership.Options{}, 1), members: map[string]engine.Member{}}
+	l := &recordingSink{table: membership.NewTable(membership.Options{}, 1), members: map[string]engine.Member{}}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -91,7 +91,7 @@
 	return l
 }
 
-func start(t *testing.T, addr string) *controlplane.Plane {
+func startPlane(t *testing.T, addr string) *controlplane.Plane {
 	t.Helper()
 	p, err := controlplane.Start(addr)
 	if err != nil {
@@ -105,10 +105,10 @@
 	return controlplane.Endpoint{ID: id, Host: "127.0.0.1", Port: 1000 + int(id[len(id)-1]), Health: health}
 }
 
-// eventuallySays waits until the list says so.
-func eventuallySays(t *testing.T, what string, l *list, want string) {
+// eventuallyLists waits until the list is as wanted.
+func eventuallyLists(t *testing.T, what string, l *recordingSink, want string) {
 	t.Helper()
-	agenttest.Eventually(t, what+": "+want, func() bool { return l.says() == want })
+	agenttest.Eventually(t, what+": "+want, func() bool { return l.summary() == want })
 }
 
 // bothVariants runs a test in the state of the world and incrementally.
@@ -118,22 +118,23 @@
 	}
 }
 
-// A control plane's bad day, step by step: what it says is followed, what is wrong is refused with the reason while the
-// last good one stands, and neither silence nor a restart with lower versions loses the list.
-func TestBadDayOfAControlPlane(t *testing.T) {
+// A control plane drains servers, sends an invalid assignment beside a drain, falls silent, removes a cluster, stops and restarts with
+// lower versions. What is valid is followed, what is not is refused with its reason, and neither silence nor the restart loses
+// the list.
+func TestListSurvivesFaultsOfControlPlane(t *testing.T) {
 	const up, drain = corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING
 	bothVariants(t, func(t *testing.T, variant func(*Options)) {
-		p := start(t, "127.0.0.1:0")
+		p := startPlane(t, "127.0.0.1:0")
 		addr := p.Addr()
 		var log agenttest.LockedBuffer
-		l := follow(t, addr, &log, variant)
+		l := runSource(t, addr, &log, variant)
 		p.Set(controlplane.Cluster("a"), controlplane.Cluster("b"))
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", up), endpoint("a2", up)), controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", up)))
-		eventuallySays(t, "the first list", l, "a1 a2 b1")
+		eventuallyLists(t, "the first list", l, "a1 a2 b1")
 
 		at := time.Now()
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", drain), endpoint("a2", up)))
-		eventuallySays(t, "a drain", l, "a1d a2 b1")
+		eventuallyLists(t, "a drain", l, "a1d a2 b1")
 		if took := time.Since(at); took > 500*time.Millisecond {
 			t.Errorf("the drain took %v", took)
 		}
@@ -141,49 +142,49 @@
 		// A bad assignment and a drain in one response.
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", controlplane.Endpoint{Host: "not.an.address", Port: 1}),
 			controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", drain)))
-		eventuallySays(t, "what is good of a response that is refused", l, "a1d a2 b1d")
+		eventuallyLists(t, "what is good of a response that is refused", l, "a1d a2 b1d")
 		agenttest.Eventually(t, "the refusal", func() bool { return strings.Contains(p.Refusal(), `"not.an.address" is no IP address`) })
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", up)), controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", up)))
-		eventuallySays(t, "the next good ones", l, "a1 b1")
+		eventuallyLists(t, "the next good ones", l, "a1 b1")
 
 		p.Silence(true)
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a7", up)))
 		time.Sleep(100 * time.Millisecond)
-		if got := l.says(); got != "a1 b1" || l.lostTimes() > 0 {
-			t.Errorf("silence made it %q, lost %d times", got, l.lostTimes())
+		if got := l.summary(); got != "a1 b1" || l.disconnectCount() > 0 {
+			t.Errorf("silence made it %q, disconnected %d times", got, l.disconnectCount())
 		}
 		p.Silence(false)
-		eventuallySays(t, "the end of the silence", l, "a7 b1")
+		eventuallyLists(t, "the end of the silence", l, "a7 b1")
 
 		p.Remove(controlplane.Clusters, "b")
 		p.Remove(controlplane.Endpoints, "b")
-		eventuallySays(t, "a cluster that is removed", l, "a7")
+		eventuallyLists(t, "a cluster that is removed", l, "a7")
 
 		p.Stop()
-		agenttest.Eventually(t, "the loss", func() bool { return l.lostTimes() > 0 })
-		if got := l.says(); got != "a7" {
-			t.Errorf("the loss made it %q", got)
+		agenttest.Eventually(t, "the disconnection", func() bool { return l.disconnectCount() > 0 })
+		if got := l.summary(); got != "a7" {
+			t.Errorf("the disconnection made it %q", got)
 		}
-		p = start(t, addr) // counts from 0 again
+		p = startPlane(t, addr) // counts from 0 again
 		p.Set(controlplane.Cluster("a"))
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a8", up)))
-		eventuallySays(t, "a restart with lower versions", l, "a8")
+		eventuallyLists(t, "a restart with lower versions", l, "a8")
 		p.Remove(controlplane.Clusters, "a")
-		eventuallySays(t, "all removed at once", l, "")
+		eventuallyLists(t, "all removed at once", l, "")
 		if n := log.Count("level=WARN"); n > 3 {
 			t.Errorf("%d warnings", n)
 		}
 	})
 }
 
-// What goes on being wrong is refused ever less often, though the control plane answers each refusal with the same.
-func TestNoHotLoopOfRefusals(t *testing.T) {
+// A control plane answers each refusal with the same invalid assignment. It is refused ever less often, and logged once.
+func TestRepeatedNacksBackOffOnTheWire(t *testing.T) {
 	bothVariants(t, func(t *testing.T, variant func(*Options)) {
-		p := start(t, "127.0.0.1:0")
+		p := startPlane(t, "127.0.0.1:0")
 		p.Stubborn(true)
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", controlplane.Endpoint{Host: "not.an.address", Port: 1}))
 		var log agenttest.LockedBuffer
-		follow(t, p.Addr(), &log, func(o *Options) { variant(o); o.Clusters = []string{"a"}; o.MaxBackoff = time.Hour })
+		runSource(t, p.Addr(), &log, func(o *Options) { variant(o); o.Clusters = []string{"a"}; o.MaxBackoff = time.Hour })
 		agenttest.Eventually(t, "five refusals", func() bool { return p.Counts().Nacks >= 5 }) // at 0, 20, 60, 140 and 300 ms
 		time.Sleep(300 * time.Millisecond)
 		if n := p.Counts().Nacks; n > 7 {
@@ -195,27 +196,29 @@
 	})
 }
 
-// A control plane that never says anything is as good as lost for another source, and what it says later counts.
-func TestFirstFetch(t *testing.T) {
-	p := start(t, "127.0.0.1:0")
+// A control plane accepts the stream and says nothing. After InitialFetchTimeout the source counts as disconnected, so that another one
+// can take over; what comes later on the same stream is used.
+func TestSilentControlPlaneCountsAsDisconnected(t *testing.T) {
+	p := startPlane(t, "127.0.0.1:0")
 	p.Silence(true)
 	p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", corev3.HealthStatus_UNKNOWN)))
-	l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Clusters = []string{"a"}; o.InitialFetchTimeout = 50 * time.Millisecond })
-	agenttest.Eventually(t, "the loss", func() bool { return l.lostTimes() == 1 })
+	l := runSource(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Clusters = []string{"a"}; o.InitialFetchTimeout = 50 * time.Millisecond })
+	agenttest.Eventually(t, "the disconnection", func() bool { return l.disconnectCount() == 1 })
 	p.Silence(false)
-	eventuallySays(t, "late", l, "a1")
+	eventuallyLists(t, "late", l, "a1")
 	if n := p.Counts().Streams; n != 1 {
 		t.Errorf("%d streams", n)
 	}
 }
 
-// After a break that changed nothing the control plane has nothing to send: the source counts as heard all the same.
-func TestHeardAgainWithoutNews(t *testing.T) {
+// A stream breaks and nothing changes, so that the control plane has nothing to send on the next one. The source counts as connected all
+// the same.
+func TestReconnectWithoutChangesResumesList(t *testing.T) {
 	bothVariants(t, func(t *testing.T, variant func(*Options)) {
-		p := start(t, "127.0.0.1:0")
+		p := startPlane(t, "127.0.0.1:0")
 		p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", corev3.HealthStatus_UNKNOWN)))
-		l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { variant(o); o.Clusters = []string{"a"} })
-		eventuallySays(t, "the first list", l, "a1")
+		l := runSource(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { variant(o); o.Clusters = []string{"a"} })
+		eventuallyLists(t, "the first list", l, "a1")
 		updates := func() int {
 			l.mu.Lock()
 			defer l.mu.Unlock()
@@ -223,29 +226,30 @@
 		}
 		before, sent := updates(), p.Counts().Sent
 		p.Break()
-		agenttest.Eventually(t, "the loss", func() bool { return l.lostTimes() > 0 })
-		agenttest.Eventually(t, "it is heard again", func() bool { return updates() > before })
-		if n := p.Counts().Sent; n != sent || l.says() != "a1" {
-			t.Errorf("%d resources were sent again, and the list is %q", n-sent, l.says())
+		agenttest.Eventually(t, "the disconnection", func() bool { return l.disconnectCount() > 0 })
+		agenttest.Eventually(t, "the list is reported again", func() bool { return updates() > before })
+		if n := p.Counts().Sent; n != sent || l.summary() != "a1" {
+			t.Errorf("%d resources were sent again, and the list is %q", n-sent, l.summary())
 		}
 	})
 }
 
-// Agents that all lose their control plane come back at different times, in a few tries each.
-func TestAllComeBackAtOnce(t *testing.T) {
+// Forty agents lose their control plane at once, which refuses streams for a second. They come back in a few attempts each, at different
+// times.
+func TestReconnectsAreSpreadOverAgents(t *testing.T) {
 	const agents = 40
-	p := start(t, "127.0.0.1:0")
+	p := startPlane(t, "127.0.0.1:0")
 	p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", corev3.HealthStatus_UNKNOWN)))
-	var lists []*list
+	var lists []*recordingSink
 	for i := range agents {
-		lists = append(lists, follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) {
+		lists = append(lists, runSource(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) {
 			o.Clusters, o.AgentIndex, o.Incremental, o.MinBackoff, o.MaxBackoff = []string{"a"}, i, i%2 == 0, 100*time.Millisecond, time.Second
 		}))
 	}
 	all := func(what string, want string) {
 		t.Helper()
 		for _, l := range lists {
-			eventuallySays(t, what, l, want)
+			eventuallyLists(t, what, l, want)
 		}
 	}
 	all("the first list", "a1")
@@ -253,30 +257,30 @@
 	p.Refuse(true)
 	p.Break()
 	time.Sleep(time.Second)
-	tries := p.Counts().Streams - before
+	attempts := p.Counts().Streams - before
 	p.Set(controlplane.Assignment("a", "edinburgh-dc", endpoint("a2", corev3.HealthStatus_UNKNOWN)))
 	p.Refuse(false)
 	all("after the outage", "a2")
-	if most := 6 * agents; tries > most || tries < agents { // at about 0.1, 0.3, 0.7 and 1.5 s
-		t.Errorf("%d tries of %d agents within a second of outage", tries, agents)
+	if limit := 6 * agents; attempts > limit || attempts < agents { // at about 0.1, 0.3, 0.7 and 1.5 s
+		t.Errorf("%d attempts of %d agents within a second of outage", attempts, agents)
 	}
 }
 
-// An agent that wants some of the clusters is sent no more than those.
-func TestOnDemandSubset(t *testing.T) {
-	p := start(t, "127.0.0.1:0")
+// A control plane names 32 clusters, and the agent uses four of them. It is sent the endpoints of those alone.
+func TestAgentRequestsOnlyItsSubsetOfClusters(t *testing.T) {
+	p := startPlane(t, "127.0.0.1:0")
 	for i := range 32 {
 		name := fmt.Sprint("c", i)
 		p.Set(controlplane.Cluster(name), controlplane.Assignment(name, "edinburgh-dc", controlplane.Endpoint{Host: "127.0.0.1", Port: 1 + i}))
 	}
-	l := follow(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Incremental, o.MaxClusters, o.AgentIndex = true, 4, 7 })
-	agenttest.Eventually(t, "four servers", func() bool { return len(strings.Fields(l.says())) == 4 })
+	l := runSource(t, p.Addr(), &agenttest.LockedBuffer{}, func(o *Options) { o.Incremental, o.MaxClusters, o.AgentIndex = true, 4, 7 })
+	agenttest.Eventually(t, "four servers", func() bool { return len(strings.Fields(l.summary())) == 4 })
 	if n := p.Counts().Sent; n != 32+4 {
 		t.Errorf("%d resources were sent, want the 32 clusters and the endpoints of four", n)
 	}
 }
 
-// The same by a server that is not ours: the one of go-control-plane, in both variants.
+// The source follows a server that is not ours, that of go-control-plane, in both variants, also to a lower version.
 func TestWithGoControlPlane(t *testing.T) {
 	bothVariants(t, func(t *testing.T, variant func(*Options)) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -300,12 +304,12 @@
 		const up, drain = corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING
 		one, two := controlplane.Cluster("a"), controlplane.Cluster("b")
 		set("9", []types.Resource{one}, []types.Resource{controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", up))})
-		said := follow(t, l.Addr().String(), &agenttest.LockedBuffer{}, variant)
-		eventuallySays(t, "the first list", said, "a1")
+		sink := runSource(t, l.Addr().String(), &agenttest.LockedBuffer{}, variant)
+		eventuallyLists(t, "the first list", sink, "a1")
 		set("10", []types.Resource{one, two}, []types.Resource{controlplane.Assignment("a", "edinburgh-dc", endpoint("a1", drain)),
 			controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", up))})
-		eventuallySays(t, "a cluster more and a drain", said, "a1d b1")
+		eventuallyLists(t, "a cluster more and a drain", sink, "a1d b1")
 		set("8", []types.Resource{two}, []types.Resource{controlplane.Assignment("b", "edinburgh-dc", endpoint("b1", up))})
-		eventuallySays(t, "a cluster less", said, "b1")
+		eventuallyLists(t, "a cluster less", sink, "b1")
 	})
 }
