--- a/internal/admission/decisions_test.go
+++ b/internal/admission/decisions_test.go
@@ -12,26 +12,27 @@
 )
 
 type traceCaller struct {
-	ask      Request
-	worth    int // tries that it still makes
-	at       time.Duration
-	patience time.Duration
+	request      Request
+	attemptsLeft int
+	at           time.Duration
+	patience     time.Duration
 }
 
-type tracePass struct {
+type tracePermit struct {
 	p      *Permit
 	caller traceCaller
 	at     time.Duration
 	end    Outcome
 }
 
-// decisionTrace is a toy fleet of so many places behind a Watch, with clients that come again: calm, then asked for more than it
-// can do, then dark, then back.
+// decisionTrace drives a Controller with a toy fleet and clients that retry: normal load, then more than the fleet can do, then an outage,
+// then the return.
 func decisionTrace(seed int) *golden.Trace {
+	const rejectedRatio, canceledRatio = 0.02, 0.02 // of the admitted requests
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
 	classes := []Class{{Priority: 1, LatencyObjective: 300e6, Idempotent: true}, {Priority: 10, LatencyObjective: 400e6}, {Priority: 10, LatencyObjective: 200e6, Idempotent: true}, {Priority: 4, LatencyObjective: 300e6}}
 	w := New(Options{Classes: classes, Quotas: []float64{0.3, 0.3, 0.4}, MaxRetryAfter: 500 * time.Millisecond, MaxRemembered: 300, Seed: uint64(seed)})
-	var out []tracePass
+	var out []tracePermit
 	var again, due []traceCaller
 	now, was, owed := time.Hour, Normal, 0.0
 	atWork, keys := 0, 0
@@ -40,15 +41,15 @@
 		{30, 1, 0}, {30, 1, 0}, {60, 1, 0.5}, {60, 1, 0}, {700, 0.4, 0.3}, {100, 0.5, 0.05}, {150, 0.01, 1}, {80, 1, 0}, {40, 1, 0}, {30, 1, 0}, {30, 1, 0}, {30, 1, 0}}
 	phase := func() int { return min(int((now-time.Hour)/(2500*time.Millisecond)), len(phases)-1) }
 	come := func(c traceCaller) {
-		c.ask.Deadline = now + c.patience
-		p, r := w.Arrive(now, c.ask)
+		c.request.Deadline = now + c.patience
+		p, r := w.Arrive(now, c.request)
 		tr.Add(now, p == nil, r.RetryAfter, r.Limit, r.IsRetry)
 		if p == nil {
 			tr.Count("turned away")
 			tr.CountIf(r.IsRetry, "repeats turned away")
-			if c.worth--; c.worth > 0 {
+			if c.attemptsLeft--; c.attemptsLeft > 0 {
 				c.at = now + time.Duration(float64(r.RetryAfter)*(0.8+rnd.Share()*0.5)) + rnd.Millis(0, 20)
-				c.ask.IsRetry = rnd.Chance(0.4)
+				c.request.IsRetry = rnd.Chance(0.4)
 				again = append(again, c)
 			}
 			return
@@ -60,20 +61,20 @@
 		if rnd.Chance(0.02) {
 			w.Revoke(now, p)
 			tr.Count("withdrawn")
-			c.worth--
+			c.attemptsLeft--
 			c.at = now + rnd.Millis(1, 100)
 			again = append(again, c)
 			return
 		}
 		ph := phases[phase()]
-		x := tracePass{p: p, caller: c, end: OutcomeServed}
+		x := tracePermit{p: p, caller: c, end: OutcomeServed}
 		took = time.Duration(float64(rnd.Millis(30, 120)) * (1 + max(0, float64(atWork)-40)/15) / max(ph.speed, 0.01))
 		switch {
 		case rnd.Chance(ph.lost):
 			x.end, took = OutcomeFailed, rnd.Millis(5, 900)
-		case rnd.Chance(0.02):
+		case rnd.Chance(rejectedRatio):
 			x.end, took = OutcomeRejected, rnd.Millis(1, 20)
-		case rnd.Chance(0.02):
+		case rnd.Chance(canceledRatio):
 			x.end, took = OutcomeCanceled, rnd.Millis(1, 200)
 		case took > c.patience:
 			x.end, took = OutcomeFailed, c.patience
@@ -96,8 +97,8 @@
 			if rnd.Chance(0.02) {
 				w.Done(now, x.p, OutcomeFailed) // the first word counts
 			}
-			if x.caller.worth--; (x.end == OutcomeRejected || x.end == OutcomeFailed) && x.caller.worth > 0 {
-				x.caller.ask.MayHaveRun = x.end == OutcomeFailed && rnd.Chance(0.2)
+			if x.caller.attemptsLeft--; (x.end == OutcomeRejected || x.end == OutcomeFailed) && x.caller.attemptsLeft > 0 {
+				x.caller.request.MayHaveRun = x.end == OutcomeFailed && rnd.Chance(0.2)
 				x.caller.at = now + rnd.Millis(1, 150)
 				again = append(again, x.caller)
 			}
@@ -116,22 +117,22 @@
 		owed += phases[phase()].rate * 0.005 * 2 * rnd.Share()
 		for ; owed >= 1; owed-- {
 			keys++
-			c := traceCaller{ask: Request{Class: rnd.Below(4), Tenant: rnd.Below(4) - 1}, worth: 4, patience: rnd.Millis(250, 900)}
+			c := traceCaller{request: Request{Class: rnd.Below(4), Tenant: rnd.Below(4) - 1}, attemptsLeft: 4, patience: rnd.Millis(250, 900)}
 			if now-time.Hour > 7*time.Second && now-time.Hour < 45*time.Second && rnd.Chance(0.3) {
 				c.patience = rnd.Millis(20, 200) // less than an answer takes
 			}
 			if rnd.Chance(0.5) {
-				c.ask.Tenant = 0
+				c.request.Tenant = 0
 			}
 			if rnd.Chance(0.8) {
-				c.ask.Key = "k" + strconv.Itoa(keys)
+				c.request.Key = "k" + strconv.Itoa(keys)
 			}
 			come(c)
 		}
 		if rnd.Chance(0.01) {
 			p := NewPermit(now, Request{Class: 1, Key: "e" + strconv.Itoa(step)}, IssuedByFleet)
 			w.ObserveExternal(now+1, p, Outcome(rnd.Below(4)))
-			come(traceCaller{ask: Request{Class: 1, Key: "e" + strconv.Itoa(step)}, worth: 1, patience: time.Second})
+			come(traceCaller{request: Request{Class: 1, Key: "e" + strconv.Itoa(step)}, attemptsLeft: 1, patience: time.Second})
 		}
 		if step == 6500 {
 			next := append(append([]Class{}, classes...), Class{Priority: 2, LatencyObjective: 100e6})
