--- a/internal/engine/affinity_test.go
+++ b/internal/engine/affinity_test.go
@@ -79,75 +79,87 @@
 
 func cellOf(a *Attempt) int { return int(a.Server[1]-'0') / 2 }
 
+// limitAll puts a configuration in force that lets no request in.
+func (x *bindingFixture) limitAll(t *testing.T) {
+	none := 0
+	c := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", MaxInFlight: &none}}}
+	ready, err := generation.Compile(c, generation.Names{}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := x.generations.manager
+	_, _, base := m.Config()
+	if m.Stage(ready, 0, "", base, true) != nil {
+		t.Fatal("not staged")
+	}
+	besteffort.IgnoreResult(m.Switch(x.now, ""))
+}
+
+// callInPod0 brings a call while only the servers of pod 0 are ready, and makes the others ready behind it.
+func (x *bindingFixture) callInPod0(t *testing.T, key string) *Attempt {
+	x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Ready)})
+	far := x.members(balancer.Ready)[2:]
+	for i := range far {
+		far[i].State = balancer.Draining
+	}
+	x.setEndpoints(EndpointUpdate{Members: far})
+	first, _ := x.call(key)
+	if first == nil || cellOf(first) != 0 {
+		t.Fatalf("the first went to %+v", first)
+	}
+	x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Ready)[2:]})
+	return first
+}
+
+// repeat brings a call under a key that was sent to pod 0, and says where it goes or that it has failed.
+func (x *bindingFixture) repeat(key string) (got string, answers *recordingResponder) {
+	again, answers := x.call(key)
+	switch {
+	case again != nil && cellOf(again) == 0:
+		return "same pod", answers
+	case again != nil:
+		return "other pod", answers
+	case len(*answers) == 1 && (*answers)[0].Kind == Failed:
+		return "failed", answers
+	}
+	return "nothing", answers
+}
+
 // A client repeats a request under another id while its first attempt may have run. The repeat goes to the pod of the first. Where
 // it can't (after the window, when the pod drains or is gone, when a limit would reject it) it is failed, never rejected: a
 // rejection would promise that trying again is harmless.
 func TestRepeatGoesToPodOfEarlierAttempt(t *testing.T) {
-	zero := 0
-	limited := func(x *bindingFixture) {
-		m := generation.New(generation.Options{Names: generation.Names{Classes: make([]generation.Class, 3)}})
-		x.SetGenerations(m, nil)
-	}
-	limit := func(x *bindingFixture) {
-		c := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", MaxInFlight: &zero}}}
-		ready, err := generation.Compile(c, generation.Names{}, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		m := x.generations.manager
-		_, _, base := m.Config()
-		if m.Stage(ready, 0, "", base, true) != nil {
-			t.Fatal("not staged")
-		}
-		besteffort.IgnoreResult(m.Switch(x.now, ""))
+	setPod0 := func(state balancer.State) func(*bindingFixture) {
+		return func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(state)[:2]}) }
 	}
 	nothing := func(*bindingFixture) {}
 	for name, tt := range map[string]struct {
 		setup, meanwhile func(*bindingFixture)
-		first            balancer.Result
+		first            balancer.Result // -1: it is still in flight
 		want             string
 	}{
 		"at once":                     {nothing, nothing, balancer.TimedOut, "same pod"},
 		"while the first is out":      {nothing, nothing, -1, "same pod"},
 		"of one that was served":      {nothing, nothing, balancer.OK, "same pod"},
-		"of one that never ran":       {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Draining)[:2]}) }, balancer.Rejected, "other pod"},
+		"of one that never ran":       {nothing, setPod0(balancer.Draining), balancer.Rejected, "other pod"},
 		"after the window":            {nothing, func(x *bindingFixture) { x.now += window }, balancer.TimedOut, "failed"},
-		"whose pod drains":            {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Draining)[:2]}) }, balancer.TimedOut, "failed"},
-		"whose pod is gone":           {nothing, func(x *bindingFixture) { x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Removed)[:2]}) }, balancer.TimedOut, "failed"},
+		"whose pod drains":            {nothing, setPod0(balancer.Draining), balancer.TimedOut, "failed"},
+		"whose pod is gone":           {nothing, setPod0(balancer.Removed), balancer.TimedOut, "failed"},
 		"that admission would reject": {func(x *bindingFixture) { x.SetAdmission(x.admission) }, func(x *bindingFixture) { x.admission.closed = true }, balancer.TimedOut, "same pod"},
-		"that a limit would reject":   {limited, limit, balancer.TimedOut, "failed"},
+		"that a limit would reject": {func(x *bindingFixture) {
+			x.SetGenerations(generation.New(generation.Options{Names: generation.Names{Classes: make([]generation.Class, 3)}}), nil)
+		}, func(x *bindingFixture) { x.limitAll(t) }, balancer.TimedOut, "failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 8 { // draws are by chance
 				x := newBindingFixture(t, tt.setup)
-				x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Ready)})
-				// The first goes to pod 0, whose servers are the only ones that are ready.
-				far := x.members(balancer.Ready)[2:]
-				for i := range far {
-					far[i].State = balancer.Draining
-				}
-				x.setEndpoints(EndpointUpdate{Members: far})
-				first, _ := x.call("k")
-				if first == nil || cellOf(first) != 0 {
-					t.Fatalf("the first went to %+v", first)
-				}
-				x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Ready)[2:]})
+				first := x.callInPod0(t, "k")
 				if tt.first >= 0 {
 					first.Call.Close() // its client has left: no retry of its own
 					x.endAttempt(first, tt.first)
 				}
 				tt.meanwhile(x)
-				again, answers := x.call("k")
-				got := "nothing"
-				switch {
-				case again != nil && cellOf(again) == 0:
-					got = "same pod"
-				case again != nil:
-					got = "other pod"
-				case len(*answers) == 1 && (*answers)[0].Kind == Failed:
-					got = "failed"
-				}
-				if got != tt.want {
+				if got, answers := x.repeat("k"); got != tt.want {
 					t.Fatalf("%s, want %s; answers %+v", got, tt.want, *answers)
 				}
 				if stranger, _ := x.call("another key"); tt.want != "failed" && stranger == nil && !x.admission.closed {
--- a/internal/engine/external_test.go
+++ b/internal/engine/external_test.go
@@ -282,6 +282,41 @@
 	}
 }
 
+// rejectAttempt rejects the attempt of a proxy, as if its server took nothing new.
+func (m *lifecycleModel) rejectAttempt() {
+	if p := m.anyProxy(); p != nil && p.attempt != nil && !p.attempt.ended {
+		m.forgetAttempt(p)
+		m.engine.dispatch(attemptRejected{p.attempt})
+	}
+}
+
+// abandon ends a proxy without an attempt in its hands.
+func (m *lifecycleModel) abandon() {
+	p := m.anyProxy()
+	if p == nil {
+		return
+	}
+	if c := m.engine.calls[p.id]; c != nil && c.external == p {
+		m.forgetAttempt(p) // else another proxy has taken over, and its attempt goes on
+	}
+	m.engine.dispatch(abandoned{p.id, p})
+}
+
+// checkNothingHeld checks that every call has ended.
+func (m *lifecycleModel) checkNothingHeld() {
+	if n := len(m.engine.calls); n != 0 || len(m.engine.balancer.InFlight()) != 0 {
+		m.t.Fatalf("%d calls are held, %v in flight", n, m.engine.balancer.InFlight())
+	}
+	if g := m.engine.generations; g != nil && len(g.manager.Status(m.engine.clock.Now()).OpenRequests) > 0 {
+		m.t.Fatalf("requests are bound that have ended: %+v", g.manager.Status(m.engine.clock.Now()))
+	}
+	for _, p := range m.proxies {
+		if p.released != 1 {
+			m.t.Fatalf("%s was released %d times", p.id, p.released)
+		}
+	}
+}
+
 // Proxies send calls under a few ids, end, reject and abandon attempts, while the endpoint list and the configuration change and
 // time passes, in any order. A request has one attempt at a time. One that may have run is sent again only as its class allows:
 // in the same pod and window, or never, also when it comes again after its final answer. Each proxy is answered at most once and
@@ -290,47 +325,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
 			m := newLifecycleModel(rt)
+			action := func(do func()) func(*rapid.T) {
+				return func(rt *rapid.T) { m.t = rt; do() }
+			}
 			rt.Repeat(map[string]func(*rapid.T){
-				"arrive": func(rt *rapid.T) { m.t = rt; m.arrive() },
-				"end":    func(rt *rapid.T) { m.t = rt; m.endAttempt() },
-				"reject": func(rt *rapid.T) {
-					if m.t = rt; len(m.proxies) > 0 {
-						if p := m.anyProxy(); p.attempt != nil && !p.attempt.ended {
-							m.forgetAttempt(p)
-							m.engine.dispatch(attemptRejected{p.attempt})
-						}
-					}
-				},
-				"abandon": func(rt *rapid.T) {
-					if m.t = rt; len(m.proxies) > 0 {
-						p := m.anyProxy()
-						if c := m.engine.calls[p.id]; c != nil && c.external == p {
-							m.forgetAttempt(p) // else another proxy has taken over, and its attempt goes on
-						}
-						m.engine.dispatch(abandoned{p.id, p})
-					}
-				},
-				"list":      func(rt *rapid.T) { m.t = rt; m.sendEndpoints() },
-				"configure": func(rt *rapid.T) { m.t = rt; m.configure() },
-				"pass": func(rt *rapid.T) {
-					m.t = rt
-					m.advance(time.Duration(rapid.IntRange(1, 700).Draw(rt, "ms")) * time.Millisecond)
-				},
-				"": func(rt *rapid.T) { m.t = rt; m.settle(); m.check() },
+				"arrive":    action(m.arrive),
+				"end":       action(m.endAttempt),
+				"reject":    action(m.rejectAttempt),
+				"abandon":   action(m.abandon),
+				"list":      action(m.sendEndpoints),
+				"configure": action(m.configure),
+				"pass": action(func() {
+					m.advance(time.Duration(rapid.IntRange(1, 700).Draw(m.t, "ms")) * time.Millisecond)
+				}),
+				"": action(func() { m.settle(); m.check() }),
 			})
 			m.t = rt
 			m.advance(deadline + 100*time.Millisecond)
-			if n := len(m.engine.calls); n != 0 || len(m.engine.balancer.InFlight()) != 0 {
-				rt.Fatalf("%d calls are held, %v in flight", n, m.engine.balancer.InFlight())
-			}
-			if g := m.engine.generations; g != nil && len(g.manager.Status(m.engine.clock.Now()).OpenRequests) > 0 {
-				rt.Fatalf("requests are bound that have ended: %+v", g.manager.Status(m.engine.clock.Now()))
-			}
-			for _, p := range m.proxies {
-				if p.released != 1 {
-					rt.Fatalf("%s was released %d times", p.id, p.released)
-				}
-			}
+			m.checkNothingHeld()
 		})
 	})
 }
