--- a/internal/engine/affinity_test.go
+++ b/internal/engine/affinity_test.go
@@ -79,10 +79,13 @@
 
 func cellOf(a *Attempt) int { return int(a.Server[1]-'0') / 2 }
 
-// limitAll puts a configuration in force that lets no request in.
-func (x *bindingFixture) limitAll(t *testing.T) {
-	none := 0
-	c := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", MaxInFlight: &none}}}
+// newGenerations returns a manager of generations for the test's classes.
+func newGenerations() *generation.Manager {
+	return generation.New(generation.Options{Names: generation.Names{Classes: make([]generation.Class, 3)}})
+}
+
+// switchTo puts a configuration in force.
+func (x *bindingFixture) switchTo(t *testing.T, c *fleetconfig.Config) {
 	ready, err := generation.Compile(c, generation.Names{}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -95,6 +98,12 @@
 	besteffort.IgnoreResult(m.Switch(x.now, ""))
 }
 
+// limitAll puts a configuration in force that lets no request in.
+func (x *bindingFixture) limitAll(t *testing.T) {
+	none := 0
+	x.switchTo(t, &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", MaxInFlight: &none}}})
+}
+
 // callInPod0 brings a call while only the servers of pod 0 are ready, and makes the others ready behind it.
 func (x *bindingFixture) callInPod0(t *testing.T, key string) *Attempt {
 	x.setEndpoints(EndpointUpdate{Members: x.members(balancer.Ready)})
@@ -147,7 +156,7 @@
 		"whose pod is gone":           {nothing, setPod0(balancer.Removed), balancer.TimedOut, "failed"},
 		"that admission would reject": {func(x *bindingFixture) { x.SetAdmission(x.admission) }, func(x *bindingFixture) { x.admission.closed = true }, balancer.TimedOut, "same pod"},
 		"that a limit would reject": {func(x *bindingFixture) {
-			x.SetGenerations(generation.New(generation.Options{Names: generation.Names{Classes: make([]generation.Class, 3)}}), nil)
+			x.SetGenerations(newGenerations(), nil)
 		}, func(x *bindingFixture) { x.limitAll(t) }, balancer.TimedOut, "failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
