--- a/internal/agent/affinity.go
+++ b/internal/agent/affinity.go
@@ -17,16 +17,16 @@
 type AffinityOptions struct {
 	Dir             string        // that keeps them over a restart; empty: nothing does
 	Sync            bool          // to the disk itself
-	MaxBindings     int           // ties
-	LateRetryPeriod time.Duration // for which a tie lasts after its window
-	CommitTimeout   time.Duration // for which an attempt waits until its tie is kept
+	MaxBindings     int           // in the table
+	LateRetryPeriod time.Duration // after the dedup window, in which a client may still retry
+	CommitTimeout   time.Duration // for which an attempt waits until its binding is stored
 }
 
 const (
 	affinityDescriptors      = 8 // descriptors: the file that is written, and what is looked at
 	siblingReadInterval      = 100 * time.Millisecond
 	expiryInterval           = time.Minute
-	affinityErrorLogInterval = 10 * time.Second // between two lines on what can't be kept
+	affinityErrorLogInterval = 10 * time.Second // between two log lines on write errors
 )
 
 // affinityLog stores bindings in a log on disk and reads those of other processes.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -74,7 +74,7 @@
 	defer stop()
 	draining, endEarly := context.WithCancel(ctx) // ends as well where serving fails without a signal
 	defer endEarly()
-	a.components.start(&running, draining, answered)
+	a.components.start(draining, answered, &running)
 	return a.serveClients(ctx)
 }
 
--- a/internal/agent/component.go
+++ b/internal/agent/component.go
@@ -32,7 +32,7 @@
 }
 
 // start runs each component in a goroutine of the group.
-func (c components) start(group *sync.WaitGroup, draining, answered context.Context) {
+func (c components) start(draining, answered context.Context, group *sync.WaitGroup) {
 	for _, part := range c {
 		ctx := answered
 		if part.lifetime == untilDrain {
--- a/internal/agent/fleetview.go
+++ b/internal/agent/fleetview.go
@@ -15,7 +15,7 @@
 	name      string
 	core      *engine.Engine
 	clock     engine.Clock
-	snapshots *snapshotStore     // nil: nothing is kept
+	snapshots *snapshotStore     // nil without Features.Recovery
 	peers     *gossip.Node       // nil: no others are known
 	overload  *overloadComponent // nil: overload is handled alone
 }
--- a/internal/agent/followedstate.go
+++ b/internal/agent/followedstate.go
@@ -25,7 +25,7 @@
 func (k *followedState) read() (*generation.State, error) {
 	info, err := os.Stat(k.file.Path)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, nil // none is kept before the first change
+		return nil, nil // nothing is stored before the first change
 	}
 	if err != nil || k.lastRead != nil && os.SameFile(info, k.lastRead) && info.ModTime().Equal(k.lastRead.ModTime()) {
 		return nil, err
--- a/internal/agent/generations.go
+++ b/internal/agent/generations.go
@@ -22,7 +22,7 @@
 // GenerationOptions configure how operators apply configurations and where the one in force is stored.
 type GenerationOptions struct {
 	Socket    string // of operators
-	StateFile string // file that keeps what is in force; empty: nothing is kept
+	StateFile string // file that stores the configuration in force; empty: it is lost with the process
 }
 
 // generationService serves operators who plan and apply configurations, and stores the one in force.
--- a/internal/agent/hotrestart.go
+++ b/internal/agent/hotrestart.go
@@ -68,7 +68,7 @@
 	largeBodies             *http1.LargeBodies
 	toBackends, fromClients int                // connections of the whole agent
 	setMemoryShare          func(part float64) // limits the process to a part of the agent's memory; nil: nothing does
-	snapshots               *snapshotStore     // nil: nothing is kept over a loss of power
+	snapshots               *snapshotStore     // nil without Features.Recovery
 	serving                 atomic.Bool
 }
 
--- a/internal/agent/operator.go
+++ b/internal/agent/operator.go
@@ -28,7 +28,7 @@
 	link      *hotrestart.Link // to other processes of the agent; nil where there can be none
 	ready     func() bool
 	fleetView func(context.Context) (operator.FleetView, error) // nil: there is none to see
-	snapshots *snapshotStore                                    // nil: bans end with the agent's last process
+	snapshots *snapshotStore                                    // nil: the denylist ends with the agent's last process
 }
 
 func (o operatedAgent) Ready() bool { return o.ready() }
--- a/internal/agent/snapshots.go
+++ b/internal/agent/snapshots.go
@@ -33,10 +33,10 @@
 const (
 	snapshotFileName      = "knowledge"           // the file's name
 	recoveryDescriptors   = 4                     // descriptors: the lock, and what is written and read
-	urgentWriteDelay      = 10 * time.Millisecond // what has to be kept at once is written; what comes meanwhile goes with it
+	urgentWriteDelay      = 10 * time.Millisecond // before an urgent change is written, so that further ones go with it
 	clientReturnMargin    = 10 * time.Second      // after its deadline and window, that a client may come back with a request
 	maxSnapshotAge        = 10 * time.Second      // for which nothing is written where nothing has changed
-	writeErrorLogInterval = 10 * time.Second      // between two lines on what can't be kept
+	writeErrorLogInterval = 10 * time.Second      // between two log lines on write errors
 )
 
 // snapshotStore writes what the agent knows to disk, and holds what an earlier process has written there.
@@ -49,7 +49,7 @@
 	log            *slog.Logger
 	trust          ondisk.Trust
 	previous       ondisk.Document
-	disabledReason string        // why nothing is kept; empty: it is
+	disabledReason string        // why nothing is written; empty: it is
 	wake           chan struct{} // buffered by one: a change that has to be written at once
 	core           *engine.Engine
 	repeatWindow   time.Duration // for which a client may come back with a request from before
