--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -32,7 +32,7 @@
 	answer  engine.Answer
 }
 
-// stream is one try of a request. Its own goroutine runs it; the engine calls Choose, Answer and Released.
+// stream is one try of a request. Its own goroutine runs it; the engine calls HandOver, Answer and Released.
 type stream struct {
 	s      *Server
 	ctx    context.Context
--- a/internal/upstream/http1/carrier.go
+++ b/internal/upstream/http1/carrier.go
@@ -35,7 +35,7 @@
 	answerTimeout = 500 * time.Millisecond
 )
 
-// Request is a request as a client sent it: the payload of the calls that a Carrier carries.
+// Request is a request as a client sent it: the payload of the calls that a Transport carries.
 type Request struct {
 	Method, Host string
 	URL          *url.URL
