--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -29,14 +29,14 @@
 var names = generation.Names{Classes: []generation.Class{{Name: "form-check", LatencyObjective: time.Second}, {Name: "refund-record", LatencyObjective: time.Second}},
 	Tenants: []string{"wick", "lerwick"}, Zones: []string{"a"}, IdempotentClasses: []string{"refund-record"}}
 
-// core is an engine of which only the manager is there.
-type core struct {
+// fakeEngine is an Engine that has the Manager alone.
+type fakeEngine struct {
 	mu      sync.Mutex
 	manager *generation.Manager
 	now     time.Duration
 }
 
-func (c *core) WithGenerations(_ context.Context, do func(time.Duration, *generation.Manager)) error {
+func (c *fakeEngine) WithGenerations(_ context.Context, do func(time.Duration, *generation.Manager)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now += time.Millisecond
@@ -44,11 +44,11 @@
 	return nil
 }
 
-// installation is an agent's changes over a disk.
-type installation struct {
+// testAgent is a ChangeManager with an engine and a disk.
+type testAgent struct {
 	*ChangeManager
-	core *core
-	disk atomicfile.FS
+	engine *fakeEngine
+	disk   atomicfile.FS
 }
 
 func server(i int) *fleetconfig.Server {
@@ -56,16 +56,16 @@
 		Zone: "a", Pod: i % 3, Weight: float64(1 + i%2), StartedMS: 1000}
 }
 
-// start begins an agent on what the disk has.
-func start(t testing.TB, disk atomicfile.FS, servers int) *installation {
+// startAgent starts an agent with so many servers on the state that the disk has; nil: without a disk.
+func startAgent(t testing.TB, disk atomicfile.FS, servers int) *testAgent {
 	t.Helper()
-	c := &core{manager: generation.New(generation.Options{Names: names, MaxRetryAfter: time.Second}), now: time.Second}
+	c := &fakeEngine{manager: generation.New(generation.Options{Names: names, MaxRetryAfter: time.Second}), now: time.Second}
 	fleet := generation.Servers{}
 	for i := range servers {
 		fleet[server(i).ID] = server(i)
 	}
 	c.manager.UpdateServers(fleet)
-	x := &installation{core: c, disk: disk, ChangeManager: &ChangeManager{Agent: "n0", Engine: c, Names: func() generation.Names { return names }, Now: time.Now,
+	x := &testAgent{engine: c, disk: disk, ChangeManager: &ChangeManager{Agent: "n0", Engine: c, Names: func() generation.Names { return names }, Now: time.Now,
 		Log: slog.New(slog.DiscardHandler), EncodeState: func(s *generation.State) ([]byte, error) { return json.Marshal(s) }}}
 	if disk != nil {
 		f := atomicfile.File{Path: "state", FS: disk}
@@ -86,19 +86,19 @@
 	return x
 }
 
-func (x *installation) hash() string {
-	_, _, hash := x.core.manager.Config()
+func (x *testAgent) hash() string {
+	_, _, hash := x.engine.manager.Config()
 	return hash
 }
 
-// drainPod is a configuration that drains a pod, among others.
+// drainPod returns a configuration that drains a pod.
 func drainPod(pod int) *fleetconfig.Config {
 	c := &fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: fleetconfig.Selector{Pods: []int{pod}}}}}
 	c.Normalize()
 	return c
 }
 
-func (x *installation) plan(t testing.TB, c *fleetconfig.Config) *plan.Plan {
+func (x *testAgent) plan(t testing.TB, c *fleetconfig.Config) *plan.Plan {
 	t.Helper()
 	p, err := x.Plan(context.Background(), c, 0.25)
 	if err != nil {
@@ -107,75 +107,84 @@
 	return p
 }
 
-// An agent that is killed at any operation of its disk while it applies a plan comes back to the generation before or to the
-// new one, whole, and says which; what it has called durable is there. A disk that fails changes nothing, unless it fails
-// after the switch, which the answer tells.
-func TestKilledAtEachWrite(t *testing.T) {
-	kinds := map[string]int{}
+// The machine crashes, or the disk fails, at any single operation of the disk while a plan is applied. After a restart the old or the
+// new generation is in force as a whole, the history says which, and a change that was reported as durable is there. A disk that
+// fails before the switch changes nothing; one that fails after it is told in the result.
+func TestCrashAtEachWriteLeavesOldOrNewGeneration(t *testing.T) {
+	outcomes := map[string]int{}
 	for _, fault := range []error{nil, syscall.ENOSPC, syscall.EROFS} {
 		for at := 0; ; at++ {
-			done := false
+			isDurable := false
 			for seed := range uint64(15) {
-				disk := faultfs.New(seed)
-				x := start(t, disk, 6)
-				if a, err := x.Apply(t.Context(), x.plan(t, drainPod(0)), "x", "", true); err != nil || !a.IsDurable {
-					t.Fatal(a, err)
-				}
-				old, fresh := x.hash(), drainPod(1)
-				disk.OperationsUntilFault, disk.FaultError = at, fault
-				a, err := x.Apply(t.Context(), x.plan(t, fresh), "x", "", true)
-				done = err == nil && a.IsDurable
-				if err != nil && x.hash() != old {
-					t.Fatalf("operation %d, %v: refused with %v, and yet it is in force", at, fault, err)
-				}
-				if err == nil && a.Hash != fresh.Hash() {
-					t.Fatalf("in force is %s", a.Hash)
-				}
-				disk.OperationsUntilFault = -1
-				back := start(t, disk.Reboot(), 6)
-				last := back.core.manager.State().History
-				switch back.hash() {
-				case old:
-					kinds["old"]++
-					if done {
-						t.Fatalf("operation %d, %v, seed %d: durable, and lost", at, fault, seed)
-					}
-				case fresh.Hash():
-					kinds["new"]++
-					if err != nil && fault == nil && !errors.Is(err, faultfs.ErrCrashed) {
-						t.Fatal(err)
-					}
-				default:
-					t.Fatalf("operation %d: came back to %s", at, back.hash())
-				}
-				if r := last[len(last)-1]; r.Event != generation.EventRestored || r.Hash != back.hash() {
-					t.Fatalf("the history ends with %+v", r)
-				}
+				isDurable = applyWithFault(t, seed, at, fault, outcomes)
 			}
-			if done {
+			if isDurable {
 				break
 			}
 		}
 	}
-	if kinds["old"] == 0 || kinds["new"] == 0 {
-		t.Errorf("came back to %v", kinds)
+	if outcomes["old"] == 0 || outcomes["new"] == 0 {
+		t.Errorf("came back to %v", outcomes)
+	}
+}
+
+// applyWithFault applies a plan on a disk that crashes (fault nil) or fails at operation at, restarts the agent, and checks what is in
+// force; outcomes counts that. It reports whether the change was reported as durable.
+func applyWithFault(t *testing.T, seed uint64, at int, fault error, outcomes map[string]int) (isDurable bool) {
+	t.Helper()
+	disk := faultfs.New(seed)
+	x := startAgent(t, disk, 6)
+	if a, err := x.Apply(t.Context(), x.plan(t, drainPod(0)), "x", "", true); err != nil || !a.IsDurable {
+		t.Fatal(a, err)
+	}
+	oldHash, newConfig := x.hash(), drainPod(1)
+	disk.OperationsUntilFault, disk.FaultError = at, fault
+	a, err := x.Apply(t.Context(), x.plan(t, newConfig), "x", "", true)
+	isDurable = err == nil && a.IsDurable
+	if err != nil && x.hash() != oldHash {
+		t.Fatalf("operation %d, %v: refused with %v, and yet it is in force", at, fault, err)
+	}
+	if err == nil && a.Hash != newConfig.Hash() {
+		t.Fatalf("in force is %s", a.Hash)
+	}
+	disk.OperationsUntilFault = -1
+	restarted := startAgent(t, disk.Reboot(), 6)
+	history := restarted.engine.manager.State().History
+	switch restarted.hash() {
+	case oldHash:
+		outcomes["old"]++
+		if isDurable {
+			t.Fatalf("operation %d, %v, seed %d: durable, and lost", at, fault, seed)
+		}
+	case newConfig.Hash():
+		outcomes["new"]++
+		if err != nil && fault == nil && !errors.Is(err, faultfs.ErrCrashed) {
+			t.Fatal(err)
+		}
+	default:
+		t.Fatalf("operation %d: came back to %s", at, restarted.hash())
+	}
+	if r := history[len(history)-1]; r.Event != generation.EventRestored || r.Hash != restarted.hash() {
+		t.Fatalf("the history ends with %+v", r)
 	}
+	return isDurable
 }
 
-// What moves a plan's ground, and what is said of it. The last entry moves nothing that it rests on.
-func TestAPlanThatHasMovedIsRefused(t *testing.T) {
-	move := func(change func(fleet generation.Servers)) func(*installation) {
-		return func(x *installation) {
+// Between plan and apply a server that the plan concerns comes, goes, restarts, drains or moves, or another generation comes in force.
+// The plan is rejected as outdated and the error says what has changed. A change of a server of no concern does not matter.
+func TestOutdatedPlanIsRejected(t *testing.T) {
+	move := func(change func(fleet generation.Servers)) func(*testAgent) {
+		return func(x *testAgent) {
 			fleet := generation.Servers{}
 			change(fleet)
-			x.core.manager.UpdateServers(fleet)
+			x.engine.manager.UpdateServers(fleet)
 		}
 	}
-	changed := func(i int, f func(*fleetconfig.Server)) func(*installation) {
+	changed := func(i int, f func(*fleetconfig.Server)) func(*testAgent) {
 		return move(func(fleet generation.Servers) { s := server(i); f(s); fleet[s.ID] = s })
 	}
 	for name, tt := range map[string]struct {
-		meanwhile func(*installation)
+		meanwhile func(*testAgent)
 		want      string
 	}{
 		"a server has gone":      {move(func(f generation.Servers) { f["s-01"] = nil }), "server s-01 has gone"},
@@ -183,7 +192,7 @@
 		"a server has restarted": {changed(1, func(s *fleetconfig.Server) { s.StartedMS++ }), "server s-01 has restarted"},
 		"a server drains":        {changed(4, func(s *fleetconfig.Server) { s.Draining = true }), "server s-04 drains"},
 		"a server has moved":     {changed(1, func(s *fleetconfig.Server) { s.Addr = "127.0.0.99:80" }), "has changed its address"},
-		"another generation": {func(x *installation) {
+		"another generation": {func(x *testAgent) {
 			if _, err := x.Apply(context.Background(), x.plan(t, drainPod(2)), "y", "", true); err != nil {
 				t.Fatal(err)
 			}
@@ -191,7 +200,7 @@
 		"a server of no concern": {changed(0, func(s *fleetconfig.Server) { s.StartedMS++ }), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := start(t, nil, 6)
+			x := startAgent(t, nil, 6)
 			p := x.plan(t, drainPod(1))
 			tt.meanwhile(x)
 			before := x.hash()
@@ -202,25 +211,25 @@
 				}
 				return
 			}
-			r, ok := errors.AsType[*refusal](err)
-			if !ok || r.kind != KindOutdated || !strings.Contains(strings.Join(r.moved, "\n"), tt.want) {
+			e, ok := errors.AsType[*callError](err)
+			if !ok || e.kind != KindOutdated || !strings.Contains(strings.Join(e.changed, "\n"), tt.want) {
 				t.Errorf("%v, want %q", err, tt.want)
 			}
 			if x.hash() != before {
-				t.Error("it was refused, and something was changed")
+				t.Error("it was rejected, and something was changed")
 			}
 		})
 	}
 }
 
-// Duration random fleets and configurations: what is in force after an apply is what the plan has printed, a plan of it anew is
-// empty, and a rollback brings the hash and the drains of before back.
-func TestAppliedIsWhatWasPlanned(t *testing.T) {
+// Random configurations are planned and applied to random fleets, and some rolled back. What is in force after an apply is what the
+// plan said, a new plan of the same configuration is empty, and a rollback brings back the hash and the drains of before.
+func TestApplyDoesWhatThePlanSays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x := start(&testing.T{}, nil, rapid.IntRange(0, 12).Draw(t, "servers"))
+		x := startAgent(&testing.T{}, nil, rapid.IntRange(0, 12).Draw(t, "servers"))
 		drained := func() (ids []string) {
 			for i := range 12 {
-				if id := server(i).ID; x.core.manager.IsDraining(id) {
+				if id := server(i).ID; x.engine.manager.IsDraining(id) {
 					ids = append(ids, id)
 				}
 			}
@@ -267,8 +276,9 @@
 	})
 }
 
-// Plans say plainly, and first, what whoever approves them should know.
-func TestFlags(t *testing.T) {
+// A change drains all servers of a kind or pod, routes to a pool without servers, sends idempotent requests elsewhere, or limits what
+// comes now. The plan flags it, so that whoever approves the plan knows.
+func TestPlanFlagsRisks(t *testing.T) {
 	drain := func(s fleetconfig.Selector) *fleetconfig.Config {
 		return &fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d", Share: 1, Selector: s}}}
 	}
@@ -289,7 +299,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			tt.config.Normalize()
-			p := start(t, nil, 9).plan(t, tt.config)
+			p := startAgent(t, nil, 9).plan(t, tt.config)
 			var kinds []string
 			for _, f := range p.Flags {
 				kinds = append(kinds, f.Kind)
@@ -299,13 +309,13 @@
 			}
 		})
 	}
-	x := start(t, nil, 6)
+	x := startAgent(t, nil, 6)
 	for i := range 3000 { // 50 a second
 		var b generation.Binding
 		now := time.Second + time.Duration(i)*20*time.Millisecond
-		x.core.manager.Bind(now, &generation.Request{Tenant: 1}, &b)
-		x.core.manager.Release(now+time.Millisecond, &b, generation.Served)
-		x.core.now = now
+		x.engine.manager.Bind(now, &generation.Request{Tenant: 1}, &b)
+		x.engine.manager.Release(now+time.Millisecond, &b, generation.Served)
+		x.engine.now = now
 	}
 	for rate, want := range map[float64]string{10: plan.FlagMayRollBack, 45: plan.FlagRejectsRequests, 60: ""} {
 		c := &fleetconfig.Config{Limits: []fleetconfig.Limit{{Name: "l", Tenant: "lerwick", Rate: rate, Burst: 5}}}
@@ -319,8 +329,8 @@
 	}
 }
 
-// serve opens a socket for an installation and returns a client.
-func serve(t *testing.T, x *installation) *Client {
+// serve opens a socket for an agent and returns a client.
+func serve(t *testing.T, x *testAgent) *Client {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := Listen(path)
@@ -342,20 +352,20 @@
 	return NewClient(path)
 }
 
-// Two who apply at once: one wins whole, and the other is told. A plan that was altered, or made for another agent, is
-// refused, and so is whoever does not hold the lock.
-func TestOperatorsTogether(t *testing.T) {
-	x := start(t, nil, 6)
+// Two operators apply plans at once: one succeeds and the other's plan is outdated. A plan that was altered or made for another agent
+// is rejected, and so is an operator while another one holds the lock.
+func TestConcurrentOperatorsAreSerialized(t *testing.T) {
+	x := startAgent(t, nil, 6)
 	c := serve(t, x)
 	plans := []*plan.Plan{x.plan(t, drainPod(0)), x.plan(t, drainPod(1))}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	errs := make([]error, len(plans))
 	for i, p := range plans {
-		all.Go(func() {
+		running.Go(func() {
 			errs[i] = c.Call(t.Context(), http.MethodPost, PathApply, ApplyRequest{Plan: p, Actor: fmt.Sprint("op-", i)}, &ChangeResult{})
 		})
 	}
-	all.Wait()
+	running.Wait()
 	won := slices.IndexFunc(errs, func(err error) bool { return err == nil })
 	if won < 0 || errs[1-won] == nil || x.hash() != plans[won].TargetHash {
 		t.Fatalf("%v; in force is %s", errs, x.hash())
@@ -374,7 +384,7 @@
 	try("altered", func(q *ApplyRequest) { q.Plan.CreatedUnixMS++ }, plan.ErrAltered.Error())
 	try("nobody's", func(q *ApplyRequest) { q.Actor = "" }, "needs a name")
 	try("no plan", func(q *ApplyRequest) { q.Plan = nil }, "no plan")
-	other := start(t, nil, 6)
+	other := startAgent(t, nil, 6)
 	other.Agent = "n1"
 	try("of another agent", func(q *ApplyRequest) { q.Plan = other.plan(t, drainPod(2)) }, plan.ErrOtherAgent.Error())
 	try("while the change before is watched", func(q *ApplyRequest) { q.Force = false }, generation.ErrWatchActive.Error())
@@ -401,20 +411,20 @@
 	}
 }
 
-// slowKeeper is a disk on which a caller's patience ends.
-type slowKeeper struct{ begun, leave chan struct{} }
+// blockingStore is a StateStore whose writes wait until they are released.
+type blockingStore struct{ begun, released chan struct{} }
 
-func (k slowKeeper) Save([]byte) error {
-	k.begun <- struct{}{}
-	<-k.leave
+func (s blockingStore) Save([]byte) error {
+	s.begun <- struct{}{}
+	<-s.released
 	return nil
 }
 
-// A caller that leaves in the middle does not leave half a change behind: it is brought to its end.
-func TestACallerThatLeaves(t *testing.T) {
-	x := start(t, nil, 6)
-	keeper := slowKeeper{make(chan struct{}, 10), make(chan struct{})}
-	x.Store = keeper
+// A client leaves while its change is being stored. The change is brought to its end and is in force.
+func TestChangeCompletesAfterClientLeft(t *testing.T) {
+	x := startAgent(t, nil, 6)
+	store := blockingStore{make(chan struct{}, 10), make(chan struct{})}
+	x.Store = store
 	c := serve(t, x)
 	ctx, leave := context.WithCancel(t.Context())
 	p := x.plan(t, drainPod(1))
@@ -422,52 +432,53 @@
 	go func() {
 		done <- c.Call(ctx, http.MethodPost, PathApply, ApplyRequest{Plan: p, Actor: "x"}, &ChangeResult{})
 	}()
-	<-keeper.begun
+	<-store.begun
 	leave()
 	if err := <-done; err == nil {
 		t.Fatal("it did not leave")
 	}
-	close(keeper.leave)
+	close(store.released)
 	agenttest.Eventually(t, "the change is in force", func() bool {
-		x.core.mu.Lock()
-		defer x.core.mu.Unlock()
+		x.engine.mu.Lock()
+		defer x.engine.mu.Unlock()
 		return x.hash() == p.TargetHash
 	})
 }
 
-// What the watch does by itself is kept as well, and a disk that failed is tried again until it does not.
-func TestWhatChangesByItselfIsKept(t *testing.T) {
+// The watch of a change ends and promotes it with nobody calling. That is stored as well, and a disk that fails is tried again until it
+// works; meanwhile the status says that the state is not durable.
+func TestSelfMadeChangesAreStored(t *testing.T) {
 	disk := faultfs.New(1)
-	x := start(t, disk, 6)
+	x := startAgent(t, disk, 6)
 	if _, err := x.Apply(t.Context(), x.plan(t, drainPod(1)), "x", "", false); err != nil {
 		t.Fatal(err)
 	}
-	x.core.now += time.Hour
+	x.engine.now += time.Hour
 	if err := x.Engine.WithGenerations(t.Context(), func(now time.Duration, m *generation.Manager) { m.Tick(now) }); err != nil {
 		t.Fatal(err)
 	}
 	disk.OperationsUntilFault, disk.FaultError = 0, syscall.EIO
-	if err := x.keepChanged(t.Context()); !errors.Is(err, syscall.EIO) {
+	if err := x.storeIfChanged(t.Context()); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("on a disk that fails: %v", err)
 	}
 	if s, err := x.Status(t.Context()); err != nil || s.IsDurable || s.Problem == "" {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if err := x.keepChanged(t.Context()); err != nil {
+	if err := x.storeIfChanged(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if s, err := x.Status(t.Context()); err != nil || !s.IsDurable || s.IsWatched {
 		t.Errorf("%+v, %v", s, err)
 	}
-	h := start(t, disk, 6).core.manager.State().History
+	h := startAgent(t, disk, 6).engine.manager.State().History
 	if len(h) != 3 || h[1].Event != generation.EventPromoted {
 		t.Errorf("%+v", h)
 	}
 }
 
-// Whatever bytes come as a plan, nothing is taken that is not a whole plan as it was made.
+// Any bytes come as a plan. What is decoded is a complete plan as it was made.
 func FuzzDecodePlan(f *testing.F) {
-	x := start(f, nil, 6)
+	x := startAgent(f, nil, 6)
 	whole, err := json.Marshal(x.plan(f, drainPod(1)))
 	if err != nil {
 		f.Fatal(err)
@@ -485,14 +496,14 @@
 			t.Fatal(err)
 		}
 		if _, err := plan.Decode(again); err != nil {
-			t.Fatalf("a plan that was taken is not taken again: %v", err)
+			t.Fatalf("a plan that was decoded is not decoded again: %v", err)
 		}
 	})
 }
 
-// Every byte of a plan counts.
-func TestAnAlteredPlan(t *testing.T) {
-	whole, err := json.Marshal(start(t, nil, 4).plan(t, drainPod(1)))
+// Any single byte of a plan is altered after it was made. The plan is not decoded.
+func TestAlteredPlanIsRejected(t *testing.T) {
+	whole, err := json.Marshal(startAgent(t, nil, 4).plan(t, drainPod(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -503,7 +514,7 @@
 		}
 		_, err := plan.Decode(bad)
 		if err == nil {
-			t.Fatalf("with byte %d altered it is taken: %.60s", i, bad[max(0, i-30):])
+			t.Fatalf("with byte %d altered it is decoded: %.60s", i, bad[max(0, i-30):])
 		}
 	}
 	if _, err := plan.Decode([]byte(`{"format":2,"what":1}`)); !errors.Is(err, plan.ErrNewerFormat) {
@@ -511,16 +522,16 @@
 	}
 }
 
-// BenchmarkPlan is how long a plan takes, and then an apply, over 10,000 servers and 1,000 routes.
+// BenchmarkPlan measures how long a plan takes over 10,000 servers and 1,000 routes.
 func BenchmarkPlan(b *testing.B) {
-	x := start(b, nil, 0)
+	x := startAgent(b, nil, 0)
 	fleet := generation.Servers{}
 	for i := range 10_000 {
 		s := server(i % 200)
 		s.ID, s.Addr, s.Pod = fmt.Sprintf("s-%05d", i), fmt.Sprintf("127.%d.%d.%d:80", i>>16, i>>8&255, i&255), i%40
 		fleet[s.ID] = s
 	}
-	x.core.manager.UpdateServers(fleet)
+	x.engine.manager.UpdateServers(fleet)
 	c := &fleetconfig.Config{Drains: drainPod(3).Drains}
 	for i := range 1000 {
 		pool := fleetconfig.AllServersPool
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -20,7 +20,7 @@
 	"appleledge/internal/plan"
 )
 
-// Each value of a call has the committed bytes with all its fields set, and these are read as the same value.
+// Each value of a call, with all its fields set, has the committed bytes and is read back from them.
 func TestGoldenValues(t *testing.T) {
 	config, err := fleetconfig.Decode(golden.Read(t, "fleetconfig/config.json"))
 	if err != nil {
@@ -61,17 +61,18 @@
 
 func (r roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return r(q) }
 
-// broken is a disk that takes nothing, and an engine that has ended.
-type broken struct{ err error }
+// failing is a StateStore that fails, and an engine that has ended.
+type failing struct{ err error }
 
-func (b broken) Save([]byte) error { return b.err }
-func (b broken) WithGenerations(context.Context, func(time.Duration, *generation.Manager)) error {
-	return b.err
+func (f failing) Save([]byte) error { return f.err }
+func (f failing) WithGenerations(context.Context, func(time.Duration, *generation.Manager)) error {
+	return f.err
 }
 
-// What a client sends and what the agent answers, over the life of a change, is as it was, to the byte.
+// A change is planned, applied and rolled back, with every kind of problem on the way. What the client sends and the agent answers is
+// as committed, to the byte.
 func TestGoldenExchange(t *testing.T) {
-	x := start(t, faultfs.New(1), 6)
+	x := startAgent(t, faultfs.New(1), 6)
 	x.Now = func() time.Time { return time.UnixMilli(1700000000123) }
 	handler := (&Server{Changes: x.ChangeManager}).handler()
 	var transcript bytes.Buffer
@@ -108,13 +109,13 @@
 	var p plan.Plan
 	var applied ChangeResult
 	var lock Lock
-	look := func() {
+	readAll := func() {
 		t.Helper()
 		call(200, "GET", PathStatus, nil, &status)
 		call(200, "GET", PathConfig, nil, &config)
 		call(200, "GET", PathHistory, nil, &history)
 	}
-	look()
+	readAll()
 	call(200, "POST", PathCheck, PlanRequest{Config: drainPod(1)}, &config)
 	call(422, "POST", PathCheck, PlanRequest{Config: &fleetconfig.Config{Drains: []fleetconfig.Drain{{Name: "d"}}}}, &config)
 	call(200, "POST", PathPlan, PlanRequest{Config: drainPod(1), MaxCapacityTaken: 0.25}, &p)
@@ -122,7 +123,7 @@
 	call(403, "POST", PathLock, LockRequest{Holder: "bob", Duration: "5m"}, &lock)
 	call(403, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "bob"}, &applied)
 	call(200, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "ann", Reason: "pod 1 is ill"}, &applied)
-	look()
+	readAll()
 	call(409, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "ann"}, &applied)
 	call(200, "DELETE", PathLock, LockRequest{Holder: "ann"}, &struct{}{})
 	call(200, "POST", PathRollback, RollbackRequest{Actor: "bob", Reason: "it is well"}, &applied)
@@ -136,13 +137,13 @@
 	altered.Agent = "n1"
 	call(400, "POST", PathApply, ApplyRequest{Plan: &altered, Actor: "bob"}, &applied)
 	call(200, "POST", PathPlan, PlanRequest{Config: drainPod(2), MaxCapacityTaken: 0.25}, &p)
-	x.Store = broken{errors.New("no space left")}
+	x.Store = failing{errors.New("no space left")}
 	call(507, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "bob"}, &applied)
-	look()
+	readAll()
 	x.Store = nil
 	call(200, "POST", PathApply, ApplyRequest{Plan: &p, Actor: "bob"}, &applied)
-	look()
-	x.Engine = broken{errors.New("the agent ends")}
+	readAll()
+	x.Engine = failing{errors.New("the agent ends")}
 	call(503, "GET", PathStatus, nil, &status)
 	golden.Equal(t, "admin/exchange.txt", transcript.Bytes())
 }
