--- a/internal/plan/golden_test.go
+++ b/internal/plan/golden_test.go
@@ -39,10 +39,11 @@
 	for _, kind := range []string{FlagDrainsKind, FlagEmptiesPod, FlagEmptiesRoute, FlagTakesCapacity, FlagMovesIdempotent, FlagRejectsRequests, FlagMayRollBack} {
 		p.Flags = append(p.Flags, Flag{Kind: kind, Text: "text of " + kind})
 	}
-	p.Checksum = p.sum()
+	p.Checksum = p.checksum()
 	return p
 }
 
+// encoded returns a plan as it is kept in a file.
 func encoded(t *testing.T, p *Plan) []byte {
 	data, err := json.Marshal(p)
 	if err != nil {
@@ -51,7 +52,8 @@
 	return append(data, '\n')
 }
 
-// A plan has the committed bytes, its sum among them, and these are read as the same plan.
+// A plan has the committed bytes, its checksum among them, and is read back from them. One that was altered, or that a newer program
+// made, is rejected.
 func TestGoldenPlan(t *testing.T) {
 	p := goldenPlan(t)
 	golden.Equal(t, "plan/full.json", encoded(t, p))
@@ -89,12 +91,12 @@
 	return Input{Agent: "n0", Number: 7, From: from, To: to, Servers: servers, IdempotentClasses: []string{"refund-record"}, MaxCapacityTaken: 0.25, UnixMS: 1700000000123,
 		Names: generation.Names{Classes: []generation.Class{{Name: "form-check", LatencyObjective: time.Second}, {Name: "refund-record", LatencyObjective: time.Second}},
 			Tenants: []string{"wick"}, Zones: []string{"edinburgh-dc"}, IdempotentClasses: []string{"refund-record"}},
-		EstimateRejected: func(l fleetconfig.Limit) (refused, came float64) {
+		EstimateRejected: func(l fleetconfig.Limit) (rejected, arrived float64) {
 			return map[string]float64{"some": 10.4, "most": 80}[l.Name], 100
 		}}
 }
 
-// What a change would do to a fixed fleet is reckoned and worded as the committed plan has it.
+// What a change would do to a fixed fleet, and in which words, is as the committed plan has it.
 func TestGoldenMadePlan(t *testing.T) {
 	p, _, err := Make(goldenInput(t))
 	if err != nil {
--- a/internal/plan/show/golden_test.go
+++ b/internal/plan/show/golden_test.go
@@ -10,8 +10,8 @@
 	"appleledge/internal/plan"
 )
 
-// Committed plans are written for people as they were, with colours and without.
-func TestGoldenShown(t *testing.T) {
+// The committed plans are printed with the committed bytes, with colours and without.
+func TestGoldenOutput(t *testing.T) {
 	was := color.NoColor
 	defer func() { color.NoColor = was }()
 	t.Setenv("NO_COLOR", "")
