--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -190,7 +190,7 @@
 		"a server has gone":      {move(func(f generation.Servers) { f["s-01"] = nil }), "server s-01 has gone"},
 		"a server has come":      {move(func(f generation.Servers) { f["s-07"] = server(7) }), "server s-07 has come"},
 		"a server has restarted": {changed(1, func(s *fleetconfig.Server) { s.StartedMS++ }), "server s-01 has restarted"},
-		"a server drains":        {changed(4, func(s *fleetconfig.Server) { s.Draining = true }), "server s-04 drains"},
+		"a server drains":        {changed(4, func(s *fleetconfig.Server) { s.IsDraining = true }), "server s-04 drains"},
 		"a server has moved":     {changed(1, func(s *fleetconfig.Server) { s.Addr = "127.0.0.99:80" }), "has changed its address"},
 		"another generation": {func(x *testAgent) {
 			if _, err := x.Apply(context.Background(), x.plan(t, drainPod(2)), "y", "", true); err != nil {
--- a/internal/engine/generation.go
+++ b/internal/engine/generation.go
@@ -90,7 +90,7 @@
 
 // server is a member as the configuration's selectors see it.
 func (g *generationOverlay) server(m Member) *fleetconfig.Server {
-	s := &fleetconfig.Server{ID: m.ID, Addr: m.Addr, Kind: m.Kind, Pod: m.Cell, Weight: m.Weight, Draining: m.State == balancer.Draining}
+	s := &fleetconfig.Server{ID: m.ID, Addr: m.Addr, Kind: m.Kind, Pod: m.Cell, Weight: m.Weight, IsDraining: m.State == balancer.Draining}
 	if m.Zone >= 0 && m.Zone < len(g.zones) {
 		s.Zone = g.zones[m.Zone]
 	}
--- a/internal/fleetconfig/diff.go
+++ b/internal/fleetconfig/diff.go
@@ -10,23 +10,26 @@
 // Verb says what becomes of an object.
 type Verb string
 
-// The verbs.
+// The verbs. Their texts are part of plans.
 const (
 	Create Verb = "create"
 	Update Verb = "update"
 	Delete Verb = "delete"
 )
 
-// Change is one object that differs between two configurations.
+// Change is one object that differs between two configurations. Its JSON is part of plans.
 type Change struct {
 	Verb   Verb            `json:"verb"`
-	Kind   string          `json:"kind"`
-	Name   string          `json:"name,omitempty"`
-	Before json.RawMessage `json:"before,omitempty"`
-	After  json.RawMessage `json:"after,omitempty"`
+	Kind   string          `json:"kind"`             // such as "route"
+	Name   string          `json:"name,omitempty"`   // empty for kinds of which there is one object
+	Before json.RawMessage `json:"before,omitempty"` // the object; nil if it is created
+	After  json.RawMessage `json:"after,omitempty"`  // the object; nil if it is deleted
 }
 
-// Diff lists what differs between two normalized configurations, by kind and name.
+// kinds are the kinds of objects, in the order in which Diff lists them.
+var kinds = []string{"pool", "route", "limit", "drain", "deadline", "rollout", "watch"}
+
+// Diff returns what differs between two normalized configurations, in the order of kinds and names.
 func Diff(from, to *Config) (changes []Change) {
 	before, after := from.objects(), to.objects()
 	keys := make([]objectKey, 0, len(before)+len(after))
@@ -45,30 +48,28 @@
 		return strings.Compare(a.name, b.name)
 	})
 	for _, k := range keys {
-		old, fresh := before[k], after[k]
+		old, current := before[k], after[k]
 		verb := Update
 		switch {
 		case old == nil:
 			verb = Create
-		case fresh == nil:
+		case current == nil:
 			verb = Delete
-		case bytes.Equal(old, fresh):
+		case bytes.Equal(old, current):
 			continue
 		}
-		changes = append(changes, Change{verb, k.kind, k.name, old, fresh})
+		changes = append(changes, Change{verb, k.kind, k.name, old, current})
 	}
 	return changes
 }
 
-var kinds = []string{"pool", "route", "limit", "drain", "deadline", "rollout", "watch"}
-
 type objectKey struct{ kind, name string }
 
-// objects are a configuration's, each as JSON.
+// objects returns a configuration's objects as JSON.
 func (c *Config) objects() map[objectKey]json.RawMessage {
 	out := map[objectKey]json.RawMessage{}
-	put := func(kind, name string, v any) {
-		data, err := json.Marshal(v)
+	put := func(kind, name string, object any) {
+		data, err := json.Marshal(object)
 		if err != nil {
 			panic("fleetconfig: " + err.Error()) // as in JSON
 		}
--- a/internal/fleetconfig/golden_test.go
+++ b/internal/fleetconfig/golden_test.go
@@ -15,7 +15,7 @@
 
 // goldenConfig sets every field of a configuration.
 func goldenConfig() *Config {
-	most := 11
+	maxInFlight := 11
 	return &Config{
 		Pools: []Pool{
 			{Name: "east", Selector: Selector{Kinds: []string{"quad-core", "twin-core"}, Zones: []string{"edinburgh-dc"}, Pods: []int{3, 4},
@@ -24,7 +24,7 @@
 		},
 		Routes: []Route{{Name: "checks", Priority: 7, Class: "form-check", Tenant: "lerwick-port", PathPrefix: "/forms/",
 			Headers: map[string]string{"X-Attrs": "trial"}, To: []Target{{Pool: "all", Weight: 60}, {Pool: "east", Weight: 29}, {Pool: "small", Weight: 10}}}},
-		Limits: []Limit{{Name: "lerwick", Class: "refund-record", Tenant: "wick", MaxInFlight: &most, Rate: 2.5, Burst: 5, MaxAttempts: 3,
+		Limits: []Limit{{Name: "lerwick", Class: "refund-record", Tenant: "wick", MaxInFlight: &maxInFlight, Rate: 2.5, Burst: 5, MaxAttempts: 3,
 			RetryAfter: Duration(500 * time.Millisecond)}},
 		Drains: []Drain{{Name: "old", Share: 0.25, Selector: Selector{Kinds: []string{"old-core"}, Zones: []string{"glasgow-dc"}, Pods: []int{6},
 			IDs: []string{"s-9"}, Networks: []netip.Prefix{netip.MustParsePrefix("10.2.0.0/16")}}}},
@@ -47,7 +47,7 @@
 	return c
 }
 
-// A configuration has the committed bytes and hash, and these are read as the same configuration.
+// A configuration with every field set has the committed bytes and hash, and is read back from them.
 func TestGoldenConfig(t *testing.T) {
 	c := goldenConfig()
 	golden.Equal(t, "fleetconfig/config.json", c.JSON())
@@ -59,7 +59,7 @@
 	}
 }
 
-// Differences have the committed bytes, and these are read as the same differences.
+// The differences between two configurations have the committed bytes, and are read back from them.
 func TestGoldenDiff(t *testing.T) {
 	changes := Diff(goldenConfig(), goldenOther())
 	data, err := json.Marshal(changes)
@@ -73,9 +73,9 @@
 	}
 }
 
-// A server has the committed bytes, and these are read as the same server.
+// A server has the committed bytes, and is read back from them.
 func TestGoldenServer(t *testing.T) {
-	s := Server{ID: "s-1", Addr: "127.0.0.2:81", Kind: "twin-core", Zone: "edinburgh-dc", Pod: 3, Weight: 1.5, StartedMS: 1700000000123, Draining: true}
+	s := Server{ID: "s-1", Addr: "127.0.0.2:81", Kind: "twin-core", Zone: "edinburgh-dc", Pod: 3, Weight: 1.5, StartedMS: 1700000000123, IsDraining: true}
 	data, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
@@ -87,13 +87,13 @@
 	}
 }
 
-// What is wrong with a configuration is told in the same words.
-func TestGoldenProblems(t *testing.T) {
-	less := -1
+// A configuration with a mistake in every field is checked. The errors have the committed texts.
+func TestGoldenObjectErrors(t *testing.T) {
+	negative := -1
 	c := &Config{
 		Pools:  []Pool{{Name: "all"}, {Name: "../a", Selector: Selector{Zones: []string{"nowhere"}, Networks: []netip.Prefix{{}}}}},
 		Routes: []Route{{Name: "r", Class: "c", Tenant: "t", PathPrefix: "a", Headers: map[string]string{"x-a": "1"}, To: []Target{{"no", -1}, {"all", 0}}}},
-		Limits: []Limit{{Name: "a"}, {Name: "b", MaxInFlight: &less, Rate: 1e7, Burst: -1, MaxAttempts: 101, RetryAfter: Duration(time.Hour)}},
+		Limits: []Limit{{Name: "a"}, {Name: "b", MaxInFlight: &negative, Rate: 1e7, Burst: -1, MaxAttempts: 101, RetryAfter: Duration(time.Hour)}},
 		Drains: []Drain{{Name: "d", Share: 2}}, Deadlines: []Deadline{{Name: "e"}, {Name: "e"}},
 		Rollout: &Rollout{}, Watch: &Watch{},
 	}
@@ -101,8 +101,8 @@
 	golden.Equal(t, "fleetconfig/problems.txt", fmt.Appendf(nil, "%v\n", err))
 }
 
-// Which part of servers is taken hangs on the same hash.
-func TestGoldenPart(t *testing.T) {
+// A share of twenty servers is selected. It is the committed one, as agents of different versions must drain the same servers.
+func TestGoldenSelectShare(t *testing.T) {
 	var all []*Server
 	for i := range 20 {
 		all = append(all, &Server{ID: fmt.Sprint("s-", i)})
--- a/internal/fleetconfig/golden_texts_test.go
+++ b/internal/fleetconfig/golden_texts_test.go
@@ -7,7 +7,7 @@
 	"appleledge/internal/golden"
 )
 
-// The kinds of objects and what becomes of them, as plans show them.
+// Plans hold the kinds of objects and the verbs.
 func TestGoldenTexts(t *testing.T) {
 	golden.Equal(t, "texts/fleetconfig.txt", fmt.Appendf(nil, "kinds %q\nverbs %q\n", kinds, []Verb{Create, Update, Delete}))
 }
--- a/internal/fleetconfig/hclfile/golden_test.go
+++ b/internal/fleetconfig/hclfile/golden_test.go
@@ -15,8 +15,8 @@
 var goldenNames = fleetconfig.Names{Classes: []string{"form-check", "refund-record"}, Tenants: []string{"lerwick-port", "wick"},
 	Zones: []string{"edinburgh-dc", "glasgow-dc"}, RoutableHeaders: []string{"X-Attrs"}}
 
-// The committed folder, which uses each key there is, is read as the committed configuration.
-func TestGoldenFolder(t *testing.T) {
+// The committed directory, which uses every key, is read as the committed configuration.
+func TestGoldenDirectory(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"objects.hcl", "values.hcl"} {
 		if err := os.WriteFile(filepath.Join(dir, name), golden.Read(t, "fleetconfig/hcl/"+name), 0o600); err != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// What a block leaves out has its default.
+// A block that leaves a key out has the committed default.
 func TestGoldenDefaults(t *testing.T) {
 	c, err := Read([]Source{{"f.hcl", golden.Read(t, "fleetconfig/hcl/short.hcl")}}, nil, goldenNames)
 	if err != nil {
@@ -45,7 +45,7 @@
 	golden.Equal(t, "fleetconfig/hcl/short.json", c.JSON())
 }
 
-// A key or block that is not known is refused wherever it stands.
+// An unknown key or block stands anywhere in the files. It is rejected, as a misspelt key would be ignored otherwise.
 func TestGoldenUnknownKeys(t *testing.T) {
 	text := string(golden.Read(t, "fleetconfig/hcl/objects.hcl"))
 	values := Source{"values.hcl", golden.Read(t, "fleetconfig/hcl/values.hcl")}
--- a/internal/fleetconfig/hclfile/hclfile_test.go
+++ b/internal/fleetconfig/hclfile/hclfile_test.go
@@ -15,7 +15,8 @@
 var names = fleetconfig.Names{Classes: []string{"form-check", "refund-record"}, Tenants: []string{"lerwick-port"},
 	Zones: []string{"edinburgh-dc"}, RoutableHeaders: []string{"X-Attrs"}}
 
-const whole = `
+// completeText has a block of each kind.
+const completeText = `
 variable "canary" { default = 10 }
 locals {
   small = ["twin-core"]
@@ -49,11 +50,12 @@
 watch { for = "1m" }
 `
 
-// A folder is one configuration, however it is cut into files and whatever their order.
-func TestFoldersAreOneConfiguration(t *testing.T) {
+// The same text is read from one file, and from a directory of two in another order. Both give the same configuration and hash, as does
+// its JSON; a variable that is set changes it.
+func TestDirectoryIsOneConfiguration(t *testing.T) {
 	dir := t.TempDir()
-	cut := strings.Index(whole, "limit")
-	for name, text := range map[string]string{"b.hcl": whole[:cut], "a.hcl": whole[cut:], "notes.txt": "{{{"} {
+	cut := strings.Index(completeText, "limit")
+	for name, text := range map[string]string{"b.hcl": completeText[:cut], "a.hcl": completeText[cut:], "notes.txt": "{{{"} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, err := Read([]Source{{"x.hcl", []byte(whole)}}, nil, names)
+	one, err := Read([]Source{{"x.hcl", []byte(completeText)}}, nil, names)
 	if err != nil || one.Hash() != c.Hash() {
 		t.Errorf("%v: %s", err, c.JSON())
 	}
@@ -79,14 +81,15 @@
 	if err != nil || again.Hash() != c.Hash() {
 		t.Errorf("the JSON of a configuration reads as another: %v", err)
 	}
-	other, err := Read([]Source{{"x.hcl", []byte(whole)}}, map[string]string{"canary": "11"}, names)
+	other, err := Read([]Source{{"x.hcl", []byte(completeText)}}, map[string]string{"canary": "11"}, names)
 	if err != nil || other.Routes[0].To[1].Weight != 11 || other.Hash() == c.Hash() {
 		t.Errorf("a variable that is set changes nothing: %v", err)
 	}
 }
 
-// What is wrong is told with its file and line, and with what was meant.
-func TestWhatIsWrongHasAPlace(t *testing.T) {
+// A file has one mistake: of syntax, of names, of ranges, or an expression that would grow beyond all bounds. The error names the file and
+// line where it has one, and what was meant.
+func TestErrorsNamePlaceAndMeaning(t *testing.T) {
 	deep := strings.Repeat("[", 5000)
 	doubling := "locals {\n  a0 = \"0123456789abcdef\"\n"
 	for i := range 40 {
@@ -129,14 +132,14 @@
 			t.Errorf("%.60q: %v, want %q", text, err, want)
 		}
 	}
-	if _, err := Read([]Source{{"f.hcl", []byte(whole)}}, map[string]string{"cannary": "1"}, names); err == nil || !strings.Contains(err.Error(), "cannary") {
+	if _, err := Read([]Source{{"f.hcl", []byte(completeText)}}, map[string]string{"cannary": "1"}, names); err == nil || !strings.Contains(err.Error(), "cannary") {
 		t.Errorf("a variable that nothing reads: %v", err)
 	}
 }
 
-// Whatever the bytes, the reader ends, and what it takes is taken again as JSON under the same hash.
+// Any bytes are read. The reader ends in time, and what it accepts is read again from its JSON with the same hash.
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(completeText))
 	f.Add([]byte("locals { a = [for x in [1, 2]: x] }\npool \"p\" { pods = local.a }"))
 	f.Add([]byte("pool \"p\" { ids = [\"${\"a\"}\"] }"))
 	f.Add([]byte("drain \"d\" {\n share = 1e-320\n pods = [9223372036854775807]\n}"))
--- a/internal/fleetconfig/selector.go
+++ b/internal/fleetconfig/selector.go
@@ -11,30 +11,30 @@
 	"go4.org/netipx"
 )
 
-// Server is what is known of a server, as selectors and plans see it.
+// Server is what is known of a server, as selectors and plans see it. Its JSON is part of plans.
 type Server struct {
-	ID        string  `json:"id"`
-	Addr      string  `json:"addr"` // host and port
-	Kind      string  `json:"kind,omitempty"`
-	Zone      string  `json:"zone,omitempty"`
-	Pod       int     `json:"pod"`
-	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"started_ms"` // its latest start on the agent's clock; tells two lives apart
-	Draining  bool    `json:"draining,omitempty"`
+	ID         string  `json:"id"`
+	Addr       string  `json:"addr"` // host and port
+	Kind       string  `json:"kind,omitempty"`
+	Zone       string  `json:"zone,omitempty"`
+	Pod        int     `json:"pod"`
+	Weight     float64 `json:"weight"`
+	StartedMS  int64   `json:"started_ms"` // its latest start on the agent's clock, in milliseconds; tells two incarnations apart
+	IsDraining bool    `json:"draining,omitempty"`
 }
 
-// Selector names servers. A server is selected that fits every list which is not empty; in a list any word does. With no
-// list all servers are.
+// Selector selects servers. A server is selected that matches every list which is not empty; it matches a list by any of its terms.
+// Without lists all servers are selected.
 type Selector struct {
 	Kinds    []string       `json:"kinds,omitempty"`
 	Zones    []string       `json:"zones,omitempty"`
 	Pods     []int          `json:"pods,omitempty"`
 	IDs      []string       `json:"ids,omitempty"`
-	Networks []netip.Prefix `json:"networks,omitempty"` // of their addresses
+	Networks []netip.Prefix `json:"networks,omitempty"` // of the servers' addresses
 }
 
 func (s *Selector) normalize() {
-	s.Kinds, s.Zones, s.IDs, s.Pods = sorted(s.Kinds), sorted(s.Zones), sorted(s.IDs), sorted(s.Pods)
+	s.Kinds, s.Zones, s.IDs, s.Pods = sortUnique(s.Kinds), sortUnique(s.Zones), sortUnique(s.IDs), sortUnique(s.Pods)
 	for i, p := range s.Networks {
 		s.Networks[i] = p.Masked()
 	}
@@ -42,22 +42,23 @@
 	s.Networks = slices.Compact(s.Networks)
 }
 
-func sorted[T cmp.Ordered](words []T) []T {
-	slices.Sort(words)
-	return slices.Compact(words)
+func sortUnique[T cmp.Ordered](terms []T) []T {
+	slices.Sort(terms)
+	return slices.Compact(terms)
 }
 
-func (s *Selector) words() int {
+// termCount returns the number of terms in all lists.
+func (s *Selector) termCount() int {
 	return len(s.Kinds) + len(s.Zones) + len(s.Pods) + len(s.IDs) + len(s.Networks)
 }
 
-// Matcher is a Selector that is ready for use.
+// Matcher tests servers against a Selector. It is safe for concurrent use.
 type Matcher struct {
 	selector Selector
-	networks *netipx.IPSet // nil without any
+	networks *netipx.IPSet // nil where the selector has none
 }
 
-// Matcher prepares a normalized selector.
+// Matcher returns the matcher of a normalized selector.
 func (s Selector) Matcher() (*Matcher, error) {
 	m := &Matcher{selector: s}
 	if len(s.Networks) == 0 {
@@ -75,13 +76,13 @@
 	return m, nil
 }
 
-// MatchesAll reports whether all servers are selected, whatever they are.
-func (m *Matcher) MatchesAll() bool { return m.selector.words() == 0 }
+// MatchesAll reports whether every server is selected, whatever it is.
+func (m *Matcher) MatchesAll() bool { return m.selector.termCount() == 0 }
 
 // Matches reports whether a server is selected.
 func (m *Matcher) Matches(s *Server) bool {
 	sel := &m.selector
-	if !fits(sel.Kinds, s.Kind) || !fits(sel.Zones, s.Zone) || !fits(sel.Pods, s.Pod) || !fits(sel.IDs, s.ID) {
+	if !matchesList(sel.Kinds, s.Kind) || !matchesList(sel.Zones, s.Zone) || !matchesList(sel.Pods, s.Pod) || !matchesList(sel.IDs, s.ID) {
 		return false
 	}
 	if m.networks == nil {
@@ -91,36 +92,37 @@
 	return err == nil && m.networks.Contains(at.Addr().Unmap())
 }
 
-func fits[T cmp.Ordered](words []T, word T) bool {
-	if len(words) == 0 {
+// matchesList reports whether a sorted list has a term or is empty.
+func matchesList[T cmp.Ordered](terms []T, term T) bool {
+	if len(terms) == 0 {
 		return true
 	}
-	_, found := slices.BinarySearch(words, word)
+	_, found := slices.BinarySearch(terms, term)
 	return found
 }
 
-// SelectShare returns the given share of the servers, rounded up: the first by a hash of id and salt. A larger share holds the
-// servers of a smaller one, and one that comes or goes moves few others.
+// SelectShare returns a share of the servers, rounded up: the first by a hash of salt and id. A larger share includes the servers of a
+// smaller one, and a server that comes or goes moves few others.
 func SelectShare(servers []*Server, salt string, share float64) []*Server {
 	n := int(math.Ceil(share * float64(len(servers)) * (1 - 1e-9))) // 0.25 of 4 is 1 whatever the rounding
 	n = min(max(n, 0), len(servers))
 	if n == len(servers) {
 		return servers
 	}
-	type ranked struct {
+	type rankedServer struct {
 		server *Server
 		rank   uint64
 	}
-	order := make([]ranked, len(servers))
+	order := make([]rankedServer, len(servers))
 	for i, s := range servers {
-		order[i] = ranked{s, xxhash.Sum64String(salt + "\x00" + s.ID)}
+		order[i] = rankedServer{s, xxhash.Sum64String(salt + "\x00" + s.ID)}
 	}
-	slices.SortFunc(order, func(a, b ranked) int {
+	slices.SortFunc(order, func(a, b rankedServer) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.server.ID, b.server.ID))
 	})
-	part := make([]*Server, n)
-	for i := range part {
-		part[i] = order[i].server
+	selected := make([]*Server, n)
+	for i := range selected {
+		selected[i] = order[i].server
 	}
-	return part
+	return selected
 }
--- a/internal/plan/golden_test.go
+++ b/internal/plan/golden_test.go
@@ -34,7 +34,7 @@
 			Limits:   []LimitEffect{{Limit: "lerwick", Arrived: 140, Rejected: 16}},
 			Steps:    []RolloutStep{{DrainedServers: 1, AfterSeconds: 0.5}, {DrainedServers: 2, AfterSeconds: 6}}},
 		ServerFacts: []fleetconfig.Server{{ID: "s-1", Addr: "127.0.0.2:81", Kind: "twin-core", Zone: "edinburgh-dc", Pod: 3, Weight: 1.5,
-			StartedMS: 1700000000456, Draining: true}},
+			StartedMS: 1700000000456, IsDraining: true}},
 	}
 	for _, kind := range []string{FlagDrainsKind, FlagEmptiesPod, FlagEmptiesRoute, FlagTakesCapacity, FlagMovesIdempotent, FlagRejectsRequests, FlagMayRollBack} {
 		p.Flags = append(p.Flags, Flag{Kind: kind, Text: "text of " + kind})
@@ -86,7 +86,7 @@
 	servers := generation.Servers{}
 	for i, id := range []string{"s-0", "s-1", "s-2", "s-3", "s-4", "s-5"} {
 		servers[id] = &fleetconfig.Server{ID: id, Addr: "10.0.0." + id[2:] + ":80", Kind: []string{"twin-core", "quad-core"}[i%2], Zone: "edinburgh-dc",
-			Pod: i / 2, Weight: 1 + float64(i)/4, StartedMS: 1000 + int64(i), Draining: i == 5}
+			Pod: i / 2, Weight: 1 + float64(i)/4, StartedMS: 1000 + int64(i), IsDraining: i == 5}
 	}
 	return Input{Agent: "n0", Number: 7, From: from, To: to, Servers: servers, IdempotentClasses: []string{"refund-record"}, MaxCapacityTaken: 0.25, UnixMS: 1700000000123,
 		Names: generation.Names{Classes: []generation.Class{{Name: "form-check", LatencyObjective: time.Second}, {Name: "refund-record", LatencyObjective: time.Second}},
@@ -137,7 +137,7 @@
 	now := *was
 	now.BaseNumber, now.BaseHash, now.ServerFacts = 8, strings.Repeat("c", 64), append([]fleetconfig.Server(nil), was.ServerFacts[1:]...)
 	now.ServerFacts[0].StartedMS++
-	now.ServerFacts[1].Draining = true
+	now.ServerFacts[1].IsDraining = true
 	now.ServerFacts[2].Pod++
 	now.ServerFacts = append(now.ServerFacts, fleetconfig.Server{ID: "s-9"})
 	golden.Equal(t, "plan/moved.txt", []byte(strings.Join(was.ChangesSince(&now), "\n")+"\n"))
--- a/internal/plan/make.go
+++ b/internal/plan/make.go
@@ -81,7 +81,7 @@
 	e := &b.plan.Effect
 	kinds, zones, pods := map[string]*Capacity{}, map[string]*Capacity{}, map[string]*Capacity{}
 	for id, s := range b.in.Servers {
-		if s.Draining {
+		if s.IsDraining {
 			continue
 		}
 		for _, c := range []*Capacity{&e.Capacity, capacityOf(kinds, s.Kind), capacityOf(zones, s.Zone), capacityOf(pods, strconv.Itoa(s.Pod))} {
@@ -162,7 +162,7 @@
 		return b.plan.Effect.Capacity.ServersAfter
 	}
 	for _, id := range ids {
-		if s := b.in.Servers[id]; s != nil && !s.Draining && !b.to.DrainedIDs()[id] {
+		if s := b.in.Servers[id]; s != nil && !s.IsDraining && !b.to.DrainedIDs()[id] {
 			n++
 		}
 	}
--- a/internal/plan/outdated.go
+++ b/internal/plan/outdated.go
@@ -40,9 +40,9 @@
 		return "has come"
 	case old.StartedMS != current.StartedMS:
 		return "has restarted"
-	case old.Draining != current.Draining && current.Draining:
+	case old.IsDraining != current.IsDraining && current.IsDraining:
 		return "drains"
-	case old.Draining != current.Draining:
+	case old.IsDraining != current.IsDraining:
 		return "no longer drains"
 	}
 	return "has changed its address, kind, zone, pod or weight"
