--- a/internal/fleet/corroborate/exclusions_test.go
+++ b/internal/fleet/corroborate/exclusions_test.go
@@ -62,7 +62,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		e, now := New(), second
 		servers := rapid.IntRange(1, 60).Draw(t, "servers")
-		if rapid.Bool().Draw(t, "the own list is heard") {
+		if rapid.Bool().Draw(t, "the own list is confirmed") {
 			e.SetConfirmedListSize(servers)
 		} else {
 			e.SetCachedListSize(servers)
--- a/internal/fleet/gossip/eventloop.go
+++ b/internal/fleet/gossip/eventloop.go
@@ -18,7 +18,7 @@
 	link        *Link
 	totalLimit  leakyBucket
 	dropLogged  time.Duration // when a dropped datagram was logged last; 0: never
-	isReachable []bool        // by number, as the handler was told last
+	isReachable []bool        // by number, as HandleLiveness was called with last
 }
 
 func newEventLoop(n *Node, socket *net.UDPConn, handler Handler) *eventLoop {
--- a/internal/fleet/gossip/node.go
+++ b/internal/fleet/gossip/node.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// SetKeys replaces the keys. It doesn't wait until they are in force.
+// SetKeys replaces the keys. It doesn't wait until they are in force, and before Run the last ones count.
 func (n *Node) SetKeys(k Keys) {
 	select {
 	case <-n.keys: // keys that Run hasn't taken yet are out of date
--- a/internal/fleet/overload/overload_test.go
+++ b/internal/fleet/overload/overload_test.go
@@ -263,14 +263,14 @@
 	for i := range 6 {
 		d.view.applyReport(now+100*time.Millisecond, LoadReport{Server: ServerID(fmt.Sprint("s-", i)), Utilization: 0.1, Capacity: 1e6}, false)
 	}
-	any := func(uint32) bool { return true }
-	if load := d.view.fleetCapacity(now+100*time.Millisecond, any); load.capacity > 660 {
+	allReady := func(uint32) bool { return true }
+	if load := d.view.fleetCapacity(now+100*time.Millisecond, allReady); load.capacity > 660 {
 		t.Errorf("servers are taken to serve %v", load.capacity)
 	}
 	d = newController(4) // also of servers that never answered this agent
 	addServers(d, now, 1, 0.45, 50, true)
 	addServers(d, now, 6, 0.1, 1e6, false)
-	if load := d.view.fleetCapacity(now, any); load.capacity > 660 {
+	if load := d.view.fleetCapacity(now, allReady); load.capacity > 660 {
 		t.Errorf("servers that never answered are taken to serve %v", load.capacity)
 	}
 	d = newController(4) // and without an own answer the local controller decides
--- a/internal/fleet/overload/view.go
+++ b/internal/fleet/overload/view.go
@@ -13,7 +13,7 @@
 	maxObservationsPerServer = 6
 )
 
-// urgentUtilization is the utilization from which a server that reaches it is told of without delay.
+// urgentUtilization is the utilization from which a server that reaches it is reported without delay.
 const urgentUtilization = 0.85
 
 // FleetView is the fleet as one agent sees it: the latest digest of each agent, and the latest report and the observations of each server.
--- a/internal/fleet/recovery/decisions_test.go
+++ b/internal/fleet/recovery/decisions_test.go
@@ -45,25 +45,25 @@
 	r := make(0)
 	pods := []*tracePod{}
 	now, was := time.Hour, FullService
-	listed := func(s *tracePod, start time.Duration) {
+	updateServer := func(s *tracePod, start time.Duration) {
 		r.UpdateServer(now, Server{ID: s.id, Cell: s.cell, Ready: true, Started: start}, true)
 	}
 	for i := range 12 {
 		pods = append(pods, &tracePod{id: "s" + strconv.Itoa(i), cell: i / 3, up: true, use: 0.5})
-		listed(pods[i], 0)
+		updateServer(pods[i], 0)
 	}
 	r.ListApplied(now)
-	var out []traceTry
-	refused := map[int]bool{}
+	var inFlight []traceTry
+	rejectedClasses := map[int]bool{}
 	ask := func() {
 		a := admission.Request{Class: rnd.Below(3), Tenant: -1, IsRetry: rnd.Chance(0.2), MayHaveRun: rnd.Chance(0.02), Deadline: now + time.Second}
 		if rnd.Chance(0.5) {
 			a.Key = "k" + strconv.Itoa(rnd.Below(500))
 		}
-		p, refusal := r.Arrive(now, a)
-		tr.Add(now, p == nil, refusal.RetryAfter, refusal.Limit, refusal.IsRetry)
+		p, rejection := r.Arrive(now, a)
+		tr.Add(now, p == nil, rejection.RetryAfter, rejection.Limit, rejection.IsRetry)
 		if p == nil {
-			refused[a.Class] = true
+			rejectedClasses[a.Class] = true
 			tr.Count("turned away")
 			return
 		}
@@ -88,7 +88,7 @@
 		case now-pod.started < time.Second && rnd.Chance(0.3):
 			x.at = now + rnd.Millis(300, 900)
 		}
-		out = append(out, x)
+		inFlight = append(inFlight, x)
 	}
 	power := func(s *tracePod, up bool) {
 		s.up = up
@@ -109,12 +109,12 @@
 			power(pods[step/20%12], true)
 		case step > 1400 && step < 1700 && step%20 == 0:
 			s := pods[step/20%12]
-			listed(s, s.started)
+			updateServer(s, s.started)
 			r.ListApplied(now)
 		case step == 2500: // all restart at once
 			for _, s := range pods {
 				power(s, true)
-				listed(s, now)
+				updateServer(s, now)
 			}
 			r.ListApplied(now)
 		case step == 3300: // the agent restarts, and does not know what has become of the fleet
@@ -139,7 +139,7 @@
 		case step == 4400:
 			for _, s := range pods {
 				power(s, true)
-				listed(s, now)
+				updateServer(s, now)
 			}
 			r.ListApplied(now)
 		case step == 5200: // and with all that it knew
@@ -147,19 +147,19 @@
 			r = make(0)
 			r.Resume(before)
 			r.UpdateServer(now, Server{ID: "s1", Gone: true}, true)
-			listed(pods[1], 0)
+			updateServer(pods[1], 0)
 			r.Retune([]admission.Class{watched[0], {Priority: 0.5, LatencyObjective: 400e6}, watched[2], {Priority: 3, LatencyObjective: 300e6, Idempotent: true}})
 		case step == 5300:
 			r = make(0)
 			r.Start(now, Baseline{}, "restart")
 		case step == 5350: // warm servers
 			for _, s := range pods {
-				listed(s, 0)
+				updateServer(s, 0)
 			}
 			r.ListApplied(now)
 		}
-		rest := out[:0:0]
-		for _, x := range out {
+		rest := inFlight[:0:0]
+		for _, x := range inFlight {
 			if x.at > now {
 				rest = append(rest, x)
 				continue
@@ -174,7 +174,7 @@
 				r.ObserveAttempt(now, x.pod.id, x.pod.up, !x.pod.up, rate, use)
 			}
 		}
-		out = rest
+		inFlight = rest
 		for owed += 4 * rnd.Share(); owed >= 1; owed-- {
 			ask()
 		}
@@ -217,7 +217,7 @@
 		}
 	}
 	kinds := []int{}
-	for class := range refused {
+	for class := range rejectedClasses {
 		kinds = append(kinds, class)
 	}
 	slices.Sort(kinds)
