--- a/internal/coalesce/identity.go
+++ b/internal/coalesce/identity.go
@@ -10,12 +10,12 @@
 	"golang.org/x/crypto/blake2b"
 )
 
-// Digest stands for what a request asks: two requests with the same one get the same answer. It is as long as it is so
-// that nobody can find two requests that share one.
+// Digest stands for the content of a request: requests with the same one get the same answer. It is long enough that nobody can find two
+// requests that share one.
 type Digest [blake2b.Size256]byte
 
-// Identity makes digests, by BLAKE2b-256 (RFC 7693) under a key of its own: what a digest stands for can't be told, or
-// prepared, by who does not have the key. It is safe for concurrent use.
+// Identity makes digests, by BLAKE2b-256 (RFC 7693) under a random key: without the key nobody can tell what a digest stands for, or prepare
+// one. It is safe for concurrent use.
 type Identity struct{ hashes sync.Pool }
 
 // NewIdentity draws a key.
@@ -36,8 +36,8 @@
 	}}}, nil
 }
 
-// Owner is the digest of a list of parts. Each counts with its length, so that no two lists share one by where the parts end.
-func (id *Identity) Of(parts ...string) (d Digest) {
+// Digest returns the digest of a list of parts. Each counts with its length, so that no two lists share one by where the parts end.
+func (id *Identity) Digest(parts ...string) (d Digest) {
 	h := id.hashes.Get().(hash.Hash)
 	defer id.hashes.Put(h)
 	h.Reset()
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -342,7 +342,7 @@
 		tenant = strconv.Itoa(c.Tenant)
 	}
 	parts := []string{r.Method, r.Host, r.URL.RequestURI(), tenant, string(body)}
-	d := j.Identity.Of(append(parts, requesthead.IdentityHeaders(r.Header)...)...)
+	d := j.Identity.Digest(append(parts, requesthead.IdentityHeaders(r.Header)...)...)
 	return &d
 }
 
