--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -10,18 +10,18 @@
 	"appleledge/internal/besteffort"
 )
 
-// listener is one of so many places whose connections a test opens.
-type listener struct {
+// testListener is a listener whose connections a test opens.
+type testListener struct {
 	t *testing.T
 	*Listener
 }
 
-func listen(t *testing.T, most int, o Options) listener {
-	return listener{t, New(agenttest.Listen(t), most, o)}
+func listen(t *testing.T, limit int, o Options) testListener {
+	return testListener{t, New(agenttest.Listen(t), limit, o)}
 }
 
-// accept opens a connection and takes it.
-func (l listener) accept() (*conn, net.Conn) {
+// accept opens a connection and accepts it.
+func (l testListener) accept() (*conn, net.Conn) {
 	l.t.Helper()
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -36,34 +36,35 @@
 	return c.(*conn), far
 }
 
-func (l listener) has(c *conn) bool {
-	_, open := l.open[c]
-	return open
+func (l testListener) has(c *conn) bool {
+	_, isOpen := l.conns[c]
+	return isOpen
 }
 
-// Room is made by those without a request: one that is being served stays, and so does the number of places.
-func TestWhoMakesRoom(t *testing.T) {
+// A full listener gets more connections. Idle ones are closed for them, then one that reads a request; one in use stays, and with all in
+// use the next one waits.
+func TestIdleConnectionsAreReapedFirst(t *testing.T) {
 	table := listen(t, 3, Options{})
 	accept := func() *conn { c, _ := table.accept(); return c }
 	busy, kept, silent := accept(), accept(), accept()
-	busy.now(inUse)
-	kept.now(inUse)
+	busy.setUse(inUse)
+	kept.setUse(inUse)
 	ConnState(kept, http.StateIdle)
 	reader := accept()
 	ConnState(reader, http.StateActive)
 	for i, want := range []*conn{silent, kept, reader} {
-		if _, open := table.open[want]; i > 0 && !open {
+		if _, open := table.conns[want]; i > 0 && !open {
 			t.Errorf("connection %d was closed too early", i)
 		}
 		if i > 0 {
-			accept().now(inUse)
+			accept().setUse(inUse)
 		}
-		if _, open := table.open[want]; open {
+		if _, open := table.conns[want]; open {
 			t.Errorf("connection %d should have made room", i)
 		}
 	}
-	if _, open := table.open[busy]; !open || len(table.open) != 3 {
-		t.Errorf("busy open: %v, %d in all", open, len(table.open))
+	if _, open := table.conns[busy]; !open || len(table.conns) != 3 {
+		t.Errorf("busy open: %v, %d in all", open, len(table.conns))
 	}
 	// With all in use the next one waits, until one is free or the listener closes.
 	done := make(chan error)
@@ -74,9 +75,9 @@
 	}
 }
 
-// A client that takes its time stays as long as something comes of it; one that has begun and says nothing more goes, ahead of
-// those between requests, and ahead of one that has only just connected.
-func TestASlowClientStays(t *testing.T) {
+// A slow client sends its request byte by byte, and another one has stalled. The stalled one is closed first, ahead of those between
+// requests and of one that has only just connected; the slow one stays.
+func TestSlowClientIsNotReapedWhileItSends(t *testing.T) {
 	const patience = 50 * time.Millisecond
 	table := listen(t, 4, Options{FirstRequestTimeout: patience})
 	slow, far := table.accept()
@@ -84,7 +85,7 @@
 	stalled, _ := table.accept()
 	ConnState(stalled, http.StateActive)
 	kept, _ := table.accept()
-	kept.now(inUse)
+	kept.setUse(inUse)
 	ConnState(kept, http.StateIdle)
 	for range 4 {
 		time.Sleep(patience / 2)
@@ -101,7 +102,7 @@
 			t.Errorf("connection %d was closed too early", i)
 		}
 		c, _ := table.accept()
-		c.now(inUse)
+		c.setUse(inUse)
 		if table.has(want) {
 			t.Errorf("connection %d should have made room", i)
 		}
--- a/internal/connlimit/crossings_test.go
+++ b/internal/connlimit/crossings_test.go
@@ -16,14 +16,14 @@
 	"appleledge/internal/besteffort"
 )
 
-// gated is a connection whose reads hold what has come until the gate opens, so that something else comes first.
-type gated struct {
+// gatedConn is a connection whose reads hold back what has come until the gate opens, so that something else comes first.
+type gatedConn struct {
 	net.Conn
 	came chan struct{} // has one for each read that holds bytes
 	open chan struct{}
 }
 
-func (g *gated) Read(p []byte) (int, error) {
+func (g *gatedConn) Read(p []byte) (int, error) {
 	n, err := g.Conn.Read(p)
 	if n > 0 {
 		g.came <- struct{}{}
@@ -32,49 +32,50 @@
 	return n, err
 }
 
-// gate puts a gate between a connection and its socket.
-func gate(c *conn) *gated {
-	g := &gated{c.Conn, make(chan struct{}, 10), make(chan struct{})}
+// addGate puts a gate between a connection and its socket.
+func addGate(c *conn) *gatedConn {
+	g := &gatedConn{c.Conn, make(chan struct{}, 10), make(chan struct{})}
 	c.Conn = g
 	return g
 }
 
-type read struct {
+type readResult struct {
 	n   int
 	err error
 }
 
-// A request that comes in the moment in which its connection is ended, by a drain or to make room, is not handed over: it could
-// be served, and its answer not be written.
-func TestARequestThatCrossesTheEndIsDropped(t *testing.T) {
-	for name, end := range map[string]func(listener){
-		"drain": func(l listener) { l.Drain() },
-		"room":  func(l listener) { l.accept() },
+// A request comes in the moment in which its connection is ended, by a drain or to make room. It is not handed over: it could be served,
+// and its answer not be written.
+func TestRequestThatCrossesTheCloseIsDropped(t *testing.T) {
+	for name, end := range map[string]func(testListener){
+		"drain": func(l testListener) { l.Drain() },
+		"room":  func(l testListener) { l.accept() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := listen(t, 1, Options{})
 			c, far := l.accept()
-			g := gate(c)
-			got := make(chan read, 1)
-			go func() { n, err := c.Read(make([]byte, 100)); got <- read{n, err} }()
+			g := addGate(c)
+			got := make(chan readResult, 1)
+			go func() { n, err := c.Read(make([]byte, 100)); got <- readResult{n, err} }()
 			if _, err := far.Write([]byte("GET / HTTP/1.1\r\n\r\n")); err != nil {
 				t.Fatal(err)
 			}
 			<-g.came
 			end(l)
 			close(g.open)
-			if r := <-got; r != (read{0, io.EOF}) {
+			if r := <-got; r != (readResult{0, io.EOF}) {
 				t.Errorf("%d bytes were handed over, %v", r.n, r.err)
 			}
 		})
 	}
 }
 
-// A drain leaves a connection alone whose next request has begun, and ends it as soon as it would rest again.
-func TestADrainWaitsForWhatHasBegun(t *testing.T) {
+// The listener drains while a client has sent half of its next request. That connection is left alone, and ended as soon as it would be
+// idle again; the client reads its answer.
+func TestDrainWaitsForBegunRequest(t *testing.T) {
 	l := listen(t, 3, Options{})
 	c, far := l.accept()
-	c.now(inUse)
+	c.setUse(inUse)
 	ConnState(c, http.StateIdle)
 	if _, err := far.Write([]byte("GET /")); err != nil {
 		t.Fatal(err)
@@ -101,13 +102,13 @@
 	agenttest.Eventually(t, "its place is free", func() bool { return l.OpenCount() == 0 })
 }
 
-// A close over bytes that were not read does not reset the connection: the client reads its answer and a proper end. The place is
-// free as soon as the client has closed too, or has had a while for it.
-func TestAnAnswerOutlivesTheClose(t *testing.T) {
+// The server closes a connection on which bytes were not read. The connection is not reset: the client reads its answer and a proper end.
+// The place is free as soon as the client has closed too, or has had a while for it.
+func TestLingeringCloseDeliversAnswer(t *testing.T) {
 	for name, client := range map[string]func(net.Conn){
 		"closes":          func(c net.Conn) { besteffort.Close(c) },
 		"rests":           func(net.Conn) {},
-		"goes on sending": func(c net.Conn) { besteffort.IgnoreResult(c.Write(make([]byte, 2*lingerMost))) },
+		"goes on sending": func(c net.Conn) { besteffort.IgnoreResult(c.Write(make([]byte, 2*maxLingerBytes))) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := listen(t, 3, Options{})
@@ -133,31 +134,32 @@
 	}
 }
 
-// Who lingers goes first when room is needed, whatever it was used for.
-func TestLingeringMakesRoom(t *testing.T) {
+// Room is needed while a closed connection lingers. It goes first, whatever it was used for.
+func TestLingeringConnectionIsReapedFirst(t *testing.T) {
 	l := listen(t, 2, Options{})
 	silent, _ := l.accept()
 	over, _ := l.accept()
-	over.now(inUse)
+	over.setUse(inUse)
 	if _, err := over.Write([]byte("answer")); err != nil {
 		t.Fatal(err)
 	}
 	besteffort.Close(over)
-	began := time.Now()
+	start := time.Now()
 	l.accept()
 	if !l.has(silent) || l.has(over) {
-		t.Errorf("the silent one is open: %v, the lingering one: %v, after %v", l.has(silent), l.has(over), time.Since(began))
+		t.Errorf("the silent one is open: %v, the lingering one: %v, after %v", l.has(silent), l.has(over), time.Since(start))
 	}
 }
 
-// A client whose next request has begun to come keeps its place before one that rests, however long it was without a request.
-func TestAConnectionWithItsNextRequestStays(t *testing.T) {
+// Room is needed while one client's next request has begun to come and another one is idle. The idle one is closed, however long the other
+// was without a request.
+func TestConnectionWithNextRequestIsNotReaped(t *testing.T) {
 	l := listen(t, 2, Options{})
 	begun, far := l.accept()
-	begun.now(inUse)
+	begun.setUse(inUse)
 	ConnState(begun, http.StateIdle)
 	rests, _ := l.accept()
-	rests.now(inUse)
+	rests.setUse(inUse)
 	ConnState(rests, http.StateIdle)
 	if _, err := far.Write([]byte("GET /")); err != nil {
 		t.Fatal(err)
@@ -171,29 +173,29 @@
 	}
 }
 
-// counting is a listener that counts what reads of its connections have brought something.
-type counting struct {
+// countingListener counts the reads of its connections that have brought something.
+type countingListener struct {
 	*Listener
 	reads atomic.Int32
 }
 
-func (l *counting) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err == nil {
 		c := raw.(*conn)
-		c.Conn = counted{c.Conn, &l.reads}
+		c.Conn = countingConn{c.Conn, &l.reads}
 	}
 	return raw, err
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
 	reads *atomic.Int32
 }
 
-func (c counted) NetConn() net.Conn { return c.Conn }
+func (c countingConn) NetConn() net.Conn { return c.Conn }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.reads.Add(1)
@@ -201,9 +203,9 @@
 	return n, err
 }
 
-// A client that goes while its request is open is noticed, however it goes, and whatever it has sent behind the request, at once or later: net/http reads
-// one byte beyond what came with the head, and no further.
-func TestAClientThatGoesIsNoticed(t *testing.T) {
+// A client leaves while its request is open: it closes, ends its sending or resets, with bytes behind the request or none. net/http reads one
+// byte of those and no further, so it does not see the end; the request is canceled all the same.
+func TestClientThatLeavesCancelsItsRequest(t *testing.T) {
 	behind := make([]byte, 16<<10)
 	for name, goes := range map[string]func(*net.TCPConn){
 		"closes":           func(c *net.TCPConn) { besteffort.Close(c) },
@@ -219,7 +221,7 @@
 		} {
 			t.Run(name+" behind "+sent, func(t *testing.T) {
 				t.Parallel()
-				l := &counting{Listener: New(agenttest.Listen(t), 2, Options{})}
+				l := &countingListener{Listener: New(agenttest.Listen(t), 2, Options{})}
 				ready, began, left := make(chan struct{}), make(chan struct{}), make(chan struct{})
 				srv := &http.Server{ConnState: ConnState, ConnContext: ConnContext, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 					<-ready
@@ -257,7 +259,7 @@
 				}
 				select {
 				case <-left:
-					t.Fatal("taken for gone while it waits")
+					t.Fatal("canceled while the client waits")
 				default:
 				}
 				goes(far.(*net.TCPConn))
@@ -274,8 +276,8 @@
 	}
 }
 
-// Whether a client has gone is known before its request begins, also where something lies behind the request.
-func TestWhoLeftIsKnownBehindBytes(t *testing.T) {
+// A client sends a request with bytes behind it, and leaves before the request begins. HasClientLeft knows of it.
+func TestHasClientLeftBehindUnreadBytes(t *testing.T) {
 	l := listen(t, 2, Options{})
 	c, far := l.accept()
 	ctx := ConnContext(t.Context(), c)
@@ -289,50 +291,51 @@
 	agenttest.Eventually(t, "it has left", func() bool { return HasClientLeft(ctx) })
 }
 
-// What is done for a connection ends with it, and so does looking whether its client has gone, in either order.
-func TestNothingOutlivesAConnection(t *testing.T) {
+// A request is over, or its connection is closed, in either order. What was done for the connection ends, and so does the goroutine that
+// checks whether its client has left.
+func TestPeerWatchEndsWithConnection(t *testing.T) {
 	for name, ends := range map[string]func(c *conn){
-		"its request is over": func(c *conn) { c.now(unused) },
+		"its request is over": func(c *conn) { c.setUse(idle) },
 		"it is closed":        func(c *conn) { besteffort.Close(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				near, far := net.Pipe()
 				table := New(nil, 1, Options{})
-				c := &conn{Conn: near, table: table}
-				c.finish = sync.OnceValue(c.letGo)
-				looks := func() bool {
+				c := &conn{Conn: near, listener: table}
+				c.closeNow = sync.OnceValue(c.release)
+				isWatched := func() bool {
 					table.mu.Lock()
 					defer table.mu.Unlock()
-					return c.looks
+					return c.isWatched
 				}
 				ctx := ConnContext(t.Context(), c)
-				c.now(inUse)
+				c.setUse(inUse)
 				go func() { besteffort.IgnoreResult(far.Write([]byte("x"))) }()
 				if _, err := c.Read(make([]byte, 1)); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(10 * lookEvery)
-				if ctx.Err() != nil || !looks() {
-					t.Errorf("while it is in use: %v, looked at: %v", ctx.Err(), looks())
+				time.Sleep(10 * peerCheckInterval)
+				if ctx.Err() != nil || !isWatched() {
+					t.Errorf("while it is in use: %v, watched: %v", ctx.Err(), isWatched())
 				}
 				ends(c)
-				time.Sleep(2 * lookEvery)
-				if looks() {
-					t.Error("it is looked at still")
+				time.Sleep(2 * peerCheckInterval)
+				if isWatched() {
+					t.Error("it is still watched")
 				}
 				besteffort.Close(c)
 				if ctx.Err() == nil {
 					t.Error("its context goes on")
 				}
-				c.now(unused) // so that this test ends, whatever it found
+				c.setUse(idle) // so that this test ends, whatever it found
 			})
 		})
 	}
 }
 
-// A connection that had to make room before anything was done for it has no context that goes on.
-func TestClosedBeforeItsContext(t *testing.T) {
+// A connection is closed to make room before net/http asks for its context. The context has ended.
+func TestConnContextOfReapedConnectionIsCanceled(t *testing.T) {
 	l := listen(t, 1, Options{})
 	c, _ := l.accept()
 	l.accept() // needs its place
--- /dev/null
+++ b/internal/connlimit/httpserver.go
@@ -0,0 +1,68 @@
+package connlimit
+
+import (
+	"context"
+	"net"
+	"net/http"
+)
+
+// ConnState is for http.Server.ConnState: it hears what happens on a connection.
+func ConnState(raw net.Conn, state http.ConnState) {
+	c, ok := raw.(*conn)
+	if !ok {
+		return
+	}
+	switch state {
+	case http.StateActive:
+		c.setUse(readingRequest)
+	case http.StateIdle:
+		c.setUse(idle)
+	}
+}
+
+type connKey struct{}
+
+// ConnContext is for http.Server.ConnContext. Handlers find the connection of their request in its context, which ends when the client has left.
+func ConnContext(ctx context.Context, raw net.Conn) context.Context {
+	if c, ok := raw.(*conn); ok {
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
+		if ctx, c.cancelRequest = context.WithCancel(ctx); c.isClosing { // it was closed to make room in the meantime
+			c.cancelRequest()
+		}
+	}
+	return context.WithValue(ctx, connKey{}, raw)
+}
+
+// Conn returns the connection of a request as the listener below this one accepted it; nil where there is none.
+func Conn(ctx context.Context) net.Conn {
+	if c, ok := ctx.Value(connKey{}).(*conn); ok {
+		return c.Conn
+	}
+	return nil
+}
+
+// IsEnded reports whether the connection of a request was ended before the request began. It is not to be served then: no answer can be
+// written, and its client sends it once more.
+func IsEnded(ctx context.Context) bool {
+	c, ok := ctx.Value(connKey{}).(*conn)
+	if !ok {
+		return false
+	}
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.isEnded
+}
+
+// HasClientLeft reports whether the client of a request has closed its connection by now.
+func HasClientLeft(ctx context.Context) bool {
+	c, ok := ctx.Value(connKey{}).(*conn)
+	return ok && c.isPeerGone()
+}
+
+// MarkInUse marks the connection of a request as in use, until net/http has written the answer.
+func MarkInUse(ctx context.Context) {
+	if c, ok := ctx.Value(connKey{}).(*conn); ok {
+		c.setUse(inUse)
+	}
+}
--- /dev/null
+++ b/internal/connlimit/peerwatch.go
@@ -0,0 +1,40 @@
+package connlimit
+
+import (
+	"net"
+	"time"
+
+	"appleledge/internal/sockstate"
+)
+
+// peerCheckInterval is the time between two checks whether a client has left that has sent something behind its request.
+const peerCheckInterval = 25 * time.Millisecond
+
+// watchPeer checks whether the client has left, while its request is open, and cancels the request then. It runs in a goroutine of its own,
+// which ends within peerCheckInterval of the request.
+func (c *conn) watchPeer() {
+	ticker := time.NewTicker(peerCheckInterval)
+	defer ticker.Stop()
+	for range ticker.C {
+		isGone := c.isPeerGone()
+		c.listener.mu.Lock()
+		isOver := c.use == idle || c.isClosing || isGone
+		c.isWatched = !isOver
+		c.listener.mu.Unlock()
+		if isGone {
+			c.cancelRequest()
+		}
+		if isOver {
+			return
+		}
+	}
+}
+
+// isPeerGone reports whether the client has ended its side.
+func (c *conn) isPeerGone() bool {
+	raw := c.Conn
+	if f, ok := raw.(interface{ NetConn() net.Conn }); ok {
+		raw = f.NetConn()
+	}
+	return sockstate.HasPeerClosed(raw)
+}
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -79,7 +79,7 @@
 
 // full reports whether so many requests are open that no other one is let in.
 func (s *Server) full(open int64) bool {
-	most := int64(MaxInFlightRatio * float64(s.clients.Most()))
+	most := int64(MaxInFlightRatio * float64(s.clients.Limit()))
 	if s.MaxInFlight > 0 {
 		most = min(most, int64(s.MaxInFlight))
 	}
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -8,8 +8,8 @@
 	"appleledge/internal/besteffort"
 )
 
-// pair are two ends of a connection that close with the test.
-func pair(t *testing.T) (near, far net.Conn) {
+// connPair returns the two ends of a connection that close with the test.
+func connPair(t *testing.T) (near, far net.Conn) {
 	l := agenttest.Listen(t)
 	far, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -23,9 +23,10 @@
 	return near, far
 }
 
-// A look tells silence, bytes and the end apart, takes nothing, and does not wait for a goroutine that reads.
-func TestLook(t *testing.T) {
-	c, far := pair(t)
+// A client is silent, sends two bytes and closes, while a goroutine reads its connection. Peek tells the states apart, takes none of the
+// bytes, and does not wait for the goroutine.
+func TestPeekTellsStatesApart(t *testing.T) {
+	c, far := connPair(t)
 	if s := Peek(c); s != Idle {
 		t.Errorf("at first %v", s)
 	}
@@ -65,15 +66,15 @@
 	}
 }
 
-// The end is seen behind bytes that nobody takes, and none is seen before it has come.
-func TestGone(t *testing.T) {
+// A client sends bytes that nobody reads, then closes, ends its sending or resets. HasPeerClosed is false before that and true after it.
+func TestHasPeerClosedBehindUnreadBytes(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"closes":           func(c *net.TCPConn) { besteffort.Close(c) },
 		"ends its sending": func(c *net.TCPConn) { besteffort.Ignore(c.CloseWrite()) },
 		"resets":           func(c *net.TCPConn) { besteffort.Ignore(c.SetLinger(0)); besteffort.Close(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, far := pair(t)
+			c, far := connPair(t)
 			if HasPeerClosed(c) {
 				t.Error("gone at first")
 			}
