--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -73,9 +73,9 @@
 	OutcomeCanceled // its client left
 )
 
-// Rejection is what a client is told whose request is not admitted: trying again is harmless.
+// Rejection is the answer to a request that is not admitted: trying again is harmless.
 type Rejection struct {
-	RetryAfter time.Duration // it had better stay away for so long; 0 where clients are told nothing
+	RetryAfter time.Duration // for which the client should stay away; 0 where clients are sent none
 	Limit      int           // requests that are admitted at a time
 	IsRetry    bool          // the request is taken for a retry
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -120,16 +120,16 @@
 // requests in flight returns to zero, and nothing is kept of what has ended.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w, now := New(options()), time.Second
+		controller, now := New(options()), time.Second
 		var open []*Permit
 		rt.Repeat(map[string]func(*rapid.T){
 			"arrive": func(rt *rapid.T) {
 				a := Request{Class: rapid.IntRange(0, 1).Draw(rt, "class"), Tenant: rapid.IntRange(-1, 2).Draw(rt, "tenant"),
 					Key: rapid.StringMatching(`[a-e]?`).Draw(rt, "key"), IsRetry: rapid.Bool().Draw(rt, "again"),
 					MayHaveRun: rapid.Bool().Draw(rt, "bound"), Deadline: now + time.Duration(rapid.IntRange(1, 2000).Draw(rt, "patience"))*ms}
-				p, rejection := w.Arrive(now, a)
-				if p == nil && (a.MayHaveRun || w.Counts().State == Normal || rejection.RetryAfter <= 0 || rejection.RetryAfter > time.Second) {
-					rt.Fatalf("%+v is rejected in %v until %v", a, w.Counts().State, rejection.RetryAfter)
+				p, rejection := controller.Arrive(now, a)
+				if p == nil && (a.MayHaveRun || controller.Counts().State == Normal || rejection.RetryAfter <= 0 || rejection.RetryAfter > time.Second) {
+					rt.Fatalf("%+v is rejected in %v until %v", a, controller.Counts().State, rejection.RetryAfter)
 				}
 				if p != nil {
 					open = append(open, p)
@@ -138,24 +138,24 @@
 			"done": func(rt *rapid.T) {
 				if len(open) > 0 {
 					i := rapid.IntRange(0, len(open)-1).Draw(rt, "which")
-					w.Done(now, open[i], Outcome(rapid.IntRange(0, 3).Draw(rt, "end")))
-					w.Done(now, open[i], OutcomeFailed) // a second end does not count
+					controller.Done(now, open[i], Outcome(rapid.IntRange(0, 3).Draw(rt, "end")))
+					controller.Done(now, open[i], OutcomeFailed) // a second end does not count
 					open = append(open[:i], open[i+1:]...)
 				}
 			},
 			"pass": func(rt *rapid.T) { now += time.Duration(rapid.IntRange(0, 900).Draw(rt, "time")) * ms },
 			"": func(rt *rapid.T) {
-				if c := w.Counts(); c.InFlight < 0 || c.InFlight > len(open) || c.Limit < 0 || w.expectedRetries.Len() > 256 {
+				if c := controller.Counts(); c.InFlight < 0 || c.InFlight > len(open) || c.Limit < 0 || controller.expectedRetries.Len() > 256 {
 					rt.Fatalf("%+v with %d open", c, len(open))
 				}
 			},
 		})
 		for _, p := range open {
-			w.Done(now, p, OutcomeServed)
+			controller.Done(now, p, OutcomeServed)
 		}
-		w.advance(now + time.Second)
-		if c := w.Counts(); c.InFlight != 0 || len(w.permits) != 0 {
-			rt.Fatalf("left: %+v, %d in the queue", c, len(w.permits))
+		controller.advance(now + time.Second)
+		if c := controller.Counts(); c.InFlight != 0 || len(controller.permits) != 0 {
+			rt.Fatalf("left: %+v, %d in the queue", c, len(controller.permits))
 		}
 	})
 }
@@ -297,17 +297,17 @@
 
 // A class is added while the controller runs, and another one loses its priority. Each has the share of the limit that its priority gives.
 func TestClassesMayChange(t *testing.T) {
-	w := New(Options{Classes: []Class{{Priority: 1, LatencyObjective: time.Second, Idempotent: true}, {Priority: 10, LatencyObjective: time.Second}}, MaxRemembered: 10})
-	if w.fillableShare[1] != 1 || w.fillableShare[0] >= 1 {
-		t.Fatalf("shares of the limit %v", w.fillableShare)
+	controller := New(Options{Classes: []Class{{Priority: 1, LatencyObjective: time.Second, Idempotent: true}, {Priority: 10, LatencyObjective: time.Second}}, MaxRemembered: 10})
+	if controller.fillableShare[1] != 1 || controller.fillableShare[0] >= 1 {
+		t.Fatalf("shares of the limit %v", controller.fillableShare)
 	}
-	w.Retune([]Class{{Priority: 0, LatencyObjective: time.Second, Idempotent: true}, {Priority: 10, LatencyObjective: time.Second}, {Priority: 100, LatencyObjective: time.Second}})
-	if w.fillableShare[2] != 1 || w.fillableShare[1] >= 1 || w.fillableShare[0] >= w.fillableShare[1] {
-		t.Errorf("shares of the limit %v", w.fillableShare)
+	controller.Retune([]Class{{Priority: 0, LatencyObjective: time.Second, Idempotent: true}, {Priority: 10, LatencyObjective: time.Second}, {Priority: 100, LatencyObjective: time.Second}})
+	if controller.fillableShare[2] != 1 || controller.fillableShare[1] >= 1 || controller.fillableShare[0] >= controller.fillableShare[1] {
+		t.Errorf("shares of the limit %v", controller.fillableShare)
 	}
-	p, _ := w.Arrive(time.Second, Request{Class: 2, Deadline: 2 * time.Second})
-	w.Done(time.Second, p, OutcomeServed)
-	if n := len(w.Counts().Rejected); n != 3 {
+	p, _ := controller.Arrive(time.Second, Request{Class: 2, Deadline: 2 * time.Second})
+	controller.Done(time.Second, p, OutcomeServed)
+	if n := len(controller.Counts().Rejected); n != 3 {
 		t.Errorf("%d classes are counted", n)
 	}
 }
--- a/internal/admission/decisions_test.go
+++ b/internal/admission/decisions_test.go
@@ -31,7 +31,7 @@
 	const rejectedRatio, canceledRatio = 0.02, 0.02 // of the admitted requests
 	tr, rnd := golden.NewTrace(1000), golden.Random(seed)
 	classes := []Class{{Priority: 1, LatencyObjective: 300e6, Idempotent: true}, {Priority: 10, LatencyObjective: 400e6}, {Priority: 10, LatencyObjective: 200e6, Idempotent: true}, {Priority: 4, LatencyObjective: 300e6}}
-	w := New(Options{Classes: classes, Quotas: []float64{0.3, 0.3, 0.4}, MaxRetryAfter: 500 * time.Millisecond, MaxRemembered: 300, Seed: uint64(seed)})
+	controller := New(Options{Classes: classes, Quotas: []float64{0.3, 0.3, 0.4}, MaxRetryAfter: 500 * time.Millisecond, MaxRemembered: 300, Seed: uint64(seed)})
 	var out []tracePermit
 	var again, due []traceCaller
 	now, was, owed := time.Hour, Normal, 0.0
@@ -42,7 +42,7 @@
 	phase := func() int { return min(int((now-time.Hour)/(2500*time.Millisecond)), len(phases)-1) }
 	come := func(c traceCaller) {
 		c.request.Deadline = now + c.patience
-		p, r := w.Arrive(now, c.request)
+		p, r := controller.Arrive(now, c.request)
 		tr.Add(now, p == nil, r.RetryAfter, r.Limit, r.IsRetry)
 		if p == nil {
 			tr.Count("turned away")
@@ -59,7 +59,7 @@
 		tr.Count("let in")
 		tr.CountIf(p.IsRetry, "repeats let in")
 		if rnd.Chance(0.02) {
-			w.Revoke(now, p)
+			controller.Revoke(now, p)
 			tr.Count("withdrawn")
 			c.attemptsLeft--
 			c.at = now + rnd.Millis(1, 100)
@@ -92,10 +92,10 @@
 				continue
 			}
 			atWork--
-			w.Done(now, x.p, x.end)
+			controller.Done(now, x.p, x.end)
 			tr.Count("ends of kind " + strconv.Itoa(int(x.end)))
 			if rnd.Chance(0.02) {
-				w.Done(now, x.p, OutcomeFailed) // the first word counts
+				controller.Done(now, x.p, OutcomeFailed) // the first word counts
 			}
 			if x.caller.attemptsLeft--; (x.end == OutcomeRejected || x.end == OutcomeFailed) && x.caller.attemptsLeft > 0 {
 				x.caller.request.MayHaveRun = x.end == OutcomeFailed && rnd.Chance(0.2)
@@ -131,15 +131,15 @@
 		}
 		if rnd.Chance(0.01) {
 			p := NewPermit(now, Request{Class: 1, Key: "e" + strconv.Itoa(step)}, IssuedByFleet)
-			w.ObserveExternal(now+1, p, Outcome(rnd.Below(4)))
+			controller.ObserveExternal(now+1, p, Outcome(rnd.Below(4)))
 			come(traceCaller{request: Request{Class: 1, Key: "e" + strconv.Itoa(step)}, attemptsLeft: 1, patience: time.Second})
 		}
 		if step == 6500 {
 			next := append(append([]Class{}, classes...), Class{Priority: 2, LatencyObjective: 100e6})
 			next[0].Priority = 20
-			w.Retune(next)
+			controller.Retune(next)
 		}
-		c := w.Counts()
+		c := controller.Counts()
 		if c.State != was {
 			tr.Count(fmt.Sprintf("from state %d to %d", int(was), int(c.State)))
 			was = c.State
--- a/internal/admission/golden_texts_test.go
+++ b/internal/admission/golden_texts_test.go
@@ -24,13 +24,13 @@
 			}
 		}
 	}
-	full := c.capacity
+	fullCapacity := c.capacity
 	for _, part := range []struct {
-		room, fails float64 // of what the fleet holds, and of what it is sent
-		lasts       time.Duration
+		capacityRatio, failureRatio float64 // of what the fleet holds, and of what it is sent
+		lasts                       time.Duration
 	}{{1, 0, 10 * time.Second}, {1, 0.6, 2300 * ms}, {1, 0, 10 * time.Second}, {1, 0.6, 3 * time.Second}, {1, 0, 25 * time.Second}, {0, 0, 12 * time.Second},
 		{0.4, 0, 10 * time.Second}, {0, 0, 12 * time.Second}, {1, 0, 30 * time.Second}} {
-		c.capacity, c.failureRatio = int(part.room*float64(full)), part.fails
+		c.capacity, c.failureRatio = int(part.capacityRatio*float64(fullCapacity)), part.failureRatio
 		pass(part.lasts)
 	}
 	golden.Equal(t, "texts/storm.txt", out)
--- a/internal/admission/priority.go
+++ b/internal/admission/priority.go
@@ -7,7 +7,7 @@
 // Shares of the limit that kinds of requests may fill. They multiply.
 const (
 	classShareStep     = 0.75 // of what the next higher class may fill
-	punctualRetryShare = 0.9  // for a retry that comes when it was told to, or was told nothing
+	punctualRetryShare = 0.9  // for a retry that comes after its Retry-After, or had none
 	earlyRetryShare    = 0.7  // for one that comes before
 	overQuotaShare     = 0.6  // for a tenant that sends more than its quota
 
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -21,8 +21,8 @@
 	notBefore time.Duration // the end of its Retry-After
 }
 
-// classifyRetry reports whether the request is a retry, as it says or as one is expected, and whether it comes no sooner than it was told
-// to. It sets MayHaveRun where an earlier attempt may have run. One unserved request explains one retry, or the many clients that
+// classifyRetry reports whether the request is a retry, as it says or as one is expected, and whether it comes no sooner than its
+// Retry-After allows. It sets MayHaveRun where an earlier attempt may have run. One unserved request explains one retry, or the many clients that
 // send the same popular form would be taken for retries of the few that were rejected.
 func (c *Controller) classifyRetry(now time.Duration, r *Request) (isRetry, isPunctual bool) {
 	if r.Key == "" {
--- a/internal/affinity/affinity.go
+++ b/internal/affinity/affinity.go
@@ -27,7 +27,7 @@
 )
 
 // Key is an idempotency key's keyed hash (SipHash-2-4 with 128 bits; J.-P. Aumasson and D. J. Bernstein, 2012). The keys
-// themselves are stored nowhere, and whoever does not know the secret cannot make two keys of one hash.
+// themselves are stored nowhere, and without the secret nobody can make two keys of one hash.
 type Key [2]uint64
 
 // Secret is what keys are hashed with. It belongs to an installation and is the same after a restart.
--- a/internal/affinity/bindinglog/inspect.go
+++ b/internal/affinity/bindinglog/inspect.go
@@ -82,7 +82,7 @@
 }
 
 // Obsolete reports whether no record of the file is of use any more: it is of another boot, or each is older than the retention.
-// A file that cannot be read is never obsolete, as whoever knows its format may want it.
+// A file that cannot be read is never obsolete, as another version may know its format.
 func (r FileReport) Obsolete(bootID string, now, retention time.Duration) bool {
 	if r.Problem != "" {
 		return false
--- a/internal/connlimit/httpserver.go
+++ b/internal/connlimit/httpserver.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// ConnState is for http.Server.ConnState: it hears what happens on a connection.
+// ConnState is for http.Server.ConnState: it is called with each change of a connection's state.
 func ConnState(raw net.Conn, state http.ConnState) {
 	c, ok := raw.(*conn)
 	if !ok {
--- a/internal/membership/changes.go
+++ b/internal/membership/changes.go
@@ -9,7 +9,7 @@
 )
 
 // mark notes that a member may have changed for the engine. What takes capacity away goes to the front, even of an id that already
-// waits behind thousands of new ones: until the engine hears of a drain it sends requests to a server that shuts down.
+// waits behind thousands of new ones: until the engine receives a drain it sends requests to a server that shuts down.
 func (t *Table) mark(id string) {
 	isEnding, isPending := t.pending[id]
 	switch current, known := t.current(id), t.delivered[id]; {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -19,7 +19,7 @@
 
 // Update is what a source says: the whole list, or the members that changed.
 type Update struct {
-	Full      bool            // Members is the whole list: whoever is not named in it or in Retained is removed
+	Full      bool            // Members is the whole list: members neither in it nor in Retained are removed
 	Members   []engine.Member // with State Removed only in changes
 	Retained  []string        // ids of members that stay as they were, such as entries that could not be read
 	DropRatio float64         // share of requests that the source wants shed now, from 0 to 1
@@ -61,7 +61,7 @@
 
 	mu                sync.Mutex // guards what follows
 	table             *Table
-	updateReceived    bool // an update came of which the engine has not heard yet
+	updateReceived    bool // an update came that was not delivered yet
 	subscriptionEnded bool // and so did the end of a subscription
 	loggedSource      int  // the active source that the log last named
 }
--- a/internal/membership/platform/ondemand.go
+++ b/internal/membership/platform/ondemand.go
@@ -10,7 +10,7 @@
 	"appleledge/internal/membership"
 )
 
-// Times of an on-demand list. What discovery lists counts as told 4 s after a new configuration and 6 s after any other call that
+// Times of an on-demand list. What discovery lists counts as notified 4 s after a new configuration and 6 s after any other call that
 // failed, and an answer may take 2 s.
 const (
 	defaultMaxWatchTimeout       = 20 * time.Second        // a poll waits from a fifth of it up to all of it, at random
@@ -40,7 +40,7 @@
 }
 
 // awaitSubscription waits until the list is to be polled: when the balancer subscribes, or, after a call that failed, by the time at
-// which a change would count as told. False means that the context has ended.
+// which a change would count as notified. False means that the context has ended.
 func (d *Discovery) awaitSubscription(ctx context.Context) bool {
 	var backoffOver <-chan time.Time
 	if d.isUnreachable && d.hasEndpoints {
@@ -58,7 +58,7 @@
 }
 
 // onDemandBackoff draws how long an on-demand list is left alone after a call that failed. Most agents then poll for changes alone, which
-// costs discovery little. The first pause after an address change is the half, as the whole list counts as told sooner there.
+// costs discovery little. The first pause after an address change is the half, as the whole list counts as notified sooner there.
 func (d *Discovery) onDemandBackoff() time.Duration {
 	limit := d.maxBackoff
 	if d.isFirstCallAfterMove {
--- a/internal/membership/platform/ondemand_test.go
+++ b/internal/membership/platform/ondemand_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// A poll falls silent while discovery has a drain to tell, which counts as told 2 s after the poll's wait. The agent asks for changes
+// A poll falls silent while discovery has a drain to tell, which counts as notified 2 s after the poll's wait. The agent asks for changes
 // before that, once and without the balancer, whose backoff would take seconds. When that call fails too, the balancer hears of it.
 func TestSilentWatchIsRepeatedAtOnce(t *testing.T) {
 	drains := agenttest.EntryText("s-old", "127.0.0.1:1", "Terminating", 0)
@@ -173,7 +173,7 @@
 	}
 }
 
-// Three polls fail while discovery lists a drain, and the balancer subscribes only once. What is listed counts as told some seconds after
+// Three polls fail while discovery lists a drain, and the balancer subscribes only once. What is listed counts as notified some seconds after
 // discovery could be reached, so the agent polls on its own by then, for changes alone.
 func TestOnDemandListIsPolledDespiteFailures(t *testing.T) {
 	drains := agenttest.EntryText("s-old", "127.0.0.1:1", "Terminating", 0)
@@ -197,7 +197,7 @@
 }
 
 // Discovery moves to another address, and the first calls there fail. What the new one lists is not known at all yet and counts as
-// told sooner, so the agent fetches the whole list on its own, after a shorter pause.
+// notified sooner, so the agent fetches the whole list on its own, after a shorter pause.
 func TestOnDemandListIsPolledAfterAddressChange(t *testing.T) {
 	for name, hasCachedList := range map[string]bool{"cached list": true, "list of this discovery": false} {
 		t.Run(name, func(t *testing.T) {
@@ -271,13 +271,13 @@
 const recoveredCallTime = 500 * time.Millisecond
 
 // The balancer does not subscribe. After a call that failed, an agent that holds endpoints polls in time, and no two agents at the same
-// time. Without endpoints nothing could be told too late, and before a call has failed nothing is late: then the balancer alone
+// time. Without endpoints nothing could be notified too late, and before a call has failed nothing is late: then the balancer alone
 // decides.
 func TestOnDemandBackoffWithoutSubscription(t *testing.T) {
 	for name, tt := range map[string]struct {
 		down, holds, moved bool
 		asks               bool
-		told               time.Duration // after which what is listed counts as told
+		notifiedAfter      time.Duration // after which what is listed counts as notified
 		answer             time.Duration // that the next call may take
 	}{
 		"holds a list, a call failed":                     {true, true, false, true, 6 * time.Second, 2 * time.Second},
@@ -297,7 +297,7 @@
 					asks := d.awaitSubscription(ctx)
 					took := time.Since(began)
 					stop()
-					if asks != tt.asks || asks && (took < 800*time.Millisecond || took+tt.answer > tt.told-recoveredCallTime) {
+					if asks != tt.asks || asks && (took < 800*time.Millisecond || took+tt.answer > tt.notifiedAfter-recoveredCallTime) {
 						t.Fatalf("asks: %v, after %v", asks, took)
 					}
 					seen[took] = true
--- a/internal/membership/platform/platform.go
+++ b/internal/membership/platform/platform.go
@@ -4,14 +4,17 @@
 //
 // A pushed list comes from a discovery on the agent's own machine, where calls cost nothing. It is followed by short long polls
 // back to back (followPushed). A call that hangs is not waited for: the next one begins beside it, at the latest
-// pushWatchTimeout and hungCallDelay after the one before. What discovery lists after an outage counts as told at once, and a
+// pushWatchTimeout and hungCallDelay after the one before. What discovery lists after an outage counts as notified at once, and a
 // draining server gets new requests for 500 ms at most, so an agent that waited out its call would send requests too late.
 //
 // An on-demand list (Options.OnDemand) comes from one service for all agents, which works through calls in turn. It is polled
 // only when the balancer subscribes, and its long polls are long and end at random times (followOnDemand). A poll that falls
-// silent, or whose answer can't be read, may have had a drain to tell, which counts as told 2 s after the poll's end all the
+// silent, or whose answer can't be read, may have had a drain to report, which counts as notified 2 s after the poll's end all the
 // same: so changes are asked for at once, without a wait, and once. Any other failure ends the subscription, and the balancer
-// backs off; but an agent that holds endpoints polls on its own before what is new could count as told (onDemandBackoff).
+// backs off; but an agent that holds endpoints polls on its own before what is new could count as notified (onDemandBackoff).
+//
+// Discovery holds an agent to a change from the moment at which it counts it as notified: when the agent's poll has been answered, or a
+// stated time after it should have been.
 //
 // # Versions
 //
@@ -71,7 +74,7 @@
 	isUnreachable         bool // the last call failed
 	hasEndpoints          bool // a list is held, of discovery or the cached one
 	isFirstCallAfterMove  bool // no call to the present address has ended yet, and there was another address before
-	hasServerTime         bool // discovery at this address has told the time
+	hasServerTime         bool // discovery at this address has sent a date
 }
 
 // Options say where discovery is and how its list is to be read.
--- a/internal/membership/platform/watch.go
+++ b/internal/membership/platform/watch.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Times of a pushed list. A change counts as told 2 s after the wait of a poll is over, so silence must be noticed before that;
+// Times of a pushed list. A change counts as notified 2 s after the wait of a poll is over, so silence must be noticed before that;
 // and a poll counts as a new one when it comes 200 ms after the one before.
 const (
 	pushWatchTimeout = 300 * time.Millisecond // how long a poll waits for changes
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -42,7 +42,7 @@
 	// Invariant: an id whose current member differs from delivered is in pending, and in the queue that pending says; ids may also
 	// stand in a queue that are not pending any more, or in both.
 	delivered map[string]engine.Member // as the engine has them, or will once it has taken the changes that were handed out
-	pending   map[string]bool          // ids of which the engine is to hear; true: in endings, false: in others
+	pending   map[string]bool          // ids that are to be delivered; true: in endings, false: in others
 	endings   []string                 // changes that take capacity away; they go first
 	others    []string
 }
--- a/internal/membership/xds/source.go
+++ b/internal/membership/xds/source.go
@@ -1,4 +1,4 @@
-// Package xds is the membership source that follows a control plane by xDS, the protocol by which Envoy and gRPC hear of clusters and
+// Package xds is the membership source that follows a control plane by xDS, the protocol by which Envoy and gRPC learn of clusters and
 // endpoints: aggregated over one gRPC stream, in the state-of-the-world or the incremental variant. It subscribes to clusters
 // (CDS) and endpoints (EDS). See https://www.envoyproxy.io/docs/envoy/latest/api-docs/xds_protocol.
 //
