--- /dev/null
+++ b/internal/downstream/http1/answers.go
@@ -0,0 +1,93 @@
+package http1
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"appleledge/internal/besteffort"
+	"appleledge/internal/downstream/requesthead"
+	"appleledge/internal/engine"
+	"appleledge/internal/upstream/http1"
+)
+
+// statuses are the HTTP status codes of the kinds of answers.
+var statuses = [...]int{engine.Served: http.StatusOK, engine.Rejected: http.StatusServiceUnavailable,
+	engine.Failed: http.StatusBadGateway, engine.Conflict: http.StatusConflict}
+
+// refuse rejects a request that the engine has not seen. If a part of its body is unread, the connection is closed.
+func (s *Server) reject(w http.ResponseWriter, c *engine.Call, unread bool) {
+	s.Engine.CountRejected(c)
+	if unread {
+		w.Header().Set("Connection", "close")
+	}
+	writeHeadAndBody(w, engine.Answer{Kind: engine.Rejected, RetryAfter: fullRetryAfter})
+}
+
+// writeAnswer writes the final answer.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, up *http1.Upload, a engine.Answer) {
+	if up != nil && a.Kind != engine.Served {
+		broken := end(w, up)
+		w.Header().Set("Connection", "close")
+		if broken != nil && up.ReadError() != nil {
+			rejectMalformed(w, badBody(up.ReadError()))
+			return
+		}
+	}
+	resp, ok := a.Payload.(*http1.Response)
+	if !ok || resp.Rest == nil {
+		writeHeadAndBody(w, a)
+		return
+	}
+	if s.LargeBodies == nil || resp.Length < 0 && !r.ProtoAtLeast(1, 1) { // its end could not be told from a broken connection
+		resp.Discard()
+		writeHeadAndBody(w, engine.Answer{Kind: engine.Failed})
+		return
+	}
+	writeHeadAndBody(w, a)
+	s.LargeBodies.pass(r.Context(), w, resp)
+}
+
+// rejectMalformed answers malformed input. It closes the connection, as the next bytes may belong to that input.
+func rejectMalformed(w http.ResponseWriter, err error) {
+	status := http.StatusBadRequest
+	if bad, ok := errors.AsType[requesthead.BadRequestError](err); ok {
+		status = bad.Status
+	}
+	w.Header().Set("Connection", "close")
+	http.Error(w, err.Error(), status)
+}
+
+// serveReadiness answers GET /ready.
+func (s *Server) serveReadiness(w http.ResponseWriter) {
+	if !s.Engine.Ready() || s.draining.Load() {
+		http.Error(w, "not ready", http.StatusServiceUnavailable)
+		return
+	}
+	besteffort.IgnoreResult(io.WriteString(w, "ready\n"))
+}
+
+// write writes an answer, or its first part. A write error means that the client has left, which net/http handles.
+func writeHeadAndBody(w http.ResponseWriter, a engine.Answer) {
+	h := w.Header()
+	var resp http1.Response
+	if made, ok := a.Payload.(*http1.Response); ok {
+		resp = *made
+	}
+	if resp.Length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(resp.Length, 10))
+	}
+	if resp.ContentType != "" {
+		h.Set("Content-Type", resp.ContentType)
+	} else {
+		h["Content-Type"] = nil // keeps net/http from guessing
+	}
+	for _, header := range requesthead.RetryAfterHeaders(a) {
+		h.Set(header[0], header[1])
+	}
+	besteffort.Ignore(http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)))
+	w.WriteHeader(statuses[a.Kind])
+	besteffort.IgnoreResult(w.Write(resp.Body))
+}
--- a/internal/downstream/http1/golden_test.go
+++ b/internal/downstream/http1/golden_test.go
@@ -53,12 +53,12 @@
 	}
 	var out strings.Builder
 	for _, a := range answers {
-		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { write(w, a) }))
+		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeHeadAndBody(w, a) }))
 		out.WriteString(exchange(t, srv.Listener.Addr().String(), "GET /form-check HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 		srv.Close()
 	}
 	for _, err := range []error{errors.New("any"), requesthead.BadRequestError{Status: http.StatusNotFound, Text: "unknown class"}} {
-		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { turnAway(w, err) }))
+		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { rejectMalformed(w, err) }))
 		out.WriteString(exchange(t, srv.Listener.Addr().String(), "GET /form-check HTTP/1.1\r\nHost: h\r\n\r\n"))
 		srv.Close()
 	}
@@ -75,7 +75,7 @@
 	}
 	s := New(Options{Engine: engine.New(b, engine.NewClock(), nil, nil), Clock: engine.NewClock(), MaxInFlight: 1,
 		Rules: requesthead.Rules{Classes: classes, Tenants: []string{"glasgow-airport"}}}, connlimit.New(nil, 2, connlimit.Options{}))
-	s.held.Store(1)
+	s.inFlight.Store(1)
 	srv := httptest.NewServer(s)
 	defer srv.Close()
 	const (
--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -1,4 +1,6 @@
-// Package http1 takes requests from clients that speak HTTP/1.1.
+// Package http1 is the downstream server for clients that speak HTTP/1.1. It reads and checks requests, hands them to the
+// engine as calls, and writes each the one answer that the engine gives. It decides nothing but what must be decided before
+// the engine sees a request: malformed input, and too many requests in flight. drain.go has the end of a process.
 package http1
 
 import (
@@ -22,63 +24,64 @@
 )
 
 const (
-	writeTimeout = 2 * time.Second // for an answer that the client does not read
+	writeTimeout = 2 * time.Second // for writing an answer to a client that does not read
 
 	// HeaderTimeout limits the time for the head of a request, from when the client connected.
 	HeaderTimeout = 1500 * time.Millisecond
 	// BodyTimeout limits the time for the body of a request, from when its head was read.
 	BodyTimeout = 1200 * time.Millisecond
 
-	clientIdle = 2100 * time.Millisecond // an idle client connection is closed
-	maxHeader  = 16 << 10
+	idleTimeout    = 2100 * time.Millisecond // after which an idle client connection is closed
+	maxHeaderBytes = 16 << 10
 
 	// MaxInFlightRatio is the share of the clients' connections that may have a request in flight; the rest are answered at once.
 	MaxInFlightRatio = 0.8
 
-	heldRetry = time.Second // the come-back time when too much is open
+	fullRetryAfter = time.Second // Retry-After of requests that are rejected because the server is full
 )
 
-// Options are what a Server is made of. All but MaxInFlight, DrainAcceptDuration, Leave, Joins and Large must be set.
+// Options configure a Server. All but MaxInFlight, DrainAcceptDuration, OnDrain, Coalescing and LargeBodies must be set.
 type Options struct {
 	Rules               requesthead.Checker
 	Engine              *engine.Engine
 	Clock               engine.Clock
-	Transport           engine.Transport // of the calls
-	MaxInFlight         int              // requests open at a time; 0: as many as there are connections
-	DrainAcceptDuration time.Duration    // new connections are accepted for so long after the signal to end
-	// OnDrain is told that the signal has come. It reports whether another process serves now and takes new connections. It
+	Transport           engine.Transport // that forwards the calls
+	MaxInFlight         int              // limit of requests in flight; 0: as many as there are connections
+	DrainAcceptDuration time.Duration    // after the signal to end, in which new connections are accepted
+
+	// OnDrain is called when the drain begins. It reports whether another process of the agent accepts new connections. It
 	// may be nil.
 	OnDrain     func() bool
 	Log         *slog.Logger
-	Coalescing  *Coalescing  // nil: no request says what it asks, so that the engine joins none
-	LargeBodies *LargeBodies // nil: bodies have intake.MaxBody at the most, and clients are quick
+	Coalescing  *Coalescing  // nil: no requests are coalesced
+	LargeBodies *LargeBodies // nil: bodies have at most requesthead.MaxBody bytes, and clients must be fast
 }
 
-// Coalescing says which requests say what they ask, so that the engine may answer like ones together.
+// Coalescing says which requests get a digest, by which the engine coalesces identical ones. It is safe for concurrent use.
 type Coalescing struct {
 	Identity     *coalesce.Identity
-	Classes      atomic.Pointer[[]bool] // by number, as they are now
-	TenantsApart bool                   // requests of two tenants are never alike
+	Classes      atomic.Pointer[[]bool] // by number: whether requests of the class are coalesced
+	TenantsApart bool                   // the tenant is a part of the digest
 }
 
-// Server is the side that faces the clients.
+// Server answers clients. Its methods are safe for concurrent use.
 type Server struct {
 	Options
-	held    atomic.Int64 // requests that are open
-	leaving atomic.Bool
-	closing atomic.Bool   // answers close their connections
-	until   atomic.Int64  // when all has to be answered, on the clock, once it is leaving
-	last    chan struct{} // closed then
-	clients *connlimit.Listener
+	inFlight      atomic.Int64 // requests that were accepted and have no answer yet
+	draining      atomic.Bool
+	closing       atomic.Bool   // each answer closes its connection
+	drainDeadline atomic.Int64  // by the engine's clock: when each request must have its answer; 0 before the drain
+	finalAnswers  chan struct{} // closed then
+	clients       *connlimit.Listener
 }
 
-// New returns a server of the connections from a listener.
+// New returns a server of the connections that clients accepts.
 func New(o Options, clients *connlimit.Listener) *Server {
-	return &Server{Options: o, clients: clients, last: make(chan struct{})}
+	return &Server{Options: o, clients: clients, finalAnswers: make(chan struct{})}
 }
 
-// full reports whether so many requests are open that no other one is let in.
-func (s *Server) full(open int64) bool {
+// isFull reports whether more requests are in flight than allowed.
+func (s *Server) isFull(open int64) bool {
 	most := int64(MaxInFlightRatio * float64(s.clients.Most()))
 	if s.MaxInFlight > 0 {
 		most = min(most, int64(s.MaxInFlight))
@@ -86,9 +89,10 @@
 	return open > most
 }
 
-// Serve answers clients until the context ends and what was taken by then is answered. That takes for as long as it
-// accepts and longest more, at most; waits says by then how long clients wait, as they would like to and at most.
-func (s *Server) Serve(ctx context.Context, waits func() (usually, longest time.Duration)) error {
+// Serve serves until the context ends and each request that was accepted has its answer. After the context's end that takes
+// at most DrainAcceptDuration and longest. drainDurations returns at that time how long clients usually wait for an answer,
+// and at most.
+func (s *Server) Serve(ctx context.Context, drainDurations func() (usual, longest time.Duration)) error {
 	srv := s.httpServer()
 	failed := make(chan error, 1)
 	go func() { failed <- srv.Serve(s.clients) }()
@@ -98,13 +102,13 @@
 		return fmt.Errorf("serving clients: %w", err)
 	case <-ctx.Done():
 	}
-	usually, longest := waits()
+	usual, longest := drainDurations()
 	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.DrainAcceptDuration+longest)
 	defer cancel()
-	s.until.Store(int64(s.Clock.Now() + s.DrainAcceptDuration + longest - lastWord))
-	lastWords := time.AfterFunc(s.DrainAcceptDuration+longest-lastWord, func() { close(s.last) })
-	defer lastWords.Stop()
-	if !s.drain(limited, s.DrainAcceptDuration+max(0, longest-usually)) {
+	s.drainDeadline.Store(int64(s.Clock.Now() + s.DrainAcceptDuration + longest - finalAnswerMargin))
+	finalAnswers := time.AfterFunc(s.DrainAcceptDuration+longest-finalAnswerMargin, func() { close(s.finalAnswers) })
+	defer finalAnswers.Stop()
+	if !s.drain(limited, s.DrainAcceptDuration+max(0, longest-usual)) {
 		s.Log.Warn("drained, but some connections were still open")
 	}
 	s.clients.CloseAll()
@@ -114,7 +118,7 @@
 	return nil
 }
 
-// httpServer returns the net/http server that s answers for.
+// httpServer returns the net/http server that calls s.
 func (s *Server) httpServer() *http.Server {
 	head := HeaderTimeout
 	if s.LargeBodies != nil {
@@ -123,169 +127,91 @@
 	return &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: head,
-		IdleTimeout:       clientIdle,
-		MaxHeaderBytes:    maxHeader,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(s.Log.Handler(), slog.LevelWarn),
 		ConnState:         connlimit.ConnState,
 		ConnContext:       connlimit.ConnContext,
 	}
 }
 
-// statuses are the answers' kinds in HTTP.
-var statuses = [...]int{engine.Served: http.StatusOK, engine.Rejected: http.StatusServiceUnavailable,
-	engine.Failed: http.StatusBadGateway, engine.Conflict: http.StatusConflict}
-
 // ServeHTTP gives each request its one answer.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := s.Clock.Now()
-	if connlimit.IsEnded(r.Context()) { // its close and this request have crossed: it was not sent on, and its client sends it once more
+	if connlimit.IsEnded(r.Context()) { // the connection was closed while this request arrived; it was not forwarded, and its client sends it again
 		panic(http.ErrAbortHandler)
 	}
-	if s.closing.Load() || !s.leaving.Load() && s.clients.IsCrowded() {
+	if s.closing.Load() || !s.draining.Load() && s.clients.IsCrowded() {
 		w.Header().Set("Connection", "close")
 	}
 	if s.LargeBodies != nil {
 		if err := checkFraming(r.Context()); err != nil {
-			turnAway(w, err)
+			rejectMalformed(w, err)
 			return
 		}
 	}
 	if r.URL.Path == "/ready" {
-		s.readiness(w)
+		s.serveReadiness(w)
 		return
 	}
 	c, up, release, err := s.accept(w, r, began)
 	defer release()
 	if errors.Is(err, errFull) {
-		s.refuse(w, c, true)
+		s.reject(w, c, true)
 		return
 	}
 	if err != nil {
-		turnAway(w, err)
+		rejectMalformed(w, err)
 		return
 	}
-	if until := time.Duration(s.until.Load()); until > 0 {
-		if up != nil && s.Clock.Now()+up.ClientTimeout > until { // its time begins with its last byte; nothing was sent yet
-			s.refuse(w, c, true)
+	if until := time.Duration(s.drainDeadline.Load()); until > 0 {
+		if up != nil && s.Clock.Now()+up.ClientTimeout > until { // it could be answered too late, as its time begins with its last byte; nothing was forwarded yet
+			s.reject(w, c, true)
 			return
 		}
-		if up == nil { // what has no answer by then gets its last word
+		if up == nil { // the engine answers it by then
 			c.Deadline = min(c.Deadline, until)
 		}
 	}
 	connlimit.MarkInUse(r.Context())
-	defer s.held.Add(-1)
-	if s.full(s.held.Add(1)) { // nothing was sent yet, so a refusal's promise holds
-		s.refuse(w, c, up != nil)
+	defer s.inFlight.Add(-1)
+	if s.isFull(s.inFlight.Add(1)) { // nothing was forwarded yet, so that a retry is harmless
+		s.reject(w, c, up != nil)
 		return
 	}
 	waits := newCaller()
 	c.Responder = waits
-	if connlimit.HasClientLeft(r.Context()) { // while the request lay unread: nothing begins for who has gone
+	if connlimit.HasClientLeft(r.Context()) { // before its request was read: nothing is forwarded for a client that has left
 		panic(http.ErrAbortHandler)
 	}
 	s.Engine.Arrive(c)
-	last := s.last
+	last := s.finalAnswers
 	for {
 		select {
 		case a := <-waits.answer:
-			s.answer(w, r, up, a)
+			s.writeAnswer(w, r, up, a)
 			return
-		case <-last: // also what was taken before the signal has to be answered by now
+		case <-last: // requests from before the drain must be answered now as well
 			s.Engine.ForceAnswer(c)
 			last = nil
 		case <-r.Context().Done():
 			waits.leave()
 			s.Engine.ClientLeft(c)
-			if up != nil && end(w, up) != nil && errors.Is(up.ReadError(), os.ErrDeadlineExceeded) { // net/http takes that for the client's end
-				turnAway(w, badBody(up.ReadError()))
+			if up != nil && end(w, up) != nil && errors.Is(up.ReadError(), os.ErrDeadlineExceeded) { // net/http reports a read time-out as the client's end
+				rejectMalformed(w, badBody(up.ReadError()))
 				return
 			}
-			panic(http.ErrAbortHandler) // a plain return would make net/http answer 200, which no backend said
-		case <-s.Engine.Done(): // never before the server has drained
+			panic(http.ErrAbortHandler) // a plain return would make net/http answer 200, which no backend has
+		case <-s.Engine.Done(): // never before the drain has ended
 			waits.leave()
-			write(w, engine.Answer{Kind: engine.Failed})
-			return
-		}
-	}
-}
-
-// refuse turns away what the engine has not seen. Of its body there may be some that is not read.
-func (s *Server) refuse(w http.ResponseWriter, c *engine.Call, unread bool) {
-	s.Engine.CountRejected(c)
-	if unread {
-		w.Header().Set("Connection", "close")
-	}
-	write(w, engine.Answer{Kind: engine.Rejected, RetryAfter: heldRetry})
-}
-
-// answer writes the final answer.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, up *http1.Upload, a engine.Answer) {
-	if up != nil && a.Kind != engine.Served {
-		broken := end(w, up)
-		w.Header().Set("Connection", "close")
-		if broken != nil && up.ReadError() != nil {
-			turnAway(w, badBody(up.ReadError()))
+			writeHeadAndBody(w, engine.Answer{Kind: engine.Failed})
 			return
 		}
 	}
-	resp, ok := a.Payload.(*http1.Response)
-	if !ok || resp.Rest == nil {
-		write(w, a)
-		return
-	}
-	if s.LargeBodies == nil || resp.Length < 0 && !r.ProtoAtLeast(1, 1) { // its end could not be told from a break
-		resp.Discard()
-		write(w, engine.Answer{Kind: engine.Failed})
-		return
-	}
-	write(w, a)
-	s.LargeBodies.pass(r.Context(), w, resp)
-}
-
-// turnAway answers bad input. It closes the connection, as what comes behind may be a part of it.
-func turnAway(w http.ResponseWriter, err error) {
-	status := http.StatusBadRequest
-	if bad, ok := errors.AsType[requesthead.BadRequestError](err); ok {
-		status = bad.Status
-	}
-	w.Header().Set("Connection", "close")
-	http.Error(w, err.Error(), status)
-}
-
-func (s *Server) readiness(w http.ResponseWriter) {
-	if !s.Engine.Ready() || s.leaving.Load() {
-		http.Error(w, "not ready", http.StatusServiceUnavailable)
-		return
-	}
-	besteffort.IgnoreResult(io.WriteString(w, "ready\n"))
 }
 
-// write writes an answer, or how it begins. An error means that the client has gone, which net/http deals with.
-func write(w http.ResponseWriter, a engine.Answer) {
-	h := w.Header()
-	var resp http1.Response
-	if made, ok := a.Payload.(*http1.Response); ok {
-		resp = *made
-	}
-	if resp.Length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(resp.Length, 10))
-	}
-	if resp.ContentType != "" {
-		h.Set("Content-Type", resp.ContentType)
-	} else {
-		h["Content-Type"] = nil // do not guess
-	}
-	for _, header := range requesthead.RetryAfterHeaders(a) {
-		h.Set(header[0], header[1])
-	}
-	besteffort.Ignore(http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)))
-	w.WriteHeader(statuses[a.Kind])
-	besteffort.IgnoreResult(w.Write(resp.Body))
-}
-
-// accept reads a request and checks it. What of a large body still comes is an Upload. The body must be there in time, or come
-// at a pace, whatever time-out the client states.
+// accept reads and checks a request. A large body is forwarded as an Upload while it arrives. The body must arrive in time, or
+// at the least rate, whatever timeout the client states. release returns the memory of a large body and is never nil.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request, began time.Duration) (c *engine.Call, up *http1.Upload,
 	release func(), err error) {
 	release = func() {}
@@ -299,9 +225,9 @@
 	}
 	var body []byte
 	if s.LargeBodies != nil {
-		connlimit.MarkInUse(r.Context()) // as long as it keeps its pace
+		connlimit.MarkInUse(r.Context()) // as long as the body arrives at the least rate
 		if body, up, release, err = s.LargeBodies.take(w, r, timeout); err == nil {
-			c.Deadline += s.Clock.Now() - began // a request's time counts from its last byte
+			c.Deadline += s.Clock.Now() - began // a request's timeout counts from its last byte
 		}
 	} else {
 		body, err = readBody(w, r, s.Clock.At(began+min(timeout, BodyTimeout)))
@@ -310,27 +236,27 @@
 		return c, nil, release, err
 	}
 	c.Transport = s.Transport
-	if up != nil { // it has its real deadline when its last byte has been sent on
-		c.Upload, c.Deadline = up, s.Clock.Now()+slowest(r.ContentLength)+timeout
+	if up != nil { // its real deadline is set when its last byte was forwarded
+		c.Upload, c.Deadline = up, s.Clock.Now()+maxUploadTime(r.ContentLength)+timeout
 	}
 	c.Payload = &http1.Request{Method: r.Method, Host: r.Host, URL: r.URL, Header: requesthead.ForwardedHeaders(r.Header), Body: body, Upload: up}
 	if up == nil {
-		c.CoalesceDigest = s.Coalescing.like(c, r, body)
+		c.CoalesceDigest = s.Coalescing.digest(c, r, body)
 	}
 	return c, up, release, nil
 }
 
-// slowest is the time that a body takes to come at the least pace.
-func slowest(length int64) time.Duration {
+// maxUploadTime returns how long a body of that length may take to arrive.
+func maxUploadTime(length int64) time.Duration {
 	if length < 0 {
 		length = http1.MaxLargeBody
 	}
-	return paceFrom + time.Duration(float64(length)/leastPace*float64(time.Second))
+	return bodyGracePeriod + time.Duration(float64(length)/minBodyRate*float64(time.Second))
 }
 
-// like is what a request asks, or nil of one that is not to be joined. All counts that goes on to a backend but for who
-// asks. A client that wants an answer made for itself gets it (RFC 9111, sections 5.2.1.4 and 5.2.1.5).
-func (j *Coalescing) like(c *engine.Call, r *http.Request, body []byte) *coalesce.Digest {
+// digest returns the digest of all that is forwarded to a backend except who asks; nil for a request that must not be
+// coalesced. A client that wants a response of its own gets one (RFC 9111, sections 5.2.1.4 and 5.2.1.5).
+func (j *Coalescing) digest(c *engine.Call, r *http.Request, body []byte) *coalesce.Digest {
 	if j == nil {
 		return nil
 	}
@@ -346,7 +272,7 @@
 	return &d
 }
 
-// readBody reads the whole body, which must be there in time.
+// readBody reads the complete body, which must arrive in time.
 func readBody(w http.ResponseWriter, r *http.Request, until time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -367,60 +293,3 @@
 	}
 	return body, nil
 }
-
-// lastWord is how long an answer may take to be written, before a process that is told to end does so.
-const lastWord = 60 * time.Millisecond
-
-// keepFor is how long idle connections are kept once another process serves. What crosses their close is lost, so each ends
-// with its next answer; what comes later than this might not be answered before the process is killed.
-const keepFor = 600 * time.Millisecond
-
-// lastAnswers is for how long answers close their connections before those that are idle are closed, as a close may cross a request.
-const lastAnswers = 300 * time.Millisecond
-
-// look is how often a drain looks whether anybody is connected.
-const look = 10 * time.Millisecond
-
-// lameDuck goes on taking requests, for DrainAcceptDuration in any case and no longer than anybody is connected. At the end answers close
-// their connections.
-func (s *Server) lameDuck(ctx context.Context, wait time.Duration) {
-	began := s.Clock.Now()
-	s.await(ctx, func() bool {
-		gone := s.Clock.Now() - began
-		s.closing.Store(s.closing.Load() || gone >= wait-lastAnswers)
-		return gone >= wait || gone >= s.DrainAcceptDuration && s.clients.OpenCount() == 0
-	})
-}
-
-// await looks until something holds, and reports whether that came before the context's end.
-func (s *Server) await(ctx context.Context, holds func() bool) bool {
-	t := time.NewTicker(look)
-	defer t.Stop()
-	for !holds() {
-		select {
-		case <-t.C:
-		case <-ctx.Done():
-			return false
-		}
-	}
-	return true
-}
-
-// drain stops taking requests in the order in which the clients stop sending them. They stop to connect first, and go on using
-// what they have for as long as that stays open, while nobody else answers for this agent: so connections stay open, and requests are
-// taken, for wait, as long as an answer may be in time; each has its last word by the end. Where another process serves, clients notice
-// nothing: what connects goes there, and what is idle may bring one more request. It reports whether nobody is connected any more.
-func (s *Server) drain(ctx context.Context, wait time.Duration) bool {
-	s.leaving.Store(true)
-	succeeded := s.OnDrain != nil && s.OnDrain()
-	s.Log.Info("draining", "succeeded", succeeded)
-	if succeeded {
-		wait = keepFor
-		s.closing.Store(true)
-	}
-	s.lameDuck(ctx, wait)
-	s.closing.Store(true)
-	besteffort.Close(s.clients)
-	s.clients.Drain() // not net/http's Shutdown, which closes what is idle also in the moment in which it brings a request
-	return s.await(ctx, func() bool { return s.clients.OpenCount() == 0 })
-}
--- a/internal/downstream/http1/server_test.go
+++ b/internal/downstream/http1/server_test.go
@@ -26,7 +26,7 @@
 	core := engine.New(b, engine.NewClock(), nil, nil)
 	s := New(Options{Engine: core, Rules: requesthead.Rules{Classes: []balancer.Class{{Name: "form-check", Deadline: 2 * time.Second}}},
 		Clock: engine.NewClock(), MaxInFlight: 1}, connlimit.New(nil, 2, connlimit.Options{}))
-	s.held.Store(1)
+	s.inFlight.Store(1)
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "/form-check", nil)
 	r.Header.Set("X-Request-ID", "1")
@@ -38,8 +38,8 @@
 	if n := core.Counters(); n.Answers[0][engine.Rejected] != 1 || n.Open != 0 {
 		t.Errorf("counted %+v", n)
 	}
-	if s.held.Load() != 1 {
-		t.Errorf("%d are held", s.held.Load())
+	if s.inFlight.Load() != 1 {
+		t.Errorf("%d are held", s.inFlight.Load())
 	}
 }
 
@@ -92,8 +92,8 @@
 		if reason := recover(); reason != any(http.ErrAbortHandler) {
 			t.Errorf("%v", reason)
 		}
-		if s.held.Load() != 0 {
-			t.Errorf("%d are held", s.held.Load())
+		if s.inFlight.Load() != 0 {
+			t.Errorf("%d are held", s.inFlight.Load())
 		}
 	}()
 	r := httptest.NewRequest(http.MethodGet, "/form-check", nil)
--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -1,4 +1,6 @@
-// Package connpool holds the connections to the servers of the list.
+// Package connpool is the pool of upstream connections. Each connection carries one request at a time. The pool never sends
+// anything and never repeats a request: http.Transport would send a request again by itself when a kept connection turns out
+// to be closed, which would be an attempt that no retry rule has allowed.
 package connpool
 
 import (
@@ -18,86 +20,89 @@
 	"appleledge/internal/sockstate"
 )
 
-// Pool holds the connections to backends. Each carries one request at a time, and all that happens to it is
-// done here and in the attempt that holds it: http.Transport would send a request again by itself when a kept
-// connection turns out dead, which counts as an attempt that nobody decided on.
+// Pool holds the connections to the backends of the endpoint list. It is safe for concurrent use.
 type Pool struct {
-	Dialer net.Dialer // opens connections; not to be changed once in use, nor is what follows
-	// QuietPeriod is for how long a connection rests behind an answer: what still comes of that must not meet the next request.
+	Dialer net.Dialer // opens connections; must not be changed after first use
+
+	// QuietPeriod is how long a connection is not reused after a response, so that late bytes of that response are not read
+	// as the answer to the next request. It must not be changed after first use.
 	QuietPeriod time.Duration
-	idleFor     time.Duration // connections idle for longer are not used again
-	most        int           // connections of all backends
-	perBackend  int           // of one, so that a silent one does not use up all
-
-	mu       sync.Mutex
-	closed   bool
-	backends map[string]*Backend
-	byAddr   map[string][]*Backend // those of backends, by their address
-	open     map[*Conn]struct{}
-	opening  int // dials under way
-	ready    int // backends that may get new requests
-	resting  int // connections that wait for use
-	counts   Stats
-	oldest   Conn // the ring of those, by the time since they do: after it comes the first
+
+	maxIdleTime    time.Duration // connections idle for longer are not reused
+	maxConnections int           // of all backends
+	maxPerBackend  int           // of one backend, so that a silent one can't use up all
+
+	mu            sync.Mutex
+	closed        bool
+	backends      map[string]*Backend
+	byAddr        map[string][]*Backend // the same backends, by address
+	open          map[*Conn]struct{}
+	dialing       int // dials in progress
+	readyBackends int // backends that accept new requests
+	idleCount     int // idle connections
+	stats         Stats
+	idleRing      Conn // anchor of the ring of idle connections; the one that is idle for longest follows it
 }
 
-// Backend is one life of a backend under one address: a restart or another address makes a new one.
+// Backend is one incarnation of a backend under one address: a restart or another address makes a new one.
+// All its fields but id, addr and started are guarded by the pool's lock.
 type Backend struct {
-	id, addr string
-	started  time.Duration
-	ready    bool // may get new requests; the pool's lock guards what follows
-	conns    int  // open, or being opened
-	idle     []*Conn
+	id, addr  string
+	started   time.Duration
+	isReady   bool // accepts new requests
+	connCount int  // open or being dialed
+	idle      []*Conn
 }
 
-// Conn is a connection to a backend.
+// Conn is a connection to a backend. The attempt that got it owns it until it calls Release.
 type Conn struct {
 	net.Conn
-	Reader     *bufio.Reader
-	left       *io.LimitedReader // under Reader: what an answer may still bring
-	backend    *Backend
-	Opened     time.Time
-	answered   bool // an answer was read from it
-	idleSince  time.Time
-	next, prev *Conn // in the ring of those that wait for use; nil outside
+	Reader        *bufio.Reader
+	responseLimit *io.LimitedReader // below Reader: bytes that the peer may still send
+	backend       *Backend
+	Opened        time.Time
+	hasResponse   bool // a response was read from it
+	idleSince     time.Time
+	next, prev    *Conn // in the ring of idle connections; nil while in use
 }
 
-// Reasons why there is no connection.
+// Errors of Get that say nothing about the backend.
 var (
 	ErrNotReady      = errors.New("the backend takes no new requests")
 	ErrPoolExhausted = errors.New("too many connections are open")
 )
 
-// nearIdle is the part of the backends' idle limit after which a connection is not used again: a request that
-// crosses the backend's close is lost with it.
-const nearIdle = 0.8
+// idleTimeoutRatio is the share of the backends' idle timeout after which a connection is not reused: a request that crosses
+// the backend's close would be lost with it.
+const idleTimeoutRatio = 0.8
 
-// settleFor is how long a connection rests behind an answer. A second copy of that answer may come some milliseconds late, and
-// would be taken for the answer to the next request; one that comes to a connection at rest closes it.
-const settleFor = 25 * time.Millisecond
+// defaultQuietPeriod is the default of Pool.QuietPeriod. A duplicate of a response may arrive some milliseconds late and would
+// be read as the response to the next request; one that arrives in the quiet period closes the connection.
+const defaultQuietPeriod = 25 * time.Millisecond
 
-// New returns a pool of at most so many connections, which backends close when they stand idle for so long.
-func New(connectTimeout, idle time.Duration, most int) *Pool {
+// New returns a pool of at most maxConnections connections, which backends close when they are idle for idleTimeout.
+func New(connectTimeout, idleTimeout time.Duration, maxConnections int) *Pool {
 	p := &Pool{
-		Dialer:      net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
-		idleFor:     time.Duration(float64(idle) * nearIdle),
-		QuietPeriod: settleFor,
-		most:        most,
-		perBackend:  perBackend(most),
-		backends:    map[string]*Backend{},
-		byAddr:      map[string][]*Backend{},
-		open:        map[*Conn]struct{}{},
+		Dialer:         net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
+		maxIdleTime:    time.Duration(float64(idleTimeout) * idleTimeoutRatio),
+		QuietPeriod:    defaultQuietPeriod,
+		maxConnections: maxConnections,
+		maxPerBackend:  perBackendLimit(maxConnections),
+		backends:       map[string]*Backend{},
+		byAddr:         map[string][]*Backend{},
+		open:           map[*Conn]struct{}{},
 	}
-	p.oldest.next, p.oldest.prev = &p.oldest, &p.oldest
+	p.idleRing.next, p.idleRing.prev = &p.idleRing, &p.idleRing
 	return p
 }
 
-// Update takes a list or a change of it and returns how many backends are ready. A change costs what it names.
+// Update applies an endpoint list, or a change of it, and returns how many backends accept requests. The cost of a change
+// grows with the members that it names. Idle connections to backends that accept none any more are closed.
 func (p *Pool) Update(full bool, members []engine.Member) (ready int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range members {
-		p.update(m)
+		p.updateBackend(m)
 	}
 	if full {
 		named := make(map[string]bool, len(members))
@@ -106,17 +111,18 @@
 		}
 		for id, b := range p.backends {
 			if !named[id] {
-				p.retire(b)
+				p.removeBackend(b)
 			}
 		}
 	}
-	return p.ready
+	return p.readyBackends
 }
 
-func (p *Pool) update(m engine.Member) {
+// updateBackend applies what the list says of one backend.
+func (p *Pool) updateBackend(m engine.Member) {
 	b := p.backends[m.ID]
 	if b != nil && (m.State == balancer.Removed || b.addr != m.Addr || b.started != m.Started) {
-		p.retire(b)
+		p.removeBackend(b)
 		b = nil
 	}
 	if m.State == balancer.Removed {
@@ -130,24 +136,25 @@
 	p.setReady(b, m.State == balancer.Ready)
 }
 
+// setReady changes whether a backend accepts requests, and closes its idle connections if not.
 func (p *Pool) setReady(b *Backend, ready bool) {
-	if ready == b.ready {
+	if ready == b.isReady {
 		return
 	}
-	if b.ready = ready; ready {
-		p.ready++
+	if b.isReady = ready; ready {
+		p.readyBackends++
 		return
 	}
-	p.ready--
+	p.readyBackends--
 	for _, c := range b.idle {
-		p.unrest(c)
-		p.drop(c)
+		p.removeIdle(c)
+		p.closeConn(c)
 	}
 	b.idle = nil
 }
 
-// retire ends a backend's life: nothing new goes to it, and its connections close as they come free.
-func (p *Pool) retire(b *Backend) {
+// removeBackend forgets a backend: it gets nothing new, and its connections close when they are released.
+func (p *Pool) removeBackend(b *Backend) {
 	p.setReady(b, false)
 	delete(p.backends, b.id)
 	p.byAddr[b.addr] = slices.DeleteFunc(p.byAddr[b.addr], func(x *Backend) bool { return x == b })
@@ -156,78 +163,79 @@
 	}
 }
 
-// rest puts a connection into the ring of those that wait for use, as the one that does for the shortest time.
-func (p *Pool) rest(c *Conn) {
-	last := p.oldest.prev
-	c.prev, c.next = last, &p.oldest
-	last.next, p.oldest.prev = c, c
-	p.resting++
+// addIdle puts a connection at the end of the ring of idle connections.
+func (p *Pool) addIdle(c *Conn) {
+	last := p.idleRing.prev
+	c.prev, c.next = last, &p.idleRing
+	last.next, p.idleRing.prev = c, c
+	p.idleCount++
 }
 
-func (p *Pool) unrest(c *Conn) {
+// removeIdle takes a connection out of the ring of idle connections.
+func (p *Pool) removeIdle(c *Conn) {
 	c.prev.next, c.next.prev = c.next, c.prev
 	c.prev, c.next = nil, nil
-	p.resting--
+	p.idleCount--
 }
 
-// drop closes a connection that is in no idle list.
-func (p *Pool) drop(c *Conn) {
+// closeConn closes a connection that is not idle.
+func (p *Pool) closeConn(c *Conn) {
 	besteffort.Close(c)
 	delete(p.open, c)
-	c.backend.conns--
+	c.backend.connCount--
 }
 
-// SetMaxConnections changes how many connections there may be. Those that wait for use are closed where there are more.
+// SetMaxConnections changes the limit. Idle connections over the new limit are closed; those in use stay.
 func (p *Pool) SetMaxConnections(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most, p.perBackend = most, perBackend(most)
-	for len(p.open)+p.opening > most && p.evict() {
+	p.maxConnections, p.maxPerBackend = most, perBackendLimit(most)
+	for len(p.open)+p.dialing > most && p.closeLongestIdle() {
 	}
 }
 
-// size is how many connections there may be.
-func (p *Pool) size() int {
+// limit returns how many connections there may be.
+func (p *Pool) limit() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.most
+	return p.maxConnections
 }
 
-// perBackend is how many connections one backend may have, so that a silent one does not use up all.
-func perBackend(most int) int { return max(1, most/4) }
+// perBackendLimit returns how many connections one backend may have, so that a silent one can't use up all.
+func perBackendLimit(most int) int { return max(1, most/4) }
 
-// Backend returns the present life of a backend, or nil.
+// Backend returns the present incarnation of a backend, or nil.
 func (p *Pool) Backend(id string) *Backend {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.backends[id]
 }
 
-// IsIncarnation makes a Backend an engine.Incarnation.
+// IsIncarnation implements engine.Incarnation.
 func (*Backend) IsIncarnation() {}
 
-// Incarnation is Backend in the engine's terms.
+// Incarnation is Backend for the engine.
 func (p *Pool) Incarnation(id string) engine.Incarnation { return p.Backend(id) }
 
-// Stats are what a pool holds, and what it has done since it was made.
+// Stats are the present numbers of a pool, and counters since it was made.
 type Stats struct {
-	Open, Idle   int    // connections, and those of them that wait for use
-	Dials        uint64 // connections asked for
-	FailedDials  uint64 // of which did not come up
-	Reused, Dead uint64 // idle ones that were used again, and such as turned out to be over
-	Exhausted    uint64 // uses for which there was no place
+	Open, Idle   int    // connections, and the idle ones among them
+	Dials        uint64 // dials begun
+	FailedDials  uint64 // dials that failed
+	Reused, Dead uint64 // idle connections that were reused, and that were found closed
+	Exhausted    uint64 // calls of Get that ended with ErrPoolExhausted
 }
 
-// Stats says what the pool holds and has done.
+// Stats returns the numbers of the pool.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.counts
-	c.Open, c.Idle = len(p.open), p.resting
+	c := p.stats
+	c.Open, c.Idle = len(p.open), p.idleCount
 	return c
 }
 
-// IDsAt returns the ids of the list's backends at an address; there may be several while one follows another.
+// IDsAt returns the ids of the backends at an address. There may be several while one replaces another.
 func (p *Pool) IDsAt(addr string) (ids []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -237,20 +245,21 @@
 	return ids
 }
 
-// Addr is the address of this life of the backend, host and port.
+// Addr returns host and port of this incarnation of the backend.
 func (b *Backend) Addr() string { return b.addr }
 
-// AllowBytes lets the far end send so many bytes more.
-func (c *Conn) AllowBytes(n int64) { c.left.N, c.answered = n, true }
+// AllowBytes lets the peer send n more bytes.
+func (c *Conn) AllowBytes(n int64) { c.responseLimit.N, c.hasResponse = n, true }
 
-// AcceptsRequests reports whether the backend may still get something new in this life.
+// AcceptsRequests reports whether this incarnation of the backend accepts new requests.
 func (p *Pool) AcceptsRequests(b *Backend) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return b != nil && b.ready
+	return b != nil && b.isReady
 }
 
-// Get returns a connection to the backend: the one used last, or else a new one.
+// Get returns a connection to the backend: the idle one that was used last, or a new one. It blocks while it dials. Besides
+// ErrNotReady and ErrPoolExhausted it returns the error of the dial.
 func (p *Pool) Get(ctx context.Context, b *Backend) (*Conn, error) {
 	c, err := p.reuse(b)
 	if c != nil || err != nil {
@@ -259,136 +268,136 @@
 	raw, err := p.Dialer.DialContext(ctx, "tcp", b.addr)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opening--
+	p.dialing--
 	if err == nil && p.closed {
 		besteffort.Close(raw)
 		err = net.ErrClosed
 	}
 	if err != nil {
-		b.conns--
-		p.counts.FailedDials++
+		b.connCount--
+		p.stats.FailedDials++
 		return nil, fmt.Errorf("connecting to %s: %w", b.id, err)
 	}
 	left := &io.LimitedReader{R: raw}
-	c = &Conn{Conn: raw, Reader: bufio.NewReader(left), left: left, backend: b, Opened: time.Now()}
+	c = &Conn{Conn: raw, Reader: bufio.NewReader(left), responseLimit: left, backend: b, Opened: time.Now()}
 	p.open[c] = struct{}{}
 	return c, nil
 }
 
-// reuse returns an idle connection. Without one it makes room for a new one and returns nil.
+// reuse returns an idle connection. Without one it reserves a place for a new one and returns nil.
 func (p *Pool) reuse(b *Backend) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if b == nil || !b.ready {
+	if b == nil || !b.isReady {
 		return nil, ErrNotReady
 	}
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
-		if c.answered && time.Since(c.idleSince) < p.QuietPeriod {
+		if c.hasResponse && time.Since(c.idleSince) < p.QuietPeriod {
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
-		p.unrest(c)
-		if time.Since(c.idleSince) < p.idleFor && c.quiet() {
-			p.counts.Reused++
+		p.removeIdle(c)
+		if time.Since(c.idleSince) < p.maxIdleTime && c.isIdleAndOpen() {
+			p.stats.Reused++
 			return c, nil
 		}
-		p.counts.Dead++
-		p.drop(c)
+		p.stats.Dead++
+		p.closeConn(c)
 	}
-	if b.conns >= p.perBackend && len(b.idle) > 0 { // that rest behind their answers
-		p.dismiss(b.idle[0])
+	if b.connCount >= p.maxPerBackend && len(b.idle) > 0 { // all in their quiet period
+		p.closeIdle(b.idle[0])
 	}
-	if p.closed || b.conns >= p.perBackend || len(p.open)+p.opening >= p.most && !p.evict() {
-		p.counts.Exhausted++
+	if p.closed || b.connCount >= p.maxPerBackend || len(p.open)+p.dialing >= p.maxConnections && !p.closeLongestIdle() {
+		p.stats.Exhausted++
 		return nil, ErrPoolExhausted
 	}
-	b.conns++
-	p.opening++
-	p.counts.Dials++
+	b.connCount++
+	p.dialing++
+	p.stats.Dials++
 	return nil, nil
 }
 
-// evict closes the connection that has stood idle for longest.
-func (p *Pool) evict() bool {
-	c := p.oldest.next
-	if c == &p.oldest {
+// closeLongestIdle closes the connection that is idle for longest, and reports whether there is one.
+func (p *Pool) closeLongestIdle() bool {
+	c := p.idleRing.next
+	if c == &p.idleRing {
 		return false
 	}
-	p.dismiss(c)
+	p.closeIdle(c)
 	return true
 }
 
-// dismiss closes a connection that waits for use.
-func (p *Pool) dismiss(c *Conn) {
+// closeIdle closes an idle connection.
+func (p *Pool) closeIdle(c *Conn) {
 	b := c.backend
 	b.idle = slices.DeleteFunc(b.idle, func(other *Conn) bool { return other == c })
-	p.unrest(c)
-	p.drop(c)
+	p.removeIdle(c)
+	p.closeConn(c)
 }
 
-// Put gives a connection back; it is kept when its last exchange left it in order.
-func (p *Pool) Put(c *Conn, keep bool) {
+// Release returns a connection to the pool, which keeps it for reuse if keep is set.
+func (p *Pool) Release(c *Conn, keep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !keep || p.closed || !c.backend.ready || c.Reader.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
-		p.drop(c)
+	if !keep || p.closed || !c.backend.isReady || c.Reader.Buffered() > 0 || c.SetDeadline(time.Time{}) != nil {
+		p.closeConn(c)
 		return
 	}
 	c.idleSince = time.Now()
 	c.backend.idle = append(c.backend.idle, c)
-	p.rest(c)
+	p.addIdle(c)
 }
 
-// sweepPart is how many connections Sweep looks at while it keeps others from the pool: a look is a call to the system.
-const sweepPart = 32
+// sweepBatchSize is how many connections Sweep checks while it holds the lock: each check is a system call.
+const sweepBatchSize = 32
 
-// Sweep closes idle connections that will not be used again. It looks at those that are idle when it begins, a few at a
-// time.
+// Sweep closes idle connections that can't be reused. It visits those that are idle when it begins, and holds the lock for
+// sweepBatchSize of them at a time.
 func (p *Pool) Sweep() {
 	var from time.Time
-	for range 1 + p.size()/sweepPart {
-		if from = p.sweep(from); from.IsZero() {
+	for range 1 + p.limit()/sweepBatchSize {
+		if from = p.sweepBatch(from); from.IsZero() {
 			return
 		}
 	}
 }
 
-// sweep looks at a few connections that are idle since a time or later, the earliest first, and returns the time from
-// which to go on; none when all have been looked at.
-func (p *Pool) sweep(from time.Time) (next time.Time) {
+// sweepBatch checks connections that are idle since a time or later, the earliest first, and returns the time from which to
+// go on; zero when all were checked.
+func (p *Pool) sweepBatch(from time.Time) (next time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.oldest.next
-	for c != &p.oldest && c.idleSince.Before(from) {
+	c := p.idleRing.next
+	for c != &p.idleRing && c.idleSince.Before(from) {
 		c = c.next
 	}
-	for left := sweepPart; c != &p.oldest; left-- {
+	for left := sweepBatchSize; c != &p.idleRing; left-- {
 		if left == 0 {
 			return c.idleSince
 		}
 		following := c.next
-		if time.Since(c.idleSince) >= p.idleFor || !c.quiet() {
-			p.dismiss(c)
+		if time.Since(c.idleSince) >= p.maxIdleTime || !c.isIdleAndOpen() {
+			p.closeIdle(c)
 		}
 		c = following
 	}
 	return time.Time{}
 }
 
-// Close closes all connections, also those in use.
+// Close closes all connections, also those in use. Get fails from then on.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for c := p.oldest.next; c != &p.oldest; c = p.oldest.next {
-		p.dismiss(c)
+	for c := p.idleRing.next; c != &p.idleRing; c = p.idleRing.next {
+		p.closeIdle(c)
 	}
 	for c := range p.open {
 		besteffort.Close(c)
 	}
 }
 
-// quiet reports whether an idle connection is open and nothing has come on it. A backend that died or closed
-// it shows here, before a request is risked on it.
-func (c *Conn) quiet() bool { return sockstate.Peek(c.Conn) == sockstate.Idle }
+// isIdleAndOpen reports whether a connection is open and has no unread bytes. A connection that the backend has closed shows
+// here, before a request is sent on it.
+func (c *Conn) isIdleAndOpen() bool { return sockstate.Peek(c.Conn) == sockstate.Idle }
--- a/internal/upstream/connpool/pool_test.go
+++ b/internal/upstream/connpool/pool_test.go
@@ -39,13 +39,13 @@
 	l := agenttest.Listen(t)
 	p := newTestPool(t, l.Addr().String(), 100)
 	first := take(t, p, "b")
-	p.Put(first, true)
+	p.Release(first, true)
 	far, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	besteffort.Close(far)
-	agenttest.Eventually(t, "the close has come", func() bool { return !first.quiet() })
+	agenttest.Eventually(t, "the close has come", func() bool { return !first.isIdleAndOpen() })
 	if take(t, p, "b") == first {
 		t.Error("the closed connection was used")
 	}
@@ -55,18 +55,18 @@
 	p := newTestPool(t, agenttest.Listen(t).Addr().String(), 100)
 	first := take(t, p, "b")
 	for range 3 {
-		p.Put(first, true)
+		p.Release(first, true)
 		if take(t, p, "b") != first {
 			t.Fatal("a new connection for requests one after another")
 		}
 	}
-	p.Put(first, true)
-	p.idleFor = 0 // all that is idle is near the backend's limit now
+	p.Release(first, true)
+	p.maxIdleTime = 0 // all that is idle is near the backend's limit now
 	second := take(t, p, "b")
 	if second == first {
 		t.Error("a connection near the idle limit was used again")
 	}
-	p.Put(second, true)
+	p.Release(second, true)
 	p.Sweep()
 	if c := p.Stats(); c.Open+c.Idle != 0 {
 		t.Error("the sweep left an old connection open")
@@ -89,7 +89,7 @@
 	}
 	p.Update(false, others)
 	for i := range 9 {
-		p.Put(take(t, p, fmt.Sprint(i)), true)
+		p.Release(take(t, p, fmt.Sprint(i)), true)
 	}
 	if open := p.Stats().Open; open > 8 {
 		t.Errorf("%d connections of at most 8", open)
@@ -108,7 +108,7 @@
 		held = append(held, c)
 	}
 	for _, i := range []int{0, 2, 1} {
-		p.Put(held[i], true)
+		p.Release(held[i], true)
 	}
 	for _, want := range []int{1, 2, 0} {
 		if c, err := p.Get(context.Background(), p.Backend("b")); err != nil || c != held[want] {
@@ -137,28 +137,28 @@
 				}
 			default:
 				if len(taken) > 0 {
-					p.Put(taken[0], rapid.Bool().Draw(t, "keep"))
+					p.Release(taken[0], rapid.Bool().Draw(t, "keep"))
 					taken = taken[1:]
 				}
 			}
 			idle, ready := 0, 0
 			for _, b := range p.backends {
 				idle += len(b.idle)
-				if b.ready {
+				if b.isReady {
 					ready++
 				} else if len(b.idle) > 0 {
 					t.Fatalf("%s takes nothing new and keeps connections", b.id)
 				}
 			}
 			ring := 0
-			for c := p.oldest.next; c != &p.oldest; c = c.next {
-				if ring++; c.prev != &p.oldest && c.idleSince.Before(c.prev.idleSince) {
+			for c := p.idleRing.next; c != &p.idleRing; c = c.next {
+				if ring++; c.prev != &p.idleRing && c.idleSince.Before(c.prev.idleSince) {
 					t.Fatal("the ring is out of order")
 				}
 			}
-			if idle != p.resting || ring != idle || ready != p.ready || len(p.open) != idle+len(taken) || len(p.open) > 6 {
+			if idle != p.idleCount || ring != idle || ready != p.readyBackends || len(p.open) != idle+len(taken) || len(p.open) > 6 {
 				t.Fatalf("%d idle, %d in the ring, counted as %d; %d ready, counted as %d; %d open, %d taken", idle, ring,
-					p.resting, ready, p.ready, len(p.open), len(taken))
+					p.idleCount, ready, p.readyBackends, len(p.open), len(taken))
 			}
 		}
 	})
@@ -194,7 +194,7 @@
 		t.Errorf("a third of at most two to one backend: %v", err)
 	}
 	for _, c := range held {
-		p.Put(c, true)
+		p.Release(c, true)
 	}
 	p.SetMaxConnections(1)
 	if n := p.Stats(); n.Open != 1 || n.Idle != 1 {
@@ -204,7 +204,7 @@
 	if c, err := p.Get(t.Context(), p.Backend("b")); err != nil {
 		t.Error(err)
 	} else {
-		p.Put(c, true)
+		p.Release(c, true)
 	}
 	close(over)
 	sweeper.Wait()
@@ -216,12 +216,12 @@
 	p := newTestPool(t, agenttest.Listen(t).Addr().String(), 8) // 2 of one backend
 	p.QuietPeriod = time.Hour
 	unused := take(t, p, "b")
-	p.Put(unused, true)
+	p.Release(unused, true)
 	if take(t, p, "b") != unused {
 		t.Error("one that brought no answer was not used")
 	}
-	p.Put(unused, true)
-	answered := func(c *Conn) *Conn { c.AllowBytes(1); p.Put(c, true); return c }
+	p.Release(unused, true)
+	answered := func(c *Conn) *Conn { c.AllowBytes(1); p.Release(c, true); return c }
 	first := answered(take(t, p, "b"))
 	second := answered(take(t, p, "b"))
 	third := take(t, p, "b")
--- a/internal/upstream/http1/golden_test.go
+++ b/internal/upstream/http1/golden_test.go
@@ -40,7 +40,7 @@
 		return &engine.Attempt{Call: &engine.Call{ID: "9b1f03aa5c7e2d41", Payload: &in}, Server: "b", Deadline: now + 123456*time.Microsecond}
 	}
 	for range 2 {
-		_, text, err := s.request(attempt(in))
+		_, text, err := s.encodeRequest(attempt(in))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -57,7 +57,7 @@
 			besteffort.IgnoreResult(all.ReadFrom(far))
 			got <- all.Bytes()
 		}()
-		if _, ok, result := s.upload(&connpool.Conn{Conn: near}, attempt(in), u); !ok {
+		if _, ok, result := s.writeUpload(&connpool.Conn{Conn: near}, attempt(in), u); !ok {
 			t.Fatalf("length %d: %v", length, result)
 		}
 		besteffort.Close(near)
@@ -91,7 +91,7 @@
 	}
 	for _, h := range []http.Header{{}, {"Cache-Control": {"private"}}, {"Cache-Control": {"no-store"}}, {"Set-Cookie": {"c=1"}}, {"Vary": {"*"}},
 		{"Vary": {"X-Tenant-Id"}}, {"Vary": {"Content-Type"}}} {
-		out = fmt.Appendf(out, "%v: private %v\n", h, private(h))
+		out = fmt.Appendf(out, "%v: private %v\n", h, isPrivate(h))
 	}
 	golden.Equal(t, "httpcarrier/judgement.txt", out)
 }
--- /dev/null
+++ b/internal/upstream/http1/transport.go
@@ -0,0 +1,269 @@
+// Package http1 is the upstream transport for backends that speak HTTP/1.1. A Transport makes one attempt of a call over a
+// pooled connection and reports an exact result: an attempt that may have run is never reported as one that has not.
+// Nothing is sent again here; that is the balancer's decision.
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"strconv"
+	"time"
+
+	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
+	"appleledge/internal/engine"
+	"appleledge/internal/upstream/connpool"
+)
+
+// Limits of a response, in bytes unless a name says otherwise.
+const (
+	maxBodyBytes         = requesthead.MaxBody
+	maxResponseHeadBytes = 16 << 10  // with interim responses
+	maxEncodedBodyBytes  = 128 << 10 // of a body of at most maxBodyBytes, however its chunks are cut
+	maxInterimResponses  = 8         // 1xx responses before the final one
+	responsePrefix       = "HTTP/1."
+
+	// responseReadTimeout limits the time from the first byte of a response to its last. Backends send a response in one
+	// go: one that stops half way is malformed, and its connection would stay open.
+	responseReadTimeout = 500 * time.Millisecond
+)
+
+// Request is a request as a client sent it. It is the payload of the calls that a Transport forwards.
+type Request struct {
+	Method, Host string
+	URL          *url.URL
+	Header       http.Header // forwarded to the backend
+	Body         []byte
+	Upload       *Upload // in place of Body, for a body that is forwarded while it is received
+}
+
+// Response is the response of a backend. It is the payload of a served answer.
+type Response struct {
+	Body        []byte
+	ContentType string
+	Length      int64   // of the whole body; -1 where it is not stated
+	Rest        *Stream // what follows Body; nil if that is complete. It must be read to its end or discarded
+}
+
+// Transport implements engine.Transport over a connection pool. Its fields are set before first use and not changed; it is
+// safe for concurrent use.
+type Transport struct {
+	Pool              *connpool.Pool
+	Clock             engine.Clock
+	ReportFields      []string        // names of the values of a load report that are used
+	OnMalformedReport func(err error) // is called for each malformed load report, from any goroutine
+	AllowsLargeBodies bool            // bodies may have up to MaxLargeBody bytes, peers may be slow, and a response may end with its connection
+}
+
+// RoundTrip makes the attempt and returns its outcome. It blocks until the response is complete, its first part has arrived
+// where it is large, or the attempt's deadline has passed. It never reports an attempt that may have run as not run.
+func (s *Transport) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
+	out := engine.Outcome{Attempt: a, Result: balancer.NotSent, Report: balancer.NoReport}
+	if a.Forbidden {
+		return out
+	}
+	ctx, cancel := context.WithDeadline(ctx, s.Clock.At(a.Deadline))
+	defer cancel()
+	c, err := s.Pool.Get(ctx, backendOf(a))
+	switch {
+	case errors.Is(err, connpool.ErrNotReady) || errors.Is(err, connpool.ErrPoolExhausted) || err != nil && ctx.Err() != nil:
+		return out // the agent's own limits say nothing about the backend
+	case err != nil:
+		out.Result = balancer.ConnectFailed
+		return out
+	case !s.maySend(c, a):
+		s.Pool.Release(c, true)
+		return out
+	}
+	if keep, passed := s.exchange(c, a, &out); !passed {
+		s.Pool.Release(c, keep)
+	}
+	return out
+}
+
+// backendOf returns the backend, in the incarnation that the attempt was sent to.
+func backendOf(a *engine.Attempt) *connpool.Backend {
+	b, _ := a.Incarnation.(*connpool.Backend)
+	return b
+}
+
+// maySend reports whether the request may still be written. It is asked just before the first byte: a dial may have taken
+// long, and meanwhile the backend may have begun to drain or restarted, the request may have been answered, or the backends
+// may have forgotten its idempotency key, so that a retry would run twice.
+func (s *Transport) maySend(c *connpool.Conn, a *engine.Attempt) bool {
+	return s.Clock.Now() < a.WriteDeadline && !a.Call.Closed() && s.Pool.AcceptsRequests(backendOf(a)) &&
+		(a.ConnectedSince == 0 || c.Opened.Before(s.Clock.At(a.ConnectedSince)))
+}
+
+// exchange writes the request and reads the response. keep reports whether the connection can be reused, and passed whether
+// the rest of the response, and with it the connection, belongs to the outcome's payload.
+func (s *Transport) exchange(c *connpool.Conn, a *engine.Attempt, out *engine.Outcome) (keep, passed bool) {
+	req, until, ok := s.writeRequest(c, a, out)
+	if !ok {
+		return false, false
+	}
+	resp, body, err := s.readResponse(c, req, until)
+	if err != nil {
+		out.Result = resultOfReadError(err)
+		return false, false
+	}
+	out.Report = ReadReport(resp.Header, s.ReportFields, s.OnMalformedReport)
+	if out.Result = ClassifyResponse(resp.StatusCode, resp.Header); out.Result == balancer.OK {
+		out.Payload = body
+		out.Private = isPrivate(resp.Header) || body.Rest != nil // a stream can be read only once
+	}
+	return !resp.Close, body.Rest != nil
+}
+
+// writeRequest writes the request and returns the deadline of its response. If it could not be written completely, the
+// result of the attempt is in out.
+func (s *Transport) writeRequest(c *connpool.Conn, a *engine.Attempt, out *engine.Outcome) (req *http.Request, until time.Duration, ok bool) {
+	if u := a.Call.Payload.(*Request).Upload; u != nil {
+		if req, ok, out.Result = s.writeUpload(c, a, u); !ok {
+			return nil, 0, false
+		}
+		until = s.Clock.Now() + u.ClientTimeout - min(uploadMargin, u.ClientTimeout/4)
+		a.UploadFinished(until)
+		return req, until, c.SetDeadline(s.Clock.At(until)) == nil
+	}
+	req, text, err := s.encodeRequest(a)
+	if err != nil || c.SetDeadline(s.Clock.At(a.Deadline)) != nil {
+		return nil, 0, false
+	}
+	if n, err := c.Write(text); err != nil && n < len(text) {
+		out.Result = balancer.ConnectFailed // a backend starts to process a request with its last byte, so this one has not run
+		return nil, 0, false
+	}
+	a.MarkWritten()
+	return req, a.Deadline, true
+}
+
+// isPrivate reports whether a response is for one client alone, by the rules for shared caches (RFC 9111, sections 3 and 4.1).
+func isPrivate(h http.Header) bool {
+	return requesthead.HasCacheDirective(h, "private", "no-store") || len(h["Set-Cookie"]) > 0 || requesthead.VariesByRequester(h)
+}
+
+// ClassifyResponse returns the result of an attempt whose complete response has that status and header.
+func ClassifyResponse(status int, header http.Header) balancer.Result {
+	switch {
+	case status == http.StatusOK:
+		return balancer.OK
+	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
+		header.Get("X-Not-Processed") == "1":
+		return balancer.Rejected
+	}
+	return balancer.Failed
+}
+
+// errMalformedResponse is a response that no backend made for the request. The request may have run.
+var errMalformedResponse = errors.New("spoilt answer")
+
+// readResponse reads a response. It fails as soon as the bytes can't become one, as a malformed response may never end.
+func (s *Transport) readResponse(c *connpool.Conn, req *http.Request, until time.Duration) (*http.Response, *Response, error) {
+	c.AllowBytes(maxResponseHeadBytes) // http.ReadResponse takes a head of any length
+	if err := checkPrefix(c.Reader); err != nil {
+		return nil, nil, err
+	}
+	wait := responseReadTimeout
+	if s.AllowsLargeBodies {
+		wait = headTimeout
+	}
+	if end := s.Clock.Now() + wait; end < until {
+		if err := c.SetReadDeadline(s.Clock.At(end)); err != nil {
+			return nil, nil, err
+		}
+	}
+	resp, err := readFinalHead(c, req)
+	if err != nil {
+		return nil, nil, fmt.Errorf("%w: %w", errMalformedResponse, err)
+	}
+	body, err := s.readBody(c, resp, until)
+	if err != nil {
+		return nil, nil, fmt.Errorf("%w: %w", errMalformedResponse, err)
+	}
+	return resp, body, nil
+}
+
+// checkPrefix reads the first bytes of a response and fails at the first that differs: bytes without an end of line would
+// keep the parser waiting.
+func checkPrefix(r *bufio.Reader) error {
+	for n := 1; n <= len(responsePrefix); n++ {
+		got, err := r.Peek(n)
+		if err != nil {
+			return err
+		}
+		if got[n-1] != responsePrefix[n-1] {
+			return errMalformedResponse
+		}
+	}
+	return nil
+}
+
+// hasKnownEnd reports whether the end of a body can be told from a broken connection. A body that ends with its connection is
+// complete by the protocol (RFC 9112, section 6.3, point 8), but is accepted only where large bodies are; a reset is an
+// error there too.
+func (s *Transport) hasKnownEnd(resp *http.Response) bool {
+	return s.AllowsLargeBodies || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+}
+
+// readBodyWhole reads a body of at most maxBodyBytes.
+func (s *Transport) readBodyWhole(c *connpool.Conn, resp *http.Response) ([]byte, error) {
+	length := resp.ContentLength
+	if length > maxBodyBytes || !s.hasKnownEnd(resp) {
+		return nil, fmt.Errorf("a length of %d", length)
+	}
+	c.AllowBytes(maxEncodedBodyBytes)
+	if length >= 0 {
+		body := make([]byte, length)
+		_, err := io.ReadFull(resp.Body, body)
+		return body, err
+	}
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = errors.New("a body over 64 KiB")
+	}
+	return body, err
+}
+
+// encodeRequest returns the request for the backend and its encoding.
+func (s *Transport) encodeRequest(a *engine.Attempt) (*http.Request, []byte, error) {
+	in := a.Call.Payload.(*Request)
+	req := &http.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header.Clone(),
+		ContentLength: int64(len(in.Body)), Body: http.NoBody}
+	if len(in.Body) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(in.Body))
+	}
+	left := max(0, a.Deadline-s.Clock.Now())
+	req.Header.Set(requesthead.TimeoutHeader, strconv.FormatInt(left.Microseconds(), 10)+"u")
+	var text bytes.Buffer
+	if err := req.Write(&text); err != nil {
+		return nil, nil, fmt.Errorf("writing the request: %w", err)
+	}
+	return req, text.Bytes(), nil
+}
+
+// readFinalHead reads the head of the final response, past interim ones.
+func readFinalHead(c *connpool.Conn, req *http.Request) (*http.Response, error) {
+	for range maxInterimResponses {
+		resp, err := http.ReadResponse(c.Reader, req)
+		if err != nil || resp.StatusCode >= http.StatusOK {
+			return resp, err
+		}
+	}
+	return nil, errors.New("too many interim answers")
+}
+
+// resultOfReadError returns the result of an attempt that was written completely and got no complete response.
+func resultOfReadError(err error) balancer.Result {
+	if errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errMalformedResponse) {
+		return balancer.TimedOut
+	}
+	return balancer.Reset
+}
--- a/internal/upstream/http1/carrier_test.go
+++ b/internal/upstream/http1/transport_test.go
@@ -89,7 +89,7 @@
 		"closed":                     {closes, balancer.Reset, 0},
 		"reset":                      {resets, balancer.Reset, 0},
 		"garbage":                    {agenttest.Says("no HTTP at all\r\n\r\n"), balancer.Reset, 0},
-		"endless head":               {agenttest.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxAnswer)), balancer.Reset, 0},
+		"endless head":               {agenttest.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxEncodedBodyBytes)), balancer.Reset, 0},
 		"switching protocols":        {agenttest.Says("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), balancer.Reset, 0},
 		"body over the limit": {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)),
 			balancer.Reset, 0},
@@ -105,7 +105,7 @@
 		"two lengths":               {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nfine"), balancer.Reset, 0},
 		"negative length":           {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nfine"), balancer.Reset, 0},
 		"no length, left open":      {agenttest.Says("HTTP/1.1 200 OK\r\n\r\nfine"), balancer.Reset, 0},
-		"interim ones without end":  {agenttest.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*mostInterim)), balancer.Reset, 0},
+		"interim ones without end":  {agenttest.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses)), balancer.Reset, 0},
 		"good, and noise behind it": {agenttest.Says(agenttest.Served + "\x00noise"), balancer.OK, 0},
 		// It may be cut: nothing tells where it should have ended.
 		"no length, then closed": {func(c net.Conn, r *http.Request, n int) bool {
--- /dev/null
+++ b/internal/upstream/http1/upload.go
@@ -0,0 +1,118 @@
+package http1
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"appleledge/internal/balancer"
+	"appleledge/internal/downstream/requesthead"
+	"appleledge/internal/engine"
+	"appleledge/internal/upstream/connpool"
+)
+
+// Limits of uploads.
+const (
+	earlyResponseTimeout = 100 * time.Millisecond // for a response to a request that could not be written completely
+	uploadMargin         = 20 * time.Millisecond  // before the client's timeout, at which its attempt ends
+)
+
+// Upload is the body of a request that is forwarded while it is received. One attempt at a time can read it; after Rest was
+// read once, no other attempt can be made.
+type Upload struct {
+	Length        int64         // of the complete body; -1 where it is not stated
+	Prefix        []byte        // first bytes, which every attempt can send
+	Rest          io.Reader     // the bytes after Prefix; can be read once
+	ClientTimeout time.Duration // how long the client waits from its last byte on
+
+	reading   sync.Mutex // one attempt reads at a time
+	aborted   bool
+	consumed  atomic.Bool
+	readError atomic.Pointer[error]
+}
+
+// Consumed reports whether Rest was read. It implements engine.Upload.
+func (u *Upload) Consumed() bool { return u.consumed.Load() }
+
+// ReadError returns why the client's body could not be read to its end; nil if it could, or nothing was read yet.
+func (u *Upload) ReadError() error {
+	if err := u.readError.Load(); err != nil {
+		return *err
+	}
+	return nil
+}
+
+// Abort makes all further reads fail. It blocks until a read under way returns: the caller interrupts that first.
+func (u *Upload) Abort() {
+	u.reading.Lock()
+	defer u.reading.Unlock()
+	u.aborted = true
+}
+
+var errUploadAborted = errors.New("the request has its answer")
+
+// uploadReader is an attempt's view of an Upload: its prefix from the start, then the shared rest.
+type uploadReader struct {
+	*Upload
+	prefixOffset int // bytes of Prefix that were read
+}
+
+func (p *uploadReader) Read(to []byte) (int, error) {
+	if p.prefixOffset < len(p.Prefix) {
+		n := copy(to, p.Prefix[p.prefixOffset:])
+		p.prefixOffset += n
+		return n, nil
+	}
+	p.reading.Lock()
+	defer p.reading.Unlock()
+	if p.aborted {
+		return 0, errUploadAborted
+	}
+	p.consumed.Store(true)
+	n, err := p.Rest.Read(to)
+	if err != nil && err != io.EOF {
+		p.readError.Store(&err)
+	}
+	return n, err
+}
+
+func (*uploadReader) Close() error { return nil }
+
+// deadlineWriter writes to a connection and fails when the peer accepts nothing for streamTimeout.
+type deadlineWriter struct{ *connpool.Conn }
+
+func (p deadlineWriter) Write(b []byte) (int, error) {
+	if err := p.SetWriteDeadline(time.Now().Add(streamTimeout)); err != nil {
+		return 0, err
+	}
+	return p.Conn.Write(b)
+}
+
+// writeUpload writes a request whose body is still received. ok reports whether it was written completely; a request that
+// was not has never run, and result is that of the attempt.
+func (s *Transport) writeUpload(c *connpool.Conn, a *engine.Attempt, u *Upload) (req *http.Request, ok bool, result balancer.Result) {
+	in := a.Call.Payload.(*Request)
+	body := &uploadReader{Upload: u}
+	req = &http.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header.Clone(), ContentLength: u.Length, Body: body}
+	req.Header.Set(requesthead.TimeoutHeader, strconv.FormatInt(u.ClientTimeout.Microseconds(), 10)+"u")
+	err := req.Write(deadlineWriter{c})
+	if err == nil {
+		a.MarkWritten()
+		return req, true, balancer.NotSent
+	}
+	if u.ReadError() != nil || errors.Is(err, errUploadAborted) {
+		return req, false, balancer.NotSent // the client's side failed, or the request has its answer
+	}
+	// A server that rejects a request may answer before the request is complete, and close.
+	if c.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) == nil {
+		c.AllowBytes(maxResponseHeadBytes)
+		if resp, err := readFinalHead(c, req); err == nil && ClassifyResponse(resp.StatusCode, resp.Header) == balancer.Rejected {
+			return req, false, balancer.Rejected
+		}
+	}
+	return req, false, balancer.ConnectFailed
+}
