--- a/internal/admin/changemanager.go
+++ b/internal/admin/changemanager.go
@@ -30,7 +30,7 @@
 // ChangeManager makes plans and carries out changes, one at a time. All methods are safe for concurrent use; the exported fields are
 // set before the first call.
 //
-// Invariants: changing is taken before mu and never while mu is held. The state is read and stored only with changing held, so that
+// Invariants: changeMu is taken before mu and never while mu is held. The state is read and stored only with changeMu held, so that
 // an older state never replaces a newer one on disk.
 type ChangeManager struct {
 	Agent       string // the agent's name: plans for another one are rejected
@@ -41,7 +41,7 @@
 	Log         *slog.Logger
 	Now         func() time.Time // wall time
 
-	changing sync.Mutex // held by whoever changes or stores the state
+	changeMu sync.Mutex // held by whoever changes or stores the state
 
 	mu             sync.Mutex // guards what follows
 	lock           *lockHold
@@ -127,8 +127,8 @@
 	if p.Agent != c.Agent {
 		return ChangeResult{}, withKind(KindRejected, fmt.Errorf("%w: %q, and this is %q", plan.ErrOtherAgent, p.Agent, c.Agent))
 	}
-	c.changing.Lock()
-	defer c.changing.Unlock()
+	c.changeMu.Lock()
+	defer c.changeMu.Unlock()
 	if err := c.mayChange(actor); err != nil {
 		return ChangeResult{}, err
 	}
@@ -194,8 +194,8 @@
 // with its caller's context.
 func (c *ChangeManager) Rollback(ctx context.Context, actor, reason string) (result ChangeResult, err error) {
 	ctx = context.WithoutCancel(ctx)
-	c.changing.Lock()
-	defer c.changing.Unlock()
+	c.changeMu.Lock()
+	defer c.changeMu.Unlock()
 	if err := c.mayChange(actor); err != nil {
 		return result, err
 	}
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -9,7 +9,10 @@
 	changed []string // of KindOutdated
 }
 
+// Error returns the text of the Problem.
 func (e *callError) Error() string { return e.err.Error() }
+
+// Unwrap returns the error that has the kind.
 func (e *callError) Unwrap() error { return e.err }
 
 // withKind gives an error a kind.
--- a/internal/admin/persist.go
+++ b/internal/admin/persist.go
@@ -35,8 +35,8 @@
 
 // storeIfChanged stores the state if it has changed since it was stored, or if that failed.
 func (c *ChangeManager) storeIfChanged(ctx context.Context) error {
-	c.changing.Lock()
-	defer c.changing.Unlock()
+	c.changeMu.Lock()
+	defer c.changeMu.Unlock()
 	var revision uint64
 	if err := c.Engine.WithGenerations(ctx, func(_ time.Duration, m *generation.Manager) { revision = m.StateRevision() }); err != nil {
 		return err
@@ -50,7 +50,7 @@
 	return c.store(ctx)
 }
 
-// store stores the state as it is now. The caller holds changing.
+// store stores the state as it is now. The caller holds changeMu.
 func (c *ChangeManager) store(ctx context.Context) error {
 	if c.Store == nil {
 		return nil
--- a/internal/atomicfile/fs.go
+++ b/internal/atomicfile/fs.go
@@ -45,6 +45,7 @@
 // datasyncFile is a file whose Sync is fdatasync(2): it syncs contents and length but not the times, which costs less.
 type datasyncFile struct{ *os.File }
 
+// Sync implements WritableFile.
 func (f datasyncFile) Sync() error {
 	for {
 		if err := unix.Fdatasync(int(f.Fd())); err != unix.EINTR {
--- a/internal/fleetconfig/check.go
+++ b/internal/fleetconfig/check.go
@@ -35,6 +35,7 @@
 	Text       string // what is wrong, and what was meant
 }
 
+// Error returns the object, the field and what is wrong with it.
 func (e ObjectError) Error() string {
 	at := strings.TrimSpace(e.Kind + " " + e.Name)
 	if e.Field != "" {
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -128,4 +128,5 @@
 	return nil
 }
 
+// String returns the text that MarshalText writes.
 func (d Duration) String() string { return time.Duration(d).String() }
--- a/internal/fleetconfig/hclfile/hclfile.go
+++ b/internal/fleetconfig/hclfile/hclfile.go
@@ -41,6 +41,7 @@
 	Files       map[string]*hcl.File
 }
 
+// Error returns the diagnostics, a line each.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Diagnostics))
 	for _, d := range e.Diagnostics {
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -37,8 +37,9 @@
 // Link connects a process with its peers, the other processes of its agent. All methods are safe for concurrent use, once Join has
 // returned.
 //
-// Invariants: commandMu is taken before mu. While commandMu is held no command is applied here or by a peer at this process's word,
-// and no process is given the denylist, so that a process that joins misses none and all apply commands in the same order.
+// Invariants: commandMu is taken before mu. One holder at a time applies an operator's command here and tells the peers, or gives a
+// process that joins the denylist and makes it a peer: a process that joins misses no command, and all apply the commands that this
+// process was given in the same order.
 type Link struct {
 	log          *slog.Logger
 	dir          *os.File          // where the processes' sockets are
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -12,6 +12,7 @@
 
 var phaseNames = [...]string{Starting: "starting", Serving: "serving", Draining: "leaving"}
 
+// String returns the phase's text in the log.
 func (p Phase) String() string {
 	if p < 0 || int(p) >= len(phaseNames) {
 		return "unknown"
--- a/internal/plan/show/show.go
+++ b/internal/plan/show/show.go
@@ -39,6 +39,7 @@
 	color *color.Color
 }
 
+// String returns the mark as it is printed.
 func (m mark) String() string { return m.color.Sprint(m.sign) }
 
 var marks = map[fleetconfig.Verb]mark{
