--- a/internal/downstream/http1/server.go
+++ b/internal/downstream/http1/server.go
@@ -79,7 +79,7 @@
 
 // full reports whether so many requests are open that no other one is let in.
 func (s *Server) full(open int64) bool {
-	most := int64(MaxInFlightRatio * float64(s.clients.Most()))
+	most := int64(MaxInFlightRatio * float64(s.clients.Limit()))
 	if s.MaxInFlight > 0 {
 		most = min(most, int64(s.MaxInFlight))
 	}
@@ -342,7 +342,7 @@
 		tenant = strconv.Itoa(c.Tenant)
 	}
 	parts := []string{r.Method, r.Host, r.URL.RequestURI(), tenant, string(body)}
-	d := j.Identity.Of(append(parts, requesthead.IdentityHeaders(r.Header)...)...)
+	d := j.Identity.Digest(append(parts, requesthead.IdentityHeaders(r.Header)...)...)
 	return &d
 }
 
