--- a/internal/membership/xds/stream.go
+++ b/internal/membership/xds/stream.go
@@ -34,20 +34,7 @@
 		return err
 	}
 	responses, receiveErr := make(chan message), make(chan error, 1)
-	go func() {
-		for {
-			m, err := receive()
-			if err != nil {
-				receiveErr <- err
-				return
-			}
-			select {
-			case responses <- m:
-			case <-ctx.Done():
-				return
-			}
-		}
-	}()
+	go receiveAll(ctx, receive, responses, receiveErr)
 	for _, nacks := range s.nacks {
 		nacks.dropPending()
 	}
@@ -59,6 +46,22 @@
 	return s.serve(ctx, responses, receiveErr)
 }
 
+// receiveAll hands over what the stream receives until it breaks or the context ends. It has a goroutine of its own, which run starts.
+func receiveAll(ctx context.Context, receive func() (message, error), responses chan<- message, receiveErr chan<- error) {
+	for {
+		m, err := receive()
+		if err != nil {
+			receiveErr <- err
+			return
+		}
+		select {
+		case responses <- m:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
 // serve handles responses and timers until the stream ends.
 func (s *stream) serve(ctx context.Context, responses <-chan message, receiveErr <-chan error) error {
 	initialFetch := time.NewTimer(s.options.InitialFetchTimeout)
