--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -222,56 +222,68 @@
 	}
 }
 
+// drainedIDs returns the ids of the test servers that drain.
+func (x *testAgent) drainedIDs() (ids []string) {
+	for i := range 12 {
+		if id := server(i).ID; x.engine.manager.IsDraining(id) {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// drawConfig draws a configuration with drains and a limit.
+func drawConfig(t *rapid.T) *fleetconfig.Config {
+	c := &fleetconfig.Config{}
+	for i := range rapid.IntRange(0, 2).Draw(t, "drains") {
+		c.Drains = append(c.Drains, fleetconfig.Drain{Name: fmt.Sprint("d", i), Share: rapid.SampledFrom([]float64{0.3, 1}).Draw(t, "share"),
+			Selector: fleetconfig.Selector{Pods: []int{rapid.IntRange(0, 3).Draw(t, "pod")}}})
+	}
+	if n := rapid.IntRange(0, 3).Draw(t, "limit"); n > 0 {
+		c.Limits = []fleetconfig.Limit{{Name: "l", Tenant: "wick", MaxInFlight: &n}}
+	}
+	c.Normalize()
+	return c
+}
+
+// applyAndCompare plans and applies a configuration, compares what is in force with the plan, and may roll it back.
+func (x *testAgent) applyAndCompare(t *rapid.T, c *fleetconfig.Config) {
+	p, err := x.Plan(t.Context(), c, 0.25)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before, hash := x.drainedIDs(), x.hash()
+	if len(p.Changes) == 0 {
+		return
+	}
+	if _, err := x.Apply(t.Context(), p, "x", "", true); err != nil {
+		t.Fatal(err)
+	}
+	after := x.drainedIDs()
+	want := slices.DeleteFunc(slices.Concat(before, p.Effect.Drains), func(id string) bool { return slices.Contains(p.Effect.Returns, id) })
+	slices.Sort(want)
+	if !slices.Equal(after, want) {
+		t.Fatalf("drained are %v, and the plan from %v drains %v and returns %v", after, before, p.Effect.Drains, p.Effect.Returns)
+	}
+	again, err := x.Plan(t.Context(), c, 0.25)
+	if err != nil || len(again.Changes)+len(again.Effect.Drains)+len(again.Effect.Returns)+len(again.ServerFacts) > 0 {
+		t.Fatalf("planned again: %+v, %v", again, err)
+	}
+	if rapid.Bool().Draw(t, "back") {
+		a, err := x.Rollback(t.Context(), "x", "")
+		if err != nil || a.Hash != hash || !slices.Equal(x.drainedIDs(), before) {
+			t.Fatalf("rolled back to %+v, %v, drained %v; before %s, %v", a, err, x.drainedIDs(), hash, before)
+		}
+	}
+}
+
 // Random configurations are planned and applied to random fleets, and some rolled back. What is in force after an apply is what the
 // plan said, a new plan of the same configuration is empty, and a rollback brings back the hash and the drains of before.
 func TestApplyDoesWhatThePlanSays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := startAgent(&testing.T{}, nil, rapid.IntRange(0, 12).Draw(t, "servers"))
-		drained := func() (ids []string) {
-			for i := range 12 {
-				if id := server(i).ID; x.engine.manager.IsDraining(id) {
-					ids = append(ids, id)
-				}
-			}
-			return ids
-		}
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
-			c := &fleetconfig.Config{}
-			for i := range rapid.IntRange(0, 2).Draw(t, "drains") {
-				c.Drains = append(c.Drains, fleetconfig.Drain{Name: fmt.Sprint("d", i), Share: rapid.SampledFrom([]float64{0.3, 1}).Draw(t, "share"),
-					Selector: fleetconfig.Selector{Pods: []int{rapid.IntRange(0, 3).Draw(t, "pod")}}})
-			}
-			if n := rapid.IntRange(0, 3).Draw(t, "limit"); n > 0 {
-				c.Limits = []fleetconfig.Limit{{Name: "l", Tenant: "wick", MaxInFlight: &n}}
-			}
-			c.Normalize()
-			p, err := x.Plan(t.Context(), c, 0.25)
-			if err != nil {
-				t.Fatal(err)
-			}
-			before, hash := drained(), x.hash()
-			if len(p.Changes) == 0 {
-				continue
-			}
-			if _, err := x.Apply(t.Context(), p, "x", "", true); err != nil {
-				t.Fatal(err)
-			}
-			after := drained()
-			want := slices.DeleteFunc(slices.Concat(before, p.Effect.Drains), func(id string) bool { return slices.Contains(p.Effect.Returns, id) })
-			slices.Sort(want)
-			if !slices.Equal(after, want) {
-				t.Fatalf("drained are %v, and the plan from %v drains %v and returns %v", after, before, p.Effect.Drains, p.Effect.Returns)
-			}
-			again, err := x.Plan(t.Context(), c, 0.25)
-			if err != nil || len(again.Changes)+len(again.Effect.Drains)+len(again.Effect.Returns)+len(again.ServerFacts) > 0 {
-				t.Fatalf("planned again: %+v, %v", again, err)
-			}
-			if rapid.Bool().Draw(t, "back") {
-				a, err := x.Rollback(t.Context(), "x", "")
-				if err != nil || a.Hash != hash || !slices.Equal(drained(), before) {
-					t.Fatalf("rolled back to %+v, %v, drained %v; before %s, %v", a, err, drained(), hash, before)
-				}
-			}
+			x.applyAndCompare(t, drawConfig(t))
 		}
 	})
 }
