--- a/cmd/appleledge/restart_test.go
+++ b/cmd/appleledge/restart_test.go
@@ -17,6 +17,7 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/besteffort"
+	"appleledge/internal/harness/cluster"
 )
 
 const podWindow = 2 * time.Second
@@ -57,10 +58,10 @@
 	return entries
 }
 
-// agentAt starts the program in a process of its own and waits until it is ready.
-func agentAt(t *testing.T, args []string, config, addr string) *exec.Cmd {
+// agentAt starts the program of a turn in a process of its own and waits until it is ready.
+func agentAt(t *testing.T, turn int, args []string, config, addr string) *exec.Cmd {
 	t.Helper()
-	program := exec.Command(os.Args[0], args...)
+	program := exec.Command(cluster.Program(turn), args...)
 	program.Env = append(os.Environ(), "APPLELEDGE_AS_PROGRAM=1", "PROXY_CONFIG="+config, "PROXY_LISTEN="+addr)
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
@@ -137,14 +138,15 @@
 // The real program under load of refunds that clients repeat, killed and started again ten times at random: with ties no refund
 // runs twice. Without them some do, else this proves nothing.
 func TestNoRefundRunsTwiceOverRestarts(t *testing.T) {
-	for name, with := range map[string]bool{"with ties": true, "without": false} {
+	for name, keep := range map[string]string{"with ties": `budget = "100ms"`, "with ties that are synced": "budget = \"800ms\"\nsync = true", "without": ""} {
+		with := keep != ""
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := &pods{seen: map[string]time.Time{}, ran: map[string][]string{}}
 			disco := agenttest.NewDiscovery(t, 1, p.start(t)...)
 			dir := t.TempDir()
 			config, own := filepath.Join(dir, "config.json"), filepath.Join(dir, "own.toml")
-			text := fmt.Sprintf("[affinity]\ndir = %q\nbudget = \"100ms\"\n", dir) // busy machines take longer than 2 ms
+			text := fmt.Sprintf("[affinity]\ndir = %q\n%s\n", dir, keep) // busy machines take longer than 2 ms
 			for path, text := range map[string]string{config: string(agenttest.ConfigText(disco.Addr().String(), "null")), own: text} {
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
@@ -155,18 +157,18 @@
 				args = []string{"-settings", own}
 			}
 			x := &repeats{addr: agenttest.Refusing(t)}
-			program := agentAt(t, args, config, x.addr)
+			program := agentAt(t, 0, args, config, x.addr)
 			ended := make(chan struct{})
 			var all sync.WaitGroup
 			for i := range 16 {
 				all.Go(func() { x.run(ended, uint64(i)) })
 			}
 			rng := rand.New(rand.NewPCG(1, 2))
-			for range 10 {
+			for n := range 10 {
 				time.Sleep(time.Duration(200+rng.IntN(700)) * time.Millisecond)
 				besteffort.Ignore(program.Process.Kill())
 				besteffort.Ignore(program.Wait())
-				program = agentAt(t, args, config, x.addr)
+				program = agentAt(t, n+1, args, config, x.addr)
 			}
 			time.Sleep(time.Second)
 			close(ended)
--- a/cmd/appleledge/upgrade_generations_test.go
+++ b/cmd/appleledge/upgrade_generations_test.go
@@ -40,9 +40,9 @@
 	return g.ready(g.start(g.disco.Addr().String(), "-settings", g.own))
 }
 
-// apply sends all requests to one server from now on.
-func (g *governed) apply(server string) error {
-	c := &fleetconfig.Config{Pools: []fleetconfig.Pool{{Name: "p", Selector: fleetconfig.Selector{IDs: []string{server}}}},
+// apply sends all requests to these servers from now on.
+func (g *governed) apply(servers ...string) error {
+	c := &fleetconfig.Config{Pools: []fleetconfig.Pool{{Name: "p", Selector: fleetconfig.Selector{IDs: servers}}},
 		Routes: []fleetconfig.Route{{Name: "r", To: []fleetconfig.Target{{Pool: "p", Weight: 1}}}}}
 	c.Normalize()
 	ctx, cancel := context.WithTimeout(g.t.Context(), agenttest.Patience)
--- a/cmd/appleledge/upgrade_test.go
+++ b/cmd/appleledge/upgrade_test.go
@@ -19,12 +19,14 @@
 
 	"appleledge/internal/agenttest"
 	"appleledge/internal/besteffort"
+	"appleledge/internal/harness/cluster"
 )
 
 // installation is an agent whose versions are started beside one another.
 type installation struct {
 	t            *testing.T
 	dir, listen  string
+	turn         int // of the next version that is started
 	disco        *agenttest.Discovery
 	one, two     *agenttest.Backend
 	mu           sync.Mutex
@@ -55,6 +57,7 @@
 type version struct {
 	*exec.Cmd
 	t        *testing.T
+	turn     int
 	config   string
 	operator string
 	ended    chan error
@@ -68,7 +71,9 @@
 	if err := os.WriteFile(v.config, agenttest.ConfigText(discovery, "null"), 0o600); err != nil {
 		in.t.Fatal(err)
 	}
-	v.Cmd = exec.Command(os.Args[0], args...)
+	v.turn = in.turn
+	in.turn++
+	v.Cmd = exec.Command(cluster.Program(v.turn), args...)
 	v.Env = append(os.Environ(), "APPLELEDGE_AS_PROGRAM=1", "TMPDIR="+in.dir, "PROXY_CONFIG="+v.config, "PROXY_LISTEN=127.0.0.1:0",
 		"PROXY_OPERATOR=127.0.0.1:0") // free ones; a version that takes the clients' socket over has the first one's
 	v.Stderr = v.log
@@ -232,13 +237,14 @@
 		}
 		next := in.ready(in.start(in.disco.Addr().String()))
 		in.retire(now)
+		t.Logf("%s handed over to %s", cluster.Version(now.turn), cluster.Version(next.turn))
 		now = next
 	}
 	end()
 	if n := in.lost.Load(); n != 0 {
 		t.Errorf("%d requests were turned back with no answer; the first: %s", n, *in.firstLost.Load())
 	}
-	t.Logf("%d requests crossed the close of a kept connection", in.crossed.Load()) // as many as the machine is busy
+	t.Logf("%d requests served, %d lost, %d crossed the close of a kept connection", in.served.Load(), in.lost.Load(), in.crossed.Load()) // as many as the machine is busy
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for id, n := range in.ran {
--- a/internal/harness/cluster/fleet.go
+++ b/internal/harness/cluster/fleet.go
@@ -409,7 +409,8 @@
 	seed := fmt.Sprintf("%016x", (uint64(a.starts)<<32+uint64(a.Number)+a.fleet.options.Seed)*0x9E3779B97F4A7C15) // new with each start
 	text := strings.Replace(a.config, `"seed":"8c1f30d27a5be964"`, `"seed":"`+seed+`"`, 1)
 	a.fleet.must(os.WriteFile(filepath.Join(a.dir, "config.json"), []byte(text), 0o600))
-	a.cmd = exec.Command(os.Args[0], "-settings", filepath.Join(a.dir, "own.toml"))
+	turn := a.Number + a.starts - 1 // with two versions: both among the first processes, and the other one at each agent's next start
+	a.cmd = exec.Command(Program(turn), "-settings", filepath.Join(a.dir, "own.toml"))
 	a.cmd.Env = append(os.Environ(), AsProgram+"=1", DiskAt+"="+a.disk(), ClockOff+"="+a.ClockOff.String(), "TMPDIR="+a.dir, "GOMAXPROCS=1",
 		"PROXY_CONFIG="+filepath.Join(a.dir, "config.json"), "PROXY_NAME="+fmt.Sprint("n", a.Number), "PROXY_LISTEN="+a.Addr, "PROXY_OPERATOR="+a.Operator)
 	a.cmd.Stderr = a.Log
