--- a/cmd/appleledge/fleet_overload_test.go
+++ b/cmd/appleledge/fleet_overload_test.go
@@ -130,7 +130,7 @@
 			o := f.Offer(cluster.Offered{Rate: c.rate, For: 3 * time.Second, Agent: c.agent})
 			t.Logf("refunds: %v; form-checks: %v", o.Refunds, o.Checks)
 			// How much is served hangs on how soon agents get processor time in the first half second, in which servers fill: it is held
-			// against its least on a machine that nothing else uses, and in simulated time (package rehearsal).
+			// against its least on a machine that nothing else uses, and in simulated time (package scenario).
 			if strict && o.Refunds.Part() < c.refunds {
 				t.Errorf("refunds: %v", o.Refunds)
 			}
--- a/internal/agent/operator_test.go
+++ b/internal/agent/operator_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// StatsLogInterval follow what clients got.
+// Figures follow what clients got.
 func TestFiguresOfWhatWasNotServed(t *testing.T) {
 	b := newBackend(t, says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	a, o := withOperators(t, newFakeDiscovery(t, 1, entryText("s-1", b.Addr().String(), "Ready", 0)))
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// StatsLogInterval that are read while classes come and go are whole and never go back; of two signals that come together the later
+// Figures that are read while classes come and go are whole and never go back; of two signals that come together the later
 // file holds.
 func TestFiguresWhileClassesChange(t *testing.T) {
 	b := newBackend(t, says(served))
--- a/internal/upstream/http1/transport_test.go
+++ b/internal/upstream/http1/transport_test.go
@@ -54,7 +54,7 @@
 
 func (f *fixture) idle() int { return f.Pool.Stats().Idle }
 
-// body is what a testbed.Served attempt brought.
+// body is what a served attempt brought.
 func body(out engine.Outcome) string {
 	if resp, ok := out.Payload.(*Response); ok {
 		return string(resp.Body)
@@ -69,7 +69,7 @@
 
 func closes(net.Conn, *http.Request, int) bool { return false }
 
-// An outcome testbed.Says exactly what may have run: the module resends by it, and effects must not repeat.
+// An outcome says exactly what may have run: the module resends by it, and effects must not repeat.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(net.Conn, *http.Request, int) bool
@@ -95,7 +95,7 @@
 			balancer.Reset, 0},
 		"chunks over the limit": {agenttest.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000)),
 			balancer.Reset, 0},
-		// What follows leaves the connection open and testbed.Silent: it must not hold the attempt until its deadline.
+		// What follows leaves the connection open and silent: it must not hold the attempt until its deadline.
 		"noise with no line":        {agenttest.Says("\x16\x03\x01noise"), balancer.Reset, 0},
 		"noise like an answer":      {agenttest.Says("HTTPS"), balancer.Reset, 0},
 		"half a head":               {agenttest.Says("HTTP/1.1 200 OK\r\nContent-Le"), balancer.Reset, 0},
@@ -300,7 +300,7 @@
 	}
 }
 
-// holdDials makes dials to that address wait for the channel to close, as a machine that testbed.Says nothing does.
+// holdDials makes dials to that address wait for the channel to close, as a machine that says nothing does.
 func (f *fixture) holdDials(addr string, until chan struct{}) (began chan struct{}) {
 	began = make(chan struct{}, 1)
 	f.Pool.Dialer.ControlContext = func(ctx context.Context, _, to string, _ syscall.RawConn) error {
