--- a/cmd/appleledgectl/fleet.go
+++ b/cmd/appleledgectl/fleet.go
@@ -108,7 +108,7 @@
 			fmt.Fprintf(w, "%s\t%s\n", state, strings.Join(by[state], " "))
 		}
 		fmt.Fprintf(w, "word\t%d claims heard, %d out of bounds; held out: %s\n", p.Claims, p.ClaimsOutOfBounds, strings.Join(p.ExcludedServers, " "))
-		fmt.Fprintf(w, "datagrams\t%d sent (%d bytes), %d taken\n", p.Sent, p.Bytes, p.Received)
+		fmt.Fprintf(w, "datagrams\t%d sent (%d bytes), %d taken\n", p.Sent, p.SentBytes, p.Received)
 		for _, why := range slices.Sorted(maps.Keys(p.Dropped)) {
 			fmt.Fprintf(w, "\t%d dropped: %s\n", p.Dropped[why], why)
 		}
@@ -123,8 +123,8 @@
 				k.Rejected, k.RejectedRetries)
 		}
 		fmt.Fprintf(w, "refused here\t%d of these for want of time; %d further attempts not made\n", o.RejectedTooLate, o.SuppressedRetries)
-		fmt.Fprintf(w, "picture\ttrusted %v, of %d agents; %d requests were decided alone\n", o.Trust, o.KnownAgents, o.DecidedAlone)
-		fmt.Fprintf(w, "\t%d told, %d heard, %d out of bounds, %d malformed\n", o.DigestsSent, o.DigestsReceived, o.ClaimsOutOfBounds, o.Malformed)
+		fmt.Fprintf(w, "picture\ttrusted %v, of %d agents; %d requests were decided alone\n", o.Trust, o.KnownAgents, o.DecidedLocally)
+		fmt.Fprintf(w, "\t%d told, %d heard, %d out of bounds, %d malformed\n", o.PayloadsSent, o.PayloadsReceived, o.ClaimsOutOfBounds, o.Malformed)
 		fmt.Fprintf(w, "held out as ill\t%s\n", strings.Join(o.ExcludedServers, " "))
 	}
 	return w.Flush()
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -160,5 +160,5 @@
 	if c.Operator == "" {
 		return 0
 	}
-	return operator.Sockets + hotrestart.MaxDescriptors
+	return operator.MaxDescriptors + hotrestart.MaxDescriptors
 }
--- a/internal/agent/fleetview.go
+++ b/internal/agent/fleetview.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return f, err
 		}
-		p := operator.Peers{Self: v.peers.Self(), Alive: st.Alive, Sent: st.Sent, Bytes: st.SentBytes, Received: st.Received, Dropped: st.Dropped, ExcludedServers: held,
+		p := operator.Peers{Self: v.peers.Self(), Alive: st.Alive, Sent: st.Sent, SentBytes: st.SentBytes, Received: st.Received, Dropped: st.Dropped, ExcludedServers: held,
 			Claims: counts.Accepted, ClaimsOutOfBounds: counts.OverLimit, SuspectedBy: st.Counts.Refuted, Suspecting: st.Counts.Suspected}
 		for _, s := range st.States {
 			p.States = append(p.States, s.String())
@@ -69,7 +69,7 @@
 	o := &operator.Overload{Trust: twoDigits(st.Trust), Limit: twoDigits(st.Limit), Capacity: twoDigits(st.Capacity), Utilization: twoDigits(st.Utilization),
 		RejectedRatio: twoDigits(st.RejectedRatio), OfferedRate: twoDigits(st.Demand.Requests), AdmittedRate: twoDigits(st.Demand.Admitted), InFlight: twoDigits(st.Demand.InFlight), ServedInTimeRate: twoDigits(st.Demand.ServedInTime),
 		LateOrFailedRate: twoDigits(st.Demand.LateOrFailed), RetryRate: twoDigits(st.Demand.ExtraAttempts), KnownAgents: st.Demand.KnownAgents, Classes: map[string]operator.OverloadClass{}, ExcludedServers: st.Excluded,
-		DecidedAlone: st.Counts.DecidedLocally, RejectedTooLate: st.Counts.PastDeadline, SuppressedRetries: st.Counts.RejectedRetries, DigestsSent: st.Counts.PayloadsSent, DigestsReceived: st.Counts.View.Digests + st.Counts.View.Reports + st.Counts.View.Observations,
+		DecidedLocally: st.Counts.DecidedLocally, RejectedTooLate: st.Counts.PastDeadline, SuppressedRetries: st.Counts.RejectedRetries, PayloadsSent: st.Counts.PayloadsSent, PayloadsReceived: st.Counts.View.Digests + st.Counts.View.Reports + st.Counts.View.Observations,
 		ClaimsOutOfBounds: st.Counts.View.Capped, Malformed: st.Counts.View.Malformed}
 	for c, chance := range st.AdmitProbabilities {
 		if c < len(classes) {
--- a/internal/cli/telemetry.go
+++ b/internal/cli/telemetry.go
@@ -15,14 +15,14 @@
 
 // telemetryFront is what the section [telemetry] switches on.
 func telemetryFront(f settings.File) agent.DownstreamServer {
-	return agent.DownstreamServer{Name: "telemetry", Descriptors: telemetry.Sockets, Open: func(c agent.Core) (func(context.Context) error, error) {
+	return agent.DownstreamServer{Name: "telemetry", Descriptors: telemetry.MaxDescriptors, Open: func(c agent.Core) (func(context.Context) error, error) {
 		l, err := net.Listen("tcp", f.Telemetry.Listen)
 		taken := errors.Is(err, syscall.EADDRINUSE) && c.HasSibling() // by the process that this one replaces
 		if err != nil && !taken {
 			return nil, fmt.Errorf("%s: %w", f.Where("telemetry.listen"), err)
 		}
 		c.Engine.TrackLatency(c.Site.Balancer.Classes)
-		s := &telemetry.Server{Engine: c.Engine, Pool: c.Pool, Peers: c.GossipStatus, Overload: c.OverloadStatus, Log: c.Log}
+		s := &telemetry.Server{Engine: c.Engine, Pool: c.Pool, Gossip: c.GossipStatus, Overload: c.OverloadStatus, Log: c.Log}
 		return func(ctx context.Context) error {
 			if taken {
 				if l = listenLater(ctx, f.Telemetry.Listen); l == nil {
--- a/internal/downstream/requesthead/intake.go
+++ b/internal/downstream/requesthead/intake.go
@@ -19,13 +19,13 @@
 
 // The headers of a request that the agent reads, in net/http's form: another one costs an allocation at each look.
 const (
-	RequestIDHeader = "X-Request-Id"
-	KeyHeader       = "Idempotency-Key"
-	TimeoutHeader   = "X-Timeout"
-	tenantHeader    = "X-Tenant-Id"
-	routeKeyHeader  = "X-Route-Key"
-	retriedHeader   = "X-Retried"
-	longestID       = 128
+	RequestIDHeader      = "X-Request-Id"
+	IdempotencyKeyHeader = "Idempotency-Key"
+	TimeoutHeader        = "X-Timeout"
+	tenantHeader         = "X-Tenant-Id"
+	routeKeyHeader       = "X-Route-Key"
+	retriedHeader        = "X-Retried"
+	maxRequestIDLength   = 128
 )
 
 const (
@@ -36,18 +36,18 @@
 )
 
 // CheckedHeaders are the headers that Check reads.
-var CheckedHeaders = []string{RequestIDHeader, KeyHeader, TimeoutHeader, tenantHeader, routeKeyHeader, retriedHeader}
+var CheckedHeaders = []string{RequestIDHeader, IdempotencyKeyHeader, TimeoutHeader, tenantHeader, routeKeyHeader, retriedHeader}
 
 // RoutingHeaders are the headers by which a configuration may route. Every front hands them over.
 var RoutingHeaders = []string{"X-Attrs", "X-Cost", routeKeyHeader}
 
-// passedOn are the headers that go on to a backend. All others concern the agent or nobody: what a client puts in them
+// forwardedHeaders are the headers that go on to a backend. All others concern the agent or nobody: what a client puts in them
 // must not change how a backend reads the message.
-var passedOn = []string{RequestIDHeader, KeyHeader, tenantHeader, routeKeyHeader, retriedHeader, "X-Cost", "X-Attrs",
+var forwardedHeaders = []string{RequestIDHeader, IdempotencyKeyHeader, tenantHeader, routeKeyHeader, retriedHeader, "X-Cost", "X-Attrs",
 	"Content-Type"}
 
-// ofTheAsking are those of them that say who asks, and how often, and not what is asked.
-var ofTheAsking = []string{RequestIDHeader, tenantHeader, retriedHeader, "X-Cost"}
+// requesterHeaders are those of them that say who asks, and how often, and not what is asked.
+var requesterHeaders = []string{RequestIDHeader, tenantHeader, retriedHeader, "X-Cost"}
 
 // BadRequestError is a request that is answered with a plain 4xx and never forwarded.
 type BadRequestError struct {
@@ -79,16 +79,16 @@
 type ActiveRules struct{ rules atomic.Pointer[Rules] }
 
 // Replace puts rules in force.
-func (f *ActiveRules) Replace(r Rules) { f.rules.Store(&r) }
+func (a *ActiveRules) Replace(r Rules) { a.rules.Store(&r) }
 
 // Check checks a request against the rules in force.
-func (f *ActiveRules) Check(h Head, began time.Duration) (*engine.Call, time.Duration, error) {
-	return f.rules.Load().Check(h, began)
+func (a *ActiveRules) Check(h Head, began time.Duration) (*engine.Call, time.Duration, error) {
+	return a.rules.Load().Check(h, began)
 }
 
 // MaxDeadline is how long any client waits, under these rules or those before.
-func (f *ActiveRules) MaxDeadline() (longest time.Duration) {
-	for r := f.rules.Load(); r != nil; r = r.Previous {
+func (a *ActiveRules) MaxDeadline() (longest time.Duration) {
+	for r := a.rules.Load(); r != nil; r = r.Previous {
 		for _, c := range r.Classes {
 			if !c.Retired {
 				longest = max(longest, c.Deadline)
@@ -99,13 +99,13 @@
 }
 
 // LatencyObjective is within what time any client wants its answer.
-func (f *ActiveRules) LatencyObjective() (aim time.Duration) {
-	for _, c := range f.rules.Load().Classes {
+func (a *ActiveRules) LatencyObjective() (longest time.Duration) {
+	for _, c := range a.rules.Load().Classes {
 		if !c.Retired {
-			aim = max(aim, c.LatencyObjective)
+			longest = max(longest, c.LatencyObjective)
 		}
 	}
-	return aim
+	return longest
 }
 
 // Head is a request's head. Header has canonical names.
@@ -127,53 +127,53 @@
 		return rules.check(h, began)
 	}
 	attempts := min(rules.MaxAttempts, rules.Previous.MaxAttempts)
-	under, other := &rules, rules.Previous
-	if !rules.fits(h) && rules.Previous.fits(h) {
-		under, other = other, under
+	applied, other := &rules, rules.Previous
+	if !rules.matchesClassEffect(h) && rules.Previous.matchesClassEffect(h) {
+		applied, other = other, applied
 	}
-	c, timeout, err := under.check(h, began)
+	call, timeout, err := applied.check(h, began)
 	if err != nil {
 		return nil, 0, err
 	}
-	c.MaxAttempts = attempts
-	if i := c.Class; i < len(other.Classes) { // the client's patience is what either allows
+	call.MaxAttempts = attempts
+	if i := call.Class; i < len(other.Classes) { // the client's patience is what either allows
 		if longer, err := ParseTimeout(h.Header.Get(TimeoutHeader), other.Classes[i].Deadline); err == nil && longer > timeout {
 			timeout = longer
-			c.Deadline = began + timeout - min(deadlineMargin, timeout/4)
+			call.Deadline = began + timeout - min(deadlineMargin, timeout/4)
 		}
 	}
-	return c, timeout, nil
+	return call, timeout, nil
 }
 
 // class is the number of the class that a path names; -1 of none that takes requests.
-func (rules *Rules) class(path string) int {
+func (rules *Rules) classIndex(path string) int {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return slices.IndexFunc(rules.Classes, func(c balancer.Class) bool { return c.Name == name && !c.Retired })
 }
 
 // fits reports whether a request has the form of its class: method and key tell the effect.
-func (rules *Rules) fits(h Head) bool {
-	i := rules.class(h.Path)
+func (rules *Rules) matchesClassEffect(h Head) bool {
+	i := rules.classIndex(h.Path)
 	if i < 0 {
 		return false
 	}
-	form := balancer.NonIdempotent
+	effect := balancer.NonIdempotent
 	switch {
 	case h.Method == http.MethodGet, h.Method == http.MethodHead:
-		form = balancer.Idempotent
-	case h.Header.Get(KeyHeader) != "":
-		form = balancer.IdempotentByKey
+		effect = balancer.Idempotent
+	case h.Header.Get(IdempotencyKeyHeader) != "":
+		effect = balancer.IdempotentByKey
 	}
-	return rules.Classes[i].Effect == form
+	return rules.Classes[i].Effect == effect
 }
 
 func (rules *Rules) check(h Head, began time.Duration) (*engine.Call, time.Duration, error) {
-	index := rules.class(h.Path)
+	index := rules.classIndex(h.Path)
 	if index < 0 {
 		return nil, 0, BadRequestError{http.StatusNotFound, "unknown class"}
 	}
 	class := rules.Classes[index]
-	if err := checkForm(h, class); err != nil {
+	if err := checkMessage(h, class); err != nil {
 		return nil, 0, err
 	}
 	timeout, err := ParseTimeout(h.Header.Get(TimeoutHeader), class.Deadline)
@@ -184,18 +184,18 @@
 	if tenant < 0 && len(rules.Tenants) > 0 {
 		return nil, 0, BadRequestError{http.StatusBadRequest, "unknown tenant"}
 	}
-	c := &engine.Call{ID: h.Header.Get(RequestIDHeader), Class: index, Tenant: tenant, Key: h.Header.Get(routeKeyHeader),
+	call := &engine.Call{ID: h.Header.Get(RequestIDHeader), Class: index, Tenant: tenant, Key: h.Header.Get(routeKeyHeader),
 		Deadline: began + timeout - min(deadlineMargin, timeout/4), ClientRetry: h.Header.Get(retriedHeader) == "1",
-		Effect: class.Effect, IdempotencyKey: h.Header.Get(KeyHeader), Path: h.Path, Header: h.Header,
+		Effect: class.Effect, IdempotencyKey: h.Header.Get(IdempotencyKeyHeader), Path: h.Path, Header: h.Header,
 		SettingsVersion: rules.Version, MaxAttempts: rules.MaxAttempts}
 	if class.Effect == balancer.IdempotentByKey {
-		c.IdempotencyWindow = class.DedupWindow
+		call.IdempotencyWindow = class.DedupWindow
 	}
-	return c, timeout, nil
+	return call, timeout, nil
 }
 
-// checkForm checks what does not depend on the body.
-func checkForm(h Head, class balancer.Class) error {
+// checkMessage checks what does not depend on the body.
+func checkMessage(h Head, class balancer.Class) error {
 	// Beside a length, chunks may hide a second request in what the length makes the body. net/http drops such a length
 	// unseen, so that chunks can't be had at all; clients always send a length.
 	if h.Chunked && !h.AllowsChunkedAndHead {
@@ -217,46 +217,46 @@
 	if want != http.MethodPost && (h.ContentLength != 0 || h.Chunked) {
 		return BadRequestError{http.StatusBadRequest, "a GET has no body"}
 	}
-	for _, name := range []string{RequestIDHeader, KeyHeader, TimeoutHeader} {
+	for _, name := range []string{RequestIDHeader, IdempotencyKeyHeader, TimeoutHeader} {
 		if len(h.Header.Values(name)) > 1 {
 			return BadRequestError{http.StatusBadRequest, name + " is there more than once"}
 		}
 	}
-	if id := h.Header.Get(RequestIDHeader); id == "" || len(id) > longestID {
+	if id := h.Header.Get(RequestIDHeader); id == "" || len(id) > maxRequestIDLength {
 		return BadRequestError{http.StatusBadRequest, RequestIDHeader + " is missing or too long"}
 	}
-	if class.Effect == balancer.IdempotentByKey && h.Header.Get(KeyHeader) == "" {
+	if class.Effect == balancer.IdempotentByKey && h.Header.Get(IdempotencyKeyHeader) == "" {
 		// The backends could not tell a repeat, so it must not be sent as one of this class.
-		return BadRequestError{http.StatusBadRequest, KeyHeader + " is missing"}
+		return BadRequestError{http.StatusBadRequest, IdempotencyKeyHeader + " is missing"}
 	}
 	return nil
 }
 
-var timeoutForm = regexp.MustCompile(`^([0-9]{1,12}(?:\.[0-9]{1,12})?)([mu])$`)
+var timeoutPattern = regexp.MustCompile(`^([0-9]{1,12}(?:\.[0-9]{1,12})?)([mu])$`)
 
 // ParseTimeout reads a number and a unit, m for milliseconds or u for microseconds. A client's whole patience is its
 // class's deadline: what it states beyond that is cut, as it would hold memory and timers for as long.
-func ParseTimeout(text string, most time.Duration) (time.Duration, error) {
-	bad := BadRequestError{http.StatusBadRequest, TimeoutHeader + " is missing or malformed"}
-	form := timeoutForm.FindStringSubmatch(text)
-	if form == nil {
-		return 0, bad
+func ParseTimeout(text string, maxTimeout time.Duration) (time.Duration, error) {
+	errMalformed := BadRequestError{http.StatusBadRequest, TimeoutHeader + " is missing or malformed"}
+	parts := timeoutPattern.FindStringSubmatch(text)
+	if parts == nil {
+		return 0, errMalformed
 	}
 	unit := time.Millisecond
-	if form[2] == "u" {
+	if parts[2] == "u" {
 		unit = time.Microsecond
 	}
-	x, err := strconv.ParseFloat(form[1], 64)
-	if err != nil || x <= 0 {
-		return 0, bad
+	amount, err := strconv.ParseFloat(parts[1], 64)
+	if err != nil || amount <= 0 {
+		return 0, errMalformed
 	}
-	return time.Duration(min(x*float64(unit), float64(most))), nil
+	return time.Duration(min(amount*float64(unit), float64(maxTimeout))), nil
 }
 
 // ForwardedHeaders returns the headers that go on to a backend.
 func ForwardedHeaders(h http.Header) http.Header {
-	out := make(http.Header, len(passedOn)+1)
-	for _, name := range passedOn {
+	out := make(http.Header, len(forwardedHeaders)+1)
+	for _, name := range forwardedHeaders {
 		name = http.CanonicalHeaderKey(name)
 		if values := h[name]; len(values) > 0 {
 			out[name] = values
@@ -282,8 +282,8 @@
 // IdentityHeaders lists what of a request's headers a backend's answer may hang on, without who asks: each name that goes on, how many
 // values it has, and these.
 func IdentityHeaders(h http.Header) (parts []string) {
-	for _, name := range passedOn {
-		if values := h[http.CanonicalHeaderKey(name)]; len(values) > 0 && !slices.Contains(ofTheAsking, name) {
+	for _, name := range forwardedHeaders {
+		if values := h[http.CanonicalHeaderKey(name)]; len(values) > 0 && !slices.Contains(requesterHeaders, name) {
 			parts = append(parts, name, strconv.Itoa(len(values)))
 			parts = append(parts, values...)
 		}
@@ -311,7 +311,7 @@
 	for _, value := range h["Vary"] {
 		for name := range strings.SplitSeq(value, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
-			if name == "*" || slices.Contains(ofTheAsking, name) {
+			if name == "*" || slices.Contains(requesterHeaders, name) {
 				return true
 			}
 		}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -38,7 +38,7 @@
 	Alive             int               `json:"alive"` // this one among them
 	States            []string          `json:"states"`
 	Sent              uint64            `json:"datagrams_sent"`
-	Bytes             uint64            `json:"bytes_sent"`
+	SentBytes         uint64            `json:"bytes_sent"`
 	Received          uint64            `json:"datagrams_taken"`
 	Dropped           map[string]uint64 `json:"datagrams_dropped,omitempty"`
 	ExcludedServers   []string          `json:"held_out_on_word"` // servers
@@ -65,11 +65,11 @@
 	RejectedRatio     float64                  `json:"refused_part"`
 	Classes           map[string]OverloadClass `json:"classes"`
 	ExcludedServers   []string                 `json:"held_out_as_ill"`
-	DecidedAlone      uint64                   `json:"decided_alone"`
+	DecidedLocally    uint64                   `json:"decided_alone"`
 	RejectedTooLate   uint64                   `json:"refused_here_too_late"` // of those refused here, for want of time
 	SuppressedRetries uint64                   `json:"further_attempts_not_made"`
-	DigestsSent       uint64                   `json:"told"`
-	DigestsReceived   uint64                   `json:"news_heard"`
+	PayloadsSent      uint64                   `json:"told"`
+	PayloadsReceived  uint64                   `json:"news_heard"`
 	ClaimsOutOfBounds uint64                   `json:"claims_out_of_bounds"`
 	Malformed         uint64                   `json:"malformed"`
 }
@@ -84,7 +84,7 @@
 }
 
 // fleet answers with the fleet as the agent sees it, where it has a view of one.
-func (s *Server) fleet(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleFleet(w http.ResponseWriter, r *http.Request) {
 	f, err := s.Fleet(r.Context())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	mostAtOnce  = 12                     // connections; the oldest silent one makes room
-	settled     = 20 * time.Millisecond  // for which a connection may be silent though others wait
-	patience    = 5 * time.Second        // for a call to come, whoever else wants its place
-	answerIn    = 700 * time.Millisecond // a call is owed its answer in a second
-	mostHead    = 8 << 10                // bytes
-	mostBody    = 4 << 10                // no call needs one
-	longestID   = 256                    // bytes of a server's id
-	endPatience = 500 * time.Millisecond // for calls that are open at the end
+	maxConnections    = 12                     // connections; the oldest silent one makes room
+	minConnectionAge  = 20 * time.Millisecond  // for which a connection may be silent though others wait
+	readTimeout       = 5 * time.Second        // for a call to come, whoever else wants its place
+	handlerTimeout    = 700 * time.Millisecond // a call is owed its answer in a second
+	maxHeaderBytes    = 8 << 10                // bytes
+	maxBodyBytes      = 4 << 10                // no call needs one
+	maxServerIDLength = 256                    // bytes of a server's id
+	shutdownTimeout   = 500 * time.Millisecond // for calls that are open at the end
 )
 
-// Sockets is how many descriptors a Server needs at the most.
-const Sockets = mostAtOnce + 2
+// MaxDescriptors is how many descriptors a Server needs at the most.
+const MaxDescriptors = maxConnections + 2
 
 // Agent is what the calls are about.
 type Agent interface {
@@ -59,19 +59,19 @@
 
 // Serve answers calls until the context ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	srv := &http.Server{Handler: s.Handler(), ReadTimeout: patience, WriteTimeout: patience + answerIn, IdleTimeout: patience,
-		MaxHeaderBytes: mostHead, ConnState: connlimit.ConnState, ConnContext: connlimit.ConnContext,
+	srv := &http.Server{Handler: s.Handler(), ReadTimeout: readTimeout, WriteTimeout: readTimeout + handlerTimeout, IdleTimeout: readTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: connlimit.ConnState, ConnContext: connlimit.ConnContext,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelWarn)} // a rude peer must not flood the log
 	srv.SetKeepAlivesEnabled(false) // one call to a connection
 	defer context.AfterFunc(ctx, func() {
-		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), endPatience)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
-		if srv.Shutdown(last) != nil {
+		if srv.Shutdown(shutdownCtx) != nil {
 			besteffort.Close(srv)
 		}
 	})()
 	s.Log.Info("listening for operators", "addr", l.Addr().String())
-	if err := srv.Serve(connlimit.New(l, mostAtOnce, connlimit.Options{MinAge: settled})); !errors.Is(err, http.ErrServerClosed) {
+	if err := srv.Serve(connlimit.New(l, maxConnections, connlimit.Options{MinAge: minConnectionAge})); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving operators: %w", err)
 	}
 	return nil
@@ -80,27 +80,27 @@
 // Handler answers a call.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /ops/readiness", s.readiness)
-	mux.HandleFunc("GET /ops/stats", s.stats)
+	mux.HandleFunc("GET /ops/readiness", s.handleReadiness)
+	mux.HandleFunc("GET /ops/stats", s.handleStats)
 	if s.Fleet != nil {
-		mux.HandleFunc("GET /ops/fleet", s.fleet)
+		mux.HandleFunc("GET /ops/fleet", s.handleFleet)
 	}
-	mux.HandleFunc("PUT /ops/backends/down/{id}", s.hold(true))
-	mux.HandleFunc("PUT /ops/backends/up/{id}", s.hold(false))
+	mux.HandleFunc("PUT /ops/backends/down/{id}", s.handleDenylistChange(true))
+	mux.HandleFunc("PUT /ops/backends/up/{id}", s.handleDenylistChange(false))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		connlimit.MarkInUse(r.Context())
-		if r.ContentLength > mostBody {
+		if r.ContentLength > maxBodyBytes {
 			http.Error(w, "no call has a body that long", http.StatusRequestEntityTooLarge)
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, mostBody)
-		ctx, cancel := context.WithTimeout(r.Context(), answerIn)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+		ctx, cancel := context.WithTimeout(r.Context(), handlerTimeout)
 		defer cancel()
 		mux.ServeHTTP(w, r.WithContext(ctx))
 	})
 }
 
-func (s *Server) readiness(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !s.Agent.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
@@ -108,7 +108,7 @@
 	besteffort.IgnoreResult(io.WriteString(w, "ready\n"))
 }
 
-func (s *Server) stats(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleStats(w http.ResponseWriter, r *http.Request) {
 	f, err := s.Agent.Stats(r.Context())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -119,14 +119,14 @@
 }
 
 // hold takes a server out or back.
-func (s *Server) hold(out bool) http.HandlerFunc {
+func (s *Server) handleDenylistChange(out bool) http.HandlerFunc {
 	done := "back"
 	if out {
 		done = "out"
 	}
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
-		if id == "" || len(id) > longestID {
+		if id == "" || len(id) > maxServerIDLength {
 			http.Error(w, "the id of a server is missing or too long", http.StatusBadRequest)
 			return
 		}
@@ -146,7 +146,7 @@
 }
 
 // outcomes are the names that operators have for the kinds of answers. A conflict ends as a failure for its client.
-var outcomes = [...]struct {
+var outcomeNames = [...]struct {
 	name  string
 	kinds []engine.AnswerKind
 }{
@@ -159,7 +159,7 @@
 func (f Stats) String() string {
 	var b strings.Builder
 	for class, name := range f.Counters.Classes {
-		for _, o := range outcomes {
+		for _, o := range outcomeNames {
 			var n uint64
 			for _, kind := range o.kinds {
 				n += f.Counters.Answers[class][kind]
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -103,7 +103,7 @@
 func TestCalls(t *testing.T) {
 	f := newFake()
 	addr := serve(t, f)
-	long := strings.Repeat("x", 2*mostHead)
+	long := strings.Repeat("x", 2*maxHeaderBytes)
 	for _, c := range []struct {
 		line, rest string
 		status     int
@@ -158,7 +158,7 @@
 	if status, _ := call(t, addr, "GET /ops/stats HTTP/1.1\r\nHost: a\r\n\r\n"); status != 200 {
 		t.Error(status)
 	}
-	if took := time.Since(began); took > patience*4/5 { // as long as the silent ones were left alone
+	if took := time.Since(began); took > readTimeout*4/5 { // as long as the silent ones were left alone
 		t.Errorf("the answer took %v", took)
 	}
 }
--- a/internal/platformconfig/platformconfig_test.go
+++ b/internal/platformconfig/platformconfig_test.go
@@ -41,7 +41,7 @@
 	case "r":
 		h.Method = http.MethodGet
 	case "k":
-		h.Header.Set(requesthead.KeyHeader, "key")
+		h.Header.Set(requesthead.IdempotencyKeyHeader, "key")
 	}
 	c, _, err := rules.Check(h, at)
 	if err != nil {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -33,7 +33,7 @@
 	core, conns, ended := newEngine(t, site)
 	others := &gossip.Status{States: []gossip.State{gossip.Alive, gossip.Dead, gossip.Alive}, Sent: 7, Dropped: map[string]uint64{"forged": 3}}
 	shares := &overload.Status{Trust: 0.5, Capacity: 120, AdmitProbabilities: []float64{0.25}, Counts: overload.Counts{Rejected: [][2]uint64{{7, 2}}}}
-	s := &Server{Engine: core, Pool: conns, Peers: func() *gossip.Status { return others }, Overload: func() *overload.Status { return shares }, Log: slog.New(slog.DiscardHandler)}
+	s := &Server{Engine: core, Pool: conns, Gossip: func() *gossip.Status { return others }, Overload: func() *overload.Status { return shares }, Log: slog.New(slog.DiscardHandler)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
