--- a/cmd/scenario/main.go
+++ b/cmd/scenario/main.go
@@ -83,11 +83,11 @@
 	if flags.NArg() != 2 {
 		return errors.New("compare needs two reports, which scenario run -json FILE writes")
 	}
-	a, err := scenario.LoadDay(flags.Arg(0))
+	a, err := scenario.LoadReport(flags.Arg(0))
 	if err != nil {
 		return err
 	}
-	b, err := scenario.LoadDay(flags.Arg(1))
+	b, err := scenario.LoadReport(flags.Arg(1))
 	if err != nil {
 		return err
 	}
@@ -123,16 +123,16 @@
 	held := true
 	for i, s := range scripts {
 		began := time.Now()
-		var d scenario.Day
+		var d scenario.Report
 		if *simulated {
 			d = scenario.Simulate(s, *seed)
 		} else {
 			var err error
-			if d, err = (scenario.Live{Script: s, Seed: *seed, Agent: *program, Out: os.Stderr}).Run(ctx); err != nil {
+			if d, err = (scenario.LiveRunner{Script: s, Seed: *seed, AgentProgram: *program, Out: os.Stderr}).Run(ctx); err != nil {
 				return err
 			}
 		}
-		held = held && d.Held()
+		held = held && d.Passed()
 		if err := write(*page, func(f *os.File) error { return d.HTML(f, flags.Arg(i)) }); err != nil {
 			return err
 		}
@@ -142,12 +142,12 @@
 		if *brief {
 			f := d.Service
 			fmt.Printf("%-50s service %.4f  worst 10 s %.4f  broken %d  not held %d  %.1f seconds played a second\n", flags.Arg(i),
-				f.Figure, f.Worst10, d.Breaks, len(d.Failing), d.Length.Seconds()/time.Since(began).Seconds())
+				f.Figure, f.Worst10, d.ViolationCount, len(d.FailedAssertions), d.Duration.Seconds()/time.Since(began).Seconds())
 			continue
 		}
 		fmt.Println(flags.Arg(i))
 		d.Write(os.Stdout)
-		fmt.Printf("%v played in %v\n\n", d.Length.Round(time.Second), time.Since(began).Round(time.Millisecond))
+		fmt.Printf("%v played in %v\n\n", d.Duration.Round(time.Second), time.Since(began).Round(time.Millisecond))
 	}
 	if !held {
 		return errors.New("a rule was broken, or what a script asserts did not hold")
@@ -170,18 +170,18 @@
 // quickstart runs a small installation.
 func quickstart(ctx context.Context, args []string) error {
 	flags := flag.NewFlagSet("scenario quickstart", flag.ContinueOnError)
-	q := scenario.Quickstart{Out: os.Stdout, Live: terminal(os.Stdout)}
+	q := scenario.Quickstart{Out: os.Stdout, IsTerminal: terminal(os.Stdout)}
 	flags.IntVar(&q.Servers, "servers", 12, "`number` of form servers")
 	flags.Float64Var(&q.Rate, "rate", 150, "requests a `second`")
-	flags.DurationVar(&q.For, "for", 20*time.Second, "how `long` clients send")
+	flags.DurationVar(&q.Duration, "for", 20*time.Second, "how `long` clients send")
 	flags.Uint64Var(&q.Seed, "seed", 1, "`number` from which speeds, requests and the like are drawn")
-	flags.StringVar(&q.Socket, "socket", "", "`path` of an operators' socket, for appleledgectl; without it there is none")
-	flags.StringVar(&q.Operator, "operator", "", "`address` where operators call, such as 127.0.0.1:9100; without it there is none")
-	flags.StringVar(&q.State, "state", "", "`file` that keeps what operators apply")
+	flags.StringVar(&q.OperatorSocket, "socket", "", "`path` of an operators' socket, for appleledgectl; without it there is none")
+	flags.StringVar(&q.OperatorAddr, "operator", "", "`address` where operators call, such as 127.0.0.1:9100; without it there is none")
+	flags.StringVar(&q.StateFile, "state", "", "`file` that keeps what operators apply")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	if q.Servers < 1 || q.Servers > 100 || q.Rate <= 0 || q.Rate > 5000 || q.For <= 0 {
+	if q.Servers < 1 || q.Servers > 100 || q.Rate <= 0 || q.Rate > 5000 || q.Duration <= 0 {
 		return errors.New("-servers must be from 1 to 100, -rate above 0 and at most 5000, -for above 0")
 	}
 	_, err := q.Run(ctx)
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -14,53 +14,53 @@
 	"appleledge/internal/besteffort"
 )
 
-// Tally is what clients have seen.
-type Tally struct {
-	Offered, Served, InAim  int
-	Refused, Failed, Broken int // 503 or 429; any other answer; none
-	Waiting                 int // have no answer yet
-	times                   []time.Duration
+// ClientStats is what clients have seen.
+type ClientStats struct {
+	Offered, Served, InTime    int
+	Rejected, Failed, NoAnswer int // 503 or 429; any other answer; none
+	InFlight                   int // have no answer yet
+	latencies                  []time.Duration
 }
 
 // Percentile is the time to an answer below which that share of the served requests lies.
-func (t Tally) Percentile(share float64) time.Duration {
-	if len(t.times) == 0 {
+func (t ClientStats) Percentile(share float64) time.Duration {
+	if len(t.latencies) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(t.times))
+	sorted := slices.Sorted(slices.Values(t.latencies))
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
 }
 
-// Clients send requests to an agent, as the deployment's do: arrivals at random, that do not wait for answers.
-type Clients struct {
+// LoadGenerator send requests to an agent, as the deployment's do: arrivals at random, that do not wait for answers.
+type LoadGenerator struct {
 	url    string
 	rate   float64
 	random *rand.Rand
-	http   *http.Client
+	client *http.Client
 
-	mu    sync.Mutex
-	tally Tally
-	all   sync.WaitGroup
+	mu       sync.Mutex
+	stats    ClientStats
+	requests sync.WaitGroup
 }
 
 // keys is how many distinct forms there are; a few are far more popular than the rest.
-const keys = 2500
+const distinctForms = 2500
 
-// mostOpen is how many requests clients have open at a time; what would come beyond that is not sent, and counts as
+// maxInFlight is how many requests clients have open at a time; what would come beyond that is not sent, and counts as
 // broken.
-const mostOpen = 2000
+const maxInFlight = 2000
 
-// NewClients returns clients that send so many requests a second.
-func NewClients(url string, rate float64, seed uint64) *Clients {
-	return &Clients{url: url, rate: rate, random: rand.New(rand.NewPCG(seed, 2)), http: &http.Client{Timeout: deadline,
-		Transport: &http.Transport{MaxIdleConnsPerHost: mostOpen, IdleConnTimeout: time.Second}}}
+// NewLoadGenerator returns clients that send so many requests a second.
+func NewLoadGenerator(url string, rate float64, seed uint64) *LoadGenerator {
+	return &LoadGenerator{url: url, rate: rate, random: rand.New(rand.NewPCG(seed, 2)), client: &http.Client{Timeout: deadline,
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: time.Second}}}
 }
 
 // Run sends until the context ends, and returns when all have their answers.
-func (c *Clients) Run(ctx context.Context) {
-	defer c.http.CloseIdleConnections()
-	defer c.all.Wait()
-	zipf := rand.NewZipf(c.random, 1.2, 8, keys-1)
+func (c *LoadGenerator) Run(ctx context.Context) {
+	defer c.client.CloseIdleConnections()
+	defer c.requests.Wait()
+	zipf := rand.NewZipf(c.random, 1.2, 8, distinctForms-1)
 	next := time.Now()
 	for n := 0; ; n++ {
 		next = next.Add(time.Duration(c.random.ExpFloat64() / c.rate * float64(time.Second)))
@@ -81,44 +81,44 @@
 		}
 		id := fmt.Sprintf("%016x", c.random.Uint64())
 		r.Header.Set("X-Request-ID", id)
-		r.Header.Set("X-Tenant-Id", c.point())
+		r.Header.Set("X-Tenant-Id", c.drawRefundPoint())
 		r.Header.Set("X-Route-Key", fmt.Sprint("form-", zipf.Uint64()))
 		r.Header.Set("X-Timeout", fmt.Sprint(deadline.Milliseconds(), "m"))
 		if method == http.MethodPost {
 			r.Header.Set("Idempotency-Key", "refund-"+id)
 		}
-		if c.begin() {
-			c.all.Go(func() { c.one(r) })
+		if c.admitRequest() {
+			c.requests.Go(func() { c.send(r) })
 		}
 	}
 }
 
 // point draws a refund point by the shares.
-func (c *Clients) point() string {
+func (c *LoadGenerator) drawRefundPoint() string {
 	x := c.random.Float64()
-	for _, p := range points {
+	for _, p := range refundPoints {
 		if x -= p.share; x < 0 {
 			return p.name
 		}
 	}
-	return points[0].name
+	return refundPoints[0].name
 }
 
-func (c *Clients) begin() bool {
+func (c *LoadGenerator) admitRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Offered++
-	if c.tally.Waiting >= mostOpen {
-		c.tally.Broken++
+	c.stats.Offered++
+	if c.stats.InFlight >= maxInFlight {
+		c.stats.NoAnswer++
 		return false
 	}
-	c.tally.Waiting++
+	c.stats.InFlight++
 	return true
 }
 
-func (c *Clients) one(r *http.Request) {
+func (c *LoadGenerator) send(r *http.Request) {
 	began := time.Now()
-	resp, err := c.http.Do(r)
+	resp, err := c.client.Do(r)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 		besteffort.Close(resp.Body)
@@ -126,28 +126,28 @@
 	took := time.Since(began)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Waiting--
+	c.stats.InFlight--
 	switch {
 	case err != nil:
-		c.tally.Broken++
+		c.stats.NoAnswer++
 	case resp.StatusCode == http.StatusOK:
-		c.tally.Served++
-		c.tally.times = append(c.tally.times, took)
-		if took <= aim {
-			c.tally.InAim++
+		c.stats.Served++
+		c.stats.latencies = append(c.stats.latencies, took)
+		if took <= latencyObjective {
+			c.stats.InTime++
 		}
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusTooManyRequests:
-		c.tally.Refused++
+		c.stats.Rejected++
 	default:
-		c.tally.Failed++
+		c.stats.Failed++
 	}
 }
 
-// Tally returns what the clients have seen so far.
-func (c *Clients) Tally() Tally {
+// Stats returns what the clients have seen so far.
+func (c *LoadGenerator) Stats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tally
-	t.times = slices.Clone(t.times)
+	t := c.stats
+	t.latencies = slices.Clone(t.latencies)
 	return t
 }
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -12,188 +12,206 @@
 	"appleledge/internal/emulator"
 )
 
-// Day is what became of a rehearsal.
-type Day struct {
-	Service Figures
-	Classes []ClassDay
-	Seconds []SecondOf // by arrival
-	Happens []Happening
-	Broken  []string // rules that were broken, the first few
-	Breaks  int      // how many in all
-	Failing []string // assertions that did not hold
-	Notes   []string
-	Servers []ServerDay
-	Retries int
-	Storms  int // noticed by agents, in simulated time
-	Length  time.Duration
-}
-
-// Figures are the service figure and its parts, from 0 to 1, weighed as the operators weigh them.
-type Figures struct {
-	Whole, Worst10, WorstClass, WorstPoint, Figure float64
-	WorstFrom                                      time.Duration // when the worst 10 s began
-}
-
-// ClassDay counts the requests of a class by how they ended.
-type ClassDay struct {
-	Name                                        string
-	Offered, InAim, Late, Refused, Failed, Lost int
-}
-
-// SecondOf is what became of the requests that arrived in a second.
-type SecondOf struct {
-	Offered, InAim, Late, Refused, Failed, Lost int
-	worth, got                                  float64
-}
-
-// Happening is an event as it happened.
-type Happening struct {
-	At, For time.Duration
-	Do      string
-}
-
-// ServerDay is a server's part of the day.
-type ServerDay struct {
-	Name, Kind   string
-	Arrived      int // requests that reached it
-	Served, Peak int
-	Room         int   // slots and waiting room
-	Held         []int // requests in it, second by second
-	Toppled      bool
-}
-
-const mostBroken = 20 // rules that are told one by one
-
-func (d *Day) note(at time.Duration, do string, lasts time.Duration) {
-	d.Happens = append(d.Happens, Happening{at, lasts, do})
+// Report is the outcome of one scenario run. The JSON names are the file format of reports, and don't follow the Go names.
+type Report struct {
+	Service           ServiceScore   `json:"Service"`
+	Classes           []ClassReport  `json:"Classes"`
+	Seconds           []SecondReport `json:"Seconds"` // by the second in which a request arrived
+	Events            []EventReport  `json:"Happens"`
+	Violations        []string       `json:"Broken"`  // the first violations of the four rules, at most maxViolationsListed
+	ViolationCount    int            `json:"Breaks"`  // number of all violations
+	FailedAssertions  []string       `json:"Failing"` // assertions of the script that failed
+	Notes             []string       `json:"Notes"`
+	Servers           []ServerReport `json:"Servers"`
+	ClientRetries     int            `json:"Retries"`
+	OverloadsDetected int            `json:"Storms"` // overloads that agents detected; counted in simulated time only
+	Duration          time.Duration  `json:"Length"`
+}
+
+// ServiceScore is the service figure and its parts, each from 0 to 1 and weighted by the priority of the requests.
+type ServiceScore struct {
+	Whole      float64       `json:"Whole"`
+	Worst10    float64       `json:"Worst10"`    // of the worst ten consecutive seconds
+	WorstClass float64       `json:"WorstClass"` // of the worst class of requests
+	WorstPoint float64       `json:"WorstPoint"` // of the worst refund point
+	Figure     float64       `json:"Figure"`     // the weighted sum of the four
+	WorstFrom  time.Duration `json:"WorstFrom"`  // start of the worst ten seconds
+}
+
+// ClassReport counts the requests of a class by their result.
+type ClassReport struct {
+	Name       string `json:"Name"`
+	Offered    int    `json:"Offered"`
+	InTime     int    `json:"InAim"` // served within the latency objective
+	Late       int    `json:"Late"`  // served after it
+	Rejected   int    `json:"Refused"`
+	Failed     int    `json:"Failed"`
+	Unanswered int    `json:"Lost"` // no answer before the deadline
+}
+
+// SecondReport counts the requests that arrived in one second by their result.
+type SecondReport struct {
+	Offered    int `json:"Offered"`
+	InTime     int `json:"InAim"`
+	Late       int `json:"Late"`
+	Rejected   int `json:"Refused"`
+	Failed     int `json:"Failed"`
+	Unanswered int `json:"Lost"`
+
+	offeredPriority, earnedPriority float64 // sums of the priorities: of all requests, and of those served within the latency objective
+}
+
+// EventReport is an event of the script at the time at which it took place.
+type EventReport struct {
+	At       time.Duration `json:"At"`
+	Duration time.Duration `json:"For"` // 0: the event has no duration
+	Type     string        `json:"Do"`
+}
+
+// ServerReport is what one server did in a run.
+type ServerReport struct {
+	Name      string `json:"Name"`
+	Kind      string `json:"Kind"`
+	Arrived   int    `json:"Arrived"` // requests that reached it
+	Served    int    `json:"Served"`  // counted in simulated time only
+	Peak      int    `json:"Peak"`    // most requests that it held at a time
+	Capacity  int    `json:"Room"`    // slots and queue
+	InFlight  []int  `json:"Held"`    // requests in it, sampled once a second
+	Collapsed bool   `json:"Toppled"`
+}
+
+const maxViolationsListed = 20 // rules that are told one by one
+
+func (d *Report) addEvent(at time.Duration, do string, lasts time.Duration) {
+	d.Events = append(d.Events, EventReport{at, lasts, do})
 }
 
 // broken notes that a rule was broken.
-func (d *Day) broken(now time.Duration, rule, format string, args ...any) {
-	d.Breaks++
-	if len(d.Broken) < mostBroken {
-		d.Broken = append(d.Broken, fmt.Sprintf("rule %s at %v: ", rule, now-dayStart-settleTime)+fmt.Sprintf(format, args...))
+func (d *Report) addViolation(now time.Duration, rule, format string, args ...any) {
+	d.ViolationCount++
+	if len(d.Violations) < maxViolationsListed {
+		d.Violations = append(d.Violations, fmt.Sprintf("rule %s at %v: ", rule, now-startTime-settleTime)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (st *stage) broken(rule, format string, args ...any) {
-	st.day.broken(st.now, rule, format, args...)
+func (st *scenarioRun) addViolation(rule, format string, args ...any) {
+	st.report.addViolation(st.now, rule, format, args...)
 }
 
 // worths are the classes', in the order of classes.
-var worths = []float64{2, 10}
+var classPriorities = []float64{2, 10}
 
-// overShareWorth is what is left of the worth of traffic beyond a refund point's share.
-const overShareWorth = 0.1
+// overQuotaPriorityRatio is what is left of the worth of traffic beyond a refund point's share.
+const overQuotaPriorityRatio = 0.1
 
 // settings are the module's, as the platform would state them.
-func (w *world) settings() balancer.Settings {
+func (w *simulation) balancerSettings() balancer.Settings {
 	set := balancer.Settings{Balancers: w.script.Fleet.Agents, Tick: 5 * time.Millisecond, KeyAffinity: true, MaxAttempts: 5,
 		AllowHedging: true, MaxRetryAfter: time.Second, SlowStartInitialRatio: 0.32, SlowStartDuration: 8700 * time.Millisecond, WarmingOverloadRatio: 3,
-		OverQuotaPriorityRatio: overShareWorth,
+		OverQuotaPriorityRatio: overQuotaPriorityRatio,
 		Classes: []balancer.Class{
-			{Name: "form-check", Effect: balancer.Idempotent, LatencyObjective: aim, Deadline: deadline, Priority: worths[0]},
-			{Name: "refund-record", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: dropWindow, LatencyObjective: aim, Deadline: deadline,
-				Priority: worths[1]},
+			{Name: "form-check", Effect: balancer.Idempotent, LatencyObjective: latencyObjective, Deadline: deadline, Priority: classPriorities[0]},
+			{Name: "refund-record", Effect: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: dedupWindow, LatencyObjective: latencyObjective, Deadline: deadline,
+				Priority: classPriorities[1]},
 		}}
-	for _, p := range points {
+	for _, p := range refundPoints {
 		set.Quotas = append(set.Quotas, p.share)
 	}
 	return set
 }
 
-// dayStart is when the simulated day begins: time 0 stands for "never" in the module.
-const dayStart = time.Second
+// startTime is when the simulated day begins: time 0 stands for "never" in the module.
+const startTime = time.Second
 
 // settleTime is how long the agents run before the first request.
 const settleTime = 500 * time.Millisecond
 
 // Simulate plays a day in simulated time.
-func Simulate(script Script, seed uint64) Day {
+func Simulate(script Script, seed uint64) Report {
 	w := newWorld(script, seed)
 	w.play()
-	return w.day
+	return w.report
 }
 
-func newWorld(script Script, seed uint64) *world {
-	w := &world{net: rand.New(rand.NewPCG(seed, 2)), ledger: emulator.NewLedger(), byID: map[string]*simServer{},
+func newWorld(script Script, seed uint64) *simulation {
+	w := &simulation{networkRandom: rand.New(rand.NewPCG(seed, 2)), ledger: emulator.NewLedger(), serversByID: map[string]*simServer{},
 		pods: map[int]*emulator.Pod{}}
-	w.stage = newStage(script, seed, w)
+	w.scenarioRun = newScenarioRun(script, seed, w)
 	return w
 }
 
 // play plays the whole day.
-func (w *world) play() {
-	w.day.Length = w.script.Length.draw(w.random)
-	w.open()
+func (w *simulation) play() {
+	w.report.Duration = w.script.Duration.draw(w.random)
+	w.startFleet()
 	for i := range w.script.Fleet.Agents {
 		a := &simAgent{w: w, number: i}
 		w.agents = append(w.agents, a)
-		a.boot()
+		a.start()
 	}
-	begin := dayStart + settleTime
-	w.plan(begin, func() {
-		w.timeline()
-		w.arrivals(begin + w.day.Length)
-		w.sample(0, int(w.day.Length/time.Second))
+	begin := startTime + settleTime
+	w.schedule(begin, func() {
+		w.scheduleEvents()
+		w.scheduleArrivals(begin + w.report.Duration)
+		w.sample(0, int(w.report.Duration/time.Second))
 	})
-	w.run(begin + w.day.Length + deadline + time.Second)
-	all := make([]*asked, len(w.requests))
+	w.run(begin + w.report.Duration + deadline + time.Second)
+	all := make([]*requestRecord, len(w.requests))
 	for i, r := range w.requests {
-		all[i] = &r.asked
+		all[i] = &r.requestRecord
 	}
-	for _, s := range w.servers {
-		w.day.Servers = append(w.day.Servers, ServerDay{Name: s.id, Kind: s.kind.name, Arrived: int(s.last), Served: s.served, Peak: s.peak,
-			Room: s.model.Room(), Held: s.held, Toppled: s.model.Toppled()})
+	for _, s := range w.simServers {
+		w.report.Servers = append(w.report.Servers, ServerReport{Name: s.id, Kind: s.kind.name, Arrived: int(s.lastRequestID), Served: s.served, Peak: s.peak,
+			Capacity: s.model.Room(), InFlight: s.inFlightSamples, Collapsed: s.model.Toppled()})
 	}
 	for _, a := range w.agents {
-		a.noticed()
+		a.countOverloads()
 	}
-	w.day.score(all, begin, w.ledger, w.now, w.script)
+	w.report.evaluate(all, begin, w.ledger, w.now, w.script)
 }
 
 // sample notes how many requests each server holds, once a second.
-func (w *world) sample(second, until int) {
-	for _, s := range w.servers {
-		s.look()
-		for len(s.held) < second { // it was not there yet
-			s.held = append(s.held, 0)
+func (w *simulation) sample(second, until int) {
+	for _, s := range w.simServers {
+		s.advance()
+		for len(s.inFlightSamples) < second { // it was not there yet
+			s.inFlightSamples = append(s.inFlightSamples, 0)
 		}
-		s.held = append(s.held, s.model.Held())
+		s.inFlightSamples = append(s.inFlightSamples, s.model.Held())
 	}
 	if second < until {
-		w.after(time.Second, func() { w.sample(second+1, until) })
+		w.scheduleAfter(time.Second, func() { w.sample(second+1, until) })
 	}
 }
 
 // run lets things happen until the end.
-func (w *world) run(end time.Duration) {
+func (w *simulation) run(end time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		t := w.next()
+		t := w.pop()
 		w.now = t.at
-		t.do()
+		t.run()
 	}
 	w.now = end
 }
 
 // arrivals plans the next request of the clients, and with it the one after that.
-func (w *world) arrivals(end time.Duration) {
+func (w *simulation) scheduleArrivals(end time.Duration) {
 	clients := rand.New(rand.NewPCG(w.random.Uint64(), 3))
-	zipf := rand.NewZipf(clients, 1.2, 8, uint64(w.script.Clients.Forms-1))
-	weights := sums(len(w.agents), clients)
+	zipf := rand.NewZipf(clients, 1.2, 8, uint64(w.script.Clients.DistinctForms-1))
+	weights := cumulativeWeights(len(w.agents), clients)
 	var one func()
 	one = func() {
 		if w.now >= end {
 			return
 		}
-		w.request(clients, zipf, weights)
-		w.after(time.Duration(clients.ExpFloat64()/(w.script.Clients.Rate*w.times)*float64(time.Second)), one)
+		w.sendNewRequest(clients, zipf, weights)
+		w.scheduleAfter(time.Duration(clients.ExpFloat64()/(w.script.Clients.Rate*w.loadFactor)*float64(time.Second)), one)
 	}
 	one()
 }
 
 // sums are the agents' shares of the traffic, added up: most carry little, some far more.
-func sums(agents int, random *rand.Rand) (all []float64) {
+func cumulativeWeights(agents int, random *rand.Rand) (all []float64) {
 	sum := 0.0
 	for range agents {
 		sum += 0.3 + random.ExpFloat64()
@@ -203,20 +221,20 @@
 }
 
 // drawn is a request as it is drawn.
-type drawn struct {
-	asked
+type drawnRequest struct {
+	requestRecord
 	agent int
 }
 
 // drawRequest draws an agent by the weights, a class, and a refund point by its share.
-func drawRequest(random *rand.Rand, weights []float64) *drawn {
+func drawRequest(random *rand.Rand, weights []float64) *drawnRequest {
 	x := random.Float64() * weights[len(weights)-1]
-	r := &drawn{agent: slices.IndexFunc(weights, func(sum float64) bool { return x < sum })}
+	r := &drawnRequest{agent: slices.IndexFunc(weights, func(sum float64) bool { return x < sum })}
 	if random.Float64() < 0.33 {
 		r.class = 1
 	}
 	x = random.Float64()
-	for i, p := range points {
+	for i, p := range refundPoints {
 		if r.tenant = i; x < p.share {
 			break
 		}
@@ -225,62 +243,62 @@
 	return r
 }
 
-func (w *world) request(random *rand.Rand, zipf *rand.Zipf, weights []float64) {
+func (w *simulation) sendNewRequest(random *rand.Rand, zipf *rand.Zipf, weights []float64) {
 	d := drawRequest(random, weights)
-	r := &simRequest{asked: d.asked, w: w, agent: w.agents[d.agent], id: fmt.Sprint("r", len(w.requests)),
+	r := &simRequest{requestRecord: d.requestRecord, w: w, agent: w.agents[d.agent], id: fmt.Sprint("r", len(w.requests)),
 		route: fmt.Sprint("form-", zipf.Uint64())}
 	if r.arrived = w.now; r.class == 1 {
-		r.key = "refund-" + r.id
+		r.idempotencyKey = "refund-" + r.id
 	}
 	w.requests = append(w.requests, r)
 	w.send(r)
 }
 
 // score sums the day up.
-func (d *Day) score(all []*asked, begin time.Duration, ledger *emulator.Ledger, now time.Duration, script Script) {
-	d.Classes = make([]ClassDay, len(classes))
+func (d *Report) evaluate(all []*requestRecord, begin time.Duration, ledger *emulator.Ledger, now time.Duration, script Script) {
+	d.Classes = make([]ClassReport, len(classes))
 	for i, c := range classes {
 		d.Classes[i].Name = c.Name
 	}
-	d.Seconds = make([]SecondOf, int(d.Length/time.Second)+1)
+	d.Seconds = make([]SecondReport, int(d.Duration/time.Second)+1)
 	var worth, got float64
-	byClass, byPoint := make([][2]float64, len(classes)), make([][2]float64, len(points))
+	byClass, byPoint := make([][2]float64, len(classes)), make([][2]float64, len(refundPoints))
 	for _, r := range all {
-		d.Retries += r.tries - 1
+		d.ClientRetries += r.attempts - 1
 		second, class := &d.Seconds[int((r.arrived-begin)/time.Second)], &d.Classes[r.class]
 		earned := 0.0
 		second.Offered++
 		class.Offered++
 		switch {
-		case r.end == served && r.took <= aim:
-			earned = worths[r.class]
-			second.InAim++
-			class.InAim++
-		case r.end == served:
+		case r.result == served && r.latency <= latencyObjective:
+			earned = classPriorities[r.class]
+			second.InTime++
+			class.InTime++
+		case r.result == served:
 			second.Late++
 			class.Late++
-		case r.end == refused:
-			second.Refused++
-			class.Refused++
-		case r.end == failed:
+		case r.result == rejected:
+			second.Rejected++
+			class.Rejected++
+		case r.result == failed:
 			second.Failed++
 			class.Failed++
 		default:
-			second.Lost++
-			class.Lost++
+			second.Unanswered++
+			class.Unanswered++
 		}
-		worth, got = worth+worths[r.class], got+earned
-		second.worth, second.got = second.worth+worths[r.class], second.got+earned
+		worth, got = worth+classPriorities[r.class], got+earned
+		second.offeredPriority, second.earnedPriority = second.offeredPriority+classPriorities[r.class], second.earnedPriority+earned
 		for _, part := range []*[2]float64{&byClass[r.class], &byPoint[r.tenant]} {
-			part[0], part[1] = part[0]+worths[r.class], part[1]+earned
+			part[0], part[1] = part[0]+classPriorities[r.class], part[1]+earned
 		}
 	}
 	f := &d.Service
 	f.Whole, f.WorstClass, f.WorstPoint = ratio(got, worth), worst(byClass), worst(byPoint)
 	f.Worst10, f.WorstFrom = d.worstWindow()
 	f.Figure = 0.35*f.Whole + 0.35*f.Worst10 + 0.2*f.WorstClass + 0.1*f.WorstPoint
-	d.witness(all, ledger, now)
-	d.assert(script)
+	d.checkSingleExecution(all, ledger, now)
+	d.checkAssertions(script)
 }
 
 func ratio(got, worth float64) float64 {
@@ -299,18 +317,18 @@
 }
 
 // between is the service of what arrived in a span of whole seconds.
-func (d *Day) between(from, to int) float64 {
+func (d *Report) serviceBetween(from, to int) float64 {
 	var worth, got float64
 	for _, s := range d.Seconds[max(0, from):min(to, len(d.Seconds))] {
-		worth, got = worth+s.worth, got+s.got
+		worth, got = worth+s.offeredPriority, got+s.earnedPriority
 	}
 	return ratio(got, worth)
 }
 
-func (d *Day) worstWindow() (least float64, from time.Duration) {
+func (d *Report) worstWindow() (least float64, from time.Duration) {
 	least = 1
 	for i := 0; i+10 <= len(d.Seconds) || i == 0; i++ {
-		if x := d.between(i, i+10); x < least {
+		if x := d.serviceBetween(i, i+10); x < least {
 			least, from = x, time.Duration(i)*time.Second
 		}
 	}
@@ -318,125 +336,125 @@
 }
 
 // witness looks for effects that repeated: a key that ran again, in another pod or after its pod has forgotten it.
-func (d *Day) witness(all []*asked, ledger *emulator.Ledger, now time.Duration) {
+func (d *Report) checkSingleExecution(all []*requestRecord, ledger *emulator.Ledger, now time.Duration) {
 	repeated := ledger.Repeated()
 	for _, r := range all { // in the order of arrival, so that the report is the same each time
-		if ran := repeated[r.key]; len(ran) > 1 {
-			d.broken(now, "2", "%s ran at %s and, %v later, at %s", r.key, ran[0].Server, ran[1].At-ran[0].At, ran[1].Server)
+		if ran := repeated[r.idempotencyKey]; len(ran) > 1 {
+			d.addViolation(now, "2", "%s ran at %s and, %v later, at %s", r.idempotencyKey, ran[0].Server, ran[1].At-ran[0].At, ran[1].Server)
 		}
 	}
 }
 
 // assert checks what the script says must hold.
-func (d *Day) assert(s Script) {
-	for _, a := range s.Asserts {
+func (d *Report) checkAssertions(s Script) {
+	for _, a := range s.Assertions {
 		switch {
-		case a.Holds > 0:
-			d.assertHolds(a)
+		case a.MaxOccupancy > 0:
+			d.checkOccupancy(a)
 		case a.After != "":
-			d.assertRecovery(a)
+			d.checkRecovery(a)
 		default:
-			d.assertService(a)
+			d.checkService(a)
 		}
 	}
 }
 
-func (d *Day) failing(format string, args ...any) {
-	d.Failing = append(d.Failing, fmt.Sprintf(format, args...))
+func (d *Report) addFailedAssertion(format string, args ...any) {
+	d.FailedAssertions = append(d.FailedAssertions, fmt.Sprintf(format, args...))
 }
 
-func (d *Day) assertService(a Assert) {
+func (d *Report) checkService(a Assertion) {
 	from, to := int(a.From.From/time.Second), len(d.Seconds)
 	if a.Until.From > 0 {
 		to = int(a.Until.From / time.Second)
 	}
-	got, what := d.between(from, to), fmt.Sprintf("service from %v to %v", a.From.From, a.Until.From)
+	got, what := d.serviceBetween(from, to), fmt.Sprintf("service from %v to %v", a.From.From, a.Until.From)
 	if a.From.From == 0 && a.Until.From == 0 {
 		got, what = d.Service.Figure, "the service figure"
 	}
-	if got < a.Service {
-		d.failing("%s is %.4f, at least %.4f was asked for", what, got, a.Service)
+	if got < a.MinService {
+		d.addFailedAssertion("%s is %.4f, at least %.4f was asked for", what, got, a.MinService)
 	}
 }
 
-// assertRecovery checks the ten seconds that begin so long after the end of each event of a kind, as far as the day lasts.
-func (d *Day) assertRecovery(a Assert) {
-	for _, h := range d.Happens {
-		if h.Do != a.After {
+// checkRecovery checks the ten seconds that begin so long after the end of each event of a kind, as far as the day lasts.
+func (d *Report) checkRecovery(a Assertion) {
+	for _, h := range d.Events {
+		if h.Type != a.After {
 			continue
 		}
-		ended := h.At + h.For - dayStart - settleTime
+		ended := h.At + h.Duration - startTime - settleTime
 		from := int((ended + a.Within.To + time.Second - 1) / time.Second)
 		if from >= len(d.Seconds) {
-			d.failing("%s ended at %v, and the day before recovery could be seen", h.Do, ended.Round(time.Millisecond))
-		} else if got := d.between(from, from+10); got < a.Service {
-			d.failing("service is %.4f in the ten seconds from %v after %s, at least %.4f was asked for", got, a.Within.To, h.Do, a.Service)
+			d.addFailedAssertion("%s ended at %v, and the day before recovery could be seen", h.Type, ended.Round(time.Millisecond))
+		} else if got := d.serviceBetween(from, from+10); got < a.MinService {
+			d.addFailedAssertion("service is %.4f in the ten seconds from %v after %s, at least %.4f was asked for", got, a.Within.To, h.Type, a.MinService)
 		}
 	}
 }
 
-func (d *Day) assertHolds(a Assert) {
+func (d *Report) checkOccupancy(a Assertion) {
 	for _, s := range d.Servers {
-		if s.Room > 0 && float64(s.Peak) > a.Holds*float64(s.Room) {
-			d.failing("%s held %d of %d, at most the share %.2f was asked for", s.Name, s.Peak, s.Room, a.Holds)
+		if s.Capacity > 0 && float64(s.Peak) > a.MaxOccupancy*float64(s.Capacity) {
+			d.addFailedAssertion("%s held %d of %d, at most the share %.2f was asked for", s.Name, s.Peak, s.Capacity, a.MaxOccupancy)
 		}
 	}
 }
 
 // arrived is how many attempts reached the servers.
-func (d *Day) arrived() (n int) {
+func (d *Report) attemptsArrived() (n int) {
 	for _, s := range d.Servers {
 		n += s.Arrived
 	}
 	return n
 }
 
-// Held reports whether all rules and assertions held.
-func (d Day) Held() bool { return d.Breaks == 0 && len(d.Failing) == 0 }
+// Passed reports whether all rules and assertions held.
+func (d Report) Passed() bool { return d.ViolationCount == 0 && len(d.FailedAssertions) == 0 }
 
 // Write writes the report as text.
-func (d Day) Write(out io.Writer) {
+func (d Report) Write(out io.Writer) {
 	f := d.Service
 	fmt.Fprintf(out, "service %.4f   whole day %.4f   worst 10 s %.4f (from %v)   worst class %.4f   worst point %.4f\n",
 		f.Figure, f.Whole, f.Worst10, f.WorstFrom, f.WorstClass, f.WorstPoint)
 	for _, c := range d.Classes {
 		fmt.Fprintf(out, "%-14s %6d asked  %6d in time  %5d late  %5d refused  %5d failed  %5d unanswered\n", c.Name, c.Offered,
-			c.InAim, c.Late, c.Refused, c.Failed, c.Lost)
+			c.InTime, c.Late, c.Rejected, c.Failed, c.Unanswered)
 	}
-	fmt.Fprintf(out, "%d tries were the clients' own repeats; %d attempts reached the servers\n", d.Retries, d.arrived())
-	if d.Storms > 0 {
-		fmt.Fprintf(out, "agents took what they saw for a storm %d times\n", d.Storms)
+	fmt.Fprintf(out, "%d tries were the clients' own repeats; %d attempts reached the servers\n", d.ClientRetries, d.attemptsArrived())
+	if d.OverloadsDetected > 0 {
+		fmt.Fprintf(out, "agents took what they saw for a storm %d times\n", d.OverloadsDetected)
 	}
-	for _, h := range d.Happens {
-		fmt.Fprintf(out, "at %-8v %s", (h.At - dayStart - settleTime).Round(time.Millisecond), h.Do)
-		if h.For > 0 {
-			fmt.Fprintf(out, " for %v", h.For.Round(time.Millisecond))
+	for _, h := range d.Events {
+		fmt.Fprintf(out, "at %-8v %s", (h.At - startTime - settleTime).Round(time.Millisecond), h.Type)
+		if h.Duration > 0 {
+			fmt.Fprintf(out, " for %v", h.Duration.Round(time.Millisecond))
 		}
 		fmt.Fprintln(out)
 	}
 	fmt.Fprintf(out, "%6s %8s %8s %6s %8s %7s %11s\n", "from s", "asked", "in time", "late", "refused", "failed", "unanswered")
 	for i := 0; i < len(d.Seconds); i += 5 {
-		var s SecondOf
+		var s SecondReport
 		for _, one := range d.Seconds[i:min(i+5, len(d.Seconds))] {
-			s.Offered, s.InAim, s.Late = s.Offered+one.Offered, s.InAim+one.InAim, s.Late+one.Late
-			s.Refused, s.Failed, s.Lost = s.Refused+one.Refused, s.Failed+one.Failed, s.Lost+one.Lost
+			s.Offered, s.InTime, s.Late = s.Offered+one.Offered, s.InTime+one.InTime, s.Late+one.Late
+			s.Rejected, s.Failed, s.Unanswered = s.Rejected+one.Rejected, s.Failed+one.Failed, s.Unanswered+one.Unanswered
 		}
 		if s.Offered > 0 {
-			fmt.Fprintf(out, "%6d %8d %8d %6d %8d %7d %11d\n", i, s.Offered, s.InAim, s.Late, s.Refused, s.Failed, s.Lost)
+			fmt.Fprintf(out, "%6d %8d %8d %6d %8d %7d %11d\n", i, s.Offered, s.InTime, s.Late, s.Rejected, s.Failed, s.Unanswered)
 		}
 	}
 	for _, list := range []struct {
 		what  string
 		lines []string
-	}{{"note: ", d.Notes}, {"BROKEN ", d.Broken}, {"NOT HELD ", d.Failing}} {
+	}{{"note: ", d.Notes}, {"BROKEN ", d.Violations}, {"NOT HELD ", d.FailedAssertions}} {
 		for _, line := range list.lines {
 			fmt.Fprintln(out, list.what+strings.TrimSpace(line))
 		}
 	}
-	if d.Breaks > len(d.Broken) {
-		fmt.Fprintf(out, "BROKEN %d times in all\n", d.Breaks)
+	if d.ViolationCount > len(d.Violations) {
+		fmt.Fprintf(out, "BROKEN %d times in all\n", d.ViolationCount)
 	}
-	if d.Breaks == 0 {
+	if d.ViolationCount == 0 {
 		fmt.Fprintln(out, "the four rules were kept")
 	}
 }
--- a/internal/scenario/events.go
+++ b/internal/scenario/events.go
@@ -9,153 +9,153 @@
 	"appleledge/internal/balancer"
 )
 
-// agentDown is how long an agent is away when it is killed.
-const agentDown = 500 * time.Millisecond
+// agentDowntime is how long an agent is away when it is killed.
+const agentDowntime = 500 * time.Millisecond
 
-// noticeTime is how long clients go on sending to an agent that has been told to end (0.2 to 0.4 s by the platform).
-const noticeTime = 300 * time.Millisecond
+// drainNoticeTime is how long clients go on sending to an agent that has been told to end (0.2 to 0.4 s by the platform).
+const drainNoticeTime = 300 * time.Millisecond
 
 // timeline plans, from now on, the script's events.
-func (st *stage) timeline() {
+func (st *scenarioRun) scheduleEvents() {
 	for _, e := range st.script.Events {
 		at := st.now + e.At.draw(st.random)
 		for range max(1, e.Repeat) {
-			st.plan(at, func() { st.happen(e) })
-			at += e.Every.draw(st.random)
+			st.schedule(at, func() { st.execute(e) })
+			at += e.Interval.draw(st.random)
 		}
 	}
 }
 
 // happen carries an event out.
-func (st *stage) happen(e Event) {
-	lasts := e.For.draw(st.random)
-	st.day.note(st.now, e.Do, lasts)
-	switch e.Do {
+func (st *scenarioRun) execute(e Event) {
+	lasts := e.Duration.draw(st.random)
+	st.report.addEvent(st.now, e.Type, lasts)
+	switch e.Type {
 	case "list_outage":
-		if st.outage++; st.outage == 1 {
-			st.in.reach(true)
+		if st.listOutages++; st.listOutages == 1 {
+			st.environment.setListOutage(true)
 		}
-		st.after(lasts, func() {
-			if st.outage--; st.outage == 0 {
-				st.in.reach(false)
+		st.scheduleAfter(lasts, func() {
+			if st.listOutages--; st.listOutages == 0 {
+				st.environment.setListOutage(false)
 			}
 		})
 	case "list_lag":
-		lag := e.Over.draw(st.random)
-		st.lag += lag
-		st.in.late(st.lag)
-		st.after(lasts, func() { st.lag -= lag; st.in.late(st.lag) })
+		lag := e.Period.draw(st.random)
+		st.listLag += lag
+		st.environment.setListLag(st.listLag)
+		st.scheduleAfter(lasts, func() { st.listLag -= lag; st.environment.setListLag(st.listLag) })
 	case "load":
-		st.times *= e.To
-		st.after(lasts, func() { st.times /= e.To })
+		st.loadFactor *= e.Factor
+		st.scheduleAfter(lasts, func() { st.loadFactor /= e.Factor })
 	case "ramp":
-		over := e.Over.draw(st.random)
-		st.swing(lasts, func(at time.Duration) float64 { return 1 + (e.To-1)*min(1, float64(at)/float64(over)) })
+		over := e.Period.draw(st.random)
+		st.varyLoad(lasts, func(at time.Duration) float64 { return 1 + (e.Factor-1)*min(1, float64(at)/float64(over)) })
 	case "wave":
-		over := e.Over.draw(st.random)
-		st.swing(lasts, func(at time.Duration) float64 {
-			return 1 + (e.To-1)*(1-math.Cos(2*math.Pi*float64(at)/float64(over)))/2
+		over := e.Period.draw(st.random)
+		st.varyLoad(lasts, func(at time.Duration) float64 {
+			return 1 + (e.Factor-1)*(1-math.Cos(2*math.Pi*float64(at)/float64(over)))/2
 		})
 	case "agent_sigterm":
-		for _, number := range st.chooseAgents(e) {
-			st.in.endAgent(number)
+		for _, number := range st.selectAgents(e) {
+			st.environment.restartAgent(number)
 		}
 	case "agent_kill":
-		for _, number := range st.chooseAgents(e) {
-			st.in.killAgent(number, agentDown, false)
+		for _, number := range st.selectAgents(e) {
+			st.environment.killAgent(number, agentDowntime, false)
 		}
 	case "power_loss":
 		st.powerLoss(e, lasts)
 	case "rolling_deploy":
-		st.deploy(e)
+		st.rollingDeploy(e)
 	case "kill":
-		for _, s := range st.choose(e) {
+		for _, s := range st.selectServers(e) {
 			s.state = balancer.Removed
-			s.at.die()
+			s.host.kill()
 		}
-		st.in.changed()
+		st.environment.listChanged()
 	case "restart":
-		for _, s := range st.choose(e) {
-			s.at.die()
-			st.start(s.id, s.kind, s.pod, false)
+		for _, s := range st.selectServers(e) {
+			s.host.kill()
+			st.addServer(s.id, s.kind, s.pod, false)
 		}
-		st.in.changed()
+		st.environment.listChanged()
 	default:
-		st.hold(e, lasts)
+		st.injectFaults(e, lasts)
 	}
 }
 
 // powerLoss takes power away from servers and agents, and gives it back to each at its time. A pod of which no server runs on has
 // forgotten what it was sent. While servers are dark the list, which hears late, goes on naming them.
-func (st *stage) powerLoss(e Event, dark time.Duration) {
-	if list := e.List.draw(st.random); e.List.To > 0 {
-		if st.outage++; st.outage == 1 {
-			st.in.reach(true)
+func (st *scenarioRun) powerLoss(e Event, dark time.Duration) {
+	if list := e.ListDelay.draw(st.random); e.ListDelay.To > 0 {
+		if st.listOutages++; st.listOutages == 1 {
+			st.environment.setListOutage(true)
 		}
-		st.after(dark+list, func() {
-			if st.outage--; st.outage == 0 {
-				st.in.reach(false)
+		st.scheduleAfter(dark+list, func() {
+			if st.listOutages--; st.listOutages == 0 {
+				st.environment.setListOutage(false)
 			}
 		})
 	}
-	var lost []*member
-	if e.Share > 0 {
-		lost = st.choose(e)
+	var lost []*server
+	if e.ServerShare > 0 {
+		lost = st.selectServers(e)
 	}
 	for _, s := range lost {
-		s.at.die()
+		s.host.kill()
 	}
 	for _, s := range lost {
-		st.forgotten(s.pod, lost)
-		st.after(dark+e.Apart.draw(st.random), func() {
+		st.forgetPodIfAllLost(s.pod, lost)
+		st.scheduleAfter(dark+e.Stagger.draw(st.random), func() {
 			if st.current[s.id] == s {
-				st.start(s.id, s.kind, s.pod, false)
-				st.in.changed()
+				st.addServer(s.id, s.kind, s.pod, false)
+				st.environment.listChanged()
 			}
 		})
 	}
-	if e.Agents > 0 {
-		for _, number := range st.chooseAgents(e) {
-			st.in.killAgent(number, dark+e.Apart.draw(st.random), true)
+	if e.AgentShare > 0 {
+		for _, number := range st.selectAgents(e) {
+			st.environment.killAgent(number, dark+e.Stagger.draw(st.random), true)
 		}
 	}
 }
 
 // forgotten lets a pod forget if all of its servers are among those that are lost.
-func (st *stage) forgotten(pod int, lost []*member) {
+func (st *scenarioRun) forgetPodIfAllLost(pod int, lost []*server) {
 	for _, s := range st.current {
 		if s.pod == pod && s.state != balancer.Removed && !slices.Contains(lost, s) {
 			return
 		}
 	}
-	st.in.forget(pod)
+	st.environment.forgetPod(pod)
 }
 
-// swingStep is how often a load that swings is set anew.
-const swingStep = 100 * time.Millisecond
+// loadStepInterval is how often a load that swings is set anew.
+const loadStepInterval = 100 * time.Millisecond
 
 // swing multiplies the load by a factor that moves with the time since now, until it has lasted.
-func (st *stage) swing(lasts time.Duration, factor func(time.Duration) float64) {
+func (st *scenarioRun) varyLoad(lasts time.Duration, factor func(time.Duration) float64) {
 	began, now := st.now, 1.0
 	var step func()
 	step = func() {
 		next := 1.0
 		if at := st.now - began; at < lasts {
 			next = factor(at)
-			st.after(min(swingStep, lasts-at), step)
+			st.scheduleAfter(min(loadStepInterval, lasts-at), step)
 		}
-		st.times *= next / now
+		st.loadFactor *= next / now
 		now = next
 	}
 	step()
 }
 
 // hold lets an effect hold servers for a time.
-func (st *stage) hold(e Event, lasts time.Duration) {
+func (st *scenarioRun) injectFaults(e Event, lasts time.Duration) {
 	add := func(list *[]float64) (undo func()) {
-		*list = append(*list, e.To)
+		*list = append(*list, e.Factor)
 		return func() {
-			i := slices.Index(*list, e.To)
+			i := slices.Index(*list, e.Factor)
 			*list = slices.Delete(*list, i, i+1)
 		}
 	}
@@ -163,16 +163,16 @@
 		*n++
 		return func() { *n-- }
 	}
-	for _, s := range st.choose(e) {
+	for _, s := range st.selectServers(e) {
 		var undo func()
-		s.change(func(x *effects) {
-			switch e.Do {
+		s.changeFaults(func(x *faultSet) {
+			switch e.Type {
 			case "hang":
 				undo = count(&x.hung)
 			case "pause":
 				undo = count(&x.paused)
 			case "partition":
-				undo = count(&x.cut)
+				undo = count(&x.partitioned)
 			case "throttle":
 				undo = add(&x.throttle)
 			case "fast_errors":
@@ -180,77 +180,77 @@
 			case "reset":
 				undo = add(&x.reset)
 			case "spoil":
-				undo = add(&x.spoil)
+				undo = add(&x.corrupt)
 			}
 		})
-		st.after(lasts, func() { s.change(func(*effects) { undo() }) })
+		st.scheduleAfter(lasts, func() { s.changeFaults(func(*faultSet) { undo() }) })
 	}
 }
 
-// chooseAgents returns the numbers of the agents that an event concerns.
-func (st *stage) chooseAgents(e Event) []int {
+// selectAgents returns the numbers of the agents that an event concerns.
+func (st *scenarioRun) selectAgents(e Event) []int {
 	if e.Agent > 0 {
 		return []int{e.Agent - 1}
 	}
 	agents := st.script.Fleet.Agents
-	return st.random.Perm(agents)[:int(math.Ceil(e.Agents*float64(agents)-1e-9))]
+	return st.random.Perm(agents)[:int(math.Ceil(e.AgentShare*float64(agents)-1e-9))]
 }
 
 // choose returns the servers that an event concerns, of those that are ready.
-func (st *stage) choose(e Event) (chosen []*member) {
-	var ready []*member
-	for _, s := range st.members {
-		if st.current[s.id] == s && s.state == balancer.Ready && !s.at.toppled() {
+func (st *scenarioRun) selectServers(e Event) (chosen []*server) {
+	var ready []*server
+	for _, s := range st.servers {
+		if st.current[s.id] == s && s.state == balancer.Ready && !s.host.hasCollapsed() {
 			ready = append(ready, s)
 		}
 	}
 	switch {
 	case len(e.Servers) > 0:
 		for _, name := range e.Servers {
-			i := slices.IndexFunc(ready, func(s *member) bool { return s.id == name })
+			i := slices.IndexFunc(ready, func(s *server) bool { return s.id == name })
 			if i < 0 {
-				st.day.Notes = append(st.day.Notes, fmt.Sprintf("%v: %s at %s, which is not there, does nothing", st.now, e.Do, name))
+				st.report.Notes = append(st.report.Notes, fmt.Sprintf("%v: %s at %s, which is not there, does nothing", st.now, e.Type, name))
 				continue
 			}
 			chosen = append(chosen, ready[i])
 		}
-	case e.Kind != "":
-		chosen = slices.DeleteFunc(ready, func(s *member) bool { return s.kind.name != e.Kind })
+	case e.MachineKind != "":
+		chosen = slices.DeleteFunc(ready, func(s *server) bool { return s.kind.name != e.MachineKind })
 	default:
 		st.random.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
-		chosen = ready[:min(len(ready), int(math.Ceil(e.Share*float64(len(ready))-1e-9)))]
+		chosen = ready[:min(len(ready), int(math.Ceil(e.ServerShare*float64(len(ready))-1e-9)))]
 	}
 	return chosen
 }
 
 // deploy replaces servers by cold successors, batch by batch.
-func (st *stage) deploy(e Event) {
-	all := st.choose(e)
-	size := max(1, int(e.Batch*float64(len(st.current))))
+func (st *scenarioRun) rollingDeploy(e Event) {
+	all := st.selectServers(e)
+	size := max(1, int(e.BatchShare*float64(len(st.current))))
 	batches := (len(all) + size - 1) / size
-	over := e.Over.draw(st.random)
+	over := e.Period.draw(st.random)
 	for i := range batches {
 		batch := all[i*size : min(len(all), (i+1)*size)]
-		st.after(over*time.Duration(i)/time.Duration(batches), func() {
+		st.scheduleAfter(over*time.Duration(i)/time.Duration(batches), func() {
 			for _, s := range batch {
-				st.replace(s)
+				st.replaceServer(s)
 			}
-			st.in.changed()
+			st.environment.listChanged()
 		})
 	}
 }
 
 // replace lets a server drain and starts its successor.
-func (st *stage) replace(s *member) {
+func (st *scenarioRun) replaceServer(s *server) {
 	if st.current[s.id] != s || s.state != balancer.Ready { // something else has befallen it since
 		return
 	}
 	s.state = balancer.Draining
 	st.successors++
-	st.start(fmt.Sprintf("n-%02d", st.successors), s.kind, s.pod, false)
-	st.after(drainTime, func() {
+	st.addServer(fmt.Sprintf("n-%02d", st.successors), s.kind, s.pod, false)
+	st.scheduleAfter(drainTime, func() {
 		s.state = balancer.Removed
-		s.at.die()
-		st.in.changed()
+		s.host.kill()
+		st.environment.listChanged()
 	})
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -12,7 +12,7 @@
 )
 
 // kind is a kind of machine, with the range of the speed of its cores.
-type kind struct {
+type machineKind struct {
 	name  string
 	cores int
 	speed [2]float64
@@ -20,7 +20,7 @@
 }
 
 // kinds are those of the deployment.
-var kinds = []kind{
+var machineKinds = []machineKind{
 	{"twin-core", 2, [2]float64{1.5, 2.1}, 0.56},
 	{"quad-core", 4, [2]float64{0.77, 1}, 0.44},
 }
@@ -34,22 +34,22 @@
 }
 
 // points are the refund points with their shares.
-var points = []struct {
+var refundPoints = []struct {
 	name  string
 	share float64
 }{{"edinburgh-airport", 0.27}, {"glasgow-airport", 0.18}, {"aberdeen-airport", 0.12}, {"rosyth-port", 0.11},
 	{"inverness-airport", 0.09}, {"prestwick-airport", 0.08}, {"lerwick-port", 0.08}, {"stranraer-port", 0.07}}
 
 const (
-	dropWindow = 2 * time.Second
-	aim        = 600 * time.Millisecond
-	deadline   = 2 * time.Second
-	podSize    = 3 // form servers of a pod
-	idleClose  = 15 * time.Second
+	dedupWindow      = 2 * time.Second
+	latencyObjective = 600 * time.Millisecond
+	deadline         = 2 * time.Second
+	podSize          = 3 // form servers of a pod
+	idleClose        = 15 * time.Second
 )
 
 // spec draws a machine of a kind.
-func (k kind) spec(random *rand.Rand) emulator.Spec {
+func (k machineKind) drawSpec(random *rand.Rand) emulator.Spec {
 	between := func(from, to float64) float64 { return from + random.Float64()*(to-from) }
 	span := func(from, to time.Duration) time.Duration { return time.Duration(between(float64(from), float64(to))) }
 	return emulator.Spec{
@@ -83,14 +83,14 @@
 	var pod *emulator.Pod
 	for i := range servers {
 		if i%podSize == 0 {
-			pod = emulator.NewPod(i/podSize, dropWindow, f.Ledger)
+			pod = emulator.NewPod(i/podSize, dedupWindow, f.Ledger)
 		}
-		k := kinds[0]
-		if float64(i)+0.5 >= kinds[0].share*float64(servers) {
-			k = kinds[1]
+		k := machineKinds[0]
+		if float64(i)+0.5 >= machineKinds[0].share*float64(servers) {
+			k = machineKinds[1]
 		}
 		name := serverName(i)
-		model := emulator.NewServer(name, k.spec(random), pod, random.Uint64(), 0, true)
+		model := emulator.NewServer(name, k.drawSpec(random), pod, random.Uint64(), 0, true)
 		s, err := emulator.Listen(name, model, classes, seed, epoch, emulator.Listening{IdleClose: idleClose, MaxConns: 400 * k.cores})
 		if err != nil {
 			f.Close()
@@ -114,7 +114,7 @@
 		n[k]++
 	}
 	text := ""
-	for i, k := range kinds {
+	for i, k := range machineKinds {
 		if i > 0 {
 			text += ", "
 		}
@@ -137,12 +137,12 @@
 func configuration(discovery, listen string, number, agents int, seed uint64) ([]byte, error) {
 	type object = map[string]any
 	var tenants []object
-	for _, p := range points {
+	for _, p := range refundPoints {
 		tenants = append(tenants, object{"Name": p.name, "Portion": p.share})
 	}
 	class := func(name, effect, group string, worth float64, window time.Duration) object {
 		return object{"Name": name, "Effect": effect, "Group": group, "Worth": worth, "WindowNs": window.Nanoseconds(),
-			"AimNs": aim.Nanoseconds(), "DeadlineNs": deadline.Nanoseconds()}
+			"AimNs": latencyObjective.Nanoseconds(), "DeadlineNs": deadline.Nanoseconds()}
 	}
 	return json.Marshal(object{
 		"name": fmt.Sprint("n", number), "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", seed+uint64(number)),
@@ -154,7 +154,7 @@
 			"Rules":  object{"ColdFrom": 0.32, "ColdNs": 8700 * time.Millisecond, "OverloadFactor": 3},
 			"Ceilings": object{"ConnIdleNs": idleClose, "ConnectTimeoutNs": 250 * time.Millisecond, "MaxRetryAfterNs": time.Second,
 				"MostHeld": 1000, "MostTries": 5, "ParallelTries": true, "RetryAfter": true},
-			"Classes": []object{class("form-check", "repeatable", "all", 2, 0), class("refund-record", "by_key", "cell", 10, dropWindow)},
+			"Classes": []object{class("form-check", "repeatable", "all", 2, 0), class("refund-record", "by_key", "cell", 10, dedupWindow)},
 		},
 	})
 }
--- a/internal/scenario/html.go
+++ b/internal/scenario/html.go
@@ -9,7 +9,7 @@
 )
 
 // JSON writes the report for other programs: times in nanoseconds, shares from 0 to 1.
-func (d Day) JSON(out io.Writer) error {
+func (d Report) JSON(out io.Writer) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(d)
@@ -23,37 +23,37 @@
 )
 
 // bar is a part of a second's requests in the plot.
-type bar struct {
+type plotBar struct {
 	X, Y, W, H float64
 	Kind       string
 	Title      string
 }
 
 // band is an event in the plot.
-type band struct {
+type plotBand struct {
 	X, W, TextY float64
 	Name        string
 }
 
 // row is a server in the heat map.
-type row struct {
+type heatMapRow struct {
 	Y     float64
 	Name  string
-	Cells []bar
+	Cells []plotBar
 }
 
 // page is what the template is given.
-type page struct {
+type htmlPage struct {
 	Title            string
-	Day              Day
-	Bars             []bar
-	Bands            []band
-	Rows             []row
-	Ticks            []band
+	Report           Report
+	Bars             []plotBar
+	Bands            []plotBand
+	Rows             []heatMapRow
+	Ticks            []plotBand
 	Width, Height    float64
 	HeatHeight, Most float64
 	Figures          []figure
-	Held             bool
+	Passed           bool
 }
 
 type figure struct {
@@ -63,9 +63,9 @@
 
 // HTML writes the report as one page that needs nothing else: the requests of each second by how they ended, under the
 // events, and how full each server was.
-func (d Day) HTML(out io.Writer, title string) error {
-	p := page{Title: title, Day: d, Width: plotWidth, Height: plotHeight, HeatHeight: rowHeight * float64(len(d.Servers)),
-		Held: d.Held(), Figures: []figure{{"service", d.Service.Figure}, {"whole day", d.Service.Whole},
+func (d Report) HTML(out io.Writer, title string) error {
+	p := htmlPage{Title: title, Report: d, Width: plotWidth, Height: plotHeight, HeatHeight: rowHeight * float64(len(d.Servers)),
+		Passed: d.Passed(), Figures: []figure{{"service", d.Service.Figure}, {"whole day", d.Service.Whole},
 			{"worst 10 s", d.Service.Worst10}, {"worst class", d.Service.WorstClass}, {"worst refund point", d.Service.WorstPoint}}}
 	seconds := max(1, len(d.Seconds))
 	step := plotWidth / float64(seconds)
@@ -79,35 +79,35 @@
 		for _, part := range []struct {
 			kind string
 			n    int
-		}{{"intime", s.InAim}, {"late", s.Late}, {"refused", s.Refused}, {"failed", s.Failed}, {"lost", s.Lost}} {
+		}{{"intime", s.InTime}, {"late", s.Late}, {"refused", s.Rejected}, {"failed", s.Failed}, {"lost", s.Unanswered}} {
 			h := plotHeight * float64(part.n) / float64(most)
 			y -= h
 			if part.n > 0 {
-				p.Bars = append(p.Bars, bar{float64(i) * step, y, step * 0.9, h, part.kind,
+				p.Bars = append(p.Bars, plotBar{float64(i) * step, y, step * 0.9, h, part.kind,
 					fmt.Sprintf("second %d: %d %s", i, part.n, kindNames[part.kind])})
 			}
 		}
 	}
-	for i, h := range d.Happens {
-		at := (h.At - dayStart - settleTime).Seconds()
-		p.Bands = append(p.Bands, band{at * step, max(2, h.For.Seconds()*step), 12 + 13*float64(i%6), h.Do})
+	for i, h := range d.Events {
+		at := (h.At - startTime - settleTime).Seconds()
+		p.Bands = append(p.Bands, plotBand{at * step, max(2, h.Duration.Seconds()*step), 12 + 13*float64(i%6), h.Type})
 	}
 	for s := 0; s <= seconds; s += 10 {
-		p.Ticks = append(p.Ticks, band{X: float64(s) * step, Name: (time.Duration(s) * time.Second).String()})
+		p.Ticks = append(p.Ticks, plotBand{X: float64(s) * step, Name: (time.Duration(s) * time.Second).String()})
 	}
-	p.Rows = d.heat(step)
+	p.Rows = d.heatMapRows(step)
 	return reportPage.Execute(out, p)
 }
 
 // heat is how full each server was, second by second, over the most that it held.
-func (d Day) heat(step float64) (rows []row) {
+func (d Report) heatMapRows(step float64) (rows []heatMapRow) {
 	for i, s := range d.Servers {
-		r := row{Y: rowHeight * float64(i), Name: s.Name}
-		for second, held := range s.Held {
+		r := heatMapRow{Y: rowHeight * float64(i), Name: s.Name}
+		for second, held := range s.InFlight {
 			if held > 0 {
-				r.Cells = append(r.Cells, bar{X: float64(second) * step, Y: rowHeight * float64(i), W: step, H: rowHeight - 2,
-					Kind:  fmt.Sprintf("%.2f", min(1, 0.08+0.92*float64(held)/float64(max(1, s.Room)))),
-					Title: fmt.Sprintf("%s, second %d: %d held, room for %d", s.Name, second, held, s.Room)})
+				r.Cells = append(r.Cells, plotBar{X: float64(second) * step, Y: rowHeight * float64(i), W: step, H: rowHeight - 2,
+					Kind:  fmt.Sprintf("%.2f", min(1, 0.08+0.92*float64(held)/float64(max(1, s.Capacity)))),
+					Title: fmt.Sprintf("%s, second %d: %d held, room for %d", s.Name, second, held, s.Capacity)})
 			}
 		}
 		rows = append(rows, r)
@@ -131,8 +131,8 @@
 table { border-collapse: collapse } td, th { padding: .15em .9em .15em 0; text-align: right } td:first-child, th:first-child { text-align: left }
 </style></head><body>
 <h1>{{.Title}}</h1>
-<p class="{{if .Held}}held{{else}}broken{{end}}">{{if .Held}}The four rules and all assertions held.{{else}}Not all rules and assertions held.{{end}}</p>
-{{range .Day.Broken}}<p class="broken">{{.}}</p>{{end}}{{range .Day.Failing}}<p class="broken">{{.}}</p>{{end}}{{range .Day.Notes}}<p>{{.}}</p>{{end}}
+<p class="{{if .Passed}}held{{else}}broken{{end}}">{{if .Passed}}The four rules and all assertions held.{{else}}Not all rules and assertions held.{{end}}</p>
+{{range .Report.Violations}}<p class="broken">{{.}}</p>{{end}}{{range .Report.FailedAssertions}}<p class="broken">{{.}}</p>{{end}}{{range .Report.Notes}}<p>{{.}}</p>{{end}}
 <div class="figures">{{range .Figures}}<div><b>{{printf "%.4f" .Value}}</b>{{.Name}}</div>{{end}}</div>
 <h2>Requests by the second in which they came</h2>
 <p class="legend"><span style="background:#4b9e6a"></span>in time<span style="background:#e0b23c"></span>late<span style="background:#7d8fb3"></span>refused<span style="background:#c2453d"></span>failed<span style="background:#5b1a5e"></span>unanswered; the highest second has {{printf "%.0f" .Most}}</p>
@@ -147,6 +147,6 @@
 {{end}}</svg>
 <h2>Classes</h2>
 <table><tr><th>class</th><th>asked</th><th>in time</th><th>late</th><th>refused</th><th>failed</th><th>unanswered</th></tr>
-{{range .Day.Classes}}<tr><td>{{.Name}}</td><td>{{.Offered}}</td><td>{{.InAim}}</td><td>{{.Late}}</td><td>{{.Refused}}</td><td>{{.Failed}}</td><td>{{.Lost}}</td></tr>{{end}}</table>
+{{range .Report.Classes}}<tr><td>{{.Name}}</td><td>{{.Offered}}</td><td>{{.InTime}}</td><td>{{.Late}}</td><td>{{.Rejected}}</td><td>{{.Failed}}</td><td>{{.Unanswered}}</td></tr>{{end}}</table>
 </body></html>
 `))
--- a/internal/scenario/join_test.go
+++ b/internal/scenario/join_test.go
@@ -16,7 +16,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var days [2]Day
+			var days [2]Report
 			for i, join := range []string{"", "\"form-check\""} {
 				s, err := ParseScript(name, fmt.Appendf(nil, "length = \"25s\"\n[clients]\nforms = 60\n[agents]\njoin = [%s]\n%s", join, script))
 				if err != nil {
@@ -24,27 +24,27 @@
 				}
 				w := newWorld(s, 11)
 				w.play()
-				days[i] = w.day
-				if w.day.Breaks > 0 {
-					t.Errorf("join [%s]: %q", join, w.day.Broken)
+				days[i] = w.report
+				if w.report.ViolationCount > 0 {
+					t.Errorf("join [%s]: %q", join, w.report.Violations)
 				}
 				ran := map[string]bool{}
 				for _, e := range w.ledger.Effects() {
 					ran[e.Key] = true
 				}
 				for _, r := range w.requests {
-					if r.class == 1 && r.end == served && !ran[r.key] {
-						t.Fatalf("join [%s]: %s was served and never ran", join, r.key)
+					if r.class == 1 && r.result == served && !ran[r.idempotencyKey] {
+						t.Fatalf("join [%s]: %s was served and never ran", join, r.idempotencyKey)
 					}
 				}
 			}
 			off, on := days[0], days[1]
 			for i := range off.Classes {
-				if x, y := off.Classes[i].inTime(), on.Classes[i].inTime(); y < x-0.005 {
+				if x, y := off.Classes[i].inTimeRatio(), on.Classes[i].inTimeRatio(); y < x-0.005 {
 					t.Errorf("%s: %.4f in time with joining, %.4f without", off.Classes[i].Name, y, x)
 				}
 			}
-			if x, y := off.arrived(), on.arrived(); float64(y) > 0.95*float64(x) || y == 0 {
+			if x, y := off.attemptsArrived(), on.attemptsArrived(); float64(y) > 0.95*float64(x) || y == 0 {
 				t.Errorf("%d attempts reached the servers with joining, %d without", y, x)
 			}
 		})
--- a/internal/scenario/live.go
+++ b/internal/scenario/live.go
@@ -29,142 +29,142 @@
 const (
 	// Who is told of a drain may send for the rule's grace, and the word takes a moment to each agent; on sockets this is
 	// counted from when the list says so, and only where nothing holds the list up.
-	toldWithin = 150 * time.Millisecond
-	// answerLate is by how much an answer may miss the deadline on a noisy machine before the rule counts as broken.
-	answerLate = 150 * time.Millisecond
-	// ranLate is how late the rig's own requests may go out, at the 99th percentile, before its figures mean little.
-	ranLate    = 25 * time.Millisecond
-	millionths = 1e6
-	agentTerm  = 5 * time.Second // for an agent to end by itself
+	listDeliveryTolerance = 150 * time.Millisecond
+	// answerTolerance is by how much an answer may miss the deadline on a noisy machine before the rule counts as broken.
+	answerTolerance = 150 * time.Millisecond
+	// maxSendDelay is how late the rig's own requests may go out, at the 99th percentile, before its figures mean little.
+	maxSendDelay     = 25 * time.Millisecond
+	loadFactorUnit   = 1e6
+	agentStopTimeout = 5 * time.Second // for an agent to end by itself
 )
 
-// Live plays a script on loopback sockets: emulated servers and list, real agents in processes of their own, and clients.
-type Live struct {
-	Script Script
-	Seed   uint64
-	Agent  string // the agent's program
-	Out    io.Writer
+// LiveRunner plays a script on loopback sockets: emulated servers and list, real agents in processes of their own, and clients.
+type LiveRunner struct {
+	Script       Script
+	Seed         uint64
+	AgentProgram string // the agent's program
+	Out          io.Writer
 }
 
 // live is such a day under way. Its agenda is carried out by one goroutine; requests have one each.
-type live struct {
-	stage
-	epoch     time.Time // the agenda's time 0
-	dir       string
-	program   string
-	places    map[string]*loopback.Host // of servers, by id
-	discovery *emulator.Discovery
-	ledger    *emulator.Ledger
-	pods      map[int]*emulator.Pod
-	servers   []*liveServer
-	agents    []*liveAgent
-	load      atomic.Uint64 // over the usual, in millionths, for the clients
-	fleet     time.Time     // the servers' models' time 0
-	err       error         // why a server could not start
-
-	mu       sync.Mutex // guards what requests report
-	requests []*asked
-	delays   []time.Duration // by how much requests went out late
-	waits    *rand.Rand      // of clients before they come again
-	all      sync.WaitGroup
+type liveRun struct {
+	scenarioRun
+	epoch                time.Time // the agenda's time 0
+	dir                  string
+	program              string
+	listeners            map[string]*loopback.Host // of servers, by id
+	discovery            *emulator.Discovery
+	ledger               *emulator.Ledger
+	pods                 map[int]*emulator.Pod
+	liveServers          []*liveServer
+	agents               []*liveAgent
+	loadFactorMillionths atomic.Uint64 // over the usual, in millionths, for the clients
+	modelEpoch           time.Time     // the servers' models' time 0
+	err                  error         // why a server could not start
+
+	mu            sync.Mutex // guards what requests report
+	records       []*requestRecord
+	delays        []time.Duration // by how much requests went out late
+	backoffRandom *rand.Rand      // of clients before they come again
+	inFlight      sync.WaitGroup
 }
 
 // liveServer is a form server on a socket.
 type liveServer struct {
-	*member
-	l       *live
-	srv     *emulator.FormServer
-	entry   emulator.Entry
-	drained time.Duration // when the list said so; 0: not
-	peak    int
-	samples []int
-	dead    bool
+	*server
+	run             *liveRun
+	formServer      *emulator.FormServer
+	entry           emulator.Entry
+	drainListedAt   time.Duration // when the list said so; 0: not
+	peak            int
+	inFlightSamples []int
+	isDead          bool
 }
 
 // liveAgent is an agent's process.
 type liveAgent struct {
-	number int
-	flags  []string
-	runs   int            // of its machine
-	place  *loopback.Host // held from its first start to the end of the day
-	addr   string
-	client *http.Client
+	number       int
+	flags        []string
+	machineBoots int            // of its machine
+	listener     *loopback.Host // held from its first start to the end of the day
+	addr         string
+	client       *http.Client
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	life life
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	incarnation agentIncarnation
 }
 
 // life tells one start of an agent from the next, and whether it is ready to take requests.
-type life struct {
-	number int
-	up     bool
+type agentIncarnation struct {
+	number      int
+	isAvailable bool
 }
 
 // Run plays the script. A context that ends early ends the day in order, with the report of what ran.
-func (lv Live) Run(ctx context.Context) (Day, error) {
+func (lv LiveRunner) Run(ctx context.Context) (Report, error) {
 	dir, err := os.MkdirTemp("", "scenario")
 	if err != nil {
-		return Day{}, fmt.Errorf("a folder for the agents' configurations: %w", err)
+		return Report{}, fmt.Errorf("a folder for the agents' configurations: %w", err)
 	}
 	defer func() { besteffort.Ignore(os.RemoveAll(dir)) }()
 	d, err := emulator.NewDiscovery("127.0.0.1:0")
 	if err != nil {
-		return Day{}, err
+		return Report{}, err
 	}
 	defer d.Close()
-	l := &live{dir: dir, program: lv.Agent, discovery: d, ledger: emulator.NewLedger(), pods: map[int]*emulator.Pod{}, places: map[string]*loopback.Host{},
-		epoch: time.Now().Add(-dayStart), fleet: time.Now(), waits: rand.New(rand.NewPCG(lv.Seed, 4))}
-	l.stage = newStage(lv.Script, lv.Seed, l)
+	l := &liveRun{dir: dir, program: lv.AgentProgram, discovery: d, ledger: emulator.NewLedger(), pods: map[int]*emulator.Pod{}, listeners: map[string]*loopback.Host{},
+		epoch: time.Now().Add(-startTime), modelEpoch: time.Now(), backoffRandom: rand.New(rand.NewPCG(lv.Seed, 4))}
+	l.scenarioRun = newScenarioRun(lv.Script, lv.Seed, l)
 	defer l.close()
-	l.day.Length = lv.Script.Length.draw(l.random)
-	l.open()
+	l.report.Duration = lv.Script.Duration.draw(l.random)
+	l.startFleet()
 	if l.err != nil {
-		return Day{}, l.err
+		return Report{}, l.err
 	}
-	l.changed()
+	l.listChanged()
 	for i := range lv.Script.Fleet.Agents {
 		if err := l.startAgent(i, lv.Seed); err != nil {
-			return Day{}, err
+			return Report{}, err
 		}
 	}
 	fmt.Fprintf(lv.Out, "%d form servers and %d agents are up; the day lasts %v\n", lv.Script.Fleet.Servers, lv.Script.Fleet.Agents,
-		l.day.Length.Round(time.Second))
+		l.report.Duration.Round(time.Second))
 	l.play(ctx)
-	return l.day, nil
+	return l.report, nil
 }
 
-// ownSettings writes an agent's own settings, where the script asks for any.
-func (l *live) ownSettings(a *liveAgent) error {
+// writeAgentSettings writes an agent's own settings, where the script asks for any.
+func (l *liveRun) writeAgentSettings(a *liveAgent) error {
 	own := map[string]any{}
-	if len(l.script.Agents.Join) > 0 {
-		own["join"] = map[string]any{"classes": l.script.Agents.Join}
+	if len(l.script.Agents.CoalescedClasses) > 0 {
+		own["join"] = map[string]any{"classes": l.script.Agents.CoalescedClasses}
 	}
-	switch l.script.Agents.Door {
+	switch l.script.Agents.Admission {
 	case "":
 	case "storm":
 		own["storm"] = map[string]any{}
-	case fleetDoor:
+	case fleetAdmission:
 		own["overload"] = map[string]any{}
 	default:
-		return fmt.Errorf("the door %q is for simulated time alone: agents on sockets have \"storm\", \"fleet\" or none", l.script.Agents.Door)
+		return fmt.Errorf("the door %q is for simulated time alone: agents on sockets have \"storm\", \"fleet\" or none", l.script.Agents.Admission)
 	}
 	if l.script.Agents.Recovery {
-		dir := filepath.Join(l.dir, a.name("kept"))
+		dir := filepath.Join(l.dir, a.fileName("kept"))
 		own["recovery"] = map[string]any{"dir": dir, "run_file": l.runFile(a)}
-		ties := filepath.Join(l.dir, a.name("ties"))
+		ties := filepath.Join(l.dir, a.fileName("ties"))
 		if err := os.Mkdir(ties, 0o700); err != nil {
 			return err
 		}
 		own["affinity"] = map[string]any{"dir": ties, "sync": true}
-		if err := l.newRun(a); err != nil {
+		if err := l.nextMachineBoot(a); err != nil {
 			return err
 		}
 	}
-	if l.script.Agents.Peers || l.script.Agents.Door == fleetDoor {
+	if l.script.Agents.Gossip || l.script.Agents.Admission == fleetAdmission {
 		var all []string
 		for i := range l.script.Fleet.Agents {
-			at, err := l.place(fmt.Sprint("agent-", i))
+			at, err := l.listener(fmt.Sprint("agent-", i))
 			if err != nil {
 				return err
 			}
@@ -183,60 +183,60 @@
 	if err != nil {
 		return fmt.Errorf("the agents' own settings: %w", err)
 	}
-	path := filepath.Join(l.dir, a.name("own.toml"))
+	path := filepath.Join(l.dir, a.fileName("own.toml"))
 	a.flags = []string{"-settings", path}
 	return os.WriteFile(path, text, 0o600)
 }
 
-func (a *liveAgent) name(of string) string { return fmt.Sprintf("agent-%d.%s", a.number, of) }
+func (a *liveAgent) fileName(of string) string { return fmt.Sprintf("agent-%d.%s", a.number, of) }
 
-func (l *live) runFile(a *liveAgent) string { return filepath.Join(l.dir, a.name("run")) }
+func (l *liveRun) runFile(a *liveAgent) string { return filepath.Join(l.dir, a.fileName("run")) }
 
-// newRun begins another run of an agent's machine.
-func (l *live) newRun(a *liveAgent) error {
-	a.runs++
-	return os.WriteFile(l.runFile(a), fmt.Appendf(nil, "run-%d\n", a.runs), 0o600)
+// nextMachineBoot begins another run of an agent's machine.
+func (l *liveRun) nextMachineBoot(a *liveAgent) error {
+	a.machineBoots++
+	return os.WriteFile(l.runFile(a), fmt.Appendf(nil, "run-%d\n", a.machineBoots), 0o600)
 }
 
 // play lets the day happen and sums it up.
-func (l *live) play(ctx context.Context) {
-	begin := dayStart + settleTime
+func (l *liveRun) play(ctx context.Context) {
+	begin := startTime + settleTime
 	l.epoch = time.Now().Add(-begin)
 	l.now = begin
-	l.timeline()
+	l.scheduleEvents()
 	l.sample(0)
 	clients, stop := context.WithCancel(ctx)
-	l.load.Store(millionths)
+	l.loadFactorMillionths.Store(loadFactorUnit)
 	sent := make(chan struct{})
-	go func() { defer close(sent); l.clients(clients, begin) }()
-	end := begin + l.day.Length
+	go func() { defer close(sent); l.sendRequests(clients, begin) }()
+	end := begin + l.report.Duration
 	for len(l.queue) > 0 && l.queue[0].at < end && ctx.Err() == nil {
-		t := l.next()
+		t := l.pop()
 		l.sleep(ctx, t.at)
-		l.now = max(t.at, l.time())
-		t.do()
-		l.load.Store(uint64(l.times * millionths))
+		l.now = max(t.at, l.elapsed())
+		t.run()
+		l.loadFactorMillionths.Store(uint64(l.loadFactor * loadFactorUnit))
 	}
 	l.sleep(ctx, end)
 	stop()
 	<-sent
-	l.all.Wait()
-	l.now = l.time()
-	l.sum(begin)
+	l.inFlight.Wait()
+	l.now = l.elapsed()
+	l.finishReport(begin)
 }
 
 // broken notes that a rule was broken; requests note it as well as the agenda.
-func (l *live) broken(rule, format string, args ...any) {
+func (l *liveRun) addViolation(rule, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.day.broken(l.time(), rule, format, args...)
+	l.report.addViolation(l.elapsed(), rule, format, args...)
 }
 
 // time is the agenda's time now.
-func (l *live) time() time.Duration { return time.Since(l.epoch) }
+func (l *liveRun) elapsed() time.Duration { return time.Since(l.epoch) }
 
-func (l *live) sleep(ctx context.Context, until time.Duration) {
-	t := time.NewTimer(until - l.time())
+func (l *liveRun) sleep(ctx context.Context, until time.Duration) {
+	t := time.NewTimer(until - l.elapsed())
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -245,85 +245,85 @@
 }
 
 // boot is of installation.
-func (l *live) boot(m *member, spec emulator.Spec, seed uint64, warm bool) host {
+func (l *liveRun) startServer(m *server, spec emulator.Spec, seed uint64, warm bool) serverHost {
 	if l.pods[m.pod] == nil {
-		l.pods[m.pod] = emulator.NewPod(m.pod, dropWindow, l.ledger)
+		l.pods[m.pod] = emulator.NewPod(m.pod, dedupWindow, l.ledger)
 	}
-	s := &liveServer{member: m, l: l}
-	l.servers = append(l.servers, s)
+	s := &liveServer{server: m, run: l}
+	l.liveServers = append(l.liveServers, s)
 	if !warm {
 		s.entry.StartedMS = time.Now().UnixMilli()
 	}
-	model := emulator.NewServer(m.id, spec, l.pods[m.pod], seed, time.Since(l.fleet), warm)
-	place, err := l.place(m.id)
+	model := emulator.NewServer(m.id, spec, l.pods[m.pod], seed, time.Since(l.modelEpoch), warm)
+	place, err := l.listener(m.id)
 	if err != nil {
-		s.dead = true
+		s.isDead = true
 		l.err = err
 		return s
 	}
-	srv, err := emulator.Listen(m.id, model, classes, 0, l.fleet,
+	srv, err := emulator.Listen(m.id, model, classes, 0, l.modelEpoch,
 		emulator.Listening{Addr: place.Addr(), IdleClose: idleClose, MaxConns: 400 * m.kind.cores})
 	if err != nil {
-		s.dead = true
+		s.isDead = true
 		l.err = err
 		return s
 	}
-	s.srv = srv
+	s.formServer = srv
 	s.entry.ID, s.entry.Addr, s.entry.Zone, s.entry.Kind, s.entry.Cell, s.entry.Weight = m.id, srv.Addr, zone, m.kind.name, m.pod, 1
 	return s
 }
 
 // place is where a server listens: one that starts anew does so where it was.
-func (l *live) place(id string) (*loopback.Host, error) {
-	if l.places[id] == nil {
+func (l *liveRun) listener(id string) (*loopback.Host, error) {
+	if l.listeners[id] == nil {
 		h, err := loopback.Hold()
 		if err != nil {
 			return nil, err
 		}
-		l.places[id] = h
+		l.listeners[id] = h
 	}
-	return l.places[id], nil
+	return l.listeners[id], nil
 }
 
-func (s *liveServer) apply(e effects) {
-	if s.dead {
+func (s *liveServer) applyFaults(e faultSet) {
+	if s.isDead {
 		return
 	}
-	s.srv.Fault(func(f *emulator.Faults) {
-		e.faults(f)
-		f.Hung = f.Hung || e.cut > 0 // on loopback nothing can be cut off; it says as little
+	s.formServer.Fault(func(f *emulator.Faults) {
+		e.writeTo(f)
+		f.Hung = f.Hung || e.partitioned > 0 // on loopback nothing can be cut off; it says as little
 		f.Draining = s.state == balancer.Draining
 	})
-	s.srv.SetWire(emulator.Wire{Reset: either(e.reset), Spoil: either(e.spoil)})
+	s.formServer.SetWire(emulator.Wire{Reset: probabilityOfAny(e.reset), Spoil: probabilityOfAny(e.corrupt)})
 }
 
-func (s *liveServer) die() {
-	if s.dead {
+func (s *liveServer) kill() {
+	if s.isDead {
 		return
 	}
-	s.dead = true
-	if last := s.srv.LastArrival().Sub(s.l.epoch); s.drained > 0 && last-s.drained > drainGrace+toldWithin {
-		s.l.broken("3", "%s got a request %v after the list said that it drains", s.id, last-s.drained)
+	s.isDead = true
+	if last := s.formServer.LastArrival().Sub(s.run.epoch); s.drainListedAt > 0 && last-s.drainListedAt > drainGrace+listDeliveryTolerance {
+		s.run.addViolation("3", "%s got a request %v after the list said that it drains", s.id, last-s.drainListedAt)
 	}
-	s.srv.Close()
+	s.formServer.Close()
 }
 
-func (s *liveServer) toppled() bool { return !s.dead && s.srv.Toppled() }
+func (s *liveServer) hasCollapsed() bool { return !s.isDead && s.formServer.Toppled() }
 
 // changed is of installation: the list gets what is new.
-func (l *live) changed() {
+func (l *liveRun) listChanged() {
 	var entries []emulator.Entry
-	for _, s := range l.servers {
+	for _, s := range l.liveServers {
 		state := map[balancer.State]string{balancer.Ready: "Ready", balancer.Draining: "Terminating", balancer.Removed: "Gone"}[s.state]
-		if l.current[s.id] != s.member || s.entry.State == state || s.state == balancer.Removed && s.entry.State == "" {
+		if l.current[s.id] != s.server || s.entry.State == state || s.state == balancer.Removed && s.entry.State == "" {
 			continue
 		}
 		s.entry.State = state
 		entries = append(entries, s.entry)
 		if s.state == balancer.Draining {
-			s.apply(s.effects)
-			if l.outage == 0 && l.lag == 0 {
-				s.drained = l.time()
+			s.applyFaults(s.faults)
+			if l.listOutages == 0 && l.listLag == 0 {
+				s.drainListedAt = l.elapsed()
 			}
 		}
 	}
@@ -333,65 +333,65 @@
 }
 
 // reach is of installation.
-func (l *live) reach(out bool) {
-	l.excuse()
+func (l *liveRun) setListOutage(out bool) {
+	l.forgetDrainTimes()
 	l.discovery.SetOut(out)
 }
 
 // late is of installation.
-func (l *live) late(by time.Duration) {
-	l.excuse()
+func (l *liveRun) setListLag(by time.Duration) {
+	l.forgetDrainTimes()
 	l.discovery.SetLag(by)
 }
 
 // excuse gives up timing the drains under way: when the word of them came to the agents can't be told any more.
-func (l *live) excuse() {
-	for _, s := range l.servers {
-		s.drained = 0
+func (l *liveRun) forgetDrainTimes() {
+	for _, s := range l.liveServers {
+		s.drainListedAt = 0
 	}
 }
 
 // killAgent is of installation.
-func (l *live) killAgent(number int, down time.Duration, power bool) {
-	l.agents[number].end(syscall.SIGKILL)
+func (l *liveRun) killAgent(number int, down time.Duration, power bool) {
+	l.agents[number].stop(syscall.SIGKILL)
 	if power {
-		besteffort.Ignore(l.newRun(l.agents[number]))
+		besteffort.Ignore(l.nextMachineBoot(l.agents[number]))
 	}
-	l.restart(l.agents[number], down)
+	l.startAgainAfter(l.agents[number], down)
 }
 
 // forget is of installation.
-func (l *live) forget(pod int) { l.pods[pod].Forget() }
+func (l *liveRun) forgetPod(pod int) { l.pods[pod].Forget() }
 
-// endAgent is of installation. Clients go on for a moment, as they do at a planned restart; what the agent takes until
+// restartAgent is of installation. Clients go on for a moment, as they do at a planned restart; what the agent takes until
 // then it has to answer, and its life ends with the process.
-func (l *live) endAgent(number int) {
+func (l *liveRun) restartAgent(number int) {
 	a := l.agents[number]
 	a.signal(syscall.SIGTERM)
-	l.after(noticeTime, a.leave)
-	l.after(noticeTime+deadline+answerLate, func() {
-		a.end(syscall.SIGTERM)
-		l.restart(a, agentDown)
+	l.scheduleAfter(drainNoticeTime, a.markUnavailable)
+	l.scheduleAfter(drainNoticeTime+deadline+answerTolerance, func() {
+		a.stop(syscall.SIGTERM)
+		l.startAgainAfter(a, agentDowntime)
 	})
 }
 
 // restart starts an agent again, a while later.
-func (l *live) restart(a *liveAgent, down time.Duration) {
-	l.after(down, func() {
-		if err := l.exec(a); err != nil {
-			l.day.Notes = append(l.day.Notes, err.Error())
+func (l *liveRun) startAgainAfter(a *liveAgent, down time.Duration) {
+	l.scheduleAfter(down, func() {
+		if err := l.startProcess(a); err != nil {
+			l.report.Notes = append(l.report.Notes, err.Error())
 			return
 		}
-		l.all.Go(func() {
+		l.inFlight.Go(func() {
 			if waitReady(a.addr) == nil {
-				a.ready()
+				a.markAvailable()
 			}
 		})
 	})
 }
 
 // startAgent starts an agent and waits until it is ready.
-func (l *live) startAgent(number int, seed uint64) error {
+func (l *liveRun) startAgent(number int, seed uint64) error {
 	place, err := loopback.Hold()
 	if err != nil {
 		return err
@@ -401,29 +401,29 @@
 		place.Close()
 		return err
 	}
-	a := &liveAgent{number: number, place: place, addr: place.Addr(), client: &http.Client{Timeout: deadline + answerLate,
-		Transport: &http.Transport{MaxIdleConnsPerHost: mostOpen, IdleConnTimeout: time.Second}}}
+	a := &liveAgent{number: number, listener: place, addr: place.Addr(), client: &http.Client{Timeout: deadline + answerTolerance,
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: time.Second}}}
 	l.agents = append(l.agents, a)
-	if err := l.ownSettings(a); err != nil {
+	if err := l.writeAgentSettings(a); err != nil {
 		return err
 	}
-	if err := os.WriteFile(l.config(a), text, 0o600); err != nil {
+	if err := os.WriteFile(l.configFile(a), text, 0o600); err != nil {
 		return err
 	}
-	if err := l.exec(a); err != nil {
+	if err := l.startProcess(a); err != nil {
 		return err
 	}
 	if err := waitReady(a.addr); err != nil {
 		return fmt.Errorf("%w; its log ends with %q", err, l.lastLine(a))
 	}
-	a.ready()
+	a.markAvailable()
 	return nil
 }
 
-func (l *live) logFile(a *liveAgent) string { return filepath.Join(l.dir, a.name("log")) }
+func (l *liveRun) logFile(a *liveAgent) string { return filepath.Join(l.dir, a.fileName("log")) }
 
 // lastLine is the last line of an agent's log.
-func (l *live) lastLine(a *liveAgent) string {
+func (l *liveRun) lastLine(a *liveAgent) string {
 	text, err := os.ReadFile(l.logFile(a))
 	if err != nil {
 		return err.Error()
@@ -432,16 +432,16 @@
 	return string(text[bytes.LastIndexByte(text, '\n')+1:])
 }
 
-func (l *live) config(a *liveAgent) string {
+func (l *liveRun) configFile(a *liveAgent) string {
 	return filepath.Join(l.dir, fmt.Sprintf("agent-%d.json", a.number))
 }
 
 // exec starts an agent's process.
-func (l *live) exec(a *liveAgent) error {
+func (l *liveRun) startProcess(a *liveAgent) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	cmd := exec.Command(l.program, a.flags...)
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+l.config(a))
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+l.configFile(a))
 	log, err := os.OpenFile(l.logFile(a), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -465,142 +465,142 @@
 }
 
 // leave says that clients know of an agent's end and send it nothing more.
-func (a *liveAgent) leave() {
+func (a *liveAgent) markUnavailable() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.life.up = false
+	a.incarnation.isAvailable = false
 }
 
 // end ends an agent's process, by the signal or else by force.
-func (a *liveAgent) end(s os.Signal) {
+func (a *liveAgent) stop(s os.Signal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.life = life{number: a.life.number + 1}
+	a.incarnation = agentIncarnation{number: a.incarnation.number + 1}
 	if a.cmd == nil {
 		return
 	}
 	besteffort.Ignore(a.cmd.Process.Signal(s))
-	force := time.AfterFunc(agentTerm, func() { besteffort.Ignore(a.cmd.Process.Kill()) })
+	force := time.AfterFunc(agentStopTimeout, func() { besteffort.Ignore(a.cmd.Process.Kill()) })
 	besteffort.Ignore(a.cmd.Wait())
 	force.Stop()
 	a.cmd = nil
 }
 
 // ready says that the agent takes requests.
-func (a *liveAgent) ready() {
+func (a *liveAgent) markAvailable() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.life.up = true
+	a.incarnation.isAvailable = true
 }
 
-func (a *liveAgent) lives() life {
+func (a *liveAgent) currentIncarnation() agentIncarnation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.life
+	return a.incarnation
 }
 
 // close ends all that runs.
-func (l *live) close() {
+func (l *liveRun) close() {
 	for _, a := range l.agents {
 		a.client.CloseIdleConnections()
-		a.end(syscall.SIGTERM)
-		a.place.Close()
+		a.stop(syscall.SIGTERM)
+		a.listener.Close()
 	}
-	for _, s := range l.servers {
-		if !s.dead {
-			s.srv.Close()
+	for _, s := range l.liveServers {
+		if !s.isDead {
+			s.formServer.Close()
 		}
 	}
-	for _, h := range l.places {
+	for _, h := range l.listeners {
 		h.Close()
 	}
 }
 
 // sample notes how many requests each server holds, once a second.
-func (l *live) sample(second int) {
-	for _, s := range l.servers {
+func (l *liveRun) sample(second int) {
+	for _, s := range l.liveServers {
 		held := 0
-		if !s.dead {
-			held = s.srv.Held()
+		if !s.isDead {
+			held = s.formServer.Held()
 		}
-		for len(s.samples) < second {
-			s.samples = append(s.samples, 0)
+		for len(s.inFlightSamples) < second {
+			s.inFlightSamples = append(s.inFlightSamples, 0)
 		}
-		s.samples = append(s.samples, held)
+		s.inFlightSamples = append(s.inFlightSamples, held)
 		s.peak = max(s.peak, held)
 	}
-	l.after(time.Second, func() { l.sample(second + 1) })
+	l.scheduleAfter(time.Second, func() { l.sample(second + 1) })
 }
 
 // clients send until the context ends.
-func (l *live) clients(ctx context.Context, begin time.Duration) {
-	random := rand.New(rand.NewPCG(l.draws(), 3))
-	zipf := rand.NewZipf(random, 1.2, 8, uint64(l.script.Clients.Forms-1))
-	weights := sums(len(l.agents), random)
+func (l *liveRun) sendRequests(ctx context.Context, begin time.Duration) {
+	random := rand.New(rand.NewPCG(l.clientSeed(), 3))
+	zipf := rand.NewZipf(random, 1.2, 8, uint64(l.script.Clients.DistinctForms-1))
+	weights := cumulativeWeights(len(l.agents), random)
 	for next := begin; ; {
 		l.sleep(ctx, next)
 		if ctx.Err() != nil {
 			return
 		}
 		l.mu.Lock()
-		l.delays = append(l.delays, l.time()-next)
+		l.delays = append(l.delays, l.elapsed()-next)
 		l.mu.Unlock()
 		r := drawRequest(random, weights)
 		r.arrived = next
-		id := len(l.requests)
+		id := len(l.records)
 		if r.class == 1 {
-			r.key = fmt.Sprint("refund-", id)
+			r.idempotencyKey = fmt.Sprint("refund-", id)
 		}
-		l.requests = append(l.requests, &r.asked)
+		l.records = append(l.records, &r.requestRecord)
 		route := fmt.Sprint("form-", zipf.Uint64())
-		l.all.Go(func() { l.ask(&r.asked, l.agents[r.agent], fmt.Sprint("r", id), route) })
-		next += time.Duration(random.ExpFloat64() / (l.script.Clients.Rate * float64(l.load.Load()) / millionths) * float64(time.Second))
+		l.inFlight.Go(func() { l.runRequest(&r.requestRecord, l.agents[r.agent], fmt.Sprint("r", id), route) })
+		next += time.Duration(random.ExpFloat64() / (l.script.Clients.Rate * float64(l.loadFactorMillionths.Load()) / loadFactorUnit) * float64(time.Second))
 	}
 }
 
 // draws is a seed for the clients; the day's own draws go on beside them.
-func (l *live) draws() uint64 { return uint64(l.day.Length) ^ 0x9e3779b97f4a7c15 }
+func (l *liveRun) clientSeed() uint64 { return uint64(l.report.Duration) ^ 0x9e3779b97f4a7c15 }
 
 // ask makes a request, and once more if it is refused and the script says so.
-func (l *live) ask(r *asked, a *liveAgent, id, route string) {
+func (l *liveRun) runRequest(r *requestRecord, a *liveAgent, id, route string) {
 	for {
-		r.tries++
-		before := a.lives()
-		status, after, err := l.one(r, a, fmt.Sprintf("%s.%d", id, r.tries), route)
+		r.attempts++
+		before := a.currentIncarnation()
+		status, after, err := l.sendAttempt(r, a, fmt.Sprintf("%s.%d", id, r.attempts), route)
 		switch {
-		case err != nil && before.up && before.number == a.lives().number:
-			l.broken("1", "request %s.%d got no whole answer from agent %d: %v", id, r.tries, a.number+1, err)
-			r.end = lost
-		case err != nil && r.key == "" && r.tries == 1 && l.script.Clients.Retry:
-			time.Sleep(ownWait)
+		case err != nil && before.isAvailable && before.number == a.currentIncarnation().number:
+			l.addViolation("1", "request %s.%d got no whole answer from agent %d: %v", id, r.attempts, a.number+1, err)
+			r.result = unanswered
+		case err != nil && r.idempotencyKey == "" && r.attempts == 1 && l.script.Clients.Retry:
+			time.Sleep(clientRetryDelay)
 			continue
 		case err != nil:
-			r.end = failed
+			r.result = failed
 		case status == http.StatusOK:
-			r.end = served
+			r.result = served
 		case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-			if l.script.Clients.again(r.tries) {
-				if !l.script.Clients.Heed || after <= 0 {
+			if l.script.Clients.allowsRetry(r.attempts) {
+				if !l.script.Clients.HonorRetryAfter || after <= 0 {
 					l.mu.Lock()
-					after = l.script.Clients.wait(l.waits)
+					after = l.script.Clients.drawBackoff(l.backoffRandom)
 					l.mu.Unlock()
 				}
 				time.Sleep(after)
 				continue
 			}
-			r.end = refused
+			r.result = rejected
 		default:
-			r.end = failed
+			r.result = failed
 		}
-		r.took = l.time() - r.arrived
+		r.latency = l.elapsed() - r.arrived
 		return
 	}
 }
 
 // one makes a try.
-func (l *live) one(r *asked, a *liveAgent, id, route string) (status int, after time.Duration, err error) {
+func (l *liveRun) sendAttempt(r *requestRecord, a *liveAgent, id, route string) (status int, after time.Duration, err error) {
 	method, body := http.MethodGet, ""
-	if r.key != "" {
+	if r.idempotencyKey != "" {
 		method, body = http.MethodPost, "form"
 	}
 	req, err := http.NewRequest(method, "http://"+a.addr+"/"+classes[r.class].Name, strings.NewReader(body))
@@ -608,13 +608,13 @@
 		return 0, 0, err
 	}
 	req.Header.Set("X-Request-ID", id)
-	req.Header.Set("X-Tenant-Id", points[r.tenant].name)
+	req.Header.Set("X-Tenant-Id", refundPoints[r.tenant].name)
 	req.Header.Set("X-Route-Key", route)
 	req.Header.Set("X-Timeout", fmt.Sprint(deadline.Milliseconds(), "m"))
-	if r.key != "" {
-		req.Header.Set("Idempotency-Key", r.key)
+	if r.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", r.idempotencyKey)
 	}
-	if r.tries > 1 && l.script.Clients.Mark {
+	if r.attempts > 1 && l.script.Clients.MarkRetries {
 		req.Header.Set("X-Retried", "1")
 	}
 	resp, err := a.client.Do(req)
@@ -630,24 +630,24 @@
 }
 
 // sum sums the day up.
-func (l *live) sum(begin time.Duration) {
-	for _, s := range l.servers {
-		toppled := s.toppled()
+func (l *liveRun) finishReport(begin time.Duration) {
+	for _, s := range l.liveServers {
+		toppled := s.hasCollapsed()
 		if toppled {
-			l.broken("4", "the cold server %s was pushed over", s.id)
+			l.addViolation("4", "the cold server %s was pushed over", s.id)
 		}
 		room, arrived := 0, 0
-		if s.srv != nil {
-			room, arrived = s.srv.Room(), s.srv.Arrived()
+		if s.formServer != nil {
+			room, arrived = s.formServer.Room(), s.formServer.Arrived()
 		}
-		l.day.Servers = append(l.day.Servers, ServerDay{Name: s.id, Kind: s.kind.name, Arrived: arrived, Peak: s.peak, Room: room, Held: s.samples, Toppled: toppled})
+		l.report.Servers = append(l.report.Servers, ServerReport{Name: s.id, Kind: s.kind.name, Arrived: arrived, Peak: s.peak, Capacity: room, InFlight: s.inFlightSamples, Collapsed: toppled})
 	}
 	if len(l.delays) > 0 {
 		slices.Sort(l.delays)
-		if p99 := l.delays[len(l.delays)*99/100]; p99 > ranLate {
-			l.day.Notes = append(l.day.Notes, fmt.Sprintf("THE MACHINE RAN LATE: 1%% of the requests went out over %v late; the figures mean little",
+		if p99 := l.delays[len(l.delays)*99/100]; p99 > maxSendDelay {
+			l.report.Notes = append(l.report.Notes, fmt.Sprintf("THE MACHINE RAN LATE: 1%% of the requests went out over %v late; the figures mean little",
 				p99.Round(time.Millisecond)))
 		}
 	}
-	l.day.score(l.requests, begin, l.ledger, l.now, l.script)
+	l.report.evaluate(l.records, begin, l.ledger, l.now, l.script)
 }
--- a/internal/scenario/live_test.go
+++ b/internal/scenario/live_test.go
@@ -57,22 +57,22 @@
 at = "4s"
 agent = 2
 `)
-	d, err := Live{Script: s, Seed: 3, Agent: program(t), Out: io.Discard}.Run(context.Background())
+	d, err := LiveRunner{Script: s, Seed: 3, AgentProgram: program(t), Out: io.Discard}.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Breaks != 0 {
-		t.Errorf("%v", d.Broken)
+	if d.ViolationCount != 0 {
+		t.Errorf("%v", d.Violations)
 	}
 	asked, inTime := 0, 0
 	for _, c := range d.Classes {
-		asked, inTime = asked+c.Offered, inTime+c.InAim
+		asked, inTime = asked+c.Offered, inTime+c.InTime
 	}
 	if asked < 200 || inTime < asked/2 { // a noisy machine may be late, but not for most
 		t.Errorf("%d of %d in time: %+v", inTime, asked, d.Classes)
 	}
-	if len(d.Happens) != 5 || len(d.Servers) < 8 {
-		t.Errorf("%d events, %d servers", len(d.Happens), len(d.Servers))
+	if len(d.Events) != 5 || len(d.Servers) < 8 {
+		t.Errorf("%d events, %d servers", len(d.Events), len(d.Servers))
 	}
 }
 
@@ -90,11 +90,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	began := sync.OnceFunc(func() { time.AfterFunc(2*time.Second, stop) }) // processes may be slow to start
-	d, err := Live{Script: s, Seed: 1, Agent: program(t), Out: writer(func(p []byte) { began() })}.Run(ctx)
-	if err != nil || len(d.Classes) != 2 || d.Classes[0].Offered == 0 || d.Breaks != 0 {
-		t.Errorf("%v: %+v %v", err, d.Classes, d.Broken)
+	d, err := LiveRunner{Script: s, Seed: 1, AgentProgram: program(t), Out: writer(func(p []byte) { began() })}.Run(ctx)
+	if err != nil || len(d.Classes) != 2 || d.Classes[0].Offered == 0 || d.ViolationCount != 0 {
+		t.Errorf("%v: %+v %v", err, d.Classes, d.Violations)
 	}
-	if _, err := (Live{Script: s, Agent: "/no/such/program", Out: io.Discard}).Run(context.Background()); err == nil ||
+	if _, err := (LiveRunner{Script: s, AgentProgram: "/no/such/program", Out: io.Discard}).Run(context.Background()); err == nil ||
 		!strings.Contains(err.Error(), "/no/such/program") {
 		t.Errorf("%v", err)
 	}
--- a/internal/scenario/ready.go
+++ b/internal/scenario/ready.go
@@ -12,7 +12,7 @@
 func waitReady(addr string) error {
 	client := http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
-	for until := time.Now().Add(startWait); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(agentStartTimeout); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		if resp, err := client.Get("http://" + addr + "/ready"); err == nil {
 			besteffort.Close(resp.Body)
 			if resp.StatusCode == http.StatusOK {
@@ -20,5 +20,5 @@
 			}
 		}
 	}
-	return fmt.Errorf("the agent at %s was not ready within %v", addr, startWait)
+	return fmt.Errorf("the agent at %s was not ready within %v", addr, agentStartTimeout)
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -19,80 +19,80 @@
 
 // Script is a day to rehearse: a fleet, its clients, what goes wrong, and what must hold.
 type Script struct {
-	Length  Span     `toml:"length"`
-	Fleet   FleetOf  `toml:"fleet"`
-	Clients Load     `toml:"clients"`
-	Agents  Agents   `toml:"agents"`
-	Events  []Event  `toml:"event"`
-	Asserts []Assert `toml:"assert"`
+	Duration   Span         `toml:"length"`
+	Fleet      FleetSize    `toml:"fleet"`
+	Clients    ClientLoad   `toml:"clients"`
+	Agents     AgentOptions `toml:"agents"`
+	Events     []Event      `toml:"event"`
+	Assertions []Assertion  `toml:"assert"`
 }
 
-// FleetOf is the size of an installation.
-type FleetOf struct {
+// FleetSize is the size of an installation.
+type FleetSize struct {
 	Servers int `toml:"servers"`
 	Agents  int `toml:"agents"`
 }
 
-// Load is what clients send.
-type Load struct {
-	Rate  float64 `toml:"rate"`  // requests a second, of all
-	Retry bool    `toml:"retry"` // a refused request is tried again
-	Tries int     `toml:"tries"` // so often in all, at the most
-	Heed  bool    `toml:"heed"`  // after the time that the refusal names; else after a wait of their own
-	Mark  bool    `toml:"mark"`  // tries after the first say so (X-Retried)
-	Wait  Span    `toml:"wait"`  // that wait, drawn each time
-	Forms int     `toml:"forms"` // distinct ones; a few are far more popular than the rest
+// ClientLoad is what clients send.
+type ClientLoad struct {
+	Rate            float64 `toml:"rate"`  // requests a second, of all
+	Retry           bool    `toml:"retry"` // a refused request is tried again
+	MaxAttempts     int     `toml:"tries"` // so often in all, at the most
+	HonorRetryAfter bool    `toml:"heed"`  // after the time that the refusal names; else after a wait of their own
+	MarkRetries     bool    `toml:"mark"`  // tries after the first say so (X-Retried)
+	Backoff         Span    `toml:"wait"`  // that wait, drawn each time
+	DistinctForms   int     `toml:"forms"` // distinct ones; a few are far more popular than the rest
 }
 
-// Agents is what the agents' own settings switch on.
-type Agents struct {
-	Join     []string `toml:"join"`     // classes of which like requests are answered together
-	Peers    bool     `toml:"peers"`    // they know each other, and tell what makes others more careful
-	Recovery bool     `toml:"recovery"` // they keep what they know over a power loss, and come back by it
-	Door     string   `toml:"door"`     // who says which requests are let in: "storm", "fleet" (all agents together), or in simulated time a rival
+// AgentOptions is what the agents' own settings switch on.
+type AgentOptions struct {
+	CoalescedClasses []string `toml:"join"`     // classes of which like requests are answered together
+	Gossip           bool     `toml:"peers"`    // they know each other, and tell what makes others more careful
+	Recovery         bool     `toml:"recovery"` // they keep what they know over a power loss, and come back by it
+	Admission        string   `toml:"door"`     // who says which requests are let in: "storm", "fleet" (all agents together), or in simulated time a rival
 }
 
 // Event is something that happens. Which of its figures count depends on what it does (see verbs).
 type Event struct {
-	Do      string   `toml:"do"`
-	At      Span     `toml:"at"`
-	For     Span     `toml:"for"`
-	Over    Span     `toml:"over"`
-	Servers []string `toml:"servers"` // by name; else
-	Kind    string   `toml:"kind"`    // of that kind; else
-	Share   float64  `toml:"share"`   // so much of the fleet, drawn
-	Batch   float64  `toml:"batch"`   // share of the fleet at a time
-	To      float64  `toml:"to"`      // what is left, or what it becomes
-	Repeat  int      `toml:"repeat"`  // so often in all
-	Every   Span     `toml:"every"`   // after that time again
-	Agent   int      `toml:"agent"`   // its number, from 1; or
-	Agents  float64  `toml:"agents"`  // so much of all agents, drawn
-	List    Span     `toml:"list"`    // how much later the server list is back
-	Apart   Span     `toml:"apart"`   // how much later than the first each part is back, drawn one by one
+	Type        string   `toml:"do"`
+	At          Span     `toml:"at"`
+	Duration    Span     `toml:"for"`
+	Period      Span     `toml:"over"`
+	Servers     []string `toml:"servers"` // by name; else
+	MachineKind string   `toml:"kind"`    // of that kind; else
+	ServerShare float64  `toml:"share"`   // so much of the fleet, drawn
+	BatchShare  float64  `toml:"batch"`   // share of the fleet at a time
+	Factor      float64  `toml:"to"`      // what is left, or what it becomes
+	Repeat      int      `toml:"repeat"`  // so often in all
+	Interval    Span     `toml:"every"`   // after that time again
+	Agent       int      `toml:"agent"`   // its number, from 1; or
+	AgentShare  float64  `toml:"agents"`  // so much of all agents, drawn
+	ListDelay   Span     `toml:"list"`    // how much later the server list is back
+	Stagger     Span     `toml:"apart"`   // how much later than the first each part is back, drawn one by one
 }
 
-// Assert is what must hold: a least service, a recovery, or the most that a server holds. The four rules always must.
-type Assert struct {
-	Service float64 `toml:"service"` // the least service figure
-	From    Span    `toml:"from"`    // of what arrived from then
-	Until   Span    `toml:"until"`   // to then; the whole day where both are left out
+// Assertion is what must hold: a least service, a recovery, or the most that a server holds. The four rules always must.
+type Assertion struct {
+	MinService float64 `toml:"service"` // the least service figure
+	From       Span    `toml:"from"`    // of what arrived from then
+	Until      Span    `toml:"until"`   // to then; the whole day where both are left out
 
 	After  string `toml:"after"`  // or from the end of each event that does so
 	Within Span   `toml:"within"` // and so much later, over the ten seconds that follow
 
-	Holds float64 `toml:"holds"` // the most that a server may hold, as a share of its slots and waiting room
+	MaxOccupancy float64 `toml:"holds"` // the most that a server may hold, as a share of its slots and waiting room
 }
 
 // check says what is wrong with an assertion.
-func (a Assert) check(s Script) error {
+func (a Assertion) check(s Script) error {
 	switch {
-	case (a.Service != 0) == (a.Holds != 0):
+	case (a.MinService != 0) == (a.MaxOccupancy != 0):
 		return errors.New("an assertion names one of service and holds")
-	case a.Holds < 0 || a.Holds > 1:
+	case a.MaxOccupancy < 0 || a.MaxOccupancy > 1:
 		return errors.New("holds: a share above 0 and at most 1")
-	case a.Holds > 0:
+	case a.MaxOccupancy > 0:
 		return nil
-	case a.Service < 0 || a.Service > 1:
+	case a.MinService < 0 || a.MinService > 1:
 		return errors.New("service: the least figure is above 0 and at most 1")
 	case a.Until.From != 0 && a.Until.From <= a.From.From:
 		return errors.New("until: must be later than from")
@@ -100,7 +100,7 @@
 		return errors.New("within: counts from the end of an event, which after names")
 	case a.After != "" && (a.From.To > 0 || a.Until.To > 0):
 		return errors.New("after: stands in place of from and until")
-	case a.After != "" && !slices.ContainsFunc(s.Events, func(e Event) bool { return e.Do == a.After }):
+	case a.After != "" && !slices.ContainsFunc(s.Events, func(e Event) bool { return e.Type == a.After }):
 		return fmt.Errorf("after: the script has no event that does %q", a.After)
 	}
 	return nil
@@ -129,62 +129,62 @@
 }
 
 // verb says which figures an event needs.
-type verb struct {
-	servers, lasting, to, over, batch, agent bool
-	power                                    bool // servers, agents or both, by share
-	means                                    string
+type eventType struct {
+	selectsServers, needsDuration, needsFactor, needsPeriod, needsBatchShare, selectsAgent bool
+	selectsByShare                                                                         bool // servers, agents or both, by share
+	description                                                                            string
 }
 
 // loads reports whether the verb is about what clients send: `to` is a multiple then, else a share.
-func (v verb) loads() bool { return v.to && !v.servers }
+func (v eventType) changesLoad() bool { return v.needsFactor && !v.selectsServers }
 
 // verbs are all that a script can make happen.
-var verbs = map[string]verb{
-	"hang":           {servers: true, lasting: true, means: "accepts requests and answers none"},
-	"pause":          {servers: true, lasting: true, means: "stops, and goes on where it was"},
-	"throttle":       {servers: true, lasting: true, to: true, means: "has the share `to` of its capacity"},
-	"fast_errors":    {servers: true, lasting: true, to: true, means: "answers the share `to` with an error, having run"},
-	"reset":          {servers: true, lasting: true, to: true, means: "breaks the connection for the share `to`, having run"},
-	"spoil":          {servers: true, lasting: true, to: true, means: "answers the share `to` with what can't be read, having run"},
-	"partition":      {servers: true, lasting: true, means: "can't be reached, and says nothing"},
-	"kill":           {servers: true, means: "ends, and is taken from the list"},
-	"restart":        {servers: true, means: "ends and starts anew, cold, under its name"},
-	"rolling_deploy": {servers: true, over: true, batch: true, means: "is replaced by a cold successor, batch by batch"},
-	"list_outage":    {lasting: true, means: "the server list is out of reach"},
-	"list_lag":       {lasting: true, over: true, means: "changes of the list come `over` late"},
-	"load":           {lasting: true, to: true, means: "clients send `to` times as much"},
-	"ramp":           {lasting: true, to: true, over: true, means: "the load rises evenly to `to` times the usual over that time, and stays"},
-	"wave":           {lasting: true, to: true, over: true, means: "the load swings between the usual and `to` times, `over` from crest to crest"},
-	"agent_sigterm":  {agent: true, means: "an agent drains, ends and starts anew, as at a planned restart"},
-	"power_loss":     {power: true, lasting: true, means: "servers (share), agents (agents) or both lose power, and with it what was not kept"},
-	"agent_kill":     {agent: true, means: "an agent ends and starts anew, with what it knew lost"},
+var eventTypes = map[string]eventType{
+	"hang":           {selectsServers: true, needsDuration: true, description: "accepts requests and answers none"},
+	"pause":          {selectsServers: true, needsDuration: true, description: "stops, and goes on where it was"},
+	"throttle":       {selectsServers: true, needsDuration: true, needsFactor: true, description: "has the share `to` of its capacity"},
+	"fast_errors":    {selectsServers: true, needsDuration: true, needsFactor: true, description: "answers the share `to` with an error, having run"},
+	"reset":          {selectsServers: true, needsDuration: true, needsFactor: true, description: "breaks the connection for the share `to`, having run"},
+	"spoil":          {selectsServers: true, needsDuration: true, needsFactor: true, description: "answers the share `to` with what can't be read, having run"},
+	"partition":      {selectsServers: true, needsDuration: true, description: "can't be reached, and says nothing"},
+	"kill":           {selectsServers: true, description: "ends, and is taken from the list"},
+	"restart":        {selectsServers: true, description: "ends and starts anew, cold, under its name"},
+	"rolling_deploy": {selectsServers: true, needsPeriod: true, needsBatchShare: true, description: "is replaced by a cold successor, batch by batch"},
+	"list_outage":    {needsDuration: true, description: "the server list is out of reach"},
+	"list_lag":       {needsDuration: true, needsPeriod: true, description: "changes of the list come `over` late"},
+	"load":           {needsDuration: true, needsFactor: true, description: "clients send `to` times as much"},
+	"ramp":           {needsDuration: true, needsFactor: true, needsPeriod: true, description: "the load rises evenly to `to` times the usual over that time, and stays"},
+	"wave":           {needsDuration: true, needsFactor: true, needsPeriod: true, description: "the load swings between the usual and `to` times, `over` from crest to crest"},
+	"agent_sigterm":  {selectsAgent: true, description: "an agent drains, ends and starts anew, as at a planned restart"},
+	"power_loss":     {selectsByShare: true, needsDuration: true, description: "servers (share), agents (agents) or both lose power, and with it what was not kept"},
+	"agent_kill":     {selectsAgent: true, description: "an agent ends and starts anew, with what it knew lost"},
 }
 
 const (
-	mostServers = 2000
-	mostAgents  = 500
-	mostEvents  = 1000
-	mostLength  = time.Hour
-	mostRate    = 100000
-	mostForms   = 1 << 20
-	mostTries   = 20
-	safeClass   = "form-check" // the one that may be repeated at will
+	maxServers        = 2000
+	maxAgents         = 500
+	maxEvents         = 1000
+	maxDuration       = time.Hour
+	maxRate           = 100000
+	maxForms          = 1 << 20
+	maxClientAttempts = 20
+	idempotentClass   = "form-check" // the one that may be repeated at will
 )
 
 // wait is how long a client waits of its own before it tries again. One time is no draw, so that such a day's other draws
 // are the same whoever tries again.
-func (l Load) wait(random *rand.Rand) time.Duration {
-	if l.Wait.From == l.Wait.To {
-		return l.Wait.From
+func (l ClientLoad) drawBackoff(random *rand.Rand) time.Duration {
+	if l.Backoff.From == l.Backoff.To {
+		return l.Backoff.From
 	}
-	return l.Wait.draw(random)
+	return l.Backoff.draw(random)
 }
 
 // again reports whether a request that was refused is tried again, after so many tries.
-func (l Load) again(tries int) bool { return l.Retry && tries < l.Tries }
+func (l ClientLoad) allowsRetry(tries int) bool { return l.Retry && tries < l.MaxAttempts }
 
-func (a Agents) check() bool {
-	return !slices.ContainsFunc(a.Join, func(name string) bool { return name != safeClass })
+func (a AgentOptions) check() bool {
+	return !slices.ContainsFunc(a.CoalescedClasses, func(name string) bool { return name != idempotentClass })
 }
 
 // LoadScript reads and checks a script. Errors name the file and the line.
@@ -198,7 +198,7 @@
 
 // ParseScript reads and checks a script's text; name stands for the file in errors.
 func ParseScript(name string, text []byte) (Script, error) {
-	s := Script{Length: Span{time.Minute, time.Minute}, Fleet: FleetOf{Servers: 12, Agents: 4}, Clients: Load{Rate: 380, Retry: true, Tries: 2, Mark: true, Wait: Span{ownWait, ownWait}, Forms: keys}}
+	s := Script{Duration: Span{time.Minute, time.Minute}, Fleet: FleetSize{Servers: 12, Agents: 4}, Clients: ClientLoad{Rate: 380, Retry: true, MaxAttempts: 2, MarkRetries: true, Backoff: Span{clientRetryDelay, clientRetryDelay}, DistinctForms: distinctForms}}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
 		return Script{}, settings.Located(name, text, err)
 	}
@@ -216,33 +216,33 @@
 // check returns the table in which something is wrong, which of those of its name it is, and what is wrong.
 func (s Script) check() (table string, number int, err error) {
 	switch {
-	case s.Length.From < time.Second || s.Length.To > mostLength:
-		return "", 0, fmt.Errorf("length: a day lasts from 1s to %v", mostLength)
-	case s.Fleet.Servers < 1 || s.Fleet.Servers > mostServers:
-		return "fleet", 0, fmt.Errorf("servers: %d must be from 1 to %d", s.Fleet.Servers, mostServers)
-	case s.Fleet.Agents < 1 || s.Fleet.Agents > mostAgents:
-		return "fleet", 0, fmt.Errorf("agents: %d must be from 1 to %d", s.Fleet.Agents, mostAgents)
-	case s.Clients.Rate <= 0 || s.Clients.Rate > mostRate:
-		return "clients", 0, fmt.Errorf("rate: %v must be above 0 and at most %d", s.Clients.Rate, mostRate)
-	case s.Clients.Tries < 1 || s.Clients.Tries > mostTries:
-		return "clients", 0, fmt.Errorf("tries: %d must be from 1 to %d", s.Clients.Tries, mostTries)
-	case s.Clients.Wait.From <= 0:
+	case s.Duration.From < time.Second || s.Duration.To > maxDuration:
+		return "", 0, fmt.Errorf("length: a day lasts from 1s to %v", maxDuration)
+	case s.Fleet.Servers < 1 || s.Fleet.Servers > maxServers:
+		return "fleet", 0, fmt.Errorf("servers: %d must be from 1 to %d", s.Fleet.Servers, maxServers)
+	case s.Fleet.Agents < 1 || s.Fleet.Agents > maxAgents:
+		return "fleet", 0, fmt.Errorf("agents: %d must be from 1 to %d", s.Fleet.Agents, maxAgents)
+	case s.Clients.Rate <= 0 || s.Clients.Rate > maxRate:
+		return "clients", 0, fmt.Errorf("rate: %v must be above 0 and at most %d", s.Clients.Rate, maxRate)
+	case s.Clients.MaxAttempts < 1 || s.Clients.MaxAttempts > maxClientAttempts:
+		return "clients", 0, fmt.Errorf("tries: %d must be from 1 to %d", s.Clients.MaxAttempts, maxClientAttempts)
+	case s.Clients.Backoff.From <= 0:
 		return "clients", 0, errors.New("wait: must be above 0")
-	case s.Clients.Forms < 2 || s.Clients.Forms > mostForms:
-		return "clients", 0, fmt.Errorf("forms: %d must be from 2 to %d", s.Clients.Forms, mostForms)
-	case s.Agents.Door != "" && s.Agents.Door != fleetDoor && s.Agents.Door != knowingDoor && !slices.Contains(admissionvariants.Names(), s.Agents.Door):
-		return "agents", 0, fmt.Errorf("door: %q is none; there are %s, %s", s.Agents.Door, fleetDoor, strings.Join(admissionvariants.Names(), ", "))
+	case s.Clients.DistinctForms < 2 || s.Clients.DistinctForms > maxForms:
+		return "clients", 0, fmt.Errorf("forms: %d must be from 2 to %d", s.Clients.DistinctForms, maxForms)
+	case s.Agents.Admission != "" && s.Agents.Admission != fleetAdmission && s.Agents.Admission != omniscientAdmission && !slices.Contains(admissionvariants.Names(), s.Agents.Admission):
+		return "agents", 0, fmt.Errorf("door: %q is none; there are %s, %s", s.Agents.Admission, fleetAdmission, strings.Join(admissionvariants.Names(), ", "))
 	case !s.Agents.check():
-		return "agents", 0, fmt.Errorf("join: %q names what is no class, or one that must not run twice; there is %q", s.Agents.Join, safeClass)
-	case len(s.Events) > mostEvents:
-		return "event", mostEvents, fmt.Errorf("at most %d events", mostEvents)
+		return "agents", 0, fmt.Errorf("join: %q names what is no class, or one that must not run twice; there is %q", s.Agents.CoalescedClasses, idempotentClass)
+	case len(s.Events) > maxEvents:
+		return "event", maxEvents, fmt.Errorf("at most %d events", maxEvents)
 	}
 	for i, e := range s.Events {
 		if err := e.check(s); err != nil {
 			return "event", i, err
 		}
 	}
-	for i, a := range s.Asserts {
+	for i, a := range s.Assertions {
 		if err := a.check(s); err != nil {
 			return "assert", i, err
 		}
@@ -251,62 +251,62 @@
 }
 
 func (e Event) check(s Script) error {
-	v, known := verbs[e.Do]
+	v, known := eventTypes[e.Type]
 	if !known {
-		return fmt.Errorf("do: %q is no event; there are %s", e.Do, strings.Join(verbNames(), ", "))
+		return fmt.Errorf("do: %q is no event; there are %s", e.Type, strings.Join(eventTypeNames(), ", "))
 	}
 	chosen := 0
-	for _, is := range []bool{len(e.Servers) > 0, e.Kind != "", e.Share > 0} {
+	for _, is := range []bool{len(e.Servers) > 0, e.MachineKind != "", e.ServerShare > 0} {
 		if is {
 			chosen++
 		}
 	}
 	switch {
-	case e.At.From >= s.Length.To:
+	case e.At.From >= s.Duration.To:
 		return fmt.Errorf("at: %v is after the day's end", e.At.From)
-	case v.power && (len(e.Servers) > 0 || e.Kind != "" || e.Share == 0 && e.Agents == 0):
-		return fmt.Errorf("%s: say how much of the servers by share, of the agents by agents, or both", e.Do)
-	case !v.power && (e.List.To > 0 || e.Apart.To > 0):
-		return fmt.Errorf("list, apart: %s has none", e.Do)
-	case v.servers && chosen != 1:
-		return fmt.Errorf("%s: say which by one of servers, kind and share", e.Do)
-	case !v.servers && !v.power && chosen != 0:
-		return fmt.Errorf("%s: concerns no servers", e.Do)
-	case e.Share < 0 || e.Share > 1:
+	case v.selectsByShare && (len(e.Servers) > 0 || e.MachineKind != "" || e.ServerShare == 0 && e.AgentShare == 0):
+		return fmt.Errorf("%s: say how much of the servers by share, of the agents by agents, or both", e.Type)
+	case !v.selectsByShare && (e.ListDelay.To > 0 || e.Stagger.To > 0):
+		return fmt.Errorf("list, apart: %s has none", e.Type)
+	case v.selectsServers && chosen != 1:
+		return fmt.Errorf("%s: say which by one of servers, kind and share", e.Type)
+	case !v.selectsServers && !v.selectsByShare && chosen != 0:
+		return fmt.Errorf("%s: concerns no servers", e.Type)
+	case e.ServerShare < 0 || e.ServerShare > 1:
 		return errors.New("share: from 0 to 1")
-	case e.Kind != "" && !isKind(e.Kind):
-		return fmt.Errorf("kind: %q is none of twin-core and quad-core", e.Kind)
-	case v.lasting != (e.For.To > 0):
-		return fmt.Errorf("for: %s", need(v.lasting, e.Do))
-	case v.over != (e.Over.To > 0):
-		return fmt.Errorf("over: %s", need(v.over, e.Do))
-	case v.batch != (e.Batch > 0) || e.Batch > 1:
-		return fmt.Errorf("batch: %s, from 0 to 1", need(v.batch, e.Do))
-	case v.to != (e.To > 0):
-		return fmt.Errorf("to: %s", need(v.to, e.Do))
-	case v.to && !v.loads() && e.To > 1:
+	case e.MachineKind != "" && !isMachineKind(e.MachineKind):
+		return fmt.Errorf("kind: %q is none of twin-core and quad-core", e.MachineKind)
+	case v.needsDuration != (e.Duration.To > 0):
+		return fmt.Errorf("for: %s", requirement(v.needsDuration, e.Type))
+	case v.needsPeriod != (e.Period.To > 0):
+		return fmt.Errorf("over: %s", requirement(v.needsPeriod, e.Type))
+	case v.needsBatchShare != (e.BatchShare > 0) || e.BatchShare > 1:
+		return fmt.Errorf("batch: %s, from 0 to 1", requirement(v.needsBatchShare, e.Type))
+	case v.needsFactor != (e.Factor > 0):
+		return fmt.Errorf("to: %s", requirement(v.needsFactor, e.Type))
+	case v.needsFactor && !v.changesLoad() && e.Factor > 1:
 		return errors.New("to: a share, at most 1")
-	case !v.power && v.agent != (e.Agent > 0 || e.Agents > 0) || e.Agent > s.Fleet.Agents:
-		return fmt.Errorf("agent: %s, or agents, a share; there are %d", need(v.agent, e.Do), s.Fleet.Agents)
-	case e.Agents < 0 || e.Agents > 1 || e.Agent > 0 && e.Agents > 0:
+	case !v.selectsByShare && v.selectsAgent != (e.Agent > 0 || e.AgentShare > 0) || e.Agent > s.Fleet.Agents:
+		return fmt.Errorf("agent: %s, or agents, a share; there are %d", requirement(v.selectsAgent, e.Type), s.Fleet.Agents)
+	case e.AgentShare < 0 || e.AgentShare > 1 || e.Agent > 0 && e.AgentShare > 0:
 		return errors.New("agents: a share from 0 to 1, in place of agent")
-	case e.Repeat > 1 && e.Every.From <= 0:
+	case e.Repeat > 1 && e.Interval.From <= 0:
 		return errors.New("every: what is repeated needs the time after which")
-	case e.Repeat < 0 || e.Repeat > mostEvents:
-		return fmt.Errorf("repeat: from 0 to %d", mostEvents)
+	case e.Repeat < 0 || e.Repeat > maxEvents:
+		return fmt.Errorf("repeat: from 0 to %d", maxEvents)
 	}
 	return nil
 }
 
-func need(it bool, do string) string {
+func requirement(it bool, do string) string {
 	if it {
 		return do + " needs it"
 	}
 	return do + " has none"
 }
 
-func isKind(name string) bool {
-	for _, k := range kinds {
+func isMachineKind(name string) bool {
+	for _, k := range machineKinds {
 		if k.name == name {
 			return true
 		}
@@ -314,4 +314,4 @@
 	return false
 }
 
-func verbNames() []string { return slices.Sorted(maps.Keys(verbs)) }
+func eventTypeNames() []string { return slices.Sorted(maps.Keys(eventTypes)) }
--- a/internal/scenario/simulate.go
+++ b/internal/scenario/simulate.go
@@ -22,255 +22,255 @@
 
 // Times of the simulated network and of the list.
 const (
-	wayFrom        = 200 * time.Microsecond // one way
-	wayTo          = 600 * time.Microsecond
-	connectTimeout = 250 * time.Millisecond
-	listEvery      = time.Second            // the list tells agents of changes after this time at most
-	drainGrace     = 500 * time.Millisecond // the rule's
-	drainTime      = 3 * time.Second        // a server that is replaced finishes for so long
-	marginOfAgent  = 20 * time.Millisecond  // before a client's deadline a request is ended, as the agent's front does
-	ownWait        = 300 * time.Millisecond // of clients that do not heed refusals
+	minNetworkDelay     = 200 * time.Microsecond // one way
+	maxNetworkDelay     = 600 * time.Microsecond
+	connectTimeout      = 250 * time.Millisecond
+	maxListDelay        = time.Second            // the list tells agents of changes after this time at most
+	drainGrace          = 500 * time.Millisecond // the rule's
+	drainTime           = 3 * time.Second        // a server that is replaced finishes for so long
+	agentDeadlineMargin = 20 * time.Millisecond  // before a client's deadline a request is ended, as the agent's front does
+	clientRetryDelay    = 300 * time.Millisecond // of clients that do not heed refusals
 )
 
 // world is a day in simulated time: one goroutine, one agenda, and the real engine and module. The same script and seed
 // give the same day to the byte.
-type world struct {
-	stage
-	net *rand.Rand // of the network's draws
+type simulation struct {
+	scenarioRun
+	networkRandom *rand.Rand // of the network's draws
 
-	ledger  *emulator.Ledger
-	servers []*simServer // in the order of their start; those that are gone stay, for the report
-	byID    map[string]*simServer
-	pods    map[int]*emulator.Pod
-	agents  []*simAgent
+	ledger      *emulator.Ledger
+	simServers  []*simServer // in the order of their start; those that are gone stay, for the report
+	serversByID map[string]*simServer
+	pods        map[int]*emulator.Pod
+	agents      []*simAgent
 
 	requests []*simRequest
-	order    uint64 // of arrivals at servers
+	arrivals uint64 // of arrivals at servers
 	// What tests spoil, to see that the witnesses notice: where an attempt goes, and which answers are held back.
-	tamper  func(*simAgent, *engine.Attempt, *simServer) *simServer
-	swallow func(*simRequest) bool
-	mute    func(gossip.Message) bool // which datagrams between agents are lost
+	redirectAttempt func(*simAgent, *engine.Attempt, *simServer) *simServer
+	dropAnswer      func(*simRequest) bool
+	dropMessage     func(gossip.Message) bool // which datagrams between agents are lost
 
-	datagrams int                           // between agents
-	knowing   *overload.AdmissionController // of all agents, where they have one that knows all
+	datagrams           int                           // between agents
+	omniscientAdmission *overload.AdmissionController // of all agents, where they have one that knows all
 }
 
 // way is the time that a message takes.
-func (w *world) way() time.Duration {
-	return wayFrom + time.Duration(w.net.Int64N(int64(wayTo-wayFrom)))
+func (w *simulation) drawNetworkDelay() time.Duration {
+	return minNetworkDelay + time.Duration(w.networkRandom.Int64N(int64(maxNetworkDelay-minNetworkDelay)))
 }
 
 // simServer is a form server in the simulation.
 type simServer struct {
-	*member
-	w            *world
-	model        *emulator.Server
-	waiting      map[uint64]waiter // who waits for the end of a request
-	last         uint64
-	planned      time.Duration // when the model is looked at next; 0: not
-	peak         int           // most requests held
-	toppledNoted bool
-	served       int
-	held         []int // second by second
+	*server
+	w                *simulation
+	model            *emulator.Server
+	pendingAttempts  map[uint64]pendingAttempt // who waits for the end of a request
+	lastRequestID    uint64
+	nextAdvance      time.Duration // when the model is looked at next; 0: not
+	peak             int           // most requests held
+	collapseReported bool
+	served           int
+	inFlightSamples  []int // second by second
 }
 
 // waiter is an attempt that waits at a server.
-type waiter struct {
-	ended func(emulator.Done)
-	broke func() // the server is gone
+type pendingAttempt struct {
+	onDone  func(emulator.Done)
+	onReset func() // the server is gone
 }
 
 // die ends the server's process: its connections break, in the order in which the requests came.
-func (s *simServer) die() {
-	s.settle(s.model.Fault(s.w.now, func(f *emulator.Faults) { f.Killed = true }))
-	for _, id := range slices.Sorted(maps.Keys(s.waiting)) {
-		s.waiting[id].broke()
+func (s *simServer) kill() {
+	s.deliverEnded(s.model.Fault(s.w.now, func(f *emulator.Faults) { f.Killed = true }))
+	for _, id := range slices.Sorted(maps.Keys(s.pendingAttempts)) {
+		s.pendingAttempts[id].onReset()
 	}
-	clear(s.waiting)
+	clear(s.pendingAttempts)
 }
 
 // look lets the model do what is due, and plans the next look.
-func (s *simServer) look() {
-	s.settle(s.model.Advance(s.w.now))
+func (s *simServer) advance() {
+	s.deliverEnded(s.model.Advance(s.w.now))
 }
 
-func (s *simServer) settle(ended []emulator.Done) {
+func (s *simServer) deliverEnded(ended []emulator.Done) {
 	for _, d := range ended {
-		if wait, ok := s.waiting[d.ID]; ok {
-			delete(s.waiting, d.ID)
-			wait.ended(d)
+		if wait, ok := s.pendingAttempts[d.ID]; ok {
+			delete(s.pendingAttempts, d.ID)
+			wait.onDone(d)
 		}
 	}
-	if at, ok := s.model.Next(); ok && at != s.planned {
-		s.planned = at
-		s.w.plan(at, func() {
-			if s.planned == at {
-				s.planned = 0
-				s.look()
+	if at, ok := s.model.Next(); ok && at != s.nextAdvance {
+		s.nextAdvance = at
+		s.w.schedule(at, func() {
+			if s.nextAdvance == at {
+				s.nextAdvance = 0
+				s.advance()
 			}
 		})
 	}
 }
 
-func (s *simServer) apply(e effects) { s.settle(s.model.Fault(s.w.now, e.faults)) }
+func (s *simServer) applyFaults(e faultSet) { s.deliverEnded(s.model.Fault(s.w.now, e.writeTo)) }
 
-func (s *simServer) toppled() bool { return s.model.Toppled() }
+func (s *simServer) hasCollapsed() bool { return s.model.Toppled() }
 
 // listed is the server as the list has it.
-func (s *simServer) listed() engine.Member {
+func (s *simServer) asMember() engine.Member {
 	return engine.Member{Addr: s.id, Server: balancer.Server{ID: s.id, State: s.state, Cell: s.pod, Weight: 1, Started: s.started}}
 }
 
 // boot is of installation.
-func (w *world) boot(m *member, spec emulator.Spec, seed uint64, warm bool) host {
+func (w *simulation) startServer(m *server, spec emulator.Spec, seed uint64, warm bool) serverHost {
 	if w.pods[m.pod] == nil {
-		w.pods[m.pod] = emulator.NewPod(m.pod, dropWindow, w.ledger)
+		w.pods[m.pod] = emulator.NewPod(m.pod, dedupWindow, w.ledger)
 	}
-	s := &simServer{member: m, w: w, waiting: map[uint64]waiter{},
+	s := &simServer{server: m, w: w, pendingAttempts: map[uint64]pendingAttempt{},
 		model: emulator.NewServer(m.id, spec, w.pods[m.pod], seed, w.now, warm)}
-	w.servers, w.byID[m.id] = append(w.servers, s), s
+	w.simServers, w.serversByID[m.id] = append(w.simServers, s), s
 	return s
 }
 
 // changed is of installation: the agents are told, each when its turn comes.
-func (w *world) changed() {
+func (w *simulation) listChanged() {
 	for _, a := range w.agents {
-		w.after(w.lag+time.Duration(w.net.Int64N(int64(listEvery))), func() { a.list(false) })
+		w.scheduleAfter(w.listLag+time.Duration(w.networkRandom.Int64N(int64(maxListDelay))), func() { a.updateList(false) })
 	}
 }
 
 // reach is of installation: what has changed in an outage is told after it.
-func (w *world) reach(out bool) {
+func (w *simulation) setListOutage(out bool) {
 	if !out {
-		w.changed()
+		w.listChanged()
 	}
 }
 
 // late is of installation; changed heeds it.
-func (w *world) late(time.Duration) {}
+func (w *simulation) setListLag(time.Duration) {}
 
-// endAgent is of installation: clients go on for a moment, what the agent took is answered, and it starts anew.
-func (w *world) endAgent(number int) {
+// restartAgent is of installation: clients go on for a moment, what the agent took is answered, and it starts anew.
+func (w *simulation) restartAgent(number int) {
 	a := w.agents[number]
-	if !a.up {
+	if !a.isUp {
 		return
 	}
-	life := a.life
-	w.after(noticeTime, func() {
-		if a.life == life {
-			a.up = false
+	life := a.incarnation
+	w.scheduleAfter(drainNoticeTime, func() {
+		if a.incarnation == life {
+			a.isUp = false
 		}
 	})
-	w.after(noticeTime+deadline+agentDown, func() {
-		if a.life == life {
-			a.boot()
+	w.scheduleAfter(drainNoticeTime+deadline+agentDowntime, func() {
+		if a.incarnation == life {
+			a.start()
 		}
 	})
 }
 
 // killAgent is of installation: an agent ends, with all that it held, and is back later.
-func (w *world) killAgent(number int, down time.Duration, power bool) {
+func (w *simulation) killAgent(number int, down time.Duration, power bool) {
 	a := w.agents[number]
-	if !a.up {
+	if !a.isUp {
 		return
 	}
-	a.up = false
-	a.life++
+	a.isUp = false
+	a.incarnation++
 	for _, r := range w.requests {
-		if r.agent != a || r.end != open || r.waits {
+		if r.agent != a || r.result != pending || r.isBackingOff {
 			continue
 		}
-		if r.key == "" && r.tries == 1 && w.script.Clients.Retry { // its connection broke; this one may be sent again
-			r.waits = true
-			w.after(down+ownWait, func() { r.waits = false; w.send(r) })
+		if r.idempotencyKey == "" && r.attempts == 1 && w.script.Clients.Retry { // its connection broke; this one may be sent again
+			r.isBackingOff = true
+			w.scheduleAfter(down+clientRetryDelay, func() { r.isBackingOff = false; w.send(r) })
 			continue
 		}
-		r.end, r.took = failed, w.now-r.arrived
+		r.result, r.latency = failed, w.now-r.arrived
 	}
-	a.disk.lost = a.disk.lost || power
-	w.after(down, a.boot)
+	a.disk.powerLost = a.disk.powerLost || power
+	w.scheduleAfter(down, a.start)
 }
 
 // forget is of installation.
-func (w *world) forget(pod int) { w.pods[pod].Forget() }
+func (w *simulation) forgetPod(pod int) { w.pods[pod].Forget() }
 
 // simAgent is an agent: the real engine round the real module, with no sockets.
 type simAgent struct {
-	w      *world
-	number int
-	engine *engine.Engine
-	door   engine.AdmissionController // nil without one
-	life   int                        // counts its restarts
-	up     bool
-	knows  map[string]known                     // of the list, as it was told
-	told   map[string]time.Duration             // when it was told that a server drains or is gone
-	due    time.Duration                        // when the engine is stepped next; 0: not planned
-	back   *recovery.Controller                 // nil where none is switched on
-	others *gossip.Core                         // nil where agents know nobody
-	shares *overload.AdmissionController        // nil where overload is handled alone
-	alive  []bool                               // who lives, as it was told last
-	disk   disk                                 // what outlasts its lives
-	heard  bool                                 // the list has told it something in this life
-	met    map[engine.Incarnation]time.Duration // when it had its first connection to a server's life
+	w              *simulation
+	number         int
+	engine         *engine.Engine
+	admission      engine.AdmissionController // nil without one
+	incarnation    int                        // counts its restarts
+	isUp           bool
+	knownServers   map[string]knownServer               // of the list, as it was told
+	drainToldAt    map[string]time.Duration             // when it was told that a server drains or is gone
+	nextTimer      time.Duration                        // when the engine is stepped next; 0: not planned
+	recovery       *recovery.Controller                 // nil where none is switched on
+	gossip         *gossip.Core                         // nil where agents know nobody
+	overload       *overload.AdmissionController        // nil where overload is handled alone
+	alive          []bool                               // who lives, as it was told last
+	disk           diskState                            // what outlasts its lives
+	hasList        bool                                 // the list has told it something in this life
+	firstConnected map[engine.Incarnation]time.Duration // when it had its first connection to a server's life
 }
 
 // known is what an agent was told of a server.
-type known struct {
+type knownServer struct {
 	state   balancer.State
 	started time.Duration
 }
 
 // boot starts an agent, or starts it anew.
-func (a *simAgent) boot() {
+func (a *simAgent) start() {
 	w := a.w
-	a.life++
-	a.up, a.due, a.knows, a.told = true, 0, map[string]known{}, map[string]time.Duration{}
-	a.heard, a.met = false, map[engine.Incarnation]time.Duration{}
-	set := w.settings()
+	a.incarnation++
+	a.isUp, a.nextTimer, a.knownServers, a.drainToldAt = true, 0, map[string]knownServer{}, map[string]time.Duration{}
+	a.hasList, a.firstConnected = false, map[engine.Incarnation]time.Duration{}
+	set := w.balancerSettings()
 	set.Index = a.number
 	b, err := balancer.New(set, w.random.Uint64())
 	if err != nil { // the settings are our own
 		panic(err)
 	}
 	a.engine = engine.New(b, engine.ManualClock(&w.now), a, slog.New(slog.DiscardHandler))
-	if len(w.script.Agents.Join) > 0 {
-		a.engine.SetCoalescing(joinOptions(set.Classes), min(set.MaxRetryAfter, aim/2))
+	if len(w.script.Agents.CoalescedClasses) > 0 {
+		a.engine.SetCoalescing(coalesceOptions(set.Classes), min(set.MaxRetryAfter, latencyObjective/2))
 	}
-	together := w.script.Agents.Door == fleetDoor || w.script.Agents.Door == knowingDoor
-	if w.script.Agents.Peers || together {
-		a.meet()
+	together := w.script.Agents.Admission == fleetAdmission || w.script.Agents.Admission == omniscientAdmission
+	if w.script.Agents.Gossip || together {
+		a.startGossip()
 	}
-	switch door := w.script.Agents.Door; door {
+	switch door := w.script.Agents.Admission; door {
 	case "":
-	case fleetDoor, knowingDoor:
-		a.noticed()
-		a.share(set)
+	case fleetAdmission, omniscientAdmission:
+		a.countOverloads()
+		a.startOverloadControl(set)
 	default:
-		a.noticed()
-		a.door = admissionvariants.New(door, stormOptions(set, uint64(a.number*1000+a.life)))
-		a.engine.SetAdmission(a.door)
+		a.countOverloads()
+		a.admission = admissionvariants.New(door, admissionOptions(set, uint64(a.number*1000+a.incarnation)))
+		a.engine.SetAdmission(a.admission)
 	}
 	if w.script.Agents.Recovery {
-		a.comeBack(set)
+		a.startRecovery(set)
 	}
 	a.engine.Start()
-	a.step(nil)
+	a.handle(nil)
 	a.restore()
-	a.list(true)
+	a.updateList(true)
 }
 
-// joinOptions are those that an agent's own settings have by default.
-func joinOptions(classes []balancer.Class) coalesce.Options {
+// coalesceOptions are those that an agent's own settings have by default.
+func coalesceOptions(classes []balancer.Class) coalesce.Options {
 	set := settings.DefaultJoin()
 	o := coalesce.Options{MaxGroups: set.MaxGroups, MaxFollowers: set.MaxWaiting, PauseAfterPrivate: time.Duration(set.Pause)}
 	for _, c := range classes {
-		o.Classes = append(o.Classes, coalesce.Class{Coalesces: c.Name == safeClass, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
+		o.Classes = append(o.Classes, coalesce.Class{Coalesces: c.Name == idempotentClass, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline})
 	}
 	return o
 }
 
-// stormOptions are those that an agent's own settings have by default.
-func stormOptions(set balancer.Settings, seed uint64) admission.Options {
+// admissionOptions are those that an agent's own settings have by default.
+func admissionOptions(set balancer.Settings, seed uint64) admission.Options {
 	o := admission.Options{Quotas: set.Quotas, MaxRetryAfter: set.MaxRetryAfter, MaxRemembered: 4096, Seed: seed}
 	for _, c := range set.Classes {
 		o.Classes = append(o.Classes, admission.Class{Priority: c.Priority, LatencyObjective: c.LatencyObjective, Idempotent: c.Effect == balancer.Idempotent})
@@ -279,53 +279,53 @@
 }
 
 // noticed counts the storms that the agent's door has noticed in this life.
-func (a *simAgent) noticed() {
-	if a.door != nil {
-		a.w.day.Storms += int(a.door.Counts().Overloads)
+func (a *simAgent) countOverloads() {
+	if a.admission != nil {
+		a.w.report.OverloadsDetected += int(a.admission.Counts().Overloads)
 	}
 }
 
 // step brings an event to the engine and plans the next step.
-func (a *simAgent) step(ev engine.Event) {
+func (a *simAgent) handle(ev engine.Event) {
 	a.engine.Handle(ev)
-	if at, ok := a.engine.NextTimer(); ok && at != a.due {
-		a.due = at
+	if at, ok := a.engine.NextTimer(); ok && at != a.nextTimer {
+		a.nextTimer = at
 		e := a.engine
-		a.w.plan(at, func() {
-			if a.engine == e && a.due == at {
-				a.due = 0
-				a.step(nil)
+		a.w.schedule(at, func() {
+			if a.engine == e && a.nextTimer == at {
+				a.nextTimer = 0
+				a.handle(nil)
 			}
 		})
 	}
 }
 
 // list tells the agent what has changed of the list since it was told last, or all of it.
-func (a *simAgent) list(full bool) {
-	if a.w.outage > 0 || !a.up {
+func (a *simAgent) updateList(full bool) {
+	if a.w.listOutages > 0 || !a.isUp {
 		return
 	}
-	l := engine.EndpointUpdate{Full: full || !a.heard} // what is from before is not in force any more
-	full, a.heard = l.Full, true
-	for _, s := range a.w.servers {
-		if a.w.byID[s.id] != s { // it has started anew since
+	l := engine.EndpointUpdate{Full: full || !a.hasList} // what is from before is not in force any more
+	full, a.hasList = l.Full, true
+	for _, s := range a.w.simServers {
+		if a.w.serversByID[s.id] != s { // it has started anew since
 			continue
 		}
-		was, is := a.knows[s.id], known{s.state, s.started}
-		_, before := a.knows[s.id]
+		was, is := a.knownServers[s.id], knownServer{s.state, s.started}
+		_, before := a.knownServers[s.id]
 		if s.state == balancer.Removed && (full || !before) || before && was == is && !full {
 			continue
 		}
-		a.knows[s.id] = is
+		a.knownServers[s.id] = is
 		if s.state == balancer.Ready {
-			delete(a.told, s.id)
-		} else if _, told := a.told[s.id]; !told {
-			a.told[s.id] = a.w.now
+			delete(a.drainToldAt, s.id)
+		} else if _, told := a.drainToldAt[s.id]; !told {
+			a.drainToldAt[s.id] = a.w.now
 		}
-		l.Members = append(l.Members, s.listed())
+		l.Members = append(l.Members, s.asMember())
 	}
 	if len(l.Members) > 0 {
-		a.step(l)
+		a.handle(l)
 		a.save()
 	}
 }
@@ -338,7 +338,7 @@
 
 // Incarnation is of engine.ServerPool: which start of a server an attempt was meant for.
 func (a *simAgent) Incarnation(id string) engine.Incarnation {
-	if s := a.w.byID[id]; s != nil {
+	if s := a.w.serversByID[id]; s != nil {
 		return s
 	}
 	return nil
--- a/internal/scenario/simulate_test.go
+++ b/internal/scenario/simulate_test.go
@@ -15,7 +15,7 @@
 	"appleledge/internal/engine"
 )
 
-func text(d Day) string {
+func text(d Report) string {
 	var out bytes.Buffer
 	d.Write(&out)
 	return out.String()
@@ -75,8 +75,8 @@
 // On a day with hangs, a deploy, resets and a killed agent the agents keep the four rules.
 func TestRulesAreKept(t *testing.T) {
 	for seed := range uint64(3) {
-		if d := Simulate(script(t, busyDay), seed); d.Breaks != 0 {
-			t.Errorf("seed %d: %v", seed, d.Broken)
+		if d := Simulate(script(t, busyDay), seed); d.ViolationCount != 0 {
+			t.Errorf("seed %d: %v", seed, d.Violations)
 		}
 	}
 }
@@ -85,17 +85,17 @@
 func TestWrongAgentsAreCaught(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule  string
-		spoil func(w *world)
+		spoil func(w *simulation)
 	}{
-		"an answer is held back": {"rule 1", func(w *world) {
-			w.swallow = func(r *simRequest) bool { return r.id == "r50" }
+		"an answer is held back": {"rule 1", func(w *simulation) {
+			w.dropAnswer = func(r *simRequest) bool { return r.id == "r50" }
 		}},
-		"a refund goes to another pod again": {"rule 2", func(w *world) {
-			w.tamper = func(_ *simAgent, at *engine.Attempt, s *simServer) *simServer {
+		"a refund goes to another pod again": {"rule 2", func(w *simulation) {
+			w.redirectAttempt = func(_ *simAgent, at *engine.Attempt, s *simServer) *simServer {
 				if at.Number == 0 || at.Call.IdempotencyKey == "" {
 					return s
 				}
-				for _, other := range w.servers {
+				for _, other := range w.simServers {
 					if s != nil && other.pod != s.pod && other.state == balancer.Ready {
 						return other
 					}
@@ -103,9 +103,9 @@
 				return s
 			}
 		}},
-		"sends go on after a drain": {"rule 3", func(w *world) {
-			w.tamper = func(a *simAgent, _ *engine.Attempt, s *simServer) *simServer {
-				for _, other := range w.servers {
+		"sends go on after a drain": {"rule 3", func(w *simulation) {
+			w.redirectAttempt = func(a *simAgent, _ *engine.Attempt, s *simServer) *simServer {
+				for _, other := range w.simServers {
 					if other.state == balancer.Draining {
 						return other
 					}
@@ -113,9 +113,9 @@
 				return s
 			}
 		}},
-		"all goes to a cold server": {"rule 4", func(w *world) {
-			w.tamper = func(_ *simAgent, _ *engine.Attempt, s *simServer) *simServer {
-				for _, other := range w.servers {
+		"all goes to a cold server": {"rule 4", func(w *simulation) {
+			w.redirectAttempt = func(_ *simAgent, _ *engine.Attempt, s *simServer) *simServer {
+				for _, other := range w.simServers {
 					if other.started > 0 && other.state == balancer.Ready {
 						return other
 					}
@@ -127,8 +127,8 @@
 		w := newWorld(script(t, busyDay), 7)
 		c.spoil(w)
 		w.play()
-		if !strings.Contains(strings.Join(w.day.Broken, "\n"), c.rule) {
-			t.Errorf("%s: %v", name, w.day.Broken)
+		if !strings.Contains(strings.Join(w.report.Violations, "\n"), c.rule) {
+			t.Errorf("%s: %v", name, w.report.Violations)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	if err := d.JSON(&data); err != nil {
 		t.Fatal(err)
 	}
-	var back Day
+	var back Report
 	if err := json.Unmarshal(data.Bytes(), &back); err != nil || back.Service != d.Service || len(back.Servers) != len(d.Servers) {
 		t.Errorf("%v: %+v", err, back.Service)
 	}
@@ -172,8 +172,8 @@
 		}
 		switch name := filepath.Base(file); name[:2] {
 		case "01", "03", "08", "15", "16", "17":
-			if d := Simulate(s, 1); !d.Held() {
-				t.Errorf("%s: %v %v", name, d.Broken, d.Failing)
+			if d := Simulate(s, 1); !d.Passed() {
+				t.Errorf("%s: %v %v", name, d.Violations, d.FailedAssertions)
 			}
 		}
 	}
@@ -220,17 +220,17 @@
 for = "1s"
 servers = ["s-01", "s-02"]
 `), 1)
-	if d.Breaks != 0 {
-		t.Errorf("%v", d.Broken)
+	if d.ViolationCount != 0 {
+		t.Errorf("%v", d.Violations)
 	}
 	if len(d.Notes) != 2 {
 		t.Errorf("notes %v", d.Notes)
 	}
 	last := d.Seconds[15]
-	if last.Offered == 0 || last.Refused+last.Failed != last.Offered {
+	if last.Offered == 0 || last.Rejected+last.Failed != last.Offered {
 		t.Errorf("with no server left: %+v", last)
 	}
-	if before := d.Seconds[1]; before.InAim == 0 {
+	if before := d.Seconds[1]; before.InTime == 0 {
 		t.Errorf("before all that: %+v", before)
 	}
 }
@@ -238,18 +238,18 @@
 // A hang ends when the last event that holds it does.
 func TestOverlappingHangs(t *testing.T) {
 	w := newWorld(script(t, "length = \"2s\"\n"), 1)
-	s := w.start("s", kinds[0], 0, true)
+	s := w.addServer("s", machineKinds[0], 0, true)
 	for _, until := range []time.Duration{2 * time.Second, 3 * time.Second} {
-		w.plan(until, func() {})
+		w.schedule(until, func() {})
 	}
-	w.hold(Event{Do: "hang", Servers: []string{"s"}}, time.Second)
-	w.hold(Event{Do: "hang", Servers: []string{"s"}}, 3*time.Second)
-	w.run(dayStart + 2*time.Second)
-	if !s.at.(*simServer).model.Faults().Hung {
+	w.injectFaults(Event{Type: "hang", Servers: []string{"s"}}, time.Second)
+	w.injectFaults(Event{Type: "hang", Servers: []string{"s"}}, 3*time.Second)
+	w.run(startTime + 2*time.Second)
+	if !s.host.(*simServer).model.Faults().Hung {
 		t.Error("it ended with the first")
 	}
-	w.run(dayStart + 4*time.Second)
-	if s.at.(*simServer).model.Faults().Hung {
+	w.run(startTime + 4*time.Second)
+	if s.host.(*simServer).model.Faults().Hung {
 		t.Error("it never ended")
 	}
 }
@@ -298,7 +298,7 @@
 			}
 			return
 		}
-		if s.Length.To > 2*time.Second || s.Fleet.Servers > 20 || s.Fleet.Agents > 5 || s.Clients.Rate > 100 || len(s.Events) > 20 {
+		if s.Duration.To > 2*time.Second || s.Fleet.Servers > 20 || s.Fleet.Agents > 5 || s.Clients.Rate > 100 || len(s.Events) > 20 {
 			return // it would take long
 		}
 		Simulate(s, 1)
--- a/internal/scenario/storm_test.go
+++ b/internal/scenario/storm_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			days := map[string]Day{}
+			days := map[string]Report{}
 			for _, door := range []string{"", "storm"} {
 				s, err := ParseScript(name, fmt.Appendf(nil, "length = \"40s\"\n[fleet]\nservers = 12\nagents = %d\n[clients]\ntries = 6\nwait = \"100ms..400ms\"\n[agents]\ndoor = %q\n%s",
 					tt.agents, door, tt.script))
@@ -38,8 +38,8 @@
 					t.Fatal(err)
 				}
 				days[door] = Simulate(s, 7)
-				if d := days[door]; d.Breaks > 0 {
-					t.Errorf("door %q: %q", door, d.Broken)
+				if d := days[door]; d.ViolationCount > 0 {
+					t.Errorf("door %q: %q", door, d.Violations)
 				}
 			}
 			off, on := days[""], days["storm"]
@@ -48,11 +48,11 @@
 				t.Errorf("service %.4f with the door, %.4f without; %d refunds failed, %d without", on.Service.Whole, off.Service.Whole,
 					on.Classes[1].Failed, off.Classes[1].Failed)
 			}
-			if on.Storms == 0 || on.Classes[1].inTime() < off.Classes[1].inTime()-noise {
-				t.Errorf("%d storms noticed; %.4f of the refunds in time, %.4f without", on.Storms, on.Classes[1].inTime(), off.Classes[1].inTime())
+			if on.OverloadsDetected == 0 || on.Classes[1].inTimeRatio() < off.Classes[1].inTimeRatio()-noise {
+				t.Errorf("%d storms noticed; %.4f of the refunds in time, %.4f without", on.OverloadsDetected, on.Classes[1].inTimeRatio(), off.Classes[1].inTimeRatio())
 			}
-			if last := len(on.Seconds); on.share(last-6, last-1) < 0.99 {
-				t.Errorf("at the end %.4f are served in time", on.share(last-6, last-1))
+			if last := len(on.Seconds); on.inTimeRatio(last-6, last-1) < 0.99 {
+				t.Errorf("at the end %.4f are served in time", on.inTimeRatio(last-6, last-1))
 			}
 		})
 	}
@@ -71,8 +71,8 @@
 		}
 		s.Clients.Retry = i < 2
 		for seed := range uint64(5) {
-			if d := Simulate(s, seed); d.Storms > 0 || d.Breaks > 0 {
-				t.Errorf("day %d, seed %d: %d storms noticed, %d rules broken", i, seed, d.Storms, d.Breaks)
+			if d := Simulate(s, seed); d.OverloadsDetected > 0 || d.ViolationCount > 0 {
+				t.Errorf("day %d, seed %d: %d storms noticed, %d rules broken", i, seed, d.OverloadsDetected, d.ViolationCount)
 			}
 		}
 	}
--- a/internal/scenario/together.go
+++ b/internal/scenario/together.go
@@ -10,50 +10,50 @@
 	"appleledge/internal/fleet/overload"
 )
 
-// fleetDoor is the door by which all agents handle overload together.
-const fleetDoor = "fleet"
+// fleetAdmission is the door by which all agents handle overload together.
+const fleetAdmission = "fleet"
 
-// knowingDoor is what no agent can have: one door that sees all that all agents see, at once. It is the measure for the fleet's.
-const knowingDoor = "knowing"
+// omniscientAdmission is what no agent can have: one door that sees all that all agents see, at once. It is the measure for the fleet's.
+const omniscientAdmission = "knowing"
 
-// shareEvery is between two looks whether there is something to tell, as agents on sockets have it.
-const shareEvery = 50 * time.Millisecond
+// payloadInterval is between two looks whether there is something to tell, as agents on sockets have it.
+const payloadInterval = 50 * time.Millisecond
 
 // share gives the agent its part of what the fleet decides.
-func (a *simAgent) share(set balancer.Settings) {
-	w, life, core := a.w, a.life, a.others
-	seed := uint64(a.number*1000 + a.life)
-	alone := stormOptions(set, seed)
+func (a *simAgent) startOverloadControl(set balancer.Settings) {
+	w, life, core := a.w, a.incarnation, a.gossip
+	seed := uint64(a.number*1000 + a.incarnation)
+	alone := admissionOptions(set, seed)
 	d := overload.New(overload.Options{Self: a.number, Agents: w.script.Fleet.Agents, Classes: alone.Classes, TenantQuotas: set.Quotas, MaxRetryAfter: set.MaxRetryAfter,
 		Seed: seed}, admission.New(alone))
-	if w.script.Agents.Door == knowingDoor {
-		if w.knowing == nil {
-			w.knowing = overload.New(overload.Options{Agents: 1, Classes: alone.Classes, TenantQuotas: set.Quotas, MaxRetryAfter: set.MaxRetryAfter, Seed: seed}, admission.New(alone))
+	if w.script.Agents.Admission == omniscientAdmission {
+		if w.omniscientAdmission == nil {
+			w.omniscientAdmission = overload.New(overload.Options{Agents: 1, Classes: alone.Classes, TenantQuotas: set.Quotas, MaxRetryAfter: set.MaxRetryAfter, Seed: seed}, admission.New(alone))
 		}
-		a.door = w.knowing
-		a.engine.SetAdmission(w.knowing)
-		a.engine.SetOverload(w.knowing)
+		a.admission = w.omniscientAdmission
+		a.engine.SetAdmission(w.omniscientAdmission)
+		a.engine.SetOverload(w.omniscientAdmission)
 		return
 	}
-	a.shares, a.door = d, d
+	a.overload, a.admission = d, d
 	a.alive = nil
 	a.engine.SetAdmission(d)
 	a.engine.SetOverload(d)
 	var tell func()
 	tell = func() {
-		if a.life != life || !a.up {
+		if a.incarnation != life || !a.isUp {
 			return
 		}
 		if body, to := d.NextPayload(w.now, gossip.MaxPayloadBytes); body != nil {
-			a.pass(core, core.SendPayload(w.now, body, to))
+			a.deliverGossip(core, core.SendPayload(w.now, body, to))
 		}
-		w.after(shareEvery, tell)
+		w.scheduleAfter(payloadInterval, tell)
 	}
-	w.after(time.Duration(w.net.Int64N(int64(shareEvery))), tell)
+	w.scheduleAfter(time.Duration(w.networkRandom.Int64N(int64(payloadInterval))), tell)
 }
 
 // lives tells which agents live, when that has changed.
-func (a *simAgent) lives(core *gossip.Core) {
+func (a *simAgent) updateLiveness(core *gossip.Core) {
 	alive := make([]bool, a.w.script.Fleet.Agents)
 	for i := range alive {
 		s := core.State(i)
@@ -61,6 +61,6 @@
 	}
 	if !slices.Equal(alive, a.alive) {
 		a.alive = alive
-		a.shares.HandleLiveness(alive)
+		a.overload.HandleLiveness(alive)
 	}
 }
--- a/internal/scenario/together_test.go
+++ b/internal/scenario/together_test.go
@@ -9,7 +9,7 @@
 )
 
 // overloaded is a day on which ten agents are asked two and a half times as much for ten seconds.
-func overloaded(t *testing.T, door string, mute func(w *world, m gossip.Message) bool) (service float64, refunds [2]int, w *world) {
+func overloaded(t *testing.T, door string, mute func(w *simulation, m gossip.Message) bool) (service float64, refunds [2]int, w *simulation) {
 	t.Helper()
 	s, err := ParseScript("day.toml", []byte(`length = "35s"
 [fleet]
@@ -31,16 +31,16 @@
 	}
 	w = newWorld(s, 1)
 	if mute != nil {
-		w.mute = func(m gossip.Message) bool { return mute(w, m) }
+		w.dropMessage = func(m gossip.Message) bool { return mute(w, m) }
 	}
 	w.play()
-	d := w.day
-	for _, broken := range d.Broken {
+	d := w.report
+	for _, broken := range d.Violations {
 		t.Error(broken)
 	}
 	for _, c := range d.Classes {
 		if c.Name == "refund-record" {
-			refunds = [2]int{c.InAim, c.Offered}
+			refunds = [2]int{c.InTime, c.Offered}
 		}
 	}
 	return d.Service.Figure, refunds, w
@@ -76,7 +76,7 @@
 // Together agents serve more than each alone, refunds first; and whatever becomes of word, hardly less.
 func TestTogetherIsBetterThanAlone(t *testing.T) {
 	alone, _, _ := overloaded(t, "storm", nil)
-	together, refunds, w := overloaded(t, fleetDoor, nil)
+	together, refunds, w := overloaded(t, fleetAdmission, nil)
 	t.Logf("alone %.3f, together %.3f", alone, together)
 	if together < alone+0.01 {
 		t.Errorf("together %.3f, alone %.3f", together, alone)
@@ -85,18 +85,20 @@
 		t.Errorf("%.3f of the refunds are in time", part)
 	}
 	for _, a := range w.agents {
-		if rate := float64(a.shares.Status(w.now).Counts.PayloadsSent) / w.now.Seconds(); rate > 15 {
+		if rate := float64(a.overload.Status(w.now).Counts.PayloadsSent) / w.now.Seconds(); rate > 15 {
 			t.Errorf("agent %d has told others %.1f times a second", a.number, rate)
 		}
 	}
-	for name, mute := range map[string]func(w *world, m gossip.Message) bool{
-		"no word":          func(*world, gossip.Message) bool { return true },
-		"a third lost":     func(w *world, _ gossip.Message) bool { return w.net.Float64() < 1.0/3 },
-		"split midway":     func(w *world, m gossip.Message) bool { return w.now > 15*time.Second && (m.From < 5) != (m.To < 5) },
-		"one way midway":   func(w *world, m gossip.Message) bool { return w.now > 15*time.Second && m.From < 5 && m.To >= 5 },
-		"word ends midway": func(w *world, m gossip.Message) bool { return w.now > 15*time.Second },
+	for name, mute := range map[string]func(w *simulation, m gossip.Message) bool{
+		"no word":      func(*simulation, gossip.Message) bool { return true },
+		"a third lost": func(w *simulation, _ gossip.Message) bool { return w.networkRandom.Float64() < 1.0/3 },
+		"split midway": func(w *simulation, m gossip.Message) bool {
+			return w.now > 15*time.Second && (m.From < 5) != (m.To < 5)
+		},
+		"one way midway":   func(w *simulation, m gossip.Message) bool { return w.now > 15*time.Second && m.From < 5 && m.To >= 5 },
+		"word ends midway": func(w *simulation, m gossip.Message) bool { return w.now > 15*time.Second },
 	} {
-		got, _, _ := overloaded(t, fleetDoor, mute)
+		got, _, _ := overloaded(t, fleetAdmission, mute)
 		t.Logf("%s: %.3f", name, got)
 		if got < alone-0.02 {
 			t.Errorf("%s: %.3f, alone %.3f", name, got, alone)
--- a/internal/scenario/verbs_test.go
+++ b/internal/scenario/verbs_test.go
@@ -57,19 +57,19 @@
 [[assert]]
 holds = 1.0
 `)
-	days := map[string]Day{"simulated": Simulate(s, 1)}
-	live, err := Live{Script: s, Seed: 1, Agent: program(t), Out: io.Discard}.Run(context.Background())
+	days := map[string]Report{"simulated": Simulate(s, 1)}
+	live, err := LiveRunner{Script: s, Seed: 1, AgentProgram: program(t), Out: io.Discard}.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	days["on sockets"] = live
 	for name, d := range days {
-		if d.Breaks != 0 || len(d.Failing) != 0 {
-			t.Errorf("%s: %v %v", name, d.Broken, d.Failing)
+		if d.ViolationCount != 0 || len(d.FailedAssertions) != 0 {
+			t.Errorf("%s: %v %v", name, d.Violations, d.FailedAssertions)
 		}
 		failed, served := 0, 0
 		for _, c := range d.Classes {
-			failed, served = failed+c.Failed, served+c.InAim
+			failed, served = failed+c.Failed, served+c.InTime
 		}
 		if served < 200 || failed == 0 { // an agent that is away for a while fails some
 			t.Errorf("%s: %d served in time, %d failed", name, served, failed)
@@ -90,7 +90,7 @@
 		"[[assert]]\nholds = 0.001\n":                                     "held",
 	} {
 		d := Simulate(script(t, outage+text), 1)
-		if failing := strings.Join(d.Failing, "; "); (want == "") != (failing == "") || !strings.Contains(failing, want) {
+		if failing := strings.Join(d.FailedAssertions, "; "); (want == "") != (failing == "") || !strings.Contains(failing, want) {
 			t.Errorf("%s: %q, want %q", text, failing, want)
 		}
 	}
@@ -110,7 +110,7 @@
 // Two reports are set side by side, from the files that run writes.
 func TestCompare(t *testing.T) {
 	dir := t.TempDir()
-	load := func(name, text string) (Day, string) {
+	load := func(name, text string) (Report, string) {
 		path := filepath.Join(dir, name)
 		f, err := os.Create(path)
 		if err != nil {
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		besteffort.Close(f)
-		d, err := LoadDay(path)
+		d, err := LoadReport(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	for _, path := range []string{nameA, filepath.Join(dir, "none")} {
-		if _, err := LoadDay(path); err == nil {
+		if _, err := LoadReport(path); err == nil {
 			t.Errorf("%s is no report and was read", path)
 		}
 	}
