--- a/cmd/appleledge/versions_test.go
+++ b/cmd/appleledge/versions_test.go
@@ -130,7 +130,7 @@
 			agenttest.Eventually(t, when+": observations of all are heard", func() bool {
 				f.Offer(cluster.Offered{Rate: 20, For: time.Second})
 				seen := view(t, a)
-				return seen.Overload.KnownAgents >= agents-1 && seen.Overload.DigestsReceived > 0
+				return seen.Overload.KnownAgents >= agents-1 && seen.Overload.PayloadsReceived > 0
 			})
 			seen := view(t, a)
 			for _, why := range []string{"not understood", "of another form", "forged"} {
@@ -142,7 +142,7 @@
 				t.Errorf("%s: agent %d could not read %d observations", when, a.Number, seen.Overload.Malformed)
 			}
 			t.Logf("%s: agent %d: %d alive, %d datagrams taken, dropped %v, observations of %d agents, %d heard, %d malformed", when, a.Number, seen.Peers.Alive,
-				seen.Peers.Received, seen.Peers.Dropped, seen.Overload.KnownAgents, seen.Overload.DigestsReceived, seen.Overload.Malformed)
+				seen.Peers.Received, seen.Peers.Dropped, seen.Overload.KnownAgents, seen.Overload.PayloadsReceived, seen.Overload.Malformed)
 		}
 	}
 	hear("at the start")
