--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -139,7 +139,7 @@
 	golden.Equal(t, "telemetry/series.txt", []byte(resp.Header.Get("Content-Type")+"\n"+strings.Join(slices.Sorted(maps.Keys(series)), "")))
 }
 
-// waits is a carrier whose attempts end with the engine.
+// blockingTransport is a transport whose attempts end with the engine.
 type blockingTransport struct{}
 
 func (blockingTransport) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
