--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,8 @@
-// Package operator answers the calls of operators. It is a front that decides nothing: it reads what the engine publishes and
-// tells it what it is told.
+// Package operator is the HTTP server for operators: readiness, statistics, the agent's view of the fleet, and taking a
+// server out of use and back. It makes no decisions: it reads what the Agent publishes and passes denylist changes to it.
+//
+// Paths, the lines of /ops/stats and the JSON keys of /ops/fleet are an interface that scripts read. They are older than
+// the names in the code and must not change; docs/glossary.md has both.
 package operator
 
 import (
@@ -10,59 +13,53 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"strings"
 	"time"
 
 	"appleledge/internal/besteffort"
 	"appleledge/internal/connlimit"
 	"appleledge/internal/denylist"
-	"appleledge/internal/engine"
 )
 
 const (
-	maxConnections    = 12                     // connections; the oldest silent one makes room
-	minConnectionAge  = 20 * time.Millisecond  // for which a connection may be silent though others wait
-	readTimeout       = 5 * time.Second        // for a call to come, whoever else wants its place
-	handlerTimeout    = 700 * time.Millisecond // a call is owed its answer in a second
-	maxHeaderBytes    = 8 << 10                // bytes
-	maxBodyBytes      = 4 << 10                // no call needs one
-	maxServerIDLength = 256                    // bytes of a server's id
-	shutdownTimeout   = 500 * time.Millisecond // for calls that are open at the end
+	maxConnections    = 12                     // open at once; a further one closes the oldest idle one
+	minConnectionAge  = 20 * time.Millisecond  // a younger connection is not closed to make room
+	readTimeout       = 5 * time.Second        // to read a request
+	handlerTimeout    = 700 * time.Millisecond // of a request; operators are promised an answer within a second
+	maxHeaderBytes    = 8 << 10
+	maxBodyBytes      = 4 << 10                // no request needs a body
+	maxServerIDLength = 256                    // bytes
+	shutdownTimeout   = 500 * time.Millisecond // for requests in flight when Serve's context ends
 )
 
-// MaxDescriptors is how many descriptors a Server needs at the most.
+// MaxDescriptors is the largest number of file descriptors that a Server uses: its connections, the listener and one in
+// reserve.
 const MaxDescriptors = maxConnections + 2
 
-// Agent is what the calls are about.
+// Agent is the agent that operators ask about. Its methods are called by the goroutine of each request, concurrently; the
+// context ends after handlerTimeout or when the operator closes the connection.
 type Agent interface {
-	// Ready reports whether this process is ready to serve.
+	// Ready reports whether this process is ready to serve requests.
 	Ready() bool
-	// Stats returns what it has counted, and the state of its list.
+	// Stats returns the agent's counters and the state of its endpoint list. An error is answered with 503 and its text.
 	Stats(ctx context.Context) (Stats, error)
-	// SetDenied holds a server out, or takes it back, and returns when that is in force.
-	SetDenied(ctx context.Context, server string, out bool) error
+	// SetDenied puts a server on the denylist or removes it, and returns when that is in force. denylist.ErrUnknown is
+	// answered with 404, denylist.ErrFull with 409, any other error with 503, each with its text.
+	SetDenied(ctx context.Context, server string, denied bool) error
 }
 
-// Stats are what operators read.
-type Stats struct {
-	Counters              engine.Counters
-	Endpoints             engine.EndpointCounts
-	Reloads, ReloadErrors uint64 // configurations taken and turned down
-}
-
-// Server answers the calls.
+// Server is the HTTP server for operators.
 type Server struct {
 	Agent Agent
-	Fleet func(context.Context) (FleetView, error) // nil: the agent has no view of one, and there is no such call
+	Fleet func(context.Context) (FleetView, error) // nil: the agent has no view of the fleet, and /ops/fleet is not found
 	Log   *slog.Logger
 }
 
-// Serve answers calls until the context ends.
+// Serve answers requests until the context ends; those in flight then have shutdownTimeout. An error is the listener's.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	srv := &http.Server{Handler: s.Handler(), ReadTimeout: readTimeout, WriteTimeout: readTimeout + handlerTimeout, IdleTimeout: readTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ConnState: connlimit.ConnState, ConnContext: connlimit.ConnContext,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelWarn)} // a rude peer must not flood the log
-	srv.SetKeepAlivesEnabled(false) // one call to a connection
+	srv.SetKeepAlivesEnabled(false) // one request a connection
 	defer context.AfterFunc(ctx, func() {
 		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
@@ -77,7 +74,7 @@
 	return nil
 }
 
-// Handler answers a call.
+// Handler returns the handler of all paths. It limits each request's body and time.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", s.handleReadiness)
@@ -100,6 +97,7 @@
 	})
 }
 
+// handleReadiness answers 200 or 503.
 func (s *Server) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !s.Agent.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -108,6 +106,7 @@
 	besteffort.IgnoreResult(io.WriteString(w, "ready\n"))
 }
 
+// handleStats answers with the lines of Stats.String.
 func (s *Server) handleStats(w http.ResponseWriter, r *http.Request) {
 	f, err := s.Agent.Stats(r.Context())
 	if err != nil {
@@ -118,11 +117,11 @@
 	besteffort.IgnoreResult(io.WriteString(w, f.String()))
 }
 
-// hold takes a server out or back.
-func (s *Server) handleDenylistChange(out bool) http.HandlerFunc {
-	done := "back"
-	if out {
-		done = "out"
+// handleDenylistChange returns the handler that denies the server of the path, or allows it again.
+func (s *Server) handleDenylistChange(denied bool) http.HandlerFunc {
+	state := "back"
+	if denied {
+		state = "out"
 	}
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
@@ -130,7 +129,7 @@
 			http.Error(w, "the id of a server is missing or too long", http.StatusBadRequest)
 			return
 		}
-		err := s.Agent.SetDenied(r.Context(), id, out)
+		err := s.Agent.SetDenied(r.Context(), id, denied)
 		switch {
 		case errors.Is(err, denylist.ErrUnknown):
 			http.Error(w, err.Error(), http.StatusNotFound)
@@ -139,36 +138,8 @@
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		default:
-			s.Log.Info("server taken "+done+" by an operator", "server", id)
-			fmt.Fprintf(w, "%s\n", done)
-		}
-	}
-}
-
-// outcomes are the names that operators have for the kinds of answers. A conflict ends as a failure for its client.
-var outcomeNames = [...]struct {
-	name  string
-	kinds []engine.AnswerKind
-}{
-	{"completed", []engine.AnswerKind{engine.Served}},
-	{"rejected", []engine.AnswerKind{engine.Rejected}},
-	{"failed", []engine.AnswerKind{engine.Failed, engine.Conflict}},
-}
-
-// String writes the figures, a line each.
-func (f Stats) String() string {
-	var b strings.Builder
-	for class, name := range f.Counters.Classes {
-		for _, o := range outcomeNames {
-			var n uint64
-			for _, kind := range o.kinds {
-				n += f.Counters.Answers[class][kind]
-			}
-			fmt.Fprintf(&b, "svc.downstream_requests.%s.%s=%d\n", name, o.name, n)
+			s.Log.Info("server taken "+state+" by an operator", "server", id)
+			fmt.Fprintf(w, "%s\n", state)
 		}
 	}
-	fmt.Fprintf(&b, "svc.upstream_requests=%d\nsvc.pending=%d\nsvc.members=%d\nsvc.members_unavailable=%d\n"+
-		"svc.config_reloads=%d\nsvc.config_reload_errors=%d\n", f.Counters.Written, f.Counters.Open, f.Endpoints.Listed, f.Endpoints.Avoided,
-		f.Reloads, f.ReloadErrors)
-	return b.String()
 }
