--- a/internal/downstream/extproc/counts.go
+++ b/internal/downstream/extproc/counts.go
@@ -2,7 +2,8 @@
 
 import "sync/atomic"
 
-// Counts are the figures that operators see. All only grow.
+// Counts are the server's counters. All only grow; they are safe for concurrent use. Their keys in the log are in
+// Snapshot.attrs and must not change.
 type Counts struct {
 	decisions, unusable             atomic.Uint64
 	served, failed, notRun, unknown atomic.Uint64
@@ -14,29 +15,29 @@
 	observed                        atomic.Uint64
 }
 
-// Snapshot is a copy of the counts.
+// Snapshot is a copy of the counters.
 type Snapshot struct {
 	Decisions               uint64 // handed over to a proxy
-	DecisionsRejected       uint64 // made, but not handed over: the server drained meanwhile, or its time was over
+	DecisionsRejected       uint64 // made, but not handed over: the backend drained meanwhile, or the deadline was too near
 	Served                  uint64 // attempts that ended as a backend's 200
 	Failed                  uint64 // attempts that ended as an error which may have run
 	NotProcessed            uint64 // attempts that ended as not processed, or with no connection
-	Unknown                 uint64 // attempts whose end the proxy did not tell
-	Rejected                uint64 // final answers: trying again is harmless
+	Unknown                 uint64 // attempts whose end the proxy did not report
+	Rejected                uint64 // final answers: a retry is harmless
 	Abandoned               uint64 // final answers: failed
-	Conflicts               uint64 // streams under the id of a request that is open elsewhere
+	Conflicts               uint64 // streams with the id of a request that is open on another stream
 	BadInput                uint64 // requests answered with a 4xx
 	StreamsRejected         uint64 // streams over the limit
 	AbandonedBeforeDecision uint64 // streams that ended before their decision was handed over
-	AbandonedAfterDecision  uint64 // and after it, with no end of the response
-	UnknownHints            uint64 // endpoints in subset hints that the list does not name
+	AbandonedAfterDecision  uint64 // streams that ended after it, without the end of the response
+	UnknownHints            uint64 // endpoints in subset hints that are not in the endpoint list
 	ServedElsewhere         uint64 // responses from another endpoint than the chosen one
-	UnknownServed           uint64 // and those from one that the list does not name
+	UnknownServed           uint64 // of these, from one that is not in the endpoint list
 	UnknownMessages         uint64 // messages of kinds that this version does not know
-	ObserveOnly             uint64 // streams that only watch
+	ObserveOnly             uint64 // streams in observability mode
 }
 
-// Snapshot copies the counts.
+// Snapshot copies the counters, each by itself: the copy is not of one instant.
 func (c *Counts) Snapshot() Snapshot {
 	return Snapshot{
 		Decisions: c.decisions.Load(), DecisionsRejected: c.unusable.Load(), Served: c.served.Load(), Failed: c.failed.Load(),
@@ -48,7 +49,7 @@
 	}
 }
 
-// attrs are the counts for a log line.
+// attrs returns the counters as log attributes.
 func (s Snapshot) attrs() []any {
 	return []any{"decisions", s.Decisions, "unusable", s.DecisionsRejected, "served", s.Served, "failed", s.Failed,
 		"not_run", s.NotProcessed, "unknown", s.Unknown, "refused", s.Rejected, "given_up", s.Abandoned, "conflicts", s.Conflicts,
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -1,10 +1,13 @@
-// Package extproc is the front that other proxies call: Envoy's external processor, envoy.service.ext_proc.v3. A proxy
-// opens a stream for each request and is told where the request goes; it carries the traffic itself and tells how it
-// ended. The choice is stated as the endpoint picker protocol of the Gateway API's inference extension has it
+// Package extproc is the downstream server for other proxies: Envoy's external processor, envoy.service.ext_proc.v3. A
+// proxy opens a stream for each request and is sent the endpoint to use; it forwards the request itself and reports how it
+// ended. The endpoint is stated by the endpoint picker protocol of the Gateway API's inference extension
 // (docs/proposals/004-endpoint-picker-protocol there).
 //
-// A stream is one try of a request. A proxy's retry comes as another stream under the same X-Request-ID and is the same
-// request to the engine, which lets the module decide whether there is another attempt.
+// A stream is one attempt of a request. A proxy's retry is another stream with the same X-Request-ID and is the same
+// request to the engine, so that the balancer decides whether there is another attempt.
+//
+// server.go serves and drains, admit.go limits streams, stream.go is the life of one stream; request.go, subsethint.go and
+// response.go read messages, decision.go and replies.go write them.
 package extproc
 
 import (
@@ -26,7 +29,6 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/reflection"
 	"google.golang.org/grpc/status"
-	"google.golang.org/grpc/tap"
 
 	"appleledge/internal/downstream/requesthead"
 	"appleledge/internal/engine"
@@ -36,15 +38,15 @@
 )
 
 const (
-	sendTimeout        = 2 * time.Second // for a message that the proxy does not take
-	duplexShareDivisor = 8               // one of so many streams may have bodies that come back: they hold most memory
+	sendTimeout        = 2 * time.Second // for a message that the proxy does not read
+	duplexShareDivisor = 8               // MaxOpen divided by it is the limit of full duplex streams, which use most memory
 	connectTimeout     = 3 * time.Second // for the HTTP/2 preface of a new connection
 	maxConnectionIdle  = time.Minute     // a connection with no stream is closed, so that idle ones don't keep out others
-	maxHeaderList      = 16 << 10        // of a stream's own HTTP/2 headers
-	streamWindow       = 64 << 10        // what a proxy may send on a stream ahead of its being read; gRPC takes no less
-	connWindow         = 1 << 20         // and on all of a connection; what is not read waits on the streams
+	maxHeaderList      = 16 << 10        // bytes of a stream's own HTTP/2 headers
+	streamWindow       = 64 << 10        // bytes of a stream that a proxy may send unread; gRPC allows no less
+	connWindow         = 1 << 20         // and of all streams of a connection
 	defaultLinger      = 5 * time.Second
-	drainMargin        = 50 * time.Millisecond // past the longest time that a client waits, as the platform's own front
+	drainMargin        = 50 * time.Millisecond // added to the longest deadline, as in direct mode
 	processorMethod    = extprocv3.ExternalProcessor_Process_FullMethodName
 	countsInterval     = time.Minute
 )
@@ -57,7 +59,7 @@
 	Rules        requesthead.Checker
 	Pool         *connpool.Pool
 	ReportFields []string             // of load reports
-	MaxDeadline  func() time.Duration // that any client waits: for so long a drain may take
+	MaxDeadline  func() time.Duration // longest that any client waits, which bounds a drain; called concurrently
 	Log          *slog.Logger
 }
 
@@ -66,26 +68,26 @@
 	extprocv3.UnimplementedExternalProcessorServer
 	Options
 	Counts        Counts
-	openStreams   atomic.Int64 // open
-	inFlight      atomic.Int64 // calls that the engine holds
-	duplexStreams atomic.Int64 // streams with bodies that come back
+	openStreams   atomic.Int64
+	inFlight      atomic.Int64 // calls that the engine has not released
+	duplexStreams atomic.Int64 // streams in full duplex mode
 	logOnce       logOnces
 
 	metadata metadataCache
-	linger   time.Duration // a stream may stay open for so long after its request's time is over
+	linger   time.Duration // how long a stream may stay open after its request's deadline
 }
 
-// onces are log lines that come once, however often their cause does: a rude peer must not flood the log.
+// logOnces are the log lines that are written once a process, so that a misbehaving peer can't flood the log.
 type logOnces struct{ report, hint, served, unknown sync.Once }
 
-// New returns a server. The engine remembers ended requests from then on, so that it must not run yet.
+// New returns a server. It sets the engine's outcome cache, so that the engine must not run yet.
 func New(o Options) *Server {
 	o.Engine.SetOutcomeCache(o.Settings.RememberMost, time.Duration(o.Settings.Remember))
 	return &Server{Options: o, linger: defaultLinger}
 }
 
-// Serve answers streams until the context ends, and then goes on with the open ones until they end or the longest time
-// that a client waits has passed; proxies are told by GOAWAY to open no more.
+// Serve answers streams until the context ends, and then drains: GOAWAY stops new streams, and the open ones may go on for
+// the longest deadline of any client. An error is the listener's.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	srv := s.grpcServer()
 	failed := make(chan error, 1)
@@ -116,12 +118,13 @@
 	return nil
 }
 
-// attrs are the counts for a log line, with the ended requests that were forgotten early: those could run once more.
+// attrs returns the counts as log attributes, with the number of outcomes that the cache dropped early: a retry of such a
+// request could run it again.
 func (s *Server) attrs(now Snapshot) []any {
 	return append(now.attrs(), "forgotten_early", s.Engine.Stats().ForgottenEarly)
 }
 
-// drain sends GOAWAY and waits for the open streams. What is still open then is cut off.
+// drain sends GOAWAY, waits for the open streams, and closes those that are still open after the limit.
 func (s *Server) drain(srv *grpc.Server) {
 	ended := make(chan struct{})
 	go func() { srv.GracefulStop(); close(ended) }()
@@ -136,13 +139,14 @@
 	}
 }
 
+// grpcServer returns the gRPC server with its limits and services.
 func (s *Server) grpcServer() *grpc.Server {
 	set := s.Settings
 	srv := grpc.NewServer(
 		grpc.ConnectionTimeout(connectTimeout),
 		grpc.MaxConcurrentStreams(uint32(set.MaxStreams)),
 		grpc.MaxRecvMsgSize(set.MaxMessage),
-		grpc.StaticStreamWindowSize(streamWindow), // a window that grows with the line would be memory without a bound
+		grpc.StaticStreamWindowSize(streamWindow), // a window that grows with the bandwidth would be memory without a bound
 		grpc.StaticConnWindowSize(connWindow),
 		grpc.MaxHeaderListSize(maxHeaderList),
 		grpc.WaitForHandlers(true),
@@ -164,72 +168,9 @@
 	return srv
 }
 
-// readiness is the health service: SERVING while there is a server to send to.
-type readiness struct {
-	*health.Server
-	engine *engine.Engine
-}
-
-// Check answers for the whole server and for the processor's service alike.
-func (r *readiness) Check(_ context.Context, req *healthv1.HealthCheckRequest) (*healthv1.HealthCheckResponse, error) {
-	if name := req.GetService(); name != "" && name != extprocv3.ExternalProcessor_ServiceDesc.ServiceName {
-		return nil, status.Error(codes.NotFound, "unknown service")
-	}
-	state := healthv1.HealthCheckResponse_NOT_SERVING
-	if r.engine.Ready() {
-		state = healthv1.HealthCheckResponse_SERVING
-	}
-	return &healthv1.HealthCheckResponse{Status: state}, nil
-}
-
-// breakable is the context of a stream that the server can break: gRPC ends a stream's own context only with the stream,
-// so that a proxy which sends nothing, or takes nothing, could hold it for ever.
-type cancellableContext struct {
-	context.Context
-	cancel context.CancelFunc
-}
-
-type cancellableContextKey struct{}
-
-// Value finds the breakable context below those that gRPC puts round it.
-func (b *cancellableContext) Value(key any) any {
-	if key == (cancellableContextKey{}) {
-		return b
-	}
-	return b.Context.Value(key)
-}
-
-// admit is asked about each stream before a goroutine is spent on it: it turns away what is too many, and makes the others
-// breakable.
-func (s *Server) admit(ctx context.Context, info *tap.Info) (context.Context, error) {
-	if s.openStreams.Load() >= int64(s.Settings.MaxOpen) && info.FullMethodName == processorMethod {
-		return nil, s.tooMany()
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	return &cancellableContext{ctx, cancel}, nil
-}
-
-func (s *Server) tooMany() error {
-	s.Counts.streamsRefused.Add(1)
-	return status.Error(codes.ResourceExhausted, "too many streams are open")
-}
-
-// place takes one of the places for streams, if there is one.
-func (s *Server) acquireStreamSlot() bool {
-	for {
-		n := s.openStreams.Load()
-		if n >= int64(s.Settings.MaxOpen) {
-			return false
-		}
-		if s.openStreams.CompareAndSwap(n, n+1) {
-			return true
-		}
-	}
-}
-
-// Process handles one stream.
+// Process handles one stream. gRPC calls it in a goroutine of its own.
 func (s *Server) Process(g extprocv3.ExternalProcessor_ProcessServer) error {
-	if !s.acquireStreamSlot() { // several may have been admitted to the last place
+	if !s.acquireStreamSlot() { // admit may have let several in for the last slot
 		return s.tooMany()
 	}
 	defer s.openStreams.Add(-1)
@@ -246,7 +187,7 @@
 		s.duplexStreams.Add(-1)
 	}
 	switch {
-	case st.call != nil && !st.isHandedOver.Load() && !st.isSettled: // the proxy must not go on as if it had been told
+	case st.call != nil && !st.isHandedOver.Load() && !st.isSettled: // without an error the proxy would go on as if it had a decision
 		return status.Error(codes.Unavailable, "the stream ended before the decision")
 	case err == nil || errors.Is(err, errStreamClosed):
 		return nil
--- a/internal/downstream/extproc/server_test.go
+++ b/internal/downstream/extproc/server_test.go
@@ -448,7 +448,7 @@
 
 func (ignore) Answer(engine.Answer) {}
 
-// never is a carrier that waits until the end.
+// never is a transport that waits until the end.
 type never struct{}
 
 func (never) RoundTrip(ctx context.Context, a *engine.Attempt) engine.Outcome {
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -19,50 +19,53 @@
 	"appleledge/internal/upstream/http1"
 )
 
-// maxVerdicts is how much the engine may have told a stream that has not looked yet: an attempt, and the final answer when
-// the request's time is over.
+// maxVerdicts is how many verdicts the engine may send before the stream reads one: an attempt, and the final answer when
+// the request's deadline has passed. With that buffer the engine never blocks on a stream.
 const maxVerdicts = 2
 
-// errStreamClosed ends a stream that the proxy has ended in order.
+// errStreamClosed is run's error when the proxy has closed the stream properly.
 var errStreamClosed = errors.New("the proxy ended the stream")
 
-// verdict is what the engine says: an attempt, or else the final answer.
+// verdict is what the engine decided: an attempt or, where that is nil, the final answer.
 type verdict struct {
 	attempt *engine.Attempt
 	answer  engine.Answer
 }
 
-// stream is one try of a request. Its own goroutine runs it; the engine calls HandOver, Answer and Released.
+// stream is one attempt of a request, as the proxy counts attempts. The goroutine of Server.Process owns it and calls run and
+// close; the engine's goroutine calls HandOver, Answer and Released, which use only verdicts, isHandedOver and the server.
 type stream struct {
 	server   *Server
 	ctx      context.Context
 	verdicts chan verdict
-	expiry   *time.Timer // breaks the stream when it stays for too long, also while a message is not taken
+	expiry   *time.Timer // cancels ctx when the stream is open for too long, also while a message can't be sent
 
-	isHandedOver atomic.Bool // the decision is with the proxy
+	isHandedOver atomic.Bool // the decision was given to the proxy
 
-	call           *engine.Call    // once the request was in order
-	attempt        *engine.Attempt // with the proxy
-	pendingOutcome *engine.Outcome // a 200 whose end has not come
-	isSettled      bool            // the final answer was given here, or how the attempt ended was told
-	fullDuplex     [2]bool         // request and response bodies come back from the processor, or not at all
-	hasDuplexSlot  bool            // has one of the places for such streams
+	call           *engine.Call    // nil until a valid request was read
+	attempt        *engine.Attempt // in flight at the proxy, or nil
+	pendingOutcome *engine.Outcome // of a 200 whose body has not ended, or nil
+	isSettled      bool            // the final answer was given here, or the attempt's outcome was sent to the engine
+	fullDuplex     [2]bool         // of request and response: the proxy forwards only the body that the processor sends back
+	hasDuplexSlot  bool            // counted in Server.duplexStreams
 }
 
-// HandOver is called by the engine.
+// HandOver sends the stream an attempt. The engine calls it; it does not block.
 func (st *stream) HandOver(a *engine.Attempt) { st.verdicts <- verdict{attempt: a} }
 
-// Answer is called by the engine. After the decision it is not for the proxy: the client's time is over, or it is served.
+// Answer sends the stream the request's final answer. The engine calls it; it does not block. Once the decision was handed
+// over the answer is dropped: the deadline has passed, or the proxy has served the request.
 func (st *stream) Answer(a engine.Answer) {
 	if !st.isHandedOver.Load() {
 		st.verdicts <- verdict{answer: a}
 	}
 }
 
-// Released is called by the engine.
+// Released counts the request as no longer in flight. The engine calls it once, when it no longer refers to the stream.
 func (st *stream) Released() { st.server.inFlight.Add(-1) }
 
-// run takes messages and answers them until the stream ends.
+// run receives messages and answers them until the stream ends. It returns nil after an immediate response, which ends the
+// stream, and errStreamClosed where the proxy closed it.
 func (st *stream) run(g extprocv3.ExternalProcessor_ProcessServer) error {
 	for first := true; ; first = false {
 		req, err := g.Recv()
@@ -72,7 +75,7 @@
 		if err != nil {
 			return err
 		}
-		if first { // it has said something: one that only watches may last as long as a request
+		if first { // until there is a request, whose deadline decides, a stream may be open as long as any request
 			st.expiry.Reset(st.server.MaxDeadline() + st.server.linger)
 		}
 		resp, err := st.handleMessage(req)
@@ -91,9 +94,10 @@
 	}
 }
 
-// take handles a message and returns what the proxy is owed for it, or nil.
+// handleMessage handles one message and returns the response that the protocol requires, or nil for none. An error ends the
+// stream.
 func (st *stream) handleMessage(req *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
-	if req.GetObservabilityMode() { // the proxy waits for no answer and heeds none: nothing is to be decided
+	if req.GetObservabilityMode() { // the proxy ignores responses, so that there is nothing to decide
 		if req.GetRequestHeaders() != nil {
 			st.server.Counts.observed.Add(1)
 		}
@@ -125,7 +129,7 @@
 		st.handleResponseEnd()
 		return continueTrailers(true), nil
 	}
-	// A kind that this version does not know. What it would be owed is not known either.
+	// A kind of message that this version does not know, and so neither what response it requires.
 	st.server.Counts.unknownMessages.Add(1)
 	st.server.logOnce.unknown.Do(func() {
 		st.server.Log.Warn("a proxy sent a message of a kind that is not known; further ones are not logged")
@@ -133,8 +137,8 @@
 	return nil, nil
 }
 
-// acquireDuplexSlot takes a place among the streams whose bodies come back, if this is one. What such a stream holds is as much
-// as its windows, while others hold next to nothing.
+// acquireDuplexSlot counts the stream among those in full duplex mode, if it is one, and reports whether that kept within
+// their limit. Such a stream uses as much memory as its windows, any other next to none.
 func (st *stream) acquireDuplexSlot() bool {
 	if st.hasDuplexSlot || st.fullDuplex == [2]bool{} {
 		return true
@@ -148,7 +152,8 @@
 	return true
 }
 
-// decide asks where the request goes.
+// decide sends the request to the engine and waits for its verdict. It returns the decision or an immediate response; an
+// error where the stream ended first.
 func (st *stream) decide(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) (*extprocv3.ProcessingResponse, error) {
 	s := st.server
 	if st.call != nil {
@@ -159,7 +164,7 @@
 		s.Counts.badInput.Add(1)
 		return immediateError(err), nil
 	}
-	call.AtCapacity = s.inFlight.Add(1) > int64(s.Settings.MaxOpen) // an earlier try may have run, which the engine knows
+	call.AtCapacity = s.inFlight.Add(1) > int64(s.Settings.MaxOpen) // the engine may still admit it: an earlier attempt may have run
 	call.Responder, st.call = st, call
 	st.expiry.Reset(call.Deadline - s.Clock.Now() + s.linger)
 	s.Engine.Arrive(call)
@@ -182,8 +187,9 @@
 	}
 }
 
-// hand makes the decision the proxy's, unless it is of no use any more: meanwhile the server may have begun to drain or
-// started anew, or the time may be over. From here on the attempt counts as one that may run.
+// handOver returns the decision for the proxy. From then on the attempt counts as one that may run. It returns nil where the
+// decision can't be used any more: the backend has begun to drain or has restarted, the deadline is too near, or the stream
+// has ended.
 func (st *stream) handOver(a *engine.Attempt) *extprocv3.ProcessingResponse {
 	now := st.server.Clock.Now()
 	backend, _ := a.Incarnation.(*connpool.Backend)
@@ -194,7 +200,7 @@
 		return nil
 	}
 	if st.ctx.Err() != nil {
-		return nil // the next look at the context ends the stream; nothing was handed over
+		return nil // nothing was handed over; decide sees the ended context next
 	}
 	st.attempt = a
 	st.isHandedOver.Store(true)
@@ -203,17 +209,18 @@
 		metadata: st.server.metadata.get(backend.Addr()), overridesMode: st.server.Settings.ModeOverride && st.fullDuplex == [2]bool{}})
 }
 
-// response judges the head of a response, as direct mode judges a whole answer. A 200 is one only when it has ended.
+// handleResponseHeaders classifies a response by its head, as direct mode classifies a complete one. A 200 with a body counts
+// only when the body has ended: until then its outcome is pending.
 func (st *stream) handleResponseHeaders(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) {
 	if st.attempt == nil || st.pendingOutcome != nil {
 		return
 	}
 	header, code := parseResponseHead(h)
 	if code >= 100 && code < http.StatusOK {
-		return // an interim one
+		return // an interim response (RFC 9110, section 15.2)
 	}
 	out := engine.Outcome{Attempt: st.attempt, Result: balancer.Reset, Report: balancer.NoReport}
-	if code != 0 { // else it is no answer that a backend can have made
+	if code != 0 { // 0: no backend can have sent that
 		out.Result = http1.ClassifyResponse(code, header)
 		out.Report = http1.ReadReport(header, st.server.ReportFields, st.server.logBadReport)
 	}
@@ -228,7 +235,7 @@
 	st.endAttempt(out)
 }
 
-// elsewhere compares the endpoint that served with the chosen one, where the proxy tells.
+// wasServedElsewhere reports whether the proxy says that another endpoint than the chosen one served, and counts that.
 func (st *stream) wasServedElsewhere(req *extprocv3.ProcessingRequest, header http.Header) bool {
 	served := servedBy(req, header)
 	backend, _ := st.attempt.Incarnation.(*connpool.Backend)
@@ -246,14 +253,14 @@
 	return true
 }
 
-// handleResponseEnd makes a 200 one that was served.
+// handleResponseEnd ends the attempt of a 200 whose body is complete.
 func (st *stream) handleResponseEnd() {
 	if st.pendingOutcome != nil {
 		st.endAttempt(*st.pendingOutcome)
 	}
 }
 
-// tell ends the attempt that the proxy has.
+// endAttempt sends the outcome of the attempt in flight to the engine.
 func (st *stream) endAttempt(out engine.Outcome) {
 	st.isSettled = true
 	st.attempt, st.pendingOutcome = nil, nil
@@ -261,7 +268,8 @@
 	st.server.Engine.EndAttempt(out)
 }
 
-// end settles what is open when the stream has ended.
+// close settles what is open when the stream has ended with run's error: a 200 whose stream was closed properly is complete, any
+// other attempt ends as cancelled, and a request without an attempt is abandoned.
 func (st *stream) close(err error) {
 	switch {
 	case st.call == nil:
@@ -272,13 +280,13 @@
 		st.server.Engine.Abandon(st.call.ID, st)
 	case st.pendingOutcome != nil && errors.Is(err, errStreamClosed):
 		st.handleResponseEnd()
-	default: // it was handed over, and what became of it is not known
+	default: // the decision was handed over, and the attempt's end is not known
 		st.server.Counts.gaveUpAfter.Add(1)
 		st.endAttempt(engine.Outcome{Attempt: st.attempt, Result: balancer.Cancelled, Report: balancer.NoReport})
 	}
 }
 
-// count counts a final answer that the agent gives itself.
+// countAnswer counts a final answer that the agent gave itself.
 func (s *Server) countAnswer(kind engine.AnswerKind) {
 	switch kind {
 	case engine.Rejected:
@@ -290,6 +298,7 @@
 	}
 }
 
+// countResult counts how an attempt ended.
 func (s *Server) countResult(r balancer.Result) {
 	switch r {
 	case balancer.OK:
@@ -303,6 +312,7 @@
 	}
 }
 
+// logBadReport logs the first malformed load report.
 func (s *Server) logBadReport(err error) {
 	s.logOnce.report.Do(func() {
 		s.Log.Warn("passing over a malformed report; further ones are not logged", "error", err)
