--- a/cmd/appleledge-extproc/main.go
+++ b/cmd/appleledge-extproc/main.go
@@ -68,7 +68,7 @@
 		Open: func(c agent.Core) (func(context.Context) error, error) {
 			l, err := net.Listen("tcp", set.Listen)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", f.Where("external_processor.listen"), err)
+				return nil, fmt.Errorf("%s: %w", f.Position("external_processor.listen"), err)
 			}
 			s := extproc.New(extproc.Options{Settings: set, Engine: c.Engine, Clock: c.Clock, Rules: c.Rules, Pool: c.Pool,
 				ReportFields: c.Site.ReportFields, MaxDeadline: c.MaxDeadline, Log: c.Log})
--- a/cmd/appleledge/main.go
+++ b/cmd/appleledge/main.go
@@ -15,10 +15,10 @@
 func extras(f settings.File) (with agent.Features, err error) {
 	if f.ExternalProcessor != nil {
 		return with, fmt.Errorf("%s: the external processor is not a part of this command; run appleledge-extproc in its place",
-			f.Where("external_processor"))
+			f.Position("external_processor"))
 	}
 	return cli.Membership(f, func(name string) (agent.Source, error) {
 		return agent.Source{}, fmt.Errorf("%s: the source %q is not a part of this command; run appleledge-extproc in its place",
-			f.Where("membership.sources"), name)
+			f.Position("membership.sources"), name)
 	})
 }
--- a/internal/cli/join.go
+++ b/internal/cli/join.go
@@ -33,7 +33,7 @@
 		for _, name := range set.Classes {
 			if !slices.Contains(safe, name) {
 				return with, fmt.Errorf("%s: join.classes: %q is no class that may be repeated at will; there are: %s",
-					f.Where("join.classes"), name, strings.Join(safe, ", "))
+					f.Position("join.classes"), name, strings.Join(safe, ", "))
 			}
 		}
 		return with, nil
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -146,7 +146,7 @@
 	switch {
 	case err != nil:
 		log.Error("settings not reloaded, keeping the old ones", "error", err)
-	case !fresh.Same(old):
+	case !fresh.Equal(old):
 		log.Warn("the settings file has changed, which takes effect at the next start only")
 	}
 }
--- a/internal/cli/telemetry.go
+++ b/internal/cli/telemetry.go
@@ -19,7 +19,7 @@
 		l, err := net.Listen("tcp", f.Telemetry.Listen)
 		taken := errors.Is(err, syscall.EADDRINUSE) && c.HasSibling() // by the process that this one replaces
 		if err != nil && !taken {
-			return nil, fmt.Errorf("%s: %w", f.Where("telemetry.listen"), err)
+			return nil, fmt.Errorf("%s: %w", f.Position("telemetry.listen"), err)
 		}
 		c.Engine.TrackLatency(c.Site.Balancer.Classes)
 		s := &telemetry.Server{Engine: c.Engine, Pool: c.Pool, Gossip: c.GossipStatus, Overload: c.OverloadStatus, Log: c.Log}
--- a/internal/harness/fleetgen/script.go
+++ b/internal/harness/fleetgen/script.go
@@ -63,9 +63,9 @@
 func Parse(name string, text []byte) (Script, error) {
 	s := Default()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
-		return s, settings.Located(name, text, err)
+		return s, settings.LocateError(name, text, err)
 	}
-	tables := settings.Tables(text)
+	tables := settings.TableLines(text)
 	if err := s.Fleet.check(); err != nil {
 		return s, fmt.Errorf("%s:%d: fleet: %w", name, first(tables["fleet"]), err)
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -200,9 +200,9 @@
 func ParseScript(name string, text []byte) (Script, error) {
 	s := Script{Length: Span{time.Minute, time.Minute}, Fleet: FleetOf{Servers: 12, Agents: 4}, Clients: Load{Rate: 380, Retry: true, Tries: 2, Mark: true, Wait: Span{ownWait, ownWait}, Forms: keys}}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
-		return Script{}, settings.Located(name, text, err)
+		return Script{}, settings.LocateError(name, text, err)
 	}
-	lines := settings.Tables(text)
+	lines := settings.TableLines(text)
 	if table, number, err := s.check(); err != nil {
 		at := 1
 		if all := lines[table]; number < len(all) {
--- a/internal/settings/affinity.go
+++ b/internal/settings/affinity.go
@@ -17,6 +17,6 @@
 }
 
 func (a *Affinity) check() (key string, err error) {
-	return firstOf(counts{{"most", a.Most, 1, 1 << 20}},
-		times{{"tail", a.Tail, 0, time.Hour}, {"budget", a.Budget, 100 * time.Microsecond, 5 * time.Second}})
+	return checkBounds(countBounds{{"most", a.Most, 1, 1 << 20}},
+		durationBounds{{"tail", a.Tail, 0, time.Hour}, {"budget", a.Budget, 100 * time.Microsecond, 5 * time.Second}})
 }
--- a/internal/settings/figures.go
+++ b/internal/settings/figures.go
@@ -11,5 +11,5 @@
 func DefaultFigures() Figures { return Figures{Every: Duration(10 * time.Second)} }
 
 func (f *Figures) check() (key string, err error) {
-	return firstOf(nil, times{{"every", f.Every, 100 * time.Millisecond, time.Hour}})
+	return checkBounds(nil, durationBounds{{"every", f.Every, 100 * time.Millisecond, time.Hour}})
 }
--- a/internal/settings/generations.go
+++ b/internal/settings/generations.go
@@ -11,11 +11,11 @@
 	State  string `toml:"state"`  // file that keeps the configuration over a restart; empty: nothing is kept
 }
 
-// longestSocket is how long the path of a Unix socket may be (unix(7): sun_path has 108 bytes, with its end).
-const longestSocket = 107
+// maxSocketPathLength is how long the path of a Unix socket may be (unix(7): sun_path has 108 bytes, with its end).
+const maxSocketPathLength = 107
 
 func (g *Generations) check() (key string, err error) {
-	if g.Socket == "" || len(g.Socket) > longestSocket {
+	if g.Socket == "" || len(g.Socket) > maxSocketPathLength {
 		return "socket", errors.New("it must name a path of 1 to 107 bytes, such as \"/run/appleledge/admin.sock\"")
 	}
 	if g.State != "" && filepath.Clean(g.State) == filepath.Clean(g.Socket) {
--- a/internal/settings/join.go
+++ b/internal/settings/join.go
@@ -40,7 +40,7 @@
 	if j.Tenants != TenantsTogether && j.Tenants != TenantsApart {
 		return "tenants", fmt.Errorf("%q must be %q or %q", j.Tenants, TenantsTogether, TenantsApart)
 	}
-	return firstOf(
-		counts{{"max_groups", j.MaxGroups, 1, 1 << 16}, {"max_waiting", j.MaxWaiting, 1, 1 << 16}},
-		times{{"pause", j.Pause, 0, time.Hour}, {"log_every", j.LogEvery, time.Second, 24 * time.Hour}})
+	return checkBounds(
+		countBounds{{"max_groups", j.MaxGroups, 1, 1 << 16}, {"max_waiting", j.MaxWaiting, 1, 1 << 16}},
+		durationBounds{{"pause", j.Pause, 0, time.Hour}, {"log_every", j.LogEvery, time.Second, 24 * time.Hour}})
 }
--- a/internal/settings/locate.go
+++ b/internal/settings/locate.go
@@ -7,7 +7,7 @@
 // locate returns the line of each key and table of a TOML text, by its dotted name, so that an error of the values can
 // say where they stand: the decoder tells it only of what it can't read. Of a text that is no TOML it returns what comes
 // before the fault, which the decoder reports.
-func locate(text []byte) map[string]int {
+func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
@@ -16,16 +16,16 @@
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table = note(lines, &p, e, "") + "."
+			table = recordKey(lines, &p, e, "") + "."
 		case unstable.KeyValue:
-			note(lines, &p, e, table)
+			recordKey(lines, &p, e, table)
 		}
 	}
 	return lines
 }
 
 // note records the lines of an expression's key and of the tables that it implies, and returns its dotted name.
-func note(lines map[string]int, p *unstable.Parser, e *unstable.Node, table string) string {
+func recordKey(lines map[string]int, p *unstable.Parser, e *unstable.Node, table string) string {
 	name := table
 	for it := e.Key(); it.Next(); {
 		part := it.Node()
@@ -40,16 +40,16 @@
 	return name
 }
 
-// Tables returns the lines at which the tables of a TOML text begin, by their names, in order: several of a name where it
+// TableLines returns the lines at which the tables of a TOML text begin, by their names, in order: several of a name where it
 // is one of an array.
-func Tables(text []byte) map[string][]int {
+func TableLines(text []byte) map[string][]int {
 	lines := map[string][]int{}
 	var p unstable.Parser
 	p.Reset(text)
 	for p.NextExpression() {
 		if e := p.Expression(); e.Kind == unstable.Table || e.Kind == unstable.ArrayTable {
 			own := map[string]int{}
-			name := note(own, &p, e, "")
+			name := recordKey(own, &p, e, "")
 			lines[name] = append(lines[name], own[name])
 		}
 	}
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// mostPoll keeps a drain that a file tells under the 500 ms after which nothing new may go to the server.
-const mostPoll = 400 * time.Millisecond
+// maxPollInterval keeps a drain that a file tells under the 500 ms after which nothing new may go to the server.
+const maxPollInterval = 400 * time.Millisecond
 
 func (m *Membership) check() (key string, err error) {
 	if len(m.Sources) == 0 {
@@ -84,16 +84,16 @@
 			return "xds.subset", fmt.Errorf("a subset is taken with delta = true, of the clusters that the control plane names")
 		}
 	}
-	return firstOf(
-		counts{
+	return checkBounds(
+		countBounds{
 			{"xds.subset", m.XDS.Subset, 0, 1 << 16},
 			{"xds.max_message_bytes", m.XDS.MaxMessage, 1 << 10, 256 << 20},
 		},
-		times{
+		durationBounds{
 			{"fail_after", m.FailAfter, 0, 24 * time.Hour},
 			{"hold", m.Hold, 0, 24 * time.Hour},
 			{"keep_empty", m.KeepEmpty, 0, 24 * time.Hour},
-			{"file.poll", m.File.Poll, time.Millisecond, mostPoll},
+			{"file.poll", m.File.Poll, time.Millisecond, maxPollInterval},
 			{"xds.first_fetch", m.XDS.FirstFetch, 10 * time.Millisecond, time.Hour},
 			{"xds.backoff_least", m.XDS.BackoffLeast, time.Millisecond, time.Minute},
 			{"xds.backoff_most", m.XDS.BackoffMost, time.Duration(m.XDS.BackoffLeast), time.Hour},
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -17,11 +17,11 @@
 }
 
 func (o *Overload) check() (key string, err error) {
-	return firstOf(counts{{"remember", o.Remember, 1, 1 << 20}}, times{{"log_every", o.LogEvery, time.Second, time.Hour}})
+	return checkBounds(countBounds{{"remember", o.Remember, 1, 1 << 20}}, durationBounds{{"log_every", o.LogEvery, time.Second, time.Hour}})
 }
 
-// checkOverload says how the section fits the others.
-func (f File) checkOverload() error {
+// checkOverloadRequirements says how the section fits the others.
+func (f File) checkOverloadRequirements() error {
 	switch {
 	case f.Overload == nil:
 		return nil
--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -21,7 +21,7 @@
 	return Peers{Period: Duration(time.Second), AskFor: Duration(100 * time.Millisecond)}
 }
 
-const mostMembers = 1 << 16
+const maxMembers = 1 << 16
 
 func (p *Peers) check() (key string, err error) {
 	if p.KeyFile == "" {
@@ -30,13 +30,13 @@
 	if (p.Listen == "") != (len(p.Members) == 0) {
 		return "members", errors.New("listen and members are named both, or neither where the platform does")
 	}
-	if len(p.Members) > mostMembers {
-		return "members", fmt.Errorf("%d are more than %d", len(p.Members), mostMembers)
+	if len(p.Members) > maxMembers {
+		return "members", fmt.Errorf("%d are more than %d", len(p.Members), maxMembers)
 	}
 	for _, m := range append([]string{p.Listen}, p.Members...) {
 		if at, err := netip.ParseAddrPort(m); m != "" && (err != nil || !at.Addr().Is4()) {
 			return "members", fmt.Errorf("%q is no IPv4 address with a port, such as \"10.0.0.4:7946\"", m)
 		}
 	}
-	return firstOf(nil, times{{"period", p.Period, 100 * time.Millisecond, time.Minute}, {"ask_for", p.AskFor, 0, 10 * time.Second}})
+	return checkBounds(nil, durationBounds{{"period", p.Period, 100 * time.Millisecond, time.Minute}, {"ask_for", p.AskFor, 0, 10 * time.Second}})
 }
--- a/internal/settings/recovery.go
+++ b/internal/settings/recovery.go
@@ -27,6 +27,6 @@
 	if r.RunFile == "" {
 		return "run_file", errors.New("it must name a file, such as \"/proc/sys/kernel/random/boot_id\"")
 	}
-	return firstOf(nil, times{{"every", r.Every, 100 * time.Millisecond, time.Hour}, {"list_wait", r.ListWait, 0, 10 * time.Second},
+	return checkBounds(nil, durationBounds{{"every", r.Every, 100 * time.Millisecond, time.Hour}, {"list_wait", r.ListWait, 0, 10 * time.Second},
 		{"log_every", r.LogEvery, time.Second, time.Hour}})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,8 +35,8 @@
 	lines map[string]int
 }
 
-// Same reports whether two files set the same, wherever in the file.
-func (f File) Same(other File) bool {
+// Equal reports whether two files set the same, wherever in the file.
+func (f File) Equal(other File) bool {
 	return reflect.DeepEqual(f.ExternalProcessor, other.ExternalProcessor) && reflect.DeepEqual(f.Membership, other.Membership) &&
 		reflect.DeepEqual(f.Join, other.Join) && reflect.DeepEqual(f.Storm, other.Storm) &&
 		reflect.DeepEqual(f.Telemetry, other.Telemetry) && reflect.DeepEqual(f.Generations, other.Generations) &&
@@ -89,8 +89,8 @@
 	return out
 }
 
-// Where says where a key or section stands in the file, as file and line.
-func (f File) Where(key string) string { return fmt.Sprintf("%s:%d", f.name, f.lines[key]) }
+// Position says where a key or section stands in the file, as file and line.
+func (f File) Position(key string) string { return fmt.Sprintf("%s:%d", f.name, f.lines[key]) }
 
 // ExternalProcessor is the section [external_processor]: the front that other proxies call.
 type ExternalProcessor struct {
@@ -161,7 +161,7 @@
 
 // Parse reads and checks a file's text; name stands for the file in errors.
 func Parse(name string, text []byte) (File, error) {
-	f := File{name: name, lines: locate(text)}
+	f := File{name: name, lines: keyLines(text)}
 	if _, there := f.lines["external_processor"]; there { // what the file does not set keeps its default
 		section := DefaultExternalProcessor()
 		f.ExternalProcessor = &section
@@ -200,30 +200,30 @@
 	}
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(&f); err != nil {
-		return File{}, Located(name, text, err)
+		return File{}, LocateError(name, text, err)
 	}
 	sections := f.sections()
 	for _, name := range slices.Sorted(maps.Keys(sections)) {
 		if key, err := sections[name].check(); err != nil {
-			return File{}, fmt.Errorf("%s: %s.%s: %w", f.Where(f.nearest(name+"."+key)), name, key, err)
+			return File{}, fmt.Errorf("%s: %s.%s: %w", f.Position(f.nearestKey(name+"."+key)), name, key, err)
 		}
 	}
-	if err := f.checkOverload(); err != nil {
-		return File{}, fmt.Errorf("%s: overload: %w", f.Where("overload"), err)
+	if err := f.checkOverloadRequirements(); err != nil {
+		return File{}, fmt.Errorf("%s: overload: %w", f.Position("overload"), err)
 	}
 	return f, nil
 }
 
 // nearest is a key that the file sets, or else the innermost table round it that it has.
-func (f File) nearest(key string) string {
+func (f File) nearestKey(key string) string {
 	for f.lines[key] == 0 && strings.Contains(key, ".") {
 		key = key[:strings.LastIndex(key, ".")]
 	}
 	return key
 }
 
-// Located puts the file and the line before an error of the decoder, which read that text.
-func Located(name string, text []byte, err error) error {
+// LocateError puts the file and the line before an error of the decoder, which read that text.
+func LocateError(name string, text []byte, err error) error {
 	if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok && len(strict.Errors) > 0 {
 		first := strict.Errors[0]
 		line, _ := first.Position()
@@ -256,17 +256,17 @@
 	return 0
 }
 
-// mostValid keeps decisions usable for less than the 500 ms after which nothing new may go to a server that drains,
+// maxDecisionValid keeps decisions usable for less than the 500 ms after which nothing new may go to a server that drains,
 // with some room for the way to the proxy.
-const mostValid = 450 * time.Millisecond
+const maxDecisionValid = 450 * time.Millisecond
 
 // check returns the key that is wrong, and what is wrong with it.
 func (e *ExternalProcessor) check() (key string, err error) {
 	if _, _, err := net.SplitHostPort(e.Listen); err != nil {
 		return "listen", fmt.Errorf("%q is no address; write host and port, such as \"127.0.0.1:9002\"", e.Listen)
 	}
-	return firstOf(
-		counts{
+	return checkBounds(
+		countBounds{
 			{"max_connections", e.MaxConnections, 1, 1024},
 			{"max_streams", e.MaxStreams, 1, 1 << 16},
 			{"max_open", e.MaxOpen, 1, 1 << 20},
@@ -274,8 +274,8 @@
 			{"max_subset", e.MaxSubset, 1, 1 << 16},
 			{"remember_most", e.RememberMost, 1, 1 << 20},
 		},
-		times{
-			{"decision_valid", e.DecisionValid, time.Millisecond, mostValid},
+		durationBounds{
+			{"decision_valid", e.DecisionValid, time.Millisecond, maxDecisionValid},
 			{"first_message", e.FirstMessage, 10 * time.Millisecond, time.Minute},
 			{"keepalive_time", e.KeepaliveTime, time.Second, time.Hour}, // gRPC takes no less than a second
 			{"keepalive_wait", e.KeepaliveWait, 10 * time.Millisecond, time.Minute},
@@ -285,19 +285,19 @@
 
 // counts and times are keys with their values and bounds.
 type (
-	counts []struct {
+	countBounds []struct {
 		key                string
 		value, least, most int
 	}
-	times []struct {
+	durationBounds []struct {
 		key         string
 		value       Duration
 		least, most time.Duration
 	}
 )
 
-// firstOf returns the first key that is out of its bounds.
-func firstOf(c counts, t times) (key string, err error) {
+// checkBounds returns the first key that is out of its bounds.
+func checkBounds(c countBounds, t durationBounds) (key string, err error) {
 	for _, n := range c {
 		if n.value < n.least || n.value > n.most {
 			return n.key, fmt.Errorf("%d must be from %d to %d", n.value, n.least, n.most)
--- a/internal/settings/storm.go
+++ b/internal/settings/storm.go
@@ -12,5 +12,5 @@
 func DefaultStorm() Storm { return Storm{Remember: 4096, LogEvery: Duration(10 * time.Second)} }
 
 func (s *Storm) check() (key string, err error) {
-	return firstOf(counts{{"remember", s.Remember, 1, 1 << 20}}, times{{"log_every", s.LogEvery, time.Second, time.Hour}})
+	return checkBounds(countBounds{{"remember", s.Remember, 1, 1 << 20}}, durationBounds{{"log_every", s.LogEvery, time.Second, time.Hour}})
 }
