--- a/cmd/fleetgen/main.go
+++ b/cmd/fleetgen/main.go
@@ -291,20 +291,22 @@
 proxy is net/http/httputil.ReverseProxy with GOMAXPROCS=1, which sends each request to any of the servers.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if o.Connections < 1 || o.Connections > 1000 || o.For < time.Second {
+			if o.Connections < 1 || o.Connections > 1000 || o.Duration < time.Second {
 				return fmt.Errorf("--connections must be from 1 to 1000, and --for 1s or more")
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%-14s %8s %10s %8s %10s %10s %8s %8s\n", "", "servers", "a second", "failed", "CPU", "median", "p99", "memory")
 			for _, n := range servers {
 				for _, run := range []func() (overhead.Result, error){
-					func() (overhead.Result, error) { return overhead.Agent(c.Context(), program, n, o) },
-					func() (overhead.Result, error) { return overhead.Proxy(c.Context(), []string{"reverse-proxy"}, n, o) },
+					func() (overhead.Result, error) { return overhead.MeasureAgent(c.Context(), program, n, o) },
+					func() (overhead.Result, error) {
+						return overhead.MeasureProxy(c.Context(), []string{"reverse-proxy"}, n, o)
+					},
 				}[:1+count(proxy)] {
 					r, err := run()
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%-14s %8d %10.0f %8d %10v %10v %8v %5.1f MB\n", r.Name, r.Servers, r.Rate, r.Failed, r.CPU,
+					fmt.Fprintf(c.OutOrStdout(), "%-14s %8d %10.0f %8d %10v %10v %8v %5.1f MB\n", r.Name, r.Servers, r.ServedPerSecond, r.Failed, r.CPUPerRequest,
 						r.Median, r.P99, r.MemoryMB)
 				}
 			}
@@ -315,8 +317,8 @@
 	f.StringVar(&program, "agent", program, "the agent's program")
 	f.IntSliceVar(&servers, "servers", servers, "sizes of fleets")
 	f.IntVar(&o.Connections, "connections", 32, "clients")
-	f.DurationVar(&o.For, "for", 5*time.Second, "how long what comes counts")
-	f.DurationVar(&o.Busy, "busy", 0, "how long a server takes for an answer")
+	f.DurationVar(&o.Duration, "for", 5*time.Second, "how long what comes counts")
+	f.DurationVar(&o.ServiceTime, "busy", 0, "how long a server takes for an answer")
 	f.IntVar(&o.Rate, "rate", 0, "requests a second of all clients; 0: each as soon as its last is answered")
 	f.BoolVar(&proxy, "proxy", proxy, "measure the reverse proxy too")
 	return c
@@ -341,7 +343,7 @@
 			if err != nil {
 				return err
 			}
-			return overhead.Serve(c.Context(), args[0], strings.Fields(string(text)))
+			return overhead.ServeProxy(c.Context(), args[0], strings.Fields(string(text)))
 		},
 	}
 }
--- a/internal/harness/overhead/measure.go
+++ b/internal/harness/overhead/overhead.go
@@ -31,22 +31,22 @@
 // Options say what is measured.
 type Options struct {
 	Connections int           // clients, each with a request at a time
-	For         time.Duration // after as long again, at most two seconds, in which nothing counts
-	Busy        time.Duration // that a server takes for an answer
+	Duration    time.Duration // after as long again, at most two seconds, in which nothing counts
+	ServiceTime time.Duration // that a server takes for an answer
 	Rate        int           // requests a second of all clients; 0: each as soon as the last is answered
 }
 
 // Result is what came of it.
 type Result struct {
-	Name     string
-	Servers  int
-	Requests int64         // that were served within the time that counts
-	Failed   int64         // that were not
-	Rate     float64       // served a second
-	CPU      time.Duration // of the program, a request
-	Median   time.Duration
-	P99      time.Duration
-	MemoryMB float64 // resident, at the end
+	Name            string
+	Servers         int
+	Requests        int64         // that were served within the time that counts
+	Failed          int64         // that were not
+	ServedPerSecond float64       // served a second
+	CPUPerRequest   time.Duration // of the program, a request
+	Median          time.Duration
+	P99             time.Duration
+	MemoryMB        float64 // resident, at the end
 }
 
 // target is a program under measurement.
@@ -56,9 +56,9 @@
 	cmd  *exec.Cmd
 }
 
-// Agent measures an agent with so many servers. The program's path is that of appleledge.
-func Agent(ctx context.Context, program string, servers int, o Options) (Result, error) {
-	fleet, backends, err := open(servers, o)
+// MeasureAgent measures an agent with so many servers. The program's path is that of appleledge.
+func MeasureAgent(ctx context.Context, program string, servers int, o Options) (Result, error) {
+	fleet, backends, err := startBackends(servers, o)
 	if err != nil {
 		return Result{}, err
 	}
@@ -88,12 +88,12 @@
 	}
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+config)
-	return run(ctx, target{"agent", addr, cmd}, servers, o)
+	return measure(ctx, target{"agent", addr, cmd}, servers, o)
 }
 
-// Proxy measures the reverse proxy: this program itself, called with the words that Serve understands.
-func Proxy(ctx context.Context, words []string, servers int, o Options) (Result, error) {
-	fleet, backends, err := open(servers, o)
+// MeasureProxy measures the reverse proxy: this program itself, called with the words that Serve understands.
+func MeasureProxy(ctx context.Context, words []string, servers int, o Options) (Result, error) {
+	fleet, backends, err := startBackends(servers, o)
 	if err != nil {
 		return Result{}, err
 	}
@@ -115,11 +115,11 @@
 	cmd := exec.CommandContext(ctx, self, append(words, addr)...)
 	cmd.Stdin = strings.NewReader(strings.Join(to, "\n"))
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1") // as an agent of one core
-	return run(ctx, target{"reverse proxy", addr, cmd}, servers, o)
+	return measure(ctx, target{"reverse proxy", addr, cmd}, servers, o)
 }
 
-// Serve is a reverse proxy that sends each request to any of the servers, until the context ends.
-func Serve(ctx context.Context, addr string, servers []string) error {
+// ServeProxy is a reverse proxy that sends each request to any of the servers, until the context ends.
+func ServeProxy(ctx context.Context, addr string, servers []string) error {
 	if len(servers) == 0 {
 		return errors.New("no servers")
 	}
@@ -140,8 +140,8 @@
 	return nil
 }
 
-func open(servers int, o Options) (*fleetgen.Fleet, *fleetgen.Backends, error) {
-	b := &fleetgen.Backends{Busy: o.Busy}
+func startBackends(servers int, o Options) (*fleetgen.Fleet, *fleetgen.Backends, error) {
+	b := &fleetgen.Backends{Busy: o.ServiceTime}
 	spec := fleetgen.Default().Fleet
 	spec.Servers, spec.Spread = servers, 1
 	f := fleetgen.New(spec, b.Place)
@@ -165,7 +165,7 @@
 }
 
 // run starts a program, loads it and ends it.
-func run(ctx context.Context, t target, servers int, o Options) (r Result, err error) {
+func measure(ctx context.Context, t target, servers int, o Options) (r Result, err error) {
 	var log strings.Builder
 	t.cmd.Stderr = &log
 	if err := t.cmd.Start(); err != nil {
@@ -181,21 +181,21 @@
 		return r, fmt.Errorf("%s: %w: %s", t.name, err, log.String())
 	}
 	r = Result{Name: t.name, Servers: servers}
-	load(ctx, t.addr, o, min(o.For, 2*time.Second))
-	before, err := cpu(t.cmd.Process.Pid)
+	generateLoad(ctx, t.addr, o, min(o.Duration, 2*time.Second))
+	before, err := processCPUTime(t.cmd.Process.Pid)
 	if err != nil {
 		return r, err
 	}
-	h, failed := load(ctx, t.addr, o, o.For)
-	after, err := cpu(t.cmd.Process.Pid)
+	h, failed := generateLoad(ctx, t.addr, o, o.Duration)
+	after, err := processCPUTime(t.cmd.Process.Pid)
 	if err != nil {
 		return r, err
 	}
-	r.MemoryMB = resident(t.cmd.Process.Pid)
+	r.MemoryMB = residentMemoryMB(t.cmd.Process.Pid)
 	if r.Requests, r.Failed = h.TotalCount(), failed; r.Requests == 0 {
 		return r, fmt.Errorf("%s: nothing was served: %s", t.name, log.String())
 	}
-	r.Rate, r.CPU = float64(r.Requests)/o.For.Seconds(), (after-before)/time.Duration(r.Requests+r.Failed)
+	r.ServedPerSecond, r.CPUPerRequest = float64(r.Requests)/o.Duration.Seconds(), (after-before)/time.Duration(r.Requests+r.Failed)
 	r.Median, r.P99 = time.Duration(h.ValueAtQuantile(50))*time.Microsecond, time.Duration(h.ValueAtQuantile(99))*time.Microsecond
 	return r, ctx.Err()
 }
@@ -213,7 +213,7 @@
 
 // load asks for so long. The histogram is in microseconds, from when a request was due: what waits for a slow answer
 // counts with it where there is a rate.
-func load(ctx context.Context, addr string, o Options, length time.Duration) (*hdrhistogram.Histogram, int64) {
+func generateLoad(ctx context.Context, addr string, o Options, length time.Duration) (*hdrhistogram.Histogram, int64) {
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: o.Connections, MaxConnsPerHost: o.Connections}}
 	defer client.CloseIdleConnections()
 	ctx, stop := context.WithTimeout(ctx, length)
@@ -235,7 +235,7 @@
 					due = began.Add(each * time.Duration(n))
 					time.Sleep(time.Until(due))
 				}
-				if ok := ask(ctx, client, addr, fmt.Sprintf("%d-%d-%d", began.UnixNano(), c, n)); ok {
+				if ok := sendRequest(ctx, client, addr, fmt.Sprintf("%d-%d-%d", began.UnixNano(), c, n)); ok {
 					besteffort.Ignore(own.RecordValue(max(1, time.Since(due).Microseconds())))
 				} else if ctx.Err() == nil {
 					lost++
@@ -251,7 +251,7 @@
 	return all, failed
 }
 
-func ask(ctx context.Context, client *http.Client, addr, id string) bool {
+func sendRequest(ctx context.Context, client *http.Client, addr, id string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/form-check", nil)
 	if err != nil {
 		return false
@@ -269,10 +269,10 @@
 }
 
 // ticks a second, in which the kernel counts the time of processes (proc(5)).
-const ticks = 100
+const clockTicksPerSecond = 100
 
 // cpu is the time that a process has used.
-func cpu(pid int) (time.Duration, error) {
+func processCPUTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
@@ -286,11 +286,11 @@
 		return 0, err
 	}
 	system, err := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * time.Second / ticks, err
+	return time.Duration(user+system) * time.Second / clockTicksPerSecond, err
 }
 
 // resident is a process's memory in megabytes; 0 where it is not told.
-func resident(pid int) float64 {
+func residentMemoryMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
