--- a/internal/harness/admissionvariants/admissionvariants.go
+++ b/internal/harness/admissionvariants/admissionvariants.go
@@ -1,5 +1,6 @@
-// Package admissionvariants holds the ways that were weighed of saying who is let in during a storm, to be played on the same days as
-// package storm: each as its source has it, with nothing of worth but what the source has. They are for the rig alone.
+// Package admissionvariants holds published admission-control algorithms, to run the same scenarios with them and with
+// package admission. Each does what its source says and knows nothing of priorities. Only tests and the scenario runner
+// use them; their controllers aren't safe for concurrent use.
 package admissionvariants
 
 import (
@@ -11,17 +12,17 @@
 	"appleledge/internal/admission"
 )
 
-// Names lists the doors.
+// Names returns the names that New knows; "storm" is package admission itself.
 func Names() []string { return []string{"storm", "budget", "throttle", "envoy", "gradient"} }
 
-// Controller is what all of them are.
+// Controller decides which requests are admitted, and is told how they end.
 type Controller interface {
 	Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection)
 	Done(now time.Duration, p *admission.Permit, end admission.Outcome)
 	Counts() admission.Counts
 }
 
-// New returns a door by its name, which is one of Names.
+// New returns the controller of the name, which is one of Names. Any other name panics at the first request.
 func New(name string, o admission.Options) Controller {
 	if name == "storm" {
 		return admission.New(o)
@@ -40,7 +41,7 @@
 	return r
 }
 
-// rival lets in by a rule of its own.
+// variant is a controller that admits by one of the rules below.
 type variant struct {
 	options    admission.Options
 	random     *rand.Rand
@@ -49,6 +50,7 @@
 	observe    func(now, took time.Duration, end admission.Outcome)
 }
 
+// Arrive implements Controller. A retry that may have run is always admitted.
 func (r *variant) Arrive(now time.Duration, a admission.Request) (*admission.Permit, admission.Rejection) {
 	if !r.admits(now, a) && !a.MayHaveRun {
 		return nil, admission.Rejection{RetryAfter: r.options.MaxRetryAfter * time.Duration(50+r.random.IntN(51)) / 100}
@@ -58,29 +60,33 @@
 	return p, admission.Rejection{}
 }
 
+// Done implements Controller.
 func (r *variant) Done(now time.Duration, p *admission.Permit, end admission.Outcome) {
 	r.observe(now, now-r.admittedAt[p], end)
 	delete(r.admittedAt, p)
 }
 
+// Counts implements Controller; it counts only the requests in flight.
 func (r *variant) Counts() admission.Counts { return admission.Counts{InFlight: len(r.admittedAt)} }
 
-// fading is a count over the last seconds.
+// decayingCount is a count that decays exponentially with its time constant.
 type decayingCount struct {
 	timeConstant time.Duration
 	count        float64
 	updatedAt    time.Duration
 }
 
+// add adds n and returns the decayed count.
 func (f *decayingCount) add(now time.Duration, n float64) float64 {
 	f.count = f.count*math.Exp(-float64(now-f.updatedAt)/float64(f.timeConstant)) + n
 	f.updatedAt = now
 	return f.count
 }
 
-// budget lets in repeats up to a fifth of the first tries of ten seconds, as Finagle and Linkerd do.
+// retryBudget admits retries up to a fifth of the first attempts, with at most 100 saved, as Finagle and Linkerd do.
 type retryBudget struct{ tokens float64 }
 
+// rules returns the decision on a request and the observer of its end.
 func (b *retryBudget) rules() (func(time.Duration, admission.Request) bool, func(time.Duration, time.Duration, admission.Outcome)) {
 	return func(_ time.Duration, a admission.Request) bool {
 		if !a.IsRetry {
@@ -95,13 +101,14 @@
 	}, func(time.Duration, time.Duration, admission.Outcome) {}
 }
 
-// throttle is adaptive throttling: "Site Reliability Engineering", chapter 21, with K = 2 over half a minute there and ten
-// seconds here, as days here are short. An answer after the aim is no accept: nobody has a use for it.
+// adaptiveThrottle is adaptive throttling: "Site Reliability Engineering", chapter 21, with K = 2 over half a minute there and ten
+// seconds here, as scenarios are short. An answer after the latency objective doesn't count as accepted.
 type adaptiveThrottle struct {
 	random            *rand.Rand
 	requests, accepts decayingCount
 }
 
+// rules returns the decision on a request and the observer of its end.
 func (t *adaptiveThrottle) rules() (func(time.Duration, admission.Request) bool, func(time.Duration, time.Duration, admission.Outcome)) {
 	t.requests.timeConstant, t.accepts.timeConstant = 10*time.Second, 10*time.Second
 	return func(now time.Duration, _ admission.Request) bool {
@@ -114,13 +121,14 @@
 		}
 }
 
-// envoy is Envoy's admission control filter with its defaults: success from 95%, aggression 1, at most 80% refused, over 30 s
+// envoyFilter is Envoy's admission control filter with its defaults: success from 95%, aggression 1, at most 80% rejected, over 30 s
 // there and ten here.
 type envoyFilter struct {
 	random      *rand.Rand
 	all, served decayingCount
 }
 
+// rules returns the decision on a request and the observer of its end.
 func (e *envoyFilter) rules() (func(time.Duration, admission.Request) bool, func(time.Duration, time.Duration, admission.Outcome)) {
 	e.all.timeConstant, e.served.timeConstant = 10*time.Second, 10*time.Second
 	return func(now time.Duration, _ admission.Request) bool {
@@ -134,13 +142,14 @@
 		}
 }
 
-// gradient is Netflix's concurrency-limits, Gradient2Limit: the limit follows the ratio of the long-term time to an answer and
-// the latest one. What is not served counts as a whole aim and more.
+// gradientLimit is Netflix's concurrency-limits, Gradient2Limit: the limit follows the ratio of the long-term latency to
+// the latest one. A request that isn't served counts with the latency objective at least.
 type gradientLimit struct {
 	limit, longTermLatency float64
 	inFlight               int
 }
 
+// rules returns the decision on a request and the observer of its end.
 func (g *gradientLimit) rules() (func(time.Duration, admission.Request) bool, func(time.Duration, time.Duration, admission.Outcome)) {
 	return func(time.Duration, admission.Request) bool {
 			if float64(g.inFlight) >= g.limit {
--- a/internal/harness/overhead/overhead.go
+++ b/internal/harness/overhead/overhead.go
@@ -1,5 +1,5 @@
-// Package overhead puts an agent's own program under load on loopback and says what a request costs it, beside a plain
-// reverse proxy of the standard library (net/http/httputil.ReverseProxy) in the same place.
+// Package overhead measures what a request costs an agent's process under load on loopback, compared with a plain reverse
+// proxy of the standard library (net/http/httputil.ReverseProxy) in its place. CPU and memory are read from /proc.
 package overhead
 
 import (
@@ -28,35 +28,35 @@
 	"appleledge/internal/harness/loopback"
 )
 
-// Options say what is measured.
+// Options is the load of a measurement.
 type Options struct {
-	Connections int           // clients, each with a request at a time
-	Duration    time.Duration // after as long again, at most two seconds, in which nothing counts
-	ServiceTime time.Duration // that a server takes for an answer
-	Rate        int           // requests a second of all clients; 0: each as soon as the last is answered
+	Connections int           // number of clients, each with one request in flight
+	Duration    time.Duration // measured time; a warm-up as long, at most 2 s, comes before it
+	ServiceTime time.Duration // a server's time to answer
+	Rate        int           // requests a second of all clients; 0: each sends as soon as its last is answered
 }
 
-// Result is what came of it.
+// Result is what a measurement found.
 type Result struct {
 	Name            string
 	Servers         int
-	Requests        int64         // that were served within the time that counts
-	Failed          int64         // that were not
-	ServedPerSecond float64       // served a second
-	CPUPerRequest   time.Duration // of the program, a request
+	Requests        int64 // served in the measured time
+	Failed          int64 // not served
+	ServedPerSecond float64
+	CPUPerRequest   time.Duration // of the process, user and system
 	Median          time.Duration
 	P99             time.Duration
-	MemoryMB        float64 // resident, at the end
+	MemoryMB        float64 // resident set in MiB, at the end
 }
 
-// target is a program under measurement.
+// target is a process to be measured.
 type target struct {
 	name string
 	addr string
 	cmd  *exec.Cmd
 }
 
-// MeasureAgent measures an agent with so many servers. The program's path is that of appleledge.
+// MeasureAgent measures an agent with the number of servers. program is the path of the appleledge binary.
 func MeasureAgent(ctx context.Context, program string, servers int, o Options) (Result, error) {
 	fleet, backends, err := startBackends(servers, o)
 	if err != nil {
@@ -91,8 +91,9 @@
 	return measure(ctx, target{"agent", addr, cmd}, servers, o)
 }
 
-// MeasureProxy measures the reverse proxy: this program itself, called with the words that Serve understands.
-func MeasureProxy(ctx context.Context, words []string, servers int, o Options) (Result, error) {
+// MeasureProxy measures the reverse proxy. It starts the running program again with args and the address to listen on; that
+// command has to call ServeProxy with the servers that its standard input names, one a line.
+func MeasureProxy(ctx context.Context, args []string, servers int, o Options) (Result, error) {
 	fleet, backends, err := startBackends(servers, o)
 	if err != nil {
 		return Result{}, err
@@ -112,13 +113,13 @@
 	for _, s := range fleet.Servers() {
 		to = append(to, net.JoinHostPort(s.Host, strconv.Itoa(s.Port)))
 	}
-	cmd := exec.CommandContext(ctx, self, append(words, addr)...)
+	cmd := exec.CommandContext(ctx, self, append(args, addr)...)
 	cmd.Stdin = strings.NewReader(strings.Join(to, "\n"))
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1") // as an agent of one core
 	return measure(ctx, target{"reverse proxy", addr, cmd}, servers, o)
 }
 
-// ServeProxy is a reverse proxy that sends each request to any of the servers, until the context ends.
+// ServeProxy runs a reverse proxy that sends each request to a random server, until the context ends.
 func ServeProxy(ctx context.Context, addr string, servers []string) error {
 	if len(servers) == 0 {
 		return errors.New("no servers")
@@ -140,6 +141,7 @@
 	return nil
 }
 
+// startBackends starts servers on loopback. The caller closes the backends.
 func startBackends(servers int, o Options) (*fleetgen.Fleet, *fleetgen.Backends, error) {
 	b := &fleetgen.Backends{Busy: o.ServiceTime}
 	spec := fleetgen.Default().Fleet
@@ -154,7 +156,7 @@
 	return f, b, nil
 }
 
-// configuration is the platform's, of an agent of one core that is the only one of its tier.
+// configuration returns the platform's configuration file of the only agent of a tier, with one core.
 func configuration(listen, discovery string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1.0,"memory_mb":512,"sockets":8192},
  "settings":{"Balancers":1,"Me":0,"TickNs":1000000,"WeightKind":"Silent","Discovery":"automatic",
@@ -164,7 +166,7 @@
  "Tenants":[{"Name":"glasgow-airport","Portion":1}],"OverShareWorth":0.1,"Zones":["edinburgh-dc"]}}`, listen, discovery)
 }
 
-// run starts a program, loads it and ends it.
+// measure starts the process, warms it up, measures it under load and ends it.
 func measure(ctx context.Context, t target, servers int, o Options) (r Result, err error) {
 	var log strings.Builder
 	t.cmd.Stderr = &log
@@ -200,6 +202,7 @@
 	return r, ctx.Err()
 }
 
+// waitReady polls the address until it is ready, for at most 20 s.
 func waitReady(ctx context.Context, addr string) error {
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + addr + "/ready"); err == nil {
@@ -211,8 +214,8 @@
 	return errors.New("it was not ready in 20 s")
 }
 
-// load asks for so long. The histogram is in microseconds, from when a request was due: what waits for a slow answer
-// counts with it where there is a rate.
+// generateLoad sends requests for the given time and returns the latencies of those served, in microseconds, and the number of
+// those that failed. With a rate, a latency counts from when the request was due, so that waiting for a slow answer counts.
 func generateLoad(ctx context.Context, addr string, o Options, length time.Duration) (*hdrhistogram.Histogram, int64) {
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: o.Connections, MaxConnsPerHost: o.Connections}}
 	defer client.CloseIdleConnections()
@@ -251,6 +254,7 @@
 	return all, failed
 }
 
+// sendRequest sends one request and reports whether it was served.
 func sendRequest(ctx context.Context, client *http.Client, addr, id string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/form-check", nil)
 	if err != nil {
@@ -268,10 +272,10 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// ticks a second, in which the kernel counts the time of processes (proc(5)).
+// clockTicksPerSecond is the unit in which the kernel counts CPU time (proc(5)).
 const clockTicksPerSecond = 100
 
-// cpu is the time that a process has used.
+// processCPUTime returns the CPU time that a process has used.
 func processCPUTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -289,7 +293,7 @@
 	return time.Duration(user+system) * time.Second / clockTicksPerSecond, err
 }
 
-// resident is a process's memory in megabytes; 0 where it is not told.
+// residentMemoryMB returns a process's resident set in MiB, or 0 if it can't be read.
 func residentMemoryMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
