--- a/internal/scenario/compare.go
+++ b/internal/scenario/compare.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// LoadReport reads a report that Day.JSON wrote.
+// LoadReport reads a report that Report.JSON wrote.
 func LoadReport(path string) (d Report, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return d, nil
 }
 
-// Compare writes what differs between two days, figure by figure, and the five-second spans in which one served more than
+// Compare writes what differs between two reports, figure by figure, and the five-second spans in which one served more than
 // the other by the tolerance, a share.
 func Compare(out io.Writer, nameA, nameB string, a, b Report, tolerance float64) {
 	fmt.Fprintf(out, "A = %s\nB = %s\n%-14s %8s %8s %8s\n", nameA, nameB, "", "A", "B", "B - A")
@@ -46,10 +46,11 @@
 	}
 }
 
-// inTimeRatio is the share of a class's requests that were served within the aim.
+// inTimeRatio returns the share of a class's requests that were served within the latency objective.
 func (c ClassReport) inTimeRatio() float64 { return ratio(float64(c.InTime), float64(c.Offered)) }
 
-// share is the share of the requests of some seconds that were served within the aim; 1 where there were none.
+// inTimeRatio returns the share of the requests of the seconds [from, to) that were served within the latency objective; 1 if
+// there were none.
 func (d Report) inTimeRatio(from, to int) float64 {
 	asked, inTime := 0, 0
 	for _, s := range d.Seconds[min(from, len(d.Seconds)):min(to, len(d.Seconds))] {
--- a/internal/scenario/events.go
+++ b/internal/scenario/events.go
@@ -9,198 +9,159 @@
 	"appleledge/internal/balancer"
 )
 
-// agentDowntime is how long an agent is away when it is killed.
+// agentDowntime is the time from an agent's end to its next start.
 const agentDowntime = 500 * time.Millisecond
 
-// drainNoticeTime is how long clients go on sending to an agent that has been told to end (0.2 to 0.4 s by the platform).
+// drainNoticeTime is how long clients go on sending to an agent that has got SIGTERM; the platform says 0.2 to 0.4 s.
 const drainNoticeTime = 300 * time.Millisecond
 
-// timeline plans, from now on, the script's events.
-func (st *scenarioRun) scheduleEvents() {
-	for _, e := range st.script.Events {
-		at := st.now + e.At.draw(st.random)
+// scheduleEvents schedules the script's events, counted from the current time.
+func (r *scenarioRun) scheduleEvents() {
+	for _, e := range r.script.Events {
+		at := r.now + e.At.draw(r.random)
 		for range max(1, e.Repeat) {
-			st.schedule(at, func() { st.execute(e) })
-			at += e.Interval.draw(st.random)
+			r.schedule(at, func() { r.execute(e) })
+			at += e.Interval.draw(r.random)
 		}
 	}
 }
 
-// happen carries an event out.
-func (st *scenarioRun) execute(e Event) {
-	lasts := e.Duration.draw(st.random)
-	st.report.addEvent(st.now, e.Type, lasts)
+// execute carries out an event of the script.
+func (r *scenarioRun) execute(e Event) {
+	lasts := e.Duration.draw(r.random)
+	r.report.addEvent(r.now, e.Type, lasts)
 	switch e.Type {
 	case "list_outage":
-		if st.listOutages++; st.listOutages == 1 {
-			st.environment.setListOutage(true)
-		}
-		st.scheduleAfter(lasts, func() {
-			if st.listOutages--; st.listOutages == 0 {
-				st.environment.setListOutage(false)
-			}
-		})
+		r.startListOutage(lasts)
 	case "list_lag":
-		lag := e.Period.draw(st.random)
-		st.listLag += lag
-		st.environment.setListLag(st.listLag)
-		st.scheduleAfter(lasts, func() { st.listLag -= lag; st.environment.setListLag(st.listLag) })
+		lag := e.Period.draw(r.random)
+		r.listLag += lag
+		r.environment.setListLag(r.listLag)
+		r.scheduleAfter(lasts, func() { r.listLag -= lag; r.environment.setListLag(r.listLag) })
 	case "load":
-		st.loadFactor *= e.Factor
-		st.scheduleAfter(lasts, func() { st.loadFactor /= e.Factor })
+		r.loadFactor *= e.Factor
+		r.scheduleAfter(lasts, func() { r.loadFactor /= e.Factor })
 	case "ramp":
-		over := e.Period.draw(st.random)
-		st.varyLoad(lasts, func(at time.Duration) float64 { return 1 + (e.Factor-1)*min(1, float64(at)/float64(over)) })
+		over := e.Period.draw(r.random)
+		r.varyLoad(lasts, func(at time.Duration) float64 { return 1 + (e.Factor-1)*min(1, float64(at)/float64(over)) })
 	case "wave":
-		over := e.Period.draw(st.random)
-		st.varyLoad(lasts, func(at time.Duration) float64 {
+		over := e.Period.draw(r.random)
+		r.varyLoad(lasts, func(at time.Duration) float64 {
 			return 1 + (e.Factor-1)*(1-math.Cos(2*math.Pi*float64(at)/float64(over)))/2
 		})
 	case "agent_sigterm":
-		for _, number := range st.selectAgents(e) {
-			st.environment.restartAgent(number)
+		for _, number := range r.selectAgents(e) {
+			r.environment.restartAgent(number)
 		}
 	case "agent_kill":
-		for _, number := range st.selectAgents(e) {
-			st.environment.killAgent(number, agentDowntime, false)
+		for _, number := range r.selectAgents(e) {
+			r.environment.killAgent(number, agentDowntime, false)
 		}
 	case "power_loss":
-		st.powerLoss(e, lasts)
+		r.powerLoss(e, lasts)
 	case "rolling_deploy":
-		st.rollingDeploy(e)
+		r.rollingDeploy(e)
 	case "kill":
-		for _, s := range st.selectServers(e) {
+		for _, s := range r.selectServers(e) {
 			s.state = balancer.Removed
 			s.host.kill()
 		}
-		st.environment.listChanged()
+		r.environment.listChanged()
 	case "restart":
-		for _, s := range st.selectServers(e) {
+		for _, s := range r.selectServers(e) {
 			s.host.kill()
-			st.addServer(s.id, s.kind, s.pod, false)
+			r.addServer(s.id, s.kind, s.pod, false)
 		}
-		st.environment.listChanged()
+		r.environment.listChanged()
 	default:
-		st.injectFaults(e, lasts)
+		r.injectFaults(e, lasts)
 	}
 }
 
-// powerLoss takes power away from servers and agents, and gives it back to each at its time. A pod of which no server runs on has
-// forgotten what it was sent. While servers are dark the list, which hears late, goes on naming them.
-func (st *scenarioRun) powerLoss(e Event, dark time.Duration) {
-	if list := e.ListDelay.draw(st.random); e.ListDelay.To > 0 {
-		if st.listOutages++; st.listOutages == 1 {
-			st.environment.setListOutage(true)
+// startListOutage makes the endpoint list unavailable for the given time. Outages may overlap.
+func (r *scenarioRun) startListOutage(lasts time.Duration) {
+	if r.listOutages++; r.listOutages == 1 {
+		r.environment.setListOutage(true)
+	}
+	r.scheduleAfter(lasts, func() {
+		if r.listOutages--; r.listOutages == 0 {
+			r.environment.setListOutage(false)
 		}
-		st.scheduleAfter(dark+list, func() {
-			if st.listOutages--; st.listOutages == 0 {
-				st.environment.setListOutage(false)
-			}
-		})
+	})
+}
+
+// powerLoss stops servers and agents at once and starts each again after its own delay. A pod all of whose servers are lost
+// forgets its idempotency keys. While servers are down the endpoint list goes on naming them.
+func (r *scenarioRun) powerLoss(e Event, dark time.Duration) {
+	if list := e.ListDelay.draw(r.random); e.ListDelay.To > 0 {
+		r.startListOutage(dark + list)
 	}
 	var lost []*server
 	if e.ServerShare > 0 {
-		lost = st.selectServers(e)
+		lost = r.selectServers(e)
 	}
 	for _, s := range lost {
 		s.host.kill()
 	}
 	for _, s := range lost {
-		st.forgetPodIfAllLost(s.pod, lost)
-		st.scheduleAfter(dark+e.Stagger.draw(st.random), func() {
-			if st.current[s.id] == s {
-				st.addServer(s.id, s.kind, s.pod, false)
-				st.environment.listChanged()
+		r.forgetPodIfAllLost(s.pod, lost)
+		r.scheduleAfter(dark+e.Stagger.draw(r.random), func() {
+			if r.current[s.id] == s {
+				r.addServer(s.id, s.kind, s.pod, false)
+				r.environment.listChanged()
 			}
 		})
 	}
 	if e.AgentShare > 0 {
-		for _, number := range st.selectAgents(e) {
-			st.environment.killAgent(number, dark+e.Stagger.draw(st.random), true)
+		for _, number := range r.selectAgents(e) {
+			r.environment.killAgent(number, dark+e.Stagger.draw(r.random), true)
 		}
 	}
 }
 
-// forgotten lets a pod forget if all of its servers are among those that are lost.
-func (st *scenarioRun) forgetPodIfAllLost(pod int, lost []*server) {
-	for _, s := range st.current {
+// forgetPodIfAllLost clears a pod's memory of idempotency keys if all of its servers are in lost.
+func (r *scenarioRun) forgetPodIfAllLost(pod int, lost []*server) {
+	for _, s := range r.current {
 		if s.pod == pod && s.state != balancer.Removed && !slices.Contains(lost, s) {
 			return
 		}
 	}
-	st.environment.forgetPod(pod)
+	r.environment.forgetPod(pod)
 }
 
-// loadStepInterval is how often a load that swings is set anew.
+// loadStepInterval is how often a varying load is adjusted.
 const loadStepInterval = 100 * time.Millisecond
 
-// swing multiplies the load by a factor that moves with the time since now, until it has lasted.
-func (st *scenarioRun) varyLoad(lasts time.Duration, factor func(time.Duration) float64) {
-	began, now := st.now, 1.0
+// varyLoad multiplies the load by a factor of the time since now, for the given duration.
+func (r *scenarioRun) varyLoad(lasts time.Duration, factor func(time.Duration) float64) {
+	began, now := r.now, 1.0
 	var step func()
 	step = func() {
 		next := 1.0
-		if at := st.now - began; at < lasts {
+		if at := r.now - began; at < lasts {
 			next = factor(at)
-			st.scheduleAfter(min(loadStepInterval, lasts-at), step)
+			r.scheduleAfter(min(loadStepInterval, lasts-at), step)
 		}
-		st.loadFactor *= next / now
+		r.loadFactor *= next / now
 		now = next
 	}
 	step()
 }
 
-// hold lets an effect hold servers for a time.
-func (st *scenarioRun) injectFaults(e Event, lasts time.Duration) {
-	add := func(list *[]float64) (undo func()) {
-		*list = append(*list, e.Factor)
-		return func() {
-			i := slices.Index(*list, e.Factor)
-			*list = slices.Delete(*list, i, i+1)
-		}
-	}
-	count := func(n *int) (undo func()) {
-		*n++
-		return func() { *n-- }
-	}
-	for _, s := range st.selectServers(e) {
-		var undo func()
-		s.changeFaults(func(x *faultSet) {
-			switch e.Type {
-			case "hang":
-				undo = count(&x.hung)
-			case "pause":
-				undo = count(&x.paused)
-			case "partition":
-				undo = count(&x.partitioned)
-			case "throttle":
-				undo = add(&x.throttle)
-			case "fast_errors":
-				undo = add(&x.errors)
-			case "reset":
-				undo = add(&x.reset)
-			case "spoil":
-				undo = add(&x.corrupt)
-			}
-		})
-		st.scheduleAfter(lasts, func() { s.changeFaults(func(*faultSet) { undo() }) })
-	}
-}
-
 // selectAgents returns the numbers of the agents that an event concerns.
-func (st *scenarioRun) selectAgents(e Event) []int {
+func (r *scenarioRun) selectAgents(e Event) []int {
 	if e.Agent > 0 {
 		return []int{e.Agent - 1}
 	}
-	agents := st.script.Fleet.Agents
-	return st.random.Perm(agents)[:int(math.Ceil(e.AgentShare*float64(agents)-1e-9))]
+	agents := r.script.Fleet.Agents
+	return r.random.Perm(agents)[:int(math.Ceil(e.AgentShare*float64(agents)-1e-9))]
 }
 
-// choose returns the servers that an event concerns, of those that are ready.
-func (st *scenarioRun) selectServers(e Event) (chosen []*server) {
+// selectServers returns the servers that an event applies to, out of those that are ready.
+func (r *scenarioRun) selectServers(e Event) (chosen []*server) {
 	var ready []*server
-	for _, s := range st.servers {
-		if st.current[s.id] == s && s.state == balancer.Ready && !s.host.hasCollapsed() {
+	for _, s := range r.servers {
+		if r.current[s.id] == s && s.state == balancer.Ready && !s.host.hasCollapsed() {
 			ready = append(ready, s)
 		}
 	}
@@ -209,7 +170,7 @@
 		for _, name := range e.Servers {
 			i := slices.IndexFunc(ready, func(s *server) bool { return s.id == name })
 			if i < 0 {
-				st.report.Notes = append(st.report.Notes, fmt.Sprintf("%v: %s at %s, which is not there, does nothing", st.now, e.Type, name))
+				r.report.Notes = append(r.report.Notes, fmt.Sprintf("%v: %s at %s, which is not there, does nothing", r.now, e.Type, name))
 				continue
 			}
 			chosen = append(chosen, ready[i])
@@ -217,40 +178,40 @@
 	case e.MachineKind != "":
 		chosen = slices.DeleteFunc(ready, func(s *server) bool { return s.kind.name != e.MachineKind })
 	default:
-		st.random.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
+		r.random.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
 		chosen = ready[:min(len(ready), int(math.Ceil(e.ServerShare*float64(len(ready))-1e-9)))]
 	}
 	return chosen
 }
 
-// deploy replaces servers by cold successors, batch by batch.
-func (st *scenarioRun) rollingDeploy(e Event) {
-	all := st.selectServers(e)
-	size := max(1, int(e.BatchShare*float64(len(st.current))))
+// rollingDeploy replaces servers by cold successors, one batch after another.
+func (r *scenarioRun) rollingDeploy(e Event) {
+	all := r.selectServers(e)
+	size := max(1, int(e.BatchShare*float64(len(r.current))))
 	batches := (len(all) + size - 1) / size
-	over := e.Period.draw(st.random)
+	over := e.Period.draw(r.random)
 	for i := range batches {
 		batch := all[i*size : min(len(all), (i+1)*size)]
-		st.scheduleAfter(over*time.Duration(i)/time.Duration(batches), func() {
+		r.scheduleAfter(over*time.Duration(i)/time.Duration(batches), func() {
 			for _, s := range batch {
-				st.replaceServer(s)
+				r.replaceServer(s)
 			}
-			st.environment.listChanged()
+			r.environment.listChanged()
 		})
 	}
 }
 
-// replace lets a server drain and starts its successor.
-func (st *scenarioRun) replaceServer(s *server) {
-	if st.current[s.id] != s || s.state != balancer.Ready { // something else has befallen it since
+// replaceServer drains a server and starts its successor.
+func (r *scenarioRun) replaceServer(s *server) {
+	if r.current[s.id] != s || s.state != balancer.Ready { // something else has befallen it since
 		return
 	}
 	s.state = balancer.Draining
-	st.successors++
-	st.addServer(fmt.Sprintf("n-%02d", st.successors), s.kind, s.pod, false)
-	st.scheduleAfter(drainTime, func() {
+	r.successors++
+	r.addServer(fmt.Sprintf("n-%02d", r.successors), s.kind, s.pod, false)
+	r.scheduleAfter(drainTime, func() {
 		s.state = balancer.Removed
 		s.host.kill()
-		st.environment.listChanged()
+		r.environment.listChanged()
 	})
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -1,5 +1,3 @@
-// Package scenario puts a whole installation together on loopback, to practise on: an emulated fleet and its server
-// list, a real agent, and clients.
 package scenario
 
 import (
@@ -11,7 +9,7 @@
 	"appleledge/internal/emulator"
 )
 
-// kind is a kind of machine, with the range of the speed of its cores.
+// machineKind is a type of machine, with the range of the speed of its cores.
 type machineKind struct {
 	name  string
 	cores int
@@ -19,7 +17,7 @@
 	share float64 // of the fleet
 }
 
-// kinds are those of the deployment.
+// machineKinds are the types of the deployment.
 var machineKinds = []machineKind{
 	{"twin-core", 2, [2]float64{1.5, 2.1}, 0.56},
 	{"quad-core", 4, [2]float64{0.77, 1}, 0.44},
@@ -33,7 +31,7 @@
 		Wait: [2]time.Duration{110 * time.Millisecond, 200 * time.Millisecond}},
 }
 
-// points are the refund points with their shares.
+// refundPoints are the tenants and their shares of the traffic.
 var refundPoints = []struct {
 	name  string
 	share float64
@@ -48,7 +46,7 @@
 	idleClose        = 15 * time.Second
 )
 
-// spec draws a machine of a kind.
+// drawSpec draws the specification of a machine of the kind.
 func (k machineKind) drawSpec(random *rand.Rand) emulator.Spec {
 	between := func(from, to float64) float64 { return from + random.Float64()*(to-from) }
 	span := func(from, to time.Duration) time.Duration { return time.Duration(between(float64(from), float64(to))) }
@@ -131,6 +129,7 @@
 	f.Discovery.Close()
 }
 
+// zone is the name of the only availability zone.
 const zone = "edinburgh-dc"
 
 // configuration is the file of the platform that an agent would get: its number among so many, and where the list is.
--- a/internal/scenario/html.go
+++ b/internal/scenario/html.go
@@ -22,27 +22,27 @@
 	rowHeight  = 16.0
 )
 
-// bar is a part of a second's requests in the plot.
+// plotBar is one rectangle of the plot: the requests of one second that had one result.
 type plotBar struct {
 	X, Y, W, H float64
 	Kind       string
 	Title      string
 }
 
-// band is an event in the plot.
+// plotBand is an event in the plot.
 type plotBand struct {
 	X, W, TextY float64
 	Name        string
 }
 
-// row is a server in the heat map.
+// heatMapRow is a server in the heat map.
 type heatMapRow struct {
 	Y     float64
 	Name  string
 	Cells []plotBar
 }
 
-// page is what the template is given.
+// htmlPage is the data of the page's template.
 type htmlPage struct {
 	Title            string
 	Report           Report
@@ -56,6 +56,7 @@
 	Passed           bool
 }
 
+// figure is a named number at the top of the page.
 type figure struct {
 	Name  string
 	Value float64
@@ -99,7 +100,7 @@
 	return reportPage.Execute(out, p)
 }
 
-// heat is how full each server was, second by second, over the most that it held.
+// heatMapRows returns one row a server: the requests that it held, second by second, over its capacity.
 func (d Report) heatMapRows(step float64) (rows []heatMapRow) {
 	for i, s := range d.Servers {
 		r := heatMapRow{Y: rowHeight * float64(i), Name: s.Name}
@@ -115,8 +116,10 @@
 	return rows
 }
 
+// kindNames maps the CSS class of a result to its name on the page.
 var kindNames = map[string]string{"intime": "in time", "late": "late", "refused": "refused", "failed": "failed", "lost": "unanswered"}
 
+// reportPage is the template of the report. It reads the fields of htmlPage and Report by name.
 var reportPage = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>
--- a/internal/scenario/join_test.go
+++ b/internal/scenario/join_test.go
@@ -22,7 +22,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				w := newWorld(s, 11)
+				w := newSimulation(s, 11)
 				w.play()
 				days[i] = w.report
 				if w.report.ViolationCount > 0 {
--- a/internal/scenario/load_generator.go
+++ b/internal/scenario/load_generator.go
@@ -14,11 +14,11 @@
 	"appleledge/internal/besteffort"
 )
 
-// ClientStats is what clients have seen.
+// ClientStats counts requests by their result.
 type ClientStats struct {
 	Offered, Served, InTime    int
-	Rejected, Failed, NoAnswer int // 503 or 429; any other answer; none
-	InFlight                   int // have no answer yet
+	Rejected, Failed, NoAnswer int // 503 or 429; other statuses; no answer
+	InFlight                   int // without an answer yet
 	latencies                  []time.Duration
 }
 
@@ -31,7 +31,7 @@
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))]
 }
 
-// LoadGenerator send requests to an agent, as the deployment's do: arrivals at random, that do not wait for answers.
+// LoadGenerator sends requests to an agent at random times, without waiting for answers.
 type LoadGenerator struct {
 	url    string
 	rate   float64
@@ -43,14 +43,13 @@
 	requests sync.WaitGroup
 }
 
-// keys is how many distinct forms there are; a few are far more popular than the rest.
+// distinctForms is the number of distinct route keys; a few are far more frequent than the rest.
 const distinctForms = 2500
 
-// maxInFlight is how many requests clients have open at a time; what would come beyond that is not sent, and counts as
-// broken.
+// maxInFlight is how many requests the clients keep in flight. A request beyond that isn't sent and counts as unanswered.
 const maxInFlight = 2000
 
-// NewLoadGenerator returns clients that send so many requests a second.
+// NewLoadGenerator returns a generator that sends rate requests a second to the agent at url.
 func NewLoadGenerator(url string, rate float64, seed uint64) *LoadGenerator {
 	return &LoadGenerator{url: url, rate: rate, random: rand.New(rand.NewPCG(seed, 2)), client: &http.Client{Timeout: deadline,
 		Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: time.Second}}}
@@ -93,7 +92,7 @@
 	}
 }
 
-// point draws a refund point by the shares.
+// drawRefundPoint draws a refund point by its share of the traffic.
 func (c *LoadGenerator) drawRefundPoint() string {
 	x := c.random.Float64()
 	for _, p := range refundPoints {
@@ -104,6 +103,7 @@
 	return refundPoints[0].name
 }
 
+// admitRequest counts a request and reports whether it may be sent.
 func (c *LoadGenerator) admitRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,6 +116,7 @@
 	return true
 }
 
+// send sends a request and counts its result.
 func (c *LoadGenerator) send(r *http.Request) {
 	began := time.Now()
 	resp, err := c.client.Do(r)
@@ -143,7 +144,7 @@
 	}
 }
 
-// Stats returns what the clients have seen so far.
+// Stats returns a copy of the counts so far. It is safe for concurrent use.
 func (c *LoadGenerator) Stats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scenario/quickstart.go
+++ b/internal/scenario/quickstart.go
@@ -15,20 +15,21 @@
 	"appleledge/internal/harness/loopback"
 )
 
-// Quickstart is a small installation to look at.
+// Quickstart runs a small fleet, one agent and clients for a while.
 type Quickstart struct {
 	Servers        int
 	Rate           float64 // requests a second
 	Duration       time.Duration
 	Seed           uint64
 	Out            io.Writer
-	IsTerminal     bool   // Out is a terminal: progress is shown on one line that changes
-	OperatorSocket string // of operators, who can plan and apply configurations there; empty: there is none
-	StateFile      string // keeps their configuration; empty: nothing does
+	IsTerminal     bool   // Out is a terminal: progress is shown on one line, rewritten each second
+	OperatorSocket string // path of the operators' Unix socket, to plan and apply configurations; empty: none
+	StateFile      string // file that stores the configuration in force; empty: none
 
-	OperatorAddr string // where operators call; empty: nowhere
+	OperatorAddr string // address of the operators' HTTP server; empty: none
 }
 
+// configFileName is the name of the agent's configuration in its directory.
 const configFileName = "config.json" // of the agent's configuration, in a folder of its own
 
 // agentStartTimeout is how long the agent may take until it is ready.
@@ -75,7 +76,7 @@
 	return t, nil
 }
 
-// agent starts a real agent in front of the fleet and waits until it is ready.
+// startAgent starts an agent in this process and waits until it is ready. stop ends it; ended then receives its error.
 func (q Quickstart) startAgent(fleet *Fleet, dir string) (addr string, ended <-chan error, stop context.CancelFunc, err error) {
 	place, err := loopback.Hold()
 	if err != nil {
@@ -128,7 +129,7 @@
 	}
 }
 
-// extras are what the agent has beside what the platform wants.
+// features returns the agent's optional features.
 func (q Quickstart) features() (with agent.Features) {
 	if q.OperatorSocket != "" {
 		with.Generations = &agent.GenerationOptions{Socket: q.OperatorSocket, StateFile: q.StateFile}
@@ -136,7 +137,7 @@
 	return with
 }
 
-// watch shows how the clients do, once a second, until they are done.
+// showProgress prints the clients' counts once a second until they are done.
 func (q Quickstart) showProgress(c *LoadGenerator, done <-chan struct{}) {
 	began := time.Now()
 	tick := time.NewTicker(time.Second)
@@ -161,7 +162,7 @@
 	}
 }
 
-// report sums up what ran.
+// writeReport prints the totals.
 func (q Quickstart) writeReport(f *Fleet, t ClientStats) {
 	share := func(n int) float64 { return 100 * float64(n) / float64(max(1, t.Offered)) }
 	fmt.Fprintf(q.Out, "\n%d requests: %.2f%% served, %.2f%% within %v; %d refused, %d failed, %d with no answer\n", t.Offered,
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -17,7 +17,7 @@
 	"appleledge/internal/settings"
 )
 
-// Script is a day to rehearse: a fleet, its clients, what goes wrong, and what must hold.
+// Script is a scenario: a fleet, its clients, the events, and the assertions on the result.
 type Script struct {
 	Duration   Span         `toml:"length"`
 	Fleet      FleetSize    `toml:"fleet"`
@@ -27,89 +27,67 @@
 	Assertions []Assertion  `toml:"assert"`
 }
 
-// FleetSize is the size of an installation.
+// FleetSize is the number of servers and agents.
 type FleetSize struct {
 	Servers int `toml:"servers"`
 	Agents  int `toml:"agents"`
 }
 
-// ClientLoad is what clients send.
+// ClientLoad is the traffic of the clients.
 type ClientLoad struct {
 	Rate            float64 `toml:"rate"`  // requests a second, of all
-	Retry           bool    `toml:"retry"` // a refused request is tried again
-	MaxAttempts     int     `toml:"tries"` // so often in all, at the most
-	HonorRetryAfter bool    `toml:"heed"`  // after the time that the refusal names; else after a wait of their own
-	MarkRetries     bool    `toml:"mark"`  // tries after the first say so (X-Retried)
-	Backoff         Span    `toml:"wait"`  // that wait, drawn each time
-	DistinctForms   int     `toml:"forms"` // distinct ones; a few are far more popular than the rest
+	Retry           bool    `toml:"retry"` // rejected requests are retried
+	MaxAttempts     int     `toml:"tries"` // including the first
+	HonorRetryAfter bool    `toml:"heed"`  // retry after Retry-After; else after the client's own backoff
+	MarkRetries     bool    `toml:"mark"`  // retries carry X-Retried
+	Backoff         Span    `toml:"wait"`  // the client's own, drawn for each retry
+	DistinctForms   int     `toml:"forms"` // number of distinct route keys
 }
 
-// AgentOptions is what the agents' own settings switch on.
+// AgentOptions is the optional features of the agents.
 type AgentOptions struct {
-	CoalescedClasses []string `toml:"join"`     // classes of which like requests are answered together
-	Gossip           bool     `toml:"peers"`    // they know each other, and tell what makes others more careful
-	Recovery         bool     `toml:"recovery"` // they keep what they know over a power loss, and come back by it
-	Admission        string   `toml:"door"`     // who says which requests are let in: "storm", "fleet" (all agents together), or in simulated time a rival
+	CoalescedClasses []string `toml:"join"`     // classes whose equal requests are coalesced
+	Gossip           bool     `toml:"peers"`    // agents exchange gossip
+	Recovery         bool     `toml:"recovery"` // agents store a baseline and recover from it after a power loss
+	Admission        string   `toml:"door"`     // admission control: "storm", "fleet" (all agents together), or in simulated time one of admissionvariants
 }
 
-// Event is something that happens. Which of its figures count depends on what it does (see verbs).
+// Event is one event of a script. Its type says which of the other fields apply; see eventTypes.
 type Event struct {
 	Type        string   `toml:"do"`
 	At          Span     `toml:"at"`
 	Duration    Span     `toml:"for"`
 	Period      Span     `toml:"over"`
-	Servers     []string `toml:"servers"` // by name; else
-	MachineKind string   `toml:"kind"`    // of that kind; else
-	ServerShare float64  `toml:"share"`   // so much of the fleet, drawn
-	BatchShare  float64  `toml:"batch"`   // share of the fleet at a time
-	Factor      float64  `toml:"to"`      // what is left, or what it becomes
-	Repeat      int      `toml:"repeat"`  // so often in all
-	Interval    Span     `toml:"every"`   // after that time again
+	Servers     []string `toml:"servers"` // by name; or
+	MachineKind string   `toml:"kind"`    // of a type of machine; or
+	ServerShare float64  `toml:"share"`   // a share of the fleet, drawn
+	BatchShare  float64  `toml:"batch"`   // share of the fleet replaced at a time
+	Factor      float64  `toml:"to"`      // capacity left, share of answers, or multiple of the load
+	Repeat      int      `toml:"repeat"`  // number of times; 0 and 1: once
+	Interval    Span     `toml:"every"`   // between two times
 	Agent       int      `toml:"agent"`   // its number, from 1; or
-	AgentShare  float64  `toml:"agents"`  // so much of all agents, drawn
-	ListDelay   Span     `toml:"list"`    // how much later the server list is back
-	Stagger     Span     `toml:"apart"`   // how much later than the first each part is back, drawn one by one
+	AgentShare  float64  `toml:"agents"`  // a share of them, drawn
+	ListDelay   Span     `toml:"list"`    // by which the endpoint list is back later
+	Stagger     Span     `toml:"apart"`   // by which each part is back later, drawn for each
 }
 
-// Assertion is what must hold: a least service, a recovery, or the most that a server holds. The four rules always must.
+// Assertion is what a run must reach: a least service, a recovery, or the most that a server may hold. The four rules are always
+// checked.
 type Assertion struct {
 	MinService float64 `toml:"service"` // the least service figure
 	From       Span    `toml:"from"`    // of what arrived from then
 	Until      Span    `toml:"until"`   // to then; the whole day where both are left out
 
-	After  string `toml:"after"`  // or from the end of each event that does so
+	After  string `toml:"after"`  // or from the end of each event of this type
 	Within Span   `toml:"within"` // and so much later, over the ten seconds that follow
 
 	MaxOccupancy float64 `toml:"holds"` // the most that a server may hold, as a share of its slots and waiting room
 }
 
-// check says what is wrong with an assertion.
-func (a Assertion) check(s Script) error {
-	switch {
-	case (a.MinService != 0) == (a.MaxOccupancy != 0):
-		return errors.New("an assertion names one of service and holds")
-	case a.MaxOccupancy < 0 || a.MaxOccupancy > 1:
-		return errors.New("holds: a share above 0 and at most 1")
-	case a.MaxOccupancy > 0:
-		return nil
-	case a.MinService < 0 || a.MinService > 1:
-		return errors.New("service: the least figure is above 0 and at most 1")
-	case a.Until.From != 0 && a.Until.From <= a.From.From:
-		return errors.New("until: must be later than from")
-	case a.After == "" && a.Within.To > 0:
-		return errors.New("within: counts from the end of an event, which after names")
-	case a.After != "" && (a.From.To > 0 || a.Until.To > 0):
-		return errors.New("after: stands in place of from and until")
-	case a.After != "" && !slices.ContainsFunc(s.Events, func(e Event) bool { return e.Type == a.After }):
-		return fmt.Errorf("after: the script has no event that does %q", a.After)
-	}
-	return nil
-}
-
-// Span is a time, or a range of times from which one is drawn: "4s" or "4s..6s".
+// Span is a time, or a range of times that one is drawn from: "4s" or "4s..6s".
 type Span struct{ From, To time.Duration }
 
-// UnmarshalText reads a span.
+// UnmarshalText parses a span. Its error is a settings.BadValueError.
 func (s *Span) UnmarshalText(text []byte) error {
 	from, to, isRange := strings.Cut(string(text), "..")
 	var err error
@@ -124,21 +102,22 @@
 	return nil
 }
 
+// draw draws a time from the span. It takes one random number, also where the span is a single time.
 func (s Span) draw(random *rand.Rand) time.Duration {
 	return s.From + time.Duration(random.Float64()*float64(s.To-s.From))
 }
 
-// verb says which figures an event needs.
+// eventType says which settings an event of the type needs.
 type eventType struct {
 	selectsServers, needsDuration, needsFactor, needsPeriod, needsBatchShare, selectsAgent bool
 	selectsByShare                                                                         bool // servers, agents or both, by share
 	description                                                                            string
 }
 
-// loads reports whether the verb is about what clients send: `to` is a multiple then, else a share.
+// changesLoad reports whether the factor is a multiple of the clients' load; else it is a share from 0 to 1.
 func (v eventType) changesLoad() bool { return v.needsFactor && !v.selectsServers }
 
-// verbs are all that a script can make happen.
+// eventTypes are the types by their names in scripts.
 var eventTypes = map[string]eventType{
 	"hang":           {selectsServers: true, needsDuration: true, description: "accepts requests and answers none"},
 	"pause":          {selectsServers: true, needsDuration: true, description: "stops, and goes on where it was"},
@@ -168,11 +147,11 @@
 	maxRate           = 100000
 	maxForms          = 1 << 20
 	maxClientAttempts = 20
-	idempotentClass   = "form-check" // the one that may be repeated at will
+	idempotentClass   = "form-check" // requests may be sent again at any time
 )
 
-// wait is how long a client waits of its own before it tries again. One time is no draw, so that such a day's other draws
-// are the same whoever tries again.
+// drawBackoff returns the client's own backoff. A single time takes no random number, so that the draws that follow don't depend
+// on who retries.
 func (l ClientLoad) drawBackoff(random *rand.Rand) time.Duration {
 	if l.Backoff.From == l.Backoff.To {
 		return l.Backoff.From
@@ -180,13 +159,9 @@
 	return l.Backoff.draw(random)
 }
 
-// again reports whether a request that was refused is tried again, after so many tries.
+// allowsRetry reports whether a rejected request is sent again after so many attempts.
 func (l ClientLoad) allowsRetry(tries int) bool { return l.Retry && tries < l.MaxAttempts }
 
-func (a AgentOptions) check() bool {
-	return !slices.ContainsFunc(a.CoalescedClasses, func(name string) bool { return name != idempotentClass })
-}
-
 // LoadScript reads and checks a script. Errors name the file and the line.
 func LoadScript(path string) (Script, error) {
 	text, err := os.ReadFile(path)
@@ -250,68 +225,5 @@
 	return "", 0, nil
 }
 
-func (e Event) check(s Script) error {
-	v, known := eventTypes[e.Type]
-	if !known {
-		return fmt.Errorf("do: %q is no event; there are %s", e.Type, strings.Join(eventTypeNames(), ", "))
-	}
-	chosen := 0
-	for _, is := range []bool{len(e.Servers) > 0, e.MachineKind != "", e.ServerShare > 0} {
-		if is {
-			chosen++
-		}
-	}
-	switch {
-	case e.At.From >= s.Duration.To:
-		return fmt.Errorf("at: %v is after the day's end", e.At.From)
-	case v.selectsByShare && (len(e.Servers) > 0 || e.MachineKind != "" || e.ServerShare == 0 && e.AgentShare == 0):
-		return fmt.Errorf("%s: say how much of the servers by share, of the agents by agents, or both", e.Type)
-	case !v.selectsByShare && (e.ListDelay.To > 0 || e.Stagger.To > 0):
-		return fmt.Errorf("list, apart: %s has none", e.Type)
-	case v.selectsServers && chosen != 1:
-		return fmt.Errorf("%s: say which by one of servers, kind and share", e.Type)
-	case !v.selectsServers && !v.selectsByShare && chosen != 0:
-		return fmt.Errorf("%s: concerns no servers", e.Type)
-	case e.ServerShare < 0 || e.ServerShare > 1:
-		return errors.New("share: from 0 to 1")
-	case e.MachineKind != "" && !isMachineKind(e.MachineKind):
-		return fmt.Errorf("kind: %q is none of twin-core and quad-core", e.MachineKind)
-	case v.needsDuration != (e.Duration.To > 0):
-		return fmt.Errorf("for: %s", requirement(v.needsDuration, e.Type))
-	case v.needsPeriod != (e.Period.To > 0):
-		return fmt.Errorf("over: %s", requirement(v.needsPeriod, e.Type))
-	case v.needsBatchShare != (e.BatchShare > 0) || e.BatchShare > 1:
-		return fmt.Errorf("batch: %s, from 0 to 1", requirement(v.needsBatchShare, e.Type))
-	case v.needsFactor != (e.Factor > 0):
-		return fmt.Errorf("to: %s", requirement(v.needsFactor, e.Type))
-	case v.needsFactor && !v.changesLoad() && e.Factor > 1:
-		return errors.New("to: a share, at most 1")
-	case !v.selectsByShare && v.selectsAgent != (e.Agent > 0 || e.AgentShare > 0) || e.Agent > s.Fleet.Agents:
-		return fmt.Errorf("agent: %s, or agents, a share; there are %d", requirement(v.selectsAgent, e.Type), s.Fleet.Agents)
-	case e.AgentShare < 0 || e.AgentShare > 1 || e.Agent > 0 && e.AgentShare > 0:
-		return errors.New("agents: a share from 0 to 1, in place of agent")
-	case e.Repeat > 1 && e.Interval.From <= 0:
-		return errors.New("every: what is repeated needs the time after which")
-	case e.Repeat < 0 || e.Repeat > maxEvents:
-		return fmt.Errorf("repeat: from 0 to %d", maxEvents)
-	}
-	return nil
-}
-
-func requirement(it bool, do string) string {
-	if it {
-		return do + " needs it"
-	}
-	return do + " has none"
-}
-
-func isMachineKind(name string) bool {
-	for _, k := range machineKinds {
-		if k.name == name {
-			return true
-		}
-	}
-	return false
-}
-
+// eventTypeNames returns the names of all event types, sorted.
 func eventTypeNames() []string { return slices.Sorted(maps.Keys(eventTypes)) }
--- a/internal/scenario/sim_overload.go
+++ b/internal/scenario/sim_overload.go
@@ -1,7 +1,6 @@
 package scenario
 
 import (
-	"slices"
 	"time"
 
 	"appleledge/internal/admission"
@@ -10,18 +9,19 @@
 	"appleledge/internal/fleet/overload"
 )
 
-// fleetAdmission is the door by which all agents handle overload together.
+// fleetAdmission is the setting by which all agents handle overload together.
 const fleetAdmission = "fleet"
 
-// omniscientAdmission is what no agent can have: one door that sees all that all agents see, at once. It is the measure for the fleet's.
+// omniscientAdmission is the setting of one admission controller that sees the requests of all agents at once. No real agent can
+// have it; the fleet's is compared with it.
 const omniscientAdmission = "knowing"
 
-// payloadInterval is between two looks whether there is something to tell, as agents on sockets have it.
+// payloadInterval is how often an agent looks for a payload to send, as the agents on sockets do.
 const payloadInterval = 50 * time.Millisecond
 
-// share gives the agent its part of what the fleet decides.
+// startOverloadControl gives the agent its part of the fleet's overload control.
 func (a *simAgent) startOverloadControl(set balancer.Settings) {
-	w, life, core := a.w, a.incarnation, a.gossip
+	w, life, core := a.sim, a.incarnation, a.gossip
 	seed := uint64(a.number*1000 + a.incarnation)
 	alone := admissionOptions(set, seed)
 	d := overload.New(overload.Options{Self: a.number, Agents: w.script.Fleet.Agents, Classes: alone.Classes, TenantQuotas: set.Quotas, MaxRetryAfter: set.MaxRetryAfter,
@@ -51,16 +51,3 @@
 	}
 	w.scheduleAfter(time.Duration(w.networkRandom.Int64N(int64(payloadInterval))), tell)
 }
-
-// lives tells which agents live, when that has changed.
-func (a *simAgent) updateLiveness(core *gossip.Core) {
-	alive := make([]bool, a.w.script.Fleet.Agents)
-	for i := range alive {
-		s := core.State(i)
-		alive[i] = s == gossip.Alive || s == gossip.Suspect
-	}
-	if !slices.Equal(alive, a.alive) {
-		a.alive = alive
-		a.overload.HandleLiveness(alive)
-	}
-}
--- a/internal/scenario/sim_overload_test.go
+++ b/internal/scenario/sim_overload_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w = newWorld(s, 1)
+	w = newSimulation(s, 1)
 	if mute != nil {
 		w.dropMessage = func(m gossip.Message) bool { return mute(w, m) }
 	}
--- a/internal/scenario/sim_recovery.go
+++ b/internal/scenario/sim_recovery.go
@@ -6,78 +6,25 @@
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/engine"
-	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/recovery"
 )
 
-// disk is what a simulated agent keeps, as it was written last.
+// diskState is what a simulated agent has stored.
 type diskState struct {
 	baseline  recovery.Baseline
 	members   []engine.Member
 	powerLost bool // the machine has lost power since
 }
 
-// peerPollTime is for how long others are asked after a loss of power, as an agent's own settings have it by default.
+// peerPollTime is how long peers are polled after a power loss; the default of an agent's own settings.
 const peerPollTime = 100 * time.Millisecond
 
-// meet gives the agent its place among the others. Their network loses nothing, unless a test spoils it.
-func (a *simAgent) startGossip() {
-	w, life := a.w, a.incarnation
-	core := gossip.New(gossip.Options{Self: a.number, Agents: w.script.Fleet.Agents, Seed: uint64(a.number*1000 + life)})
-	a.gossip = core
-	a.engine.SetGossip(func() bool { return a.hasList }, func(f gossip.Observation) { core.Broadcast(w.now, f) })
-	core.Start(w.now)
-	a.scheduleGossip(core, time.Duration(1<<62))
-}
-
-// look plans the next look of an agent at the others, if that is before what is planned already.
-func (a *simAgent) scheduleGossip(core *gossip.Core, planned time.Duration) {
-	w, due := a.w, core.NextTimer()
-	if due >= planned {
-		return
-	}
-	w.schedule(due, func() {
-		if a.gossip == core && a.isUp {
-			a.deliverGossip(core, core.Tick(w.now))
-			a.scheduleGossip(core, time.Duration(1<<62))
-		}
-	})
-}
-
-// pass carries messages to the others, and what was heard to the engine.
-func (a *simAgent) deliverGossip(core *gossip.Core, out []gossip.Message) {
-	w := a.w
-	for _, h := range core.TakeObservations() {
-		a.handle(engine.GossipReceived(h.From, h.Observation))
-	}
-	if a.overload != nil {
-		a.updateLiveness(core)
-	}
-	for _, m := range out {
-		to := w.agents[m.To]
-		life := to.incarnation
-		w.datagrams++
-		if w.dropMessage != nil && w.dropMessage(m) {
-			continue
-		}
-		w.scheduleAfter(w.drawNetworkDelay(), func() {
-			if to.incarnation == life && to.isUp && to.gossip != nil {
-				if m.Kind == gossip.Payload {
-					to.handle(engine.OverloadReported(m.From, m.Payload))
-				}
-				to.deliverGossip(to.gossip, to.gossip.Receive(w.now, m))
-				to.scheduleGossip(to.gossip, w.now+time.Second)
-			}
-		})
-	}
-}
-
-// saveInterval is between two writes of what changes all the time.
+// saveInterval is the time between two writes of the recovery baseline.
 const saveInterval = time.Second
 
-// startRecovery puts a recovery before the agent's engine, by what its disk has.
+// startRecovery puts a recovery controller before the engine, from what is stored.
 func (a *simAgent) startRecovery(set balancer.Settings) {
-	w := a.w
+	w := a.sim
 	o := recovery.Options{Agents: set.Balancers, Self: a.number, ColdCapacityRatio: set.SlowStartInitialRatio, WarmupTime: set.SlowStartDuration, ColdOverloadFactor: set.WarmingOverloadRatio,
 		MaxRetryAfter: set.MaxRetryAfter, Seed: uint64(a.number*1000 + a.incarnation)}
 	for _, c := range set.Classes {
@@ -108,7 +55,7 @@
 	w.scheduleAfter(saveInterval, save)
 }
 
-// restore lets the agent begin with the servers that its disk has. Whether they have started since is not known.
+// restore gives the agent the servers that are stored. After a power loss it isn't known whether they have restarted.
 func (a *simAgent) restore() {
 	if a.recovery == nil || len(a.disk.members) == 0 {
 		return
@@ -125,7 +72,7 @@
 	a.handle(l)
 }
 
-// save writes what the agent knows.
+// save stores what the agent knows.
 func (a *simAgent) save() {
 	if a.recovery == nil {
 		return
@@ -136,7 +83,7 @@
 	}
 	a.disk.members = a.disk.members[:0]
 	for id, k := range a.knownServers {
-		if s := a.w.serversByID[id]; s != nil && k.state != balancer.Removed {
+		if s := a.sim.serversByID[id]; s != nil && k.state != balancer.Removed {
 			m := s.asMember()
 			m.State, m.Started = k.state, k.started
 			a.disk.members = append(a.disk.members, m)
@@ -149,13 +96,3 @@
 		return 1
 	})
 }
-
-// barred reports whether an attempt must not go out to a server, as httpcarrier has it: a repeat goes only over a connection from
-// before. The agent keeps one to each life of a server that it has met.
-func (a *simAgent) isForbidden(at *engine.Attempt) bool {
-	since, met := a.firstConnected[at.Incarnation]
-	if !met {
-		a.firstConnected[at.Incarnation] = a.w.now
-	}
-	return at.Forbidden || at.ConnectedSince != 0 && (!met || since > at.ConnectedSince)
-}
--- a/internal/scenario/sim_request.go
+++ b/internal/scenario/sim_request.go
@@ -2,52 +2,31 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"time"
 
 	"appleledge/internal/balancer"
 	"appleledge/internal/coalesce"
-	"appleledge/internal/emulator"
 	"appleledge/internal/engine"
 )
 
-// simRequest is a client's request with all its tries.
+// simRequest is a client's request with all its attempts.
 type simRequest struct {
 	requestRecord
-	w            *simulation
+	sim          *simulation
 	route        string
 	id           string
 	agent        *simAgent
-	answers      int  // final answers of the try under way
-	isBackingOff bool // to come back
+	answers      int  // final answers to the current attempt
+	isBackingOff bool // before a retry
 }
 
-// asked is a request as the report counts it.
-type requestRecord struct {
-	class, tenant  int
-	idempotencyKey string // by which repeats are told; empty for the class that may be repeated
-	arrived        time.Duration
-	attempts       int
-	result         requestResult
-	latency        time.Duration // from the first try to the end
-}
-
-// end is how a request ended for its client.
-type requestResult int
-
-const (
-	pending requestResult = iota
-	served
-	rejected
-	failed
-	unanswered // no answer before the deadline
-)
-
-// send makes a try of a request at its agent.
+// send sends an attempt of a request to its agent.
 func (w *simulation) send(r *simRequest) {
 	r.attempts++
 	r.answers = 0
 	began := w.now
-	if !r.agent.isUp && r.idempotencyKey == "" && r.attempts == 1 && w.script.Clients.Retry { // as on sockets: nobody has taken it
+	if !r.agent.isUp && r.idempotencyKey == "" && r.attempts == 1 && w.script.Clients.Retry { // connection refused: no server can have run it
 		r.isBackingOff = true
 		w.scheduleAfter(clientRetryDelay, func() { r.isBackingOff = false; w.send(r) })
 		return
@@ -65,7 +44,7 @@
 	if r.idempotencyKey != "" {
 		call.Effect, call.IdempotencyWindow = balancer.IdempotentByKey, dedupWindow
 	}
-	answered := &simResponder{r: r, try: r.attempts, life: r.agent.incarnation}
+	answered := &simResponder{request: r, try: r.attempts, life: r.agent.incarnation}
 	call.Responder = answered
 	life := r.agent.incarnation
 	w.schedule(began+deadline, func() {
@@ -79,16 +58,16 @@
 	r.agent.handle(engine.CallArrived(call))
 }
 
-// answered takes the final answer of one try.
+// simResponder receives the final answer of one attempt.
 type simResponder struct {
-	r    *simRequest
-	try  int
-	life int
+	request *simRequest
+	try     int
+	life    int
 }
 
-// Answer is of engine.Responder.
+// Answer implements engine.Responder.
 func (a *simResponder) Answer(ans engine.Answer) {
-	r, w := a.r, a.r.w
+	r, w := a.request, a.request.sim
 	if w.dropAnswer != nil && w.dropAnswer(r) {
 		return
 	}
@@ -109,7 +88,7 @@
 	}
 }
 
-// refuse lets a client come back, or give up.
+// handleRejection schedules a client's retry, or ends the request.
 func (w *simulation) handleRejection(r *simRequest, ans engine.Answer) {
 	if !w.script.Clients.allowsRetry(r.attempts) {
 		r.result, r.latency = rejected, w.now-r.arrived
@@ -123,92 +102,30 @@
 	w.scheduleAfter(wait, func() { r.isBackingOff = false; w.send(r) })
 }
 
-// Start is of engine.AsyncTransport: an attempt on its way over the simulated network.
-func (a *simAgent) Start(at *engine.Attempt) {
-	w := a.w
-	s, _ := at.Incarnation.(*simServer)
-	if w.redirectAttempt != nil {
-		s = w.redirectAttempt(a, at, s)
-	}
-	life := a.incarnation
-	ended := func(result balancer.Result, report balancer.Report) {
-		if a.incarnation == life {
-			a.handle(engine.Outcome{Attempt: at, Result: result, Report: report})
+// scheduleArrivals sends a request now and schedules the ones that follow until end.
+func (w *simulation) scheduleArrivals(end time.Duration) {
+	clients := rand.New(rand.NewPCG(w.random.Uint64(), 3))
+	zipf := rand.NewZipf(clients, 1.2, 8, uint64(w.script.Clients.DistinctForms-1))
+	weights := cumulativeWeights(len(w.agents), clients)
+	var one func()
+	one = func() {
+		if w.now >= end {
+			return
 		}
+		w.sendNewRequest(clients, zipf, weights)
+		w.scheduleAfter(time.Duration(clients.ExpFloat64()/(w.script.Clients.Rate*w.loadFactor)*float64(time.Second)), one)
 	}
-	if s == nil || a.knownServers[s.id].state == balancer.Removed || a.isForbidden(at) {
-		w.scheduleAfter(0, func() { ended(balancer.NotSent, balancer.NoReport) })
-		return
-	}
-	if told, is := a.drainToldAt[s.id]; is && w.now-told > drainGrace && w.serversByID[s.id] == s {
-		w.addViolation("3", "agent %d sent to %s, %v after it was told that it drains", a.number, s.id, w.now-told)
-	}
-	timedOut := false
-	w.schedule(at.Deadline, func() { timedOut = true; ended(balancer.TimedOut, balancer.NoReport) })
-	if s.faults.partitioned > 0 {
-		w.scheduleAfter(min(connectTimeout, at.Deadline-w.now), func() {
-			if !timedOut {
-				ended(balancer.ConnectFailed, balancer.NoReport)
-			}
-		})
-		return
-	}
-	w.scheduleAfter(w.drawNetworkDelay(), func() { s.handleAttempt(at, &timedOut, ended) })
-}
-
-// take is a request's arrival at a server.
-func (s *simServer) handleAttempt(at *engine.Attempt, timedOut *bool, ended func(balancer.Result, balancer.Report)) {
-	w, r := s.w, at.Call.Payload.(*simRequest)
-	s.advance()
-	reply := func(result balancer.Result, report balancer.Report) {
-		w.scheduleAfter(w.drawNetworkDelay(), func() {
-			if !*timedOut {
-				ended(result, report)
-			}
-		})
-	}
-	s.lastRequestID++
-	w.arrivals++
-	work, wait := classes[r.class].Draw(0, at.Call.ID)
-	verdict := s.model.Arrive(w.now, emulator.Request{ID: s.lastRequestID, Class: classes[r.class].Name, Key: r.idempotencyKey, RouteKey: r.route,
-		Work: work, Wait: wait}, w.arrivals)
-	switch verdict {
-	case emulator.Down:
-		if s.model.Toppled() && !s.collapseReported {
-			s.collapseReported = true
-			w.addViolation("4", "the cold server %s was pushed over", s.id)
-		}
-		reply(balancer.ConnectFailed, balancer.NoReport)
-		return
-	case emulator.Full:
-		reply(balancer.Rejected, s.loadReport())
-		return
-	}
-	s.peak = max(s.peak, s.model.Held())
-	if s.model.Faults().Hung { // nothing will ever be heard of it
-		return
-	}
-	s.pendingAttempts[s.lastRequestID] = pendingAttempt{onReset: func() { reply(balancer.Reset, balancer.NoReport) }, onDone: func(d emulator.Done) {
-		switch {
-		case s.faults.partitioned > 0: // the answer does not get out
-		case w.networkRandom.Float64() < probabilityOfAny(s.faults.reset):
-			reply(balancer.Reset, balancer.NoReport)
-		case w.networkRandom.Float64() < probabilityOfAny(s.faults.corrupt): // nor is there a report that could be read
-			reply(balancer.Failed, balancer.NoReport)
-		case d.Failed:
-			reply(balancer.Failed, s.loadReport())
-		default:
-			s.served++
-			reply(balancer.OK, s.loadReport())
-		}
-	}}
-	s.advance()
+	one()
 }
 
-// report is the load that an answer shows.
-func (s *simServer) loadReport() balancer.Report {
-	l := s.model.Report(s.w.now)
-	r := balancer.NoReport
-	r.Utilization, r.ServedRate, r.ErrorRate = l.Util, l.Rate, l.Errors
-	return r
+// sendNewRequest draws a request and sends it.
+func (w *simulation) sendNewRequest(random *rand.Rand, zipf *rand.Zipf, weights []float64) {
+	d := drawRequest(random, weights)
+	r := &simRequest{requestRecord: d.requestRecord, sim: w, agent: w.agents[d.agent], id: fmt.Sprint("r", len(w.requests)),
+		route: fmt.Sprint("form-", zipf.Uint64())}
+	if r.arrived = w.now; r.class == 1 {
+		r.idempotencyKey = "refund-" + r.id
+	}
+	w.requests = append(w.requests, r)
+	w.send(r)
 }
--- a/internal/scenario/simulation_test.go
+++ b/internal/scenario/simulation_test.go
@@ -124,7 +124,7 @@
 			}
 		}},
 	} {
-		w := newWorld(script(t, busyDay), 7)
+		w := newSimulation(script(t, busyDay), 7)
 		c.spoil(w)
 		w.play()
 		if !strings.Contains(strings.Join(w.report.Violations, "\n"), c.rule) {
@@ -237,7 +237,7 @@
 
 // A hang ends when the last event that holds it does.
 func TestOverlappingHangs(t *testing.T) {
-	w := newWorld(script(t, "length = \"2s\"\n"), 1)
+	w := newSimulation(script(t, "length = \"2s\"\n"), 1)
 	s := w.addServer("s", machineKinds[0], 0, true)
 	for _, until := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		w.schedule(until, func() {})
