--- a/internal/harness/overhead/measure.go
+++ b/internal/harness/overhead/overhead.go
@@ -1,5 +1,5 @@
-// Package overhead puts an agent's own program under load on loopback and says what a request costs it, beside a plain
-// reverse proxy of the standard library (net/http/httputil.ReverseProxy) in the same place.
+// Package overhead measures what a request costs an agent's process under load on loopback, compared with a plain reverse
+// proxy of the standard library (net/http/httputil.ReverseProxy) in its place. CPU and memory are read from /proc.
 package overhead
 
 import (
@@ -28,37 +28,37 @@
 	"appleledge/internal/harness/loopback"
 )
 
-// Options say what is measured.
+// Options is the load of a measurement.
 type Options struct {
-	Connections int           // clients, each with a request at a time
-	For         time.Duration // after as long again, at most two seconds, in which nothing counts
-	Busy        time.Duration // that a server takes for an answer
-	Rate        int           // requests a second of all clients; 0: each as soon as the last is answered
+	Connections int           // number of clients, each with one request in flight
+	Duration    time.Duration // measured time; a warm-up as long, at most 2 s, comes before it
+	ServiceTime time.Duration // a server's time to answer
+	Rate        int           // requests a second of all clients; 0: each sends as soon as its last is answered
 }
 
-// Result is what came of it.
+// Result is what a measurement found.
 type Result struct {
-	Name     string
-	Servers  int
-	Requests int64         // that were served within the time that counts
-	Failed   int64         // that were not
-	Rate     float64       // served a second
-	CPU      time.Duration // of the program, a request
-	Median   time.Duration
-	P99      time.Duration
-	MemoryMB float64 // resident, at the end
+	Name            string
+	Servers         int
+	Requests        int64 // served in the measured time
+	Failed          int64 // not served
+	ServedPerSecond float64
+	CPUPerRequest   time.Duration // of the process, user and system
+	Median          time.Duration
+	P99             time.Duration
+	MemoryMB        float64 // resident set in MiB, at the end
 }
 
-// target is a program under measurement.
+// target is a process to be measured.
 type target struct {
 	name string
 	addr string
 	cmd  *exec.Cmd
 }
 
-// Agent measures an agent with so many servers. The program's path is that of appleledge.
-func Agent(ctx context.Context, program string, servers int, o Options) (Result, error) {
-	fleet, backends, err := open(servers, o)
+// MeasureAgent measures an agent with the number of servers. program is the path of the appleledge binary.
+func MeasureAgent(ctx context.Context, program string, servers int, o Options) (Result, error) {
+	fleet, backends, err := startBackends(servers, o)
 	if err != nil {
 		return Result{}, err
 	}
@@ -88,12 +88,13 @@
 	}
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+config)
-	return run(ctx, target{"agent", addr, cmd}, servers, o)
+	return measure(ctx, target{"agent", addr, cmd}, servers, o)
 }
 
-// Proxy measures the reverse proxy: this program itself, called with the words that Serve understands.
-func Proxy(ctx context.Context, words []string, servers int, o Options) (Result, error) {
-	fleet, backends, err := open(servers, o)
+// MeasureProxy measures the reverse proxy. It starts the running program again with args and the address to listen on; that
+// command has to call ServeProxy with the servers that its standard input names, one a line.
+func MeasureProxy(ctx context.Context, args []string, servers int, o Options) (Result, error) {
+	fleet, backends, err := startBackends(servers, o)
 	if err != nil {
 		return Result{}, err
 	}
@@ -112,14 +113,14 @@
 	for _, s := range fleet.Servers() {
 		to = append(to, net.JoinHostPort(s.Host, strconv.Itoa(s.Port)))
 	}
-	cmd := exec.CommandContext(ctx, self, append(words, addr)...)
+	cmd := exec.CommandContext(ctx, self, append(args, addr)...)
 	cmd.Stdin = strings.NewReader(strings.Join(to, "\n"))
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1") // as an agent of one core
-	return run(ctx, target{"reverse proxy", addr, cmd}, servers, o)
+	return measure(ctx, target{"reverse proxy", addr, cmd}, servers, o)
 }
 
-// Serve is a reverse proxy that sends each request to any of the servers, until the context ends.
-func Serve(ctx context.Context, addr string, servers []string) error {
+// ServeProxy runs a reverse proxy that sends each request to a random server, until the context ends.
+func ServeProxy(ctx context.Context, addr string, servers []string) error {
 	if len(servers) == 0 {
 		return errors.New("no servers")
 	}
@@ -140,8 +141,9 @@
 	return nil
 }
 
-func open(servers int, o Options) (*fleetgen.Fleet, *fleetgen.Backends, error) {
-	b := &fleetgen.Backends{Busy: o.Busy}
+// startBackends starts servers on loopback. The caller closes the backends.
+func startBackends(servers int, o Options) (*fleetgen.Fleet, *fleetgen.Backends, error) {
+	b := &fleetgen.Backends{Busy: o.ServiceTime}
 	spec := fleetgen.Default().Fleet
 	spec.Servers, spec.Spread = servers, 1
 	f := fleetgen.New(spec, b.Place)
@@ -154,7 +156,7 @@
 	return f, b, nil
 }
 
-// configuration is the platform's, of an agent of one core that is the only one of its tier.
+// configuration returns the platform's configuration file of the only agent of a tier, with one core.
 func configuration(listen, discovery string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1.0,"memory_mb":512,"sockets":8192},
  "settings":{"Balancers":1,"Me":0,"TickNs":1000000,"WeightKind":"Silent","Discovery":"automatic",
@@ -164,8 +166,8 @@
  "Tenants":[{"Name":"glasgow-airport","Portion":1}],"OverShareWorth":0.1,"Zones":["edinburgh-dc"]}}`, listen, discovery)
 }
 
-// run starts a program, loads it and ends it.
-func run(ctx context.Context, t target, servers int, o Options) (r Result, err error) {
+// measure starts the process, warms it up, measures it under load and ends it.
+func measure(ctx context.Context, t target, servers int, o Options) (r Result, err error) {
 	var log strings.Builder
 	t.cmd.Stderr = &log
 	if err := t.cmd.Start(); err != nil {
@@ -181,25 +183,26 @@
 		return r, fmt.Errorf("%s: %w: %s", t.name, err, log.String())
 	}
 	r = Result{Name: t.name, Servers: servers}
-	load(ctx, t.addr, o, min(o.For, 2*time.Second))
-	before, err := cpu(t.cmd.Process.Pid)
+	generateLoad(ctx, t.addr, o, min(o.Duration, 2*time.Second))
+	before, err := processCPUTime(t.cmd.Process.Pid)
 	if err != nil {
 		return r, err
 	}
-	h, failed := load(ctx, t.addr, o, o.For)
-	after, err := cpu(t.cmd.Process.Pid)
+	h, failed := generateLoad(ctx, t.addr, o, o.Duration)
+	after, err := processCPUTime(t.cmd.Process.Pid)
 	if err != nil {
 		return r, err
 	}
-	r.MemoryMB = resident(t.cmd.Process.Pid)
+	r.MemoryMB = residentMemoryMB(t.cmd.Process.Pid)
 	if r.Requests, r.Failed = h.TotalCount(), failed; r.Requests == 0 {
 		return r, fmt.Errorf("%s: nothing was served: %s", t.name, log.String())
 	}
-	r.Rate, r.CPU = float64(r.Requests)/o.For.Seconds(), (after-before)/time.Duration(r.Requests+r.Failed)
+	r.ServedPerSecond, r.CPUPerRequest = float64(r.Requests)/o.Duration.Seconds(), (after-before)/time.Duration(r.Requests+r.Failed)
 	r.Median, r.P99 = time.Duration(h.ValueAtQuantile(50))*time.Microsecond, time.Duration(h.ValueAtQuantile(99))*time.Microsecond
 	return r, ctx.Err()
 }
 
+// waitReady polls the address until it is ready, for at most 20 s.
 func waitReady(ctx context.Context, addr string) error {
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + addr + "/ready"); err == nil {
@@ -211,9 +214,9 @@
 	return errors.New("it was not ready in 20 s")
 }
 
-// load asks for so long. The histogram is in microseconds, from when a request was due: what waits for a slow answer
-// counts with it where there is a rate.
-func load(ctx context.Context, addr string, o Options, length time.Duration) (*hdrhistogram.Histogram, int64) {
+// generateLoad sends requests for the given time and returns the latencies of those served, in microseconds, and the number of
+// those that failed. With a rate, a latency counts from when the request was due, so that waiting for a slow answer counts.
+func generateLoad(ctx context.Context, addr string, o Options, length time.Duration) (*hdrhistogram.Histogram, int64) {
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: o.Connections, MaxConnsPerHost: o.Connections}}
 	defer client.CloseIdleConnections()
 	ctx, stop := context.WithTimeout(ctx, length)
@@ -235,7 +238,7 @@
 					due = began.Add(each * time.Duration(n))
 					time.Sleep(time.Until(due))
 				}
-				if ok := ask(ctx, client, addr, fmt.Sprintf("%d-%d-%d", began.UnixNano(), c, n)); ok {
+				if ok := sendRequest(ctx, client, addr, fmt.Sprintf("%d-%d-%d", began.UnixNano(), c, n)); ok {
 					besteffort.Ignore(own.RecordValue(max(1, time.Since(due).Microseconds())))
 				} else if ctx.Err() == nil {
 					lost++
@@ -251,7 +254,8 @@
 	return all, failed
 }
 
-func ask(ctx context.Context, client *http.Client, addr, id string) bool {
+// sendRequest sends one request and reports whether it was served.
+func sendRequest(ctx context.Context, client *http.Client, addr, id string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/form-check", nil)
 	if err != nil {
 		return false
@@ -268,11 +272,11 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// ticks a second, in which the kernel counts the time of processes (proc(5)).
-const ticks = 100
+// clockTicksPerSecond is the unit in which the kernel counts CPU time (proc(5)).
+const clockTicksPerSecond = 100
 
-// cpu is the time that a process has used.
-func cpu(pid int) (time.Duration, error) {
+// processCPUTime returns the CPU time that a process has used.
+func processCPUTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
@@ -286,11 +290,11 @@
 		return 0, err
 	}
 	system, err := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * time.Second / ticks, err
+	return time.Duration(user+system) * time.Second / clockTicksPerSecond, err
 }
 
-// resident is a process's memory in megabytes; 0 where it is not told.
-func resident(pid int) float64 {
+// residentMemoryMB returns a process's resident set in MiB, or 0 if it can't be read.
+func residentMemoryMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
