--- a/cmd/appleledge/versions_test.go
+++ b/cmd/appleledge/versions_test.go
@@ -40,6 +40,16 @@
 	return resp.StatusCode
 }
 
+// firstNumber returns the number that the expression captures in the text; 0 without a match.
+func firstNumber(expression *regexp.Regexp, text string) int {
+	found := expression.FindStringSubmatch(text)
+	if found == nil {
+		return 0
+	}
+	n, _ := strconv.Atoi(found[1])
+	return n
+}
+
 // What a killed process leaves in its folders is read by the next one: the generation in force, the denylist in the snapshot and the
 // binding log. With APPLELEDGE_OTHER_BINARY the two are of different versions.
 func TestStateOfAKilledProcessIsRead(t *testing.T) {
@@ -100,10 +110,7 @@
 		if after := inForce(); after.Number != before.Number || after.Hash != before.Hash {
 			t.Errorf("round %d: generation %d %s became %d %s", round, before.Number, before.Hash, after.Number, after.Hash)
 		}
-		kept := 0
-		if found := bound.FindStringSubmatch(v.log.String()); found != nil {
-			kept, _ = strconv.Atoi(found[1])
-		}
+		kept := firstNumber(bound, v.log.String())
 		if kept < wanted {
 			t.Errorf("round %d: %d of %d bindings are read:\n%s", round, kept, wanted, v.log)
 		}
