--- a/internal/settings/affinity.go
+++ b/internal/settings/affinity.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Affinity is the section [affinity]: it is remembered where keyed requests went, so that repeats go to the same pod.
+// Affinity is the section [affinity]: sticky bindings of idempotency keys to pods, so that retries go to the same pod.
 type Affinity struct {
-	Dir    string   `toml:"dir"`    // folder that keeps it over a restart; empty: nothing does
-	Sync   bool     `toml:"sync"`   // to the disk itself, so that it survives a machine that stops
-	Most   int      `toml:"most"`   // ties
-	Tail   Duration `toml:"tail"`   // for which a tie lasts after its window
-	Budget Duration `toml:"budget"` // for which an attempt waits until its tie is kept
+	Dir    string   `toml:"dir"`    // directory of the log that survives a restart; empty: no log
+	Sync   bool     `toml:"sync"`   // sync the log to disk, so that it survives a loss of power
+	Most   int      `toml:"most"`   // largest number of bindings
+	Tail   Duration `toml:"tail"`   // how long a binding lasts after its idempotency window
+	Budget Duration `toml:"budget"` // how long an attempt waits for its binding to be written
 }
 
-// DefaultAffinity is the section with nothing set.
+// DefaultAffinity returns the section's defaults.
 func DefaultAffinity() Affinity {
 	return Affinity{Most: 16384, Tail: Duration(10 * time.Second), Budget: Duration(2 * time.Millisecond)}
 }
--- a/internal/settings/figures.go
+++ b/internal/settings/figures.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Figures is the section [figures]: what the agent counts, as a line of its log every so often.
+// Figures is the section [figures]: the agent's statistics as a log line at intervals, which package logstats adds up.
 type Figures struct {
 	Every Duration `toml:"every"`
 }
 
-// DefaultFigures is the section with nothing set.
+// DefaultFigures returns the section's defaults.
 func DefaultFigures() Figures { return Figures{Every: Duration(10 * time.Second)} }
 
 func (f *Figures) check() (key string, err error) {
--- a/internal/settings/generations.go
+++ b/internal/settings/generations.go
@@ -5,13 +5,13 @@
 	"path/filepath"
 )
 
-// Generations is the section [generations]: configurations of the fleet that operators plan and apply.
+// Generations is the section [generations]: fleet configurations that operators plan and apply.
 type Generations struct {
-	Socket string `toml:"socket"` // where operators connect: a Unix socket
-	State  string `toml:"state"`  // file that keeps the configuration over a restart; empty: nothing is kept
+	Socket string `toml:"socket"` // path of the Unix socket for operators
+	State  string `toml:"state"`  // file in which the configuration survives a restart; empty: none
 }
 
-// maxSocketPathLength is how long the path of a Unix socket may be (unix(7): sun_path has 108 bytes, with its end).
+// maxSocketPathLength is in bytes (unix(7): sun_path has 108, with the terminating null byte).
 const maxSocketPathLength = 107
 
 func (g *Generations) check() (key string, err error) {
--- a/internal/settings/join.go
+++ b/internal/settings/join.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Whether requests of two tenants may be alike.
+// The values of Join.Tenants: whether requests of different tenants may be coalesced.
 const (
 	TenantsTogether = "together"
 	TenantsApart    = "apart"
 )
 
-// Join is the section [join]: which requests are answered together.
+// Join is the section [join]: request coalescing.
 type Join struct {
-	Classes    []string `toml:"classes"`     // by name; of those that may be repeated at will
+	Classes    []string `toml:"classes"`     // names, of classes of idempotent requests
 	Tenants    string   `toml:"tenants"`     // "together" or "apart"
-	MaxGroups  int      `toml:"max_groups"`  // of like requests, open at a time
-	MaxWaiting int      `toml:"max_waiting"` // requests that wait for the answer to another
-	Pause      Duration `toml:"pause"`       // no joining of a class after an answer for one caller alone
-	LogEvery   Duration `toml:"log_every"`   // between two lines on what was joined
+	MaxGroups  int      `toml:"max_groups"`  // groups of equal requests, open at once
+	MaxWaiting int      `toml:"max_waiting"` // requests that wait for the response to another
+	Pause      Duration `toml:"pause"`       // how long a class isn't coalesced after a private response
+	LogEvery   Duration `toml:"log_every"`   // interval of the log line
 }
 
-// DefaultJoin is the section with no class set.
+// DefaultJoin returns the section's defaults. Classes have none.
 func DefaultJoin() Join {
 	return Join{Tenants: TenantsTogether, MaxGroups: 512, MaxWaiting: 512, Pause: Duration(10 * time.Second),
 		LogEvery: Duration(time.Minute)}
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Names of the sources of members.
+// The values of Membership.Sources.
 const (
 	SourcePlatform = "platform"
 	SourceXDS      = "xds"
 	SourceFile     = "file"
 )
 
-// Membership is the section [membership]: who says which servers there are.
+// Membership is the section [membership]: the sources of the endpoint list.
 type Membership struct {
-	Sources   []string       `toml:"sources"`    // the preferred first
-	FailAfter Duration       `toml:"fail_after"` // how long one that is lost goes on counting
-	Hold      Duration       `toml:"hold"`       // how long a preferred one has to hold before it counts again
-	KeepEmpty Duration       `toml:"keep_empty"` // how long a list that is empty all at once is not believed
+	Sources   []string       `toml:"sources"`    // in order of preference
+	FailAfter Duration       `toml:"fail_after"` // how long a lost source stays in use: the delay of a failover
+	Hold      Duration       `toml:"hold"`       // how long a preferred source must be healthy before the failback to it
+	KeepEmpty Duration       `toml:"keep_empty"` // how long a list that suddenly became empty is ignored
 	File      MembershipFile `toml:"file"`
 	XDS       XDS            `toml:"xds"`
 }
@@ -27,7 +27,7 @@
 // MembershipFile is the section [membership.file]: a file that is watched.
 type MembershipFile struct {
 	Path string   `toml:"path"`
-	Poll Duration `toml:"poll"` // how often it is looked at
+	Poll Duration `toml:"poll"` // interval of polls
 }
 
 // XDS is the section [membership.xds]: a control plane.
@@ -39,14 +39,14 @@
 	Clusters     []string `toml:"clusters"`          // whose endpoints are wanted; none: those that the control plane names
 	Subset       int      `toml:"subset"`            // how many of those it names are taken; 0: all
 	FirstFetch   Duration `toml:"first_fetch"`       // how long the first endpoints may take
-	BackoffLeast Duration `toml:"backoff_least"`     // before the second try to connect; it doubles
-	BackoffMost  Duration `toml:"backoff_most"`      // and is no longer than this
-	Keepalive    Duration `toml:"keepalive"`         // of silence, after which the connection is pinged
-	MaxMessage   int      `toml:"max_message_bytes"` // of a response
-	LogEvery     Duration `toml:"log_every"`         // between two lines on what is refused
+	BackoffLeast Duration `toml:"backoff_least"`     // backoff before the second attempt to connect; it doubles
+	BackoffMost  Duration `toml:"backoff_most"`      // longest backoff
+	Keepalive    Duration `toml:"keepalive"`         // idle time after which the connection is pinged
+	MaxMessage   int      `toml:"max_message_bytes"` // largest response
+	LogEvery     Duration `toml:"log_every"`         // shortest interval of log lines on rejected updates
 }
 
-// DefaultMembership is the section with no source set.
+// DefaultMembership returns the section's defaults. Sources have none.
 func DefaultMembership() Membership {
 	return Membership{
 		FailAfter: Duration(10 * time.Second),
@@ -58,7 +58,7 @@
 	}
 }
 
-// maxPollInterval keeps a drain that a file tells under the 500 ms after which nothing new may go to the server.
+// maxPollInterval makes a drain that a file announces known within the 500 ms after which the server must get no new request.
 const maxPollInterval = 400 * time.Millisecond
 
 func (m *Membership) check() (key string, err error) {
--- a/internal/settings/overload.go
+++ b/internal/settings/overload.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Overload is the section [overload]: agents handle overload together, by what they tell each other of it.
+// Overload is the section [overload]: fleet-wide overload control, by load reports that agents gossip.
 type Overload struct {
-	Remember int      `toml:"remember"`  // requests that were not served, to know their repeats by
-	LogEvery Duration `toml:"log_every"` // between two lines while some are refused; changes are logged at once
+	Remember int      `toml:"remember"`  // largest number of unserved requests by which retries are recognized
+	LogEvery Duration `toml:"log_every"` // interval of the log line while requests are rejected; changes are logged at once
 }
 
-// DefaultOverload is the section with nothing set.
+// DefaultOverload returns the section's defaults.
 func DefaultOverload() Overload {
 	return Overload{Remember: 4096, LogEvery: Duration(10 * time.Second)}
 }
@@ -20,7 +20,7 @@
 	return checkBounds(countBounds{{"remember", o.Remember, 1, 1 << 20}}, durationBounds{{"log_every", o.LogEvery, time.Second, time.Hour}})
 }
 
-// checkOverloadRequirements says how the section fits the others.
+// checkOverloadRequirements checks which other sections [overload] requires and excludes.
 func (f File) checkOverloadRequirements() error {
 	switch {
 	case f.Overload == nil:
--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Peers is the section [peers]: agents tell each other what makes them more careful, and who of them lives.
+// Peers is the section [peers]: gossip among the agents, of who is alive and of what makes them more careful.
 type Peers struct {
-	Listen  string   `toml:"listen"`   // host and port for datagrams; empty: as the platform says
-	Members []string `toml:"members"`  // of all agents, in the order of their numbers; none: as the platform says
-	KeyFile string   `toml:"key_file"` // one key, or two while they change
-	Period  Duration `toml:"period"`   // between two probes
-	AskFor  Duration `toml:"ask_for"`  // for which the others are asked after a loss of power, before anything is sent
+	Listen  string   `toml:"listen"`   // IPv4 address and port for datagrams; empty: the platform's
+	Members []string `toml:"members"`  // addresses of all agents, in the order of their numbers; none: the platform's
+	KeyFile string   `toml:"key_file"` // one key, or two during a rotation
+	Period  Duration `toml:"period"`   // interval of probes
+	AskFor  Duration `toml:"ask_for"`  // how long the others are polled after a loss of power, before the first request is forwarded
 }
 
-// DefaultPeers is the section with nothing set.
+// DefaultPeers returns the section's defaults.
 func DefaultPeers() Peers {
 	return Peers{Period: Duration(time.Second), AskFor: Duration(100 * time.Millisecond)}
 }
--- a/internal/settings/locate.go
+++ b/internal/settings/position.go
@@ -4,9 +4,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// locate returns the line of each key and table of a TOML text, by its dotted name, so that an error of the values can
-// say where they stand: the decoder tells it only of what it can't read. Of a text that is no TOML it returns what comes
-// before the fault, which the decoder reports.
+// keyLines returns the line of each key and table of a TOML text, by its dotted name, for errors of values that the decoder
+// accepts but a section's check rejects. Of a text that is not TOML it returns what precedes the syntax error, which the
+// decoder reports.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	var p unstable.Parser
@@ -24,7 +24,7 @@
 	return lines
 }
 
-// note records the lines of an expression's key and of the tables that it implies, and returns its dotted name.
+// recordKey records the lines of an expression's key and of the tables that it implies, and returns its dotted name.
 func recordKey(lines map[string]int, p *unstable.Parser, e *unstable.Node, table string) string {
 	name := table
 	for it := e.Key(); it.Next(); {
@@ -40,8 +40,8 @@
 	return name
 }
 
-// TableLines returns the lines at which the tables of a TOML text begin, by their names, in order: several of a name where it
-// is one of an array.
+// TableLines returns the lines at which the tables of a TOML text begin, by their names, in order; several for the name of
+// an array of tables.
 func TableLines(text []byte) map[string][]int {
 	lines := map[string][]int{}
 	var p unstable.Parser
--- a/internal/settings/recovery.go
+++ b/internal/settings/recovery.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Recovery is the section [recovery]: what the agent knows is kept over a loss of power, and service returns by it.
+// Recovery is the section [recovery]: snapshots that survive a loss of power, and the recovery ramp that starts from them.
 type Recovery struct {
-	Dir      string   `toml:"dir"`       // folder that keeps it; one for each agent
-	RunFile  string   `toml:"run_file"`  // names the present run of the machine; what changes it is taken for a loss of power
-	Every    Duration `toml:"every"`     // between two writes of what changes all the time; a drain or a ban is written at once
-	ListWait Duration `toml:"list_wait"` // for which the list is waited for at a start, before the servers from before are used
-	LogEvery Duration `toml:"log_every"` // between two lines while service has not returned; changes are logged at once
+	Dir      string   `toml:"dir"`       // directory of the snapshots; one for each agent
+	RunFile  string   `toml:"run_file"`  // file with the machine's boot id; a change counts as a loss of power
+	Every    Duration `toml:"every"`     // interval of writes; a drain or a denied server is written at once
+	ListWait Duration `toml:"list_wait"` // how long a start waits for the endpoint list, before the snapshot's servers are used
+	LogEvery Duration `toml:"log_every"` // interval of the log line during a recovery; changes are logged at once
 }
 
-// DefaultRecovery is the section with nothing set.
+// DefaultRecovery returns the section's defaults. Dir has none.
 func DefaultRecovery() Recovery {
 	return Recovery{RunFile: "/proc/sys/kernel/random/boot_id", Every: Duration(2 * time.Second), ListWait: Duration(150 * time.Millisecond),
 		LogEvery: Duration(10 * time.Second)}
--- a/internal/settings/storm.go
+++ b/internal/settings/storm.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Storm is the section [storm]: retry storms are noticed, and who is let in while they last is limited.
+// Storm is the section [storm]: admission control, which detects retry storms and limits what is admitted during them.
 type Storm struct {
-	Remember int      `toml:"remember"`  // requests that were not served, to know their repeats by
-	LogEvery Duration `toml:"log_every"` // between two lines while it is not calm; changes are logged at once
+	Remember int      `toml:"remember"`  // largest number of unserved requests by which retries are recognized
+	LogEvery Duration `toml:"log_every"` // interval of the log line while the state isn't normal; changes are logged at once
 }
 
-// DefaultStorm is the section with nothing set.
+// DefaultStorm returns the section's defaults.
 func DefaultStorm() Storm { return Storm{Remember: 4096, LogEvery: Duration(10 * time.Second)} }
 
 func (s *Storm) check() (key string, err error) {
--- a/internal/settings/telemetry.go
+++ b/internal/settings/telemetry.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// Telemetry is the section [telemetry]: what the agent counts, as Prometheus text.
+// Telemetry is the section [telemetry]: metrics in Prometheus' text format.
 type Telemetry struct {
 	Listen string `toml:"listen"` // host and port
 }
