--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -24,38 +24,38 @@
 	StartedMS int64   `json:"started_ms"` // Unix time; 0 for long ago
 }
 
-// mostWait is the longest that a watch may wait.
-const mostWait = time.Minute
+// maxWatchTime is the longest that a watch may wait.
+const maxWatchTime = time.Minute
 
 // Discovery is the server list on a loopback socket: the whole list, and watches for what is newer than a version. It can
 // be late, and out of reach.
 type Discovery struct {
 	Addr string // host and port
 
-	srv    *http.Server
+	server *http.Server
 	served sync.WaitGroup
 
-	mu        sync.Mutex
-	version   int64
-	entries   map[string]listed
-	order     []string      // ids in the order in which they were first named
-	gone      []string      // ids that are gone, for watches; the oldest are dropped
-	forgotten int64         // the latest version of a server that was dropped from them
-	news      chan struct{} // closed at the next change
-	lag       time.Duration
-	out       bool
-	late      map[*time.Timer]struct{} // changes that are on their way
-	closed    bool
+	mu             sync.Mutex
+	version        int64
+	entries        map[string]versionedEntry
+	order          []string      // ids in the order in which they were first named
+	gone           []string      // ids that are gone, for watches; the oldest are dropped
+	droppedVersion int64         // the latest version of a server that was dropped from them
+	changed        chan struct{} // closed at the next change
+	lag            time.Duration
+	isUnavailable  bool
+	delayed        map[*time.Timer]struct{} // changes that are on their way
+	closed         bool
 }
 
-type listed struct {
+type versionedEntry struct {
 	Entry
 	version int64 // of its latest change
 }
 
-// mostGone is how many servers that are gone watches are still told of. Who watches from an older version gets the whole
+// maxGoneEntries is how many servers that are gone watches are still told of. Who watches from an older version gets the whole
 // list.
-const mostGone = 1024
+const maxGoneEntries = 1024
 
 // list is the protocol's form of a list or of changes.
 type list struct {
@@ -70,11 +70,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := &Discovery{Addr: l.Addr().String(), entries: map[string]listed{}, news: make(chan struct{}), late: map[*time.Timer]struct{}{}}
+	d := &Discovery{Addr: l.Addr().String(), entries: map[string]versionedEntry{}, changed: make(chan struct{}), delayed: map[*time.Timer]struct{}{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", d.endpoints)
-	d.srv = &http.Server{Handler: mux, ReadHeaderTimeout: mostWait}
-	d.served.Go(func() { besteffort.Ignore(d.srv.Serve(l)) })
+	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: maxWatchTime}
+	d.served.Go(func() { besteffort.Ignore(d.server.Serve(l)) })
 	return d, nil
 }
 
@@ -82,12 +82,12 @@
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	d.closed = true
-	for t := range d.late {
+	for t := range d.delayed {
 		t.Stop()
 	}
-	d.tell()
+	d.wakeWatches()
 	d.mu.Unlock()
-	besteffort.Close(d.srv)
+	besteffort.Close(d.server)
 	d.served.Wait()
 }
 
@@ -103,10 +103,10 @@
 	t = time.AfterFunc(d.lag, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		delete(d.late, t)
+		delete(d.delayed, t)
 		d.apply(entries)
 	})
-	d.late[t] = struct{}{}
+	d.delayed[t] = struct{}{}
 }
 
 func (d *Discovery) apply(entries []Entry) {
@@ -118,23 +118,23 @@
 		if _, known := d.entries[e.ID]; !known {
 			d.order = append(d.order, e.ID)
 		}
-		d.entries[e.ID] = listed{e, d.version}
+		d.entries[e.ID] = versionedEntry{e, d.version}
 		if e.State == "Gone" {
 			d.gone = append(d.gone, e.ID)
 		}
 	}
-	for len(d.gone) > mostGone {
-		d.forgotten = max(d.forgotten, d.entries[d.gone[0]].version)
+	for len(d.gone) > maxGoneEntries {
+		d.droppedVersion = max(d.droppedVersion, d.entries[d.gone[0]].version)
 		delete(d.entries, d.gone[0])
 		d.gone = d.gone[1:]
 	}
-	d.tell()
+	d.wakeWatches()
 }
 
 // tell wakes the watches.
-func (d *Discovery) tell() {
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *Discovery) wakeWatches() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // SetLag makes changes late from now on.
@@ -148,8 +148,8 @@
 func (d *Discovery) SetOut(out bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.out = out
-	d.tell()
+	d.isUnavailable = out
+	d.wakeWatches()
 }
 
 // endpoints answers calls for the list and watches.
@@ -157,25 +157,25 @@
 	since, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	whole := err != nil
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	limit := time.NewTimer(min(time.Duration(wait)*time.Millisecond, mostWait))
+	limit := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWatchTime))
 	defer limit.Stop()
 	for {
 		d.mu.Lock()
-		out, version, news := d.out || d.closed, d.version, d.news
-		l := d.list(since, whole || since < d.forgotten)
+		out, version, news := d.isUnavailable || d.closed, d.version, d.changed
+		l := d.listSince(since, whole || since < d.droppedVersion)
 		d.mu.Unlock()
 		if out {
 			http.Error(w, "out of reach", http.StatusServiceUnavailable)
 			return
 		}
 		if whole || version > since {
-			write(w, l)
+			writeList(w, l)
 			return
 		}
 		select {
 		case <-news:
 		case <-limit.C:
-			write(w, list{Version: since, Servers: []Entry{}})
+			writeList(w, list{Version: since, Servers: []Entry{}})
 			return
 		case <-r.Context().Done():
 			return
@@ -184,7 +184,7 @@
 }
 
 // list is the whole list, or what has changed since a version.
-func (d *Discovery) list(since int64, whole bool) list {
+func (d *Discovery) listSince(since int64, whole bool) list {
 	l := list{Version: d.version, Full: whole, Servers: []Entry{}}
 	kept := d.order[:0]
 	for _, id := range d.order {
@@ -201,7 +201,7 @@
 	return l
 }
 
-func write(w http.ResponseWriter, l list) {
+func writeList(w http.ResponseWriter, l list) {
 	w.Header().Set("Content-Type", "application/json")
 	besteffort.Ignore(json.NewEncoder(w).Encode(l)) // an error means that the caller has gone
 }
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -99,7 +99,7 @@
 func TestGoneServersAreForgotten(t *testing.T) {
 	d := newTestDiscovery(t)
 	d.Set(ready("stays"))
-	for i := range 2 * mostGone {
+	for i := range 2 * maxGoneEntries {
 		e := ready(fmt.Sprint("g", i))
 		e.State = "Gone"
 		d.Set(e)
@@ -107,13 +107,13 @@
 	d.mu.Lock()
 	held := len(d.entries)
 	d.mu.Unlock()
-	if held > mostGone+1 {
+	if held > maxGoneEntries+1 {
 		t.Errorf("%d entries are held", held)
 	}
 	if l, _ := ask(t, d, "?since=1&timeout_ms=10"); !l.Full || len(l.Servers) != 1 {
 		t.Errorf("full %v, %d servers", l.Full, len(l.Servers))
 	}
-	if l, _ := ask(t, d, fmt.Sprintf("?since=%d&timeout_ms=10", 2*mostGone)); l.Full || len(l.Servers) != 1 {
+	if l, _ := ask(t, d, fmt.Sprintf("?since=%d&timeout_ms=10", 2*maxGoneEntries)); l.Full || len(l.Servers) != 1 {
 		t.Errorf("the latest change: full %v, %d servers", l.Full, len(l.Servers))
 	}
 }
--- a/internal/emulator/formserver.go
+++ b/internal/emulator/formserver.go
@@ -35,10 +35,10 @@
 	return between(c.Work), between(c.Wait)
 }
 
-// Wire are the faults that show on the connections, beside those of the model.
-type Wire struct {
-	Reset float64 // share of requests after which the connection breaks, having run
-	Spoil float64 // share of answers that are noise
+// ConnFaults are the faults that show on the connections, beside those of the model.
+type ConnFaults struct {
+	ResetRatio   float64 // share of requests after which the connection breaks, having run
+	CorruptRatio float64 // share of answers that are noise
 }
 
 // FormServer is a Server on a loopback socket. It speaks HTTP/1.1 as the platform's protocol has it: 200 with a load
@@ -53,52 +53,52 @@
 	srv     *http.Server
 	served  sync.WaitGroup
 
-	mu     sync.Mutex
-	model  *Server
-	wire   Wire
-	random *rand.Rand
-	came   time.Time            // the latest request
-	open   map[uint64]chan Done // of requests that wait for their end
-	last   uint64
-	timer  *time.Timer // wakes the model
-	left   []net.Conn  // spoilt connections that stay open
-	closed bool
-	ends   chan struct{} // closed with the server
+	mu             sync.Mutex
+	model          *Server
+	connFaults     ConnFaults
+	random         *rand.Rand
+	lastArrival    time.Time                  // the latest request
+	pending        map[uint64]chan Completion // of requests that wait for their end
+	arrived        uint64
+	timer          *time.Timer // wakes the model
+	corruptedConns []net.Conn  // spoilt connections that stay open
+	closed         bool
+	done           chan struct{} // closed with the server
 }
 
-// Listening are the limits of a form server's connections.
-type Listening struct {
-	Addr      string        // host and port; empty: a free one
-	IdleClose time.Duration // a connection idle for so long is closed
-	MaxConns  int           // open at a time; further ones are closed at once. 0: no limit
+// ListenOptions are the limits of a form server's connections.
+type ListenOptions struct {
+	Addr        string        // host and port; empty: a free one
+	IdleTimeout time.Duration // a connection idle for so long is closed
+	MaxConns    int           // open at a time; further ones are closed at once. 0: no limit
 }
 
-// takenFor is for how long an address may still be that of an earlier life.
-const takenFor = 2 * time.Second
+// addrInUseRetryTime is for how long an address may still be that of an earlier life.
+const addrInUseRetryTime = 2 * time.Second
 
 // hour is when timers that nothing is due for are set to.
-const hour = time.Hour
+const idleTimerInterval = time.Hour
 
 // Listen starts a form server on a loopback address. Times of the model count from the epoch.
-func Listen(name string, model *Server, classes []Class, seed uint64, epoch time.Time, limits Listening) (*FormServer, error) {
+func Listen(name string, model *Server, classes []Class, seed uint64, epoch time.Time, limits ListenOptions) (*FormServer, error) {
 	if limits.Addr == "" {
 		limits.Addr = "127.0.0.1:0"
 	}
 	l, err := net.Listen("tcp", limits.Addr)
-	for end := time.Now().Add(takenFor); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); l, err = net.Listen("tcp", limits.Addr) {
+	for end := time.Now().Add(addrInUseRetryTime); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); l, err = net.Listen("tcp", limits.Addr) {
 		time.Sleep(5 * time.Millisecond) // the life before has just ended there
 	}
 	if err != nil {
 		return nil, fmt.Errorf("form server %s: %w", name, err)
 	}
 	f := &FormServer{Name: name, Addr: l.Addr().String(), seed: seed, classes: map[string]Class{}, epoch: epoch, model: model,
-		random: rand.New(rand.NewPCG(seed, 1)), open: map[uint64]chan Done{}, ends: make(chan struct{})}
+		random: rand.New(rand.NewPCG(seed, 1)), pending: map[uint64]chan Completion{}, done: make(chan struct{})}
 	for _, c := range classes {
 		f.classes[c.Name] = c
 	}
-	f.timer = time.AfterFunc(hour, f.wake)
-	f.srv = &http.Server{Handler: f, IdleTimeout: limits.IdleClose, ReadHeaderTimeout: limits.IdleClose, ConnState: f.connState}
-	f.served.Go(func() { besteffort.Ignore(f.srv.Serve(&limited{Listener: l, most: limits.MaxConns})) })
+	f.timer = time.AfterFunc(idleTimerInterval, f.wake)
+	f.srv = &http.Server{Handler: f, IdleTimeout: limits.IdleTimeout, ReadHeaderTimeout: limits.IdleTimeout, ConnState: f.connState}
+	f.served.Go(func() { besteffort.Ignore(f.srv.Serve(&limitedListener{Listener: l, maxConns: limits.MaxConns})) })
 	return f, nil
 }
 
@@ -119,65 +119,65 @@
 	if f.closed {
 		return
 	}
-	if at, ok := f.model.Next(); ok {
+	if at, ok := f.model.NextTimer(); ok {
 		f.timer.Reset(at - now)
 	}
 }
 
-func (f *FormServer) deliver(ended []Done) {
+func (f *FormServer) deliver(ended []Completion) {
 	for _, d := range ended {
-		if wait := f.open[d.ID]; wait != nil {
-			delete(f.open, d.ID)
+		if wait := f.pending[d.ID]; wait != nil {
+			delete(f.pending, d.ID)
 			wait <- d
 		}
 	}
 }
 
-// Fault changes what is wrong with the server. What a kill loses is never answered: its connections break.
-func (f *FormServer) Fault(change func(*Faults)) {
+// ChangeFaults changes what is wrong with the server. What a kill loses is never answered: its connections break.
+func (f *FormServer) ChangeFaults(change func(*Faults)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.deliver(f.model.Fault(f.now(), change))
+	f.deliver(f.model.ChangeFaults(f.now(), change))
 	f.advance()
 }
 
-// SetWire changes the faults of the connections.
-func (f *FormServer) SetWire(w Wire) {
+// SetConnFaults changes the faults of the connections.
+func (f *FormServer) SetConnFaults(w ConnFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.wire = w
+	f.connFaults = w
 }
 
-// Held counts the requests in the server.
-func (f *FormServer) Held() int {
+// InFlight counts the requests in the server.
+func (f *FormServer) InFlight() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.model.Held()
+	return f.model.InFlight()
 }
 
 // LastArrival is when the latest request came; zero if none has.
 func (f *FormServer) LastArrival() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.came
+	return f.lastArrival
 }
 
 // Arrived counts the requests that came whole.
 func (f *FormServer) Arrived() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return int(f.last)
+	return int(f.arrived)
 }
 
-// Toppled reports whether the server fell over.
-func (f *FormServer) Toppled() bool {
+// Collapsed reports whether the server fell over.
+func (f *FormServer) Collapsed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.model.Toppled()
+	return f.model.Collapsed()
 }
 
-// Room is how many requests the server takes at a time.
-func (f *FormServer) Room() int { return f.model.Room() }
+// MaxRequests is how many requests the server takes at a time.
+func (f *FormServer) MaxRequests() int { return f.model.MaxRequests() }
 
 // Close ends the server as a killed process ends: its connections break.
 func (f *FormServer) Close() {
@@ -187,40 +187,40 @@
 		return
 	}
 	f.closed = true
-	close(f.ends)
+	close(f.done)
 	f.timer.Stop()
-	for _, c := range f.left {
+	for _, c := range f.corruptedConns {
 		besteffort.Close(c)
 	}
-	f.left = nil
+	f.corruptedConns = nil
 	f.mu.Unlock()
 	besteffort.Close(f.srv)
 	f.served.Wait()
 }
 
 // arrive brings a request to the model. The channel gets its end, if it is to have one.
-func (f *FormServer) arrive(r Request) (Verdict, <-chan Done) {
+func (f *FormServer) arrive(r Request) (ArrivalResult, <-chan Completion) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance()
-	f.came = time.Now()
-	f.last++
-	r.ID = f.last
+	f.lastArrival = time.Now()
+	f.arrived++
+	r.ID = f.arrived
 	hung := f.model.Faults().Hung
-	verdict := f.model.Arrive(f.now(), r, f.last)
+	verdict := f.model.Arrive(f.now(), r, f.arrived)
 	if verdict != Accepted {
 		return verdict, nil
 	}
-	end := make(chan Done, 1)
+	end := make(chan Completion, 1)
 	if !hung { // what comes in a hang is never answered: nothing is kept of it
-		f.open[r.ID] = end
+		f.pending[r.ID] = end
 	}
 	f.advance()
 	return verdict, end
 }
 
-// maxBody is the longest body that a server takes, in bytes.
-const maxBody = 64 << 10
+// maxBodyBytes is the longest body that a server takes, in bytes.
+const maxBodyBytes = 64 << 10
 
 // ServeHTTP serves a request.
 func (f *FormServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -231,17 +231,17 @@
 		http.Error(w, "unknown class, or no X-Request-ID", http.StatusNotFound)
 		return
 	}
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 		http.Error(w, "the body is not whole", http.StatusBadRequest)
 		return
 	}
 	work, wait := class.Draw(f.seed, id)
-	verdict, end := f.arrive(Request{Class: name, Key: r.Header.Get("Idempotency-Key"), RouteKey: r.Header.Get("X-Route-Key"),
+	verdict, end := f.arrive(Request{Class: name, IdempotencyKey: r.Header.Get("Idempotency-Key"), RouteKey: r.Header.Get("X-Route-Key"),
 		Work: work, Wait: wait})
 	switch verdict {
-	case Down:
+	case Unreachable:
 		panic(http.ErrAbortHandler) // the connection breaks
-	case Full:
+	case Rejected:
 		f.report(w)
 		w.Header().Set("X-Not-Processed", "1")
 		http.Error(w, "full", http.StatusServiceUnavailable)
@@ -251,15 +251,15 @@
 	case done := <-end:
 		f.answer(w, id, done)
 	case <-r.Context().Done(): // the work goes on
-	case <-f.ends:
+	case <-f.done:
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // answer answers what has run, with the faults of the wire.
-func (f *FormServer) answer(w http.ResponseWriter, id string, done Done) {
+func (f *FormServer) answer(w http.ResponseWriter, id string, done Completion) {
 	f.mu.Lock()
-	reset, spoil := f.random.Float64() < f.wire.Reset, f.random.Float64() < f.wire.Spoil
+	reset, spoil := f.random.Float64() < f.connFaults.ResetRatio, f.random.Float64() < f.connFaults.CorruptRatio
 	f.mu.Unlock()
 	switch {
 	case reset:
@@ -285,25 +285,25 @@
 	}
 }
 
-// mostLeft is how many spoilt connections stay open; then the oldest is closed.
-const mostLeft = 64
+// maxCorruptedConns is how many spoilt connections stay open; then the oldest is closed.
+const maxCorruptedConns = 64
 
 // leaveOpen keeps a connection open that is of no further use.
 func (f *FormServer) leaveOpen(c net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.left = append(f.left, c); len(f.left) > mostLeft || f.closed {
-		besteffort.Close(f.left[0])
-		f.left = f.left[1:]
+	if f.corruptedConns = append(f.corruptedConns, c); len(f.corruptedConns) > maxCorruptedConns || f.closed {
+		besteffort.Close(f.corruptedConns[0])
+		f.corruptedConns = f.corruptedConns[1:]
 	}
 }
 
 // report puts the load report into an answer's head.
 func (f *FormServer) report(w http.ResponseWriter) {
 	f.mu.Lock()
-	l := f.model.Report(f.now())
+	l := f.model.LoadReport(f.now())
 	f.mu.Unlock()
-	w.Header().Set("X-Server-Load", fmt.Sprintf("util=%.3f,qps=%.2f,eps=%.2f", l.Util, l.Rate, l.Errors))
+	w.Header().Set("X-Server-Load", fmt.Sprintf("util=%.3f,qps=%.2f,eps=%.2f", l.Utilization, l.ServedRate, l.ErrorRate))
 }
 
 // connState adds the work of handshakes.
@@ -319,23 +319,23 @@
 }
 
 // limited is a listener that closes connections over a limit at once, as a full table does.
-type limited struct {
+type limitedListener struct {
 	net.Listener
-	most int
+	maxConns int
 
 	mu   sync.Mutex
 	open int
 }
 
 // Accept returns the next connection that there is room for.
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		l.mu.Lock()
-		full := l.most > 0 && l.open >= l.most
+		full := l.maxConns > 0 && l.open >= l.maxConns
 		if !full {
 			l.open++
 		}
@@ -344,19 +344,19 @@
 			besteffort.Close(c)
 			continue
 		}
-		return &counted{Conn: c, l: l}, nil
+		return &countedConn{Conn: c, l: l}, nil
 	}
 }
 
 // counted is a connection that gives its place back once.
-type counted struct {
+type countedConn struct {
 	net.Conn
-	l    *limited
+	l    *limitedListener
 	once sync.Once
 }
 
 // Close closes the connection.
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() {
 		c.l.mu.Lock()
 		c.l.open--
@@ -366,7 +366,7 @@
 }
 
 // SetLinger is that of the connection: 0 makes a close a reset.
-func (c *counted) SetLinger(seconds int) error {
+func (c *countedConn) SetLinger(seconds int) error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.SetLinger(seconds)
 	}
--- a/internal/emulator/formserver_test.go
+++ b/internal/emulator/formserver_test.go
@@ -20,11 +20,11 @@
 	{Name: "refund-record", Work: [2]time.Duration{5 * time.Millisecond, 10 * time.Millisecond}, Wait: [2]time.Duration{time.Millisecond, 2 * time.Millisecond}},
 }
 
-func start(t *testing.T, spec Spec, limits Listening) (*FormServer, *Ledger) {
+func start(t *testing.T, spec Spec, limits ListenOptions) (*FormServer, *Ledger) {
 	t.Helper()
 	ledger := NewLedger()
-	if limits.IdleClose == 0 {
-		limits.IdleClose = agenttest.Patience
+	if limits.IdleTimeout == 0 {
+		limits.IdleTimeout = agenttest.Patience
 	}
 	epoch := time.Now()
 	f, err := Listen("s-1", NewServer("s-1", spec, NewPod(0, 2*time.Second, ledger), 1, 0, true), testClasses, 1, epoch, limits)
@@ -56,7 +56,7 @@
 }
 
 func TestFormServerServes(t *testing.T) {
-	f, ledger := start(t, Spec{Cores: 2, Speed: 1, Slots: 4, ReportEvery: 10 * time.Millisecond}, Listening{})
+	f, ledger := start(t, Spec{Cores: 2, Speed: 1, Slots: 4, ReportInterval: 10 * time.Millisecond}, ListenOptions{})
 	for i := range 5 {
 		resp, body, err := get(f, "refund-record", fmt.Sprint(i), fmt.Sprint("k", i/2))
 		if err != nil || resp.StatusCode != http.StatusOK || !strings.Contains(body, "s-1") ||
@@ -74,10 +74,10 @@
 
 // What there is no room for is turned away unseen, at once.
 func TestFormServerTurnsAway(t *testing.T) {
-	f, ledger := start(t, Spec{Cores: 1, Speed: 0.001, Slots: 1, Queue: 1}, Listening{}) // several seconds a request
+	f, ledger := start(t, Spec{Cores: 1, Speed: 0.001, Slots: 1, Queue: 1}, ListenOptions{}) // several seconds a request
 	for i := range 2 {
 		go func() { _, _, _ = get(f, "refund-record", fmt.Sprint(i), fmt.Sprint(i)) }()
-		agenttest.Eventually(t, "it is held", func() bool { return f.Held() == i+1 })
+		agenttest.Eventually(t, "it is held", func() bool { return f.InFlight() == i+1 })
 	}
 	resp, _, err := get(f, "refund-record", "2", "2")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Not-Processed") != "1" {
@@ -90,15 +90,15 @@
 
 // A client that leaves stops nothing: the work goes on, and has its effect.
 func TestWorkGoesOnWithoutTheClient(t *testing.T) {
-	f, ledger := start(t, Spec{Cores: 1, Speed: 0.05, Slots: 1, Queue: 1}, Listening{}) // a tenth of a second or two
+	f, ledger := start(t, Spec{Cores: 1, Speed: 0.05, Slots: 1, Queue: 1}, ListenOptions{}) // a tenth of a second or two
 	c, err := net.Dial("tcp", f.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	besteffort.IgnoreResult(io.WriteString(c, "POST /refund-record HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n"))
-	agenttest.Eventually(t, "it is held", func() bool { return f.Held() == 1 })
+	agenttest.Eventually(t, "it is held", func() bool { return f.InFlight() == 1 })
 	besteffort.Close(c)
-	agenttest.Eventually(t, "it is done", func() bool { return f.Held() == 0 })
+	agenttest.Eventually(t, "it is done", func() bool { return f.InFlight() == 0 })
 	if n := len(ledger.Effects()); n != 1 {
 		t.Errorf("%d effects", n)
 	}
@@ -108,12 +108,12 @@
 // noise come after the effect.
 func TestFormServerFaults(t *testing.T) {
 	spec := Spec{Cores: 2, Speed: 1, Slots: 4}
-	f, ledger := start(t, spec, Listening{})
-	f.SetWire(Wire{Reset: 1})
+	f, ledger := start(t, spec, ListenOptions{})
+	f.SetConnFaults(ConnFaults{ResetRatio: 1})
 	if _, _, err := get(f, "refund-record", "1", "a"); err == nil {
 		t.Error("no reset")
 	}
-	f.SetWire(Wire{Spoil: 1})
+	f.SetConnFaults(ConnFaults{CorruptRatio: 1})
 	noise, err := net.Dial("tcp", f.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -124,15 +124,15 @@
 	if text, err := bufio.NewReader(noise).ReadString('r'); err != nil || !strings.HasPrefix(text, "\x16") {
 		t.Errorf("%q, %v", text, err)
 	}
-	f.SetWire(Wire{})
-	f.Fault(func(x *Faults) { x.Errors = 1 })
+	f.SetConnFaults(ConnFaults{})
+	f.ChangeFaults(func(x *Faults) { x.Errors = 1 })
 	if resp, _, err := get(f, "refund-record", "3", "c"); err != nil || resp.StatusCode != http.StatusInternalServerError {
 		t.Errorf("%v, %v", resp, err)
 	}
 	if n := len(ledger.Effects()); n != 3 {
 		t.Errorf("%d effects", n)
 	}
-	f.Fault(func(x *Faults) { *x = Faults{Hung: true} })
+	f.ChangeFaults(func(x *Faults) { *x = Faults{Hung: true} })
 	c, err := net.Dial("tcp", f.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Errorf("a hung server says something")
 	}
-	f.Fault(func(x *Faults) { *x = Faults{Killed: true} })
+	f.ChangeFaults(func(x *Faults) { *x = Faults{Killed: true} })
 	if _, _, err := get(f, "form-check", "5", ""); err == nil {
 		t.Error("a killed server answers")
 	}
@@ -151,7 +151,7 @@
 
 // A full table closes new connections, and a place that comes free is used again.
 func TestConnectionLimit(t *testing.T) {
-	f, _ := start(t, Spec{Cores: 2, Speed: 1, Slots: 4}, Listening{MaxConns: 2})
+	f, _ := start(t, Spec{Cores: 2, Speed: 1, Slots: 4}, ListenOptions{MaxConns: 2})
 	var held []net.Conn
 	for range 2 {
 		c, err := net.Dial("tcp", f.Addr)
@@ -174,7 +174,7 @@
 
 // Many clients at once are all answered, and the model ends empty.
 func TestManyClients(t *testing.T) {
-	f, ledger := start(t, Spec{Cores: 4, Speed: 2, Slots: 64, Queue: 1000}, Listening{})
+	f, ledger := start(t, Spec{Cores: 4, Speed: 2, Slots: 64, Queue: 1000}, ListenOptions{})
 	var all sync.WaitGroup
 	for i := range 300 {
 		all.Go(func() {
@@ -184,7 +184,7 @@
 		})
 	}
 	all.Wait()
-	if f.Held() != 0 || len(ledger.Effects()) != 300 {
-		t.Errorf("%d held, %d effects", f.Held(), len(ledger.Effects()))
+	if f.InFlight() != 0 || len(ledger.Effects()) != 300 {
+		t.Errorf("%d held, %d effects", f.InFlight(), len(ledger.Effects()))
 	}
 }
--- a/internal/emulator/meter.go
+++ b/internal/emulator/meter.go
@@ -5,68 +5,68 @@
 	"time"
 )
 
-// Load is a load report: the share of the cores in use, requests and errors a second.
-type Load struct {
-	Util, Rate, Errors float64
+// LoadReport is a load report: the share of the cores in use, requests and errors a second.
+type LoadReport struct {
+	Utilization, ServedRate, ErrorRate float64
 }
 
 // meter takes load reports at intervals and shows the latest that is old enough.
-type meter struct {
-	every, late time.Duration
-	noise       float64
-	next        time.Duration // when the interval under way ends
-	busy        float64       // seconds of use in it
-	ends, fails int           // requests ended in it
-	taken       []taken       // not shown yet, oldest first, and the one shown before them
+type loadMeter struct {
+	interval, delay   time.Duration
+	noise             float64
+	intervalEnd       time.Duration // when the interval under way ends
+	busySeconds       float64       // seconds of use in it
+	completed, failed int           // requests ended in it
+	samples           []loadSample  // not shown yet, oldest first, and the one shown before them
 }
 
-type taken struct {
+type loadSample struct {
 	at   time.Duration
-	load Load
+	load LoadReport
 }
 
-func newMeter(spec Spec, now time.Duration) meter {
-	return meter{every: spec.ReportEvery, late: spec.ReportLate, noise: spec.ReportNoise, next: now + spec.ReportEvery}
+func newLoadMeter(spec Spec, now time.Duration) loadMeter {
+	return loadMeter{interval: spec.ReportInterval, delay: spec.ReportDelay, noise: spec.ReportNoise, intervalEnd: now + spec.ReportInterval}
 }
 
 // pass counts a span of even use.
-func (m *meter) pass(from, to time.Duration, usage float64) {
-	if m.every <= 0 {
+func (m *loadMeter) addUsage(from, to time.Duration, usage float64) {
+	if m.interval <= 0 {
 		return
 	}
-	for to >= m.next {
-		m.busy += usage * (m.next - from).Seconds()
-		m.take()
-		from = m.next
-		m.next += m.every
+	for to >= m.intervalEnd {
+		m.busySeconds += usage * (m.intervalEnd - from).Seconds()
+		m.sample()
+		from = m.intervalEnd
+		m.intervalEnd += m.interval
 	}
-	m.busy += usage * (to - from).Seconds()
+	m.busySeconds += usage * (to - from).Seconds()
 }
 
-func (m *meter) take() {
-	span := m.every.Seconds()
-	m.taken = append(m.taken, taken{m.next, Load{Util: min(1, m.busy/span), Rate: float64(m.ends) / span,
-		Errors: float64(m.fails) / span}})
-	m.busy, m.ends, m.fails = 0, 0, 0
-	if over := len(m.taken) - 2 - int(m.late/m.every); over > 0 { // older ones will never be shown again
-		m.taken = m.taken[over:]
+func (m *loadMeter) sample() {
+	span := m.interval.Seconds()
+	m.samples = append(m.samples, loadSample{m.intervalEnd, LoadReport{Utilization: min(1, m.busySeconds/span), ServedRate: float64(m.completed) / span,
+		ErrorRate: float64(m.failed) / span}})
+	m.busySeconds, m.completed, m.failed = 0, 0, 0
+	if over := len(m.samples) - 2 - int(m.delay/m.interval); over > 0 { // older ones will never be shown again
+		m.samples = m.samples[over:]
 	}
 }
 
-func (m *meter) done(failed bool) {
-	m.ends++
+func (m *loadMeter) addCompletion(failed bool) {
+	m.completed++
 	if failed {
-		m.fails++
+		m.failed++
 	}
 }
 
 // shown is the latest report that is old enough, with its error.
-func (m *meter) shown(now time.Duration, random *rand.Rand) (l Load) {
-	for _, t := range m.taken {
-		if now-t.at >= m.late {
+func (m *loadMeter) visibleReport(now time.Duration, random *rand.Rand) (l LoadReport) {
+	for _, t := range m.samples {
+		if now-t.at >= m.delay {
 			l = t.load
 		}
 	}
 	off := func(x float64) float64 { return max(0, x*(1+m.noise*random.NormFloat64())) }
-	return Load{Util: min(1, off(l.Util)), Rate: off(l.Rate), Errors: off(l.Errors)}
+	return LoadReport{Utilization: min(1, off(l.Utilization)), ServedRate: off(l.ServedRate), ErrorRate: off(l.ErrorRate)}
 }
--- a/internal/emulator/pod.go
+++ b/internal/emulator/pod.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Effect is one execution of a request that carries a key: what the ledger holds.
-type Effect struct {
+// Execution is one execution of a request that carries a key: what the ledger holds.
+type Execution struct {
 	Key    string
 	Pod    int
 	Server string
@@ -16,35 +16,35 @@
 // Ledger is the witness against duplicates: every execution of a keyed request in the whole fleet, in order. It is safe
 // for concurrent use, as servers on sockets share it.
 type Ledger struct {
-	mu      sync.Mutex
-	effects []Effect
-	byKey   map[string]int // executions
+	mu         sync.Mutex
+	executions []Execution
+	countByKey map[string]int // executions
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{byKey: map[string]int{}} }
+func NewLedger() *Ledger { return &Ledger{countByKey: map[string]int{}} }
 
-func (l *Ledger) note(e Effect) {
+func (l *Ledger) record(e Execution) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.effects = append(l.effects, e)
-	l.byKey[e.Key]++
+	l.executions = append(l.executions, e)
+	l.countByKey[e.Key]++
 }
 
 // Effects returns a copy of all that ran.
-func (l *Ledger) Effects() []Effect {
+func (l *Ledger) Effects() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Effect(nil), l.effects...)
+	return append([]Execution(nil), l.executions...)
 }
 
 // Repeated returns the keys that ran more than once, with their executions.
-func (l *Ledger) Repeated() map[string][]Effect {
+func (l *Ledger) Repeated() map[string][]Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := map[string][]Effect{}
-	for _, e := range l.effects {
-		if l.byKey[e.Key] > 1 {
+	out := map[string][]Execution{}
+	for _, e := range l.executions {
+		if l.countByKey[e.Key] > 1 {
 			out[e.Key] = append(out[e.Key], e)
 		}
 	}
@@ -59,35 +59,35 @@
 	window time.Duration
 	ledger *Ledger
 
-	mu    sync.Mutex
-	since map[string]time.Duration // when a key began, of those in the window
-	order []begun                  // the same by time, so that what is over can be dropped
+	mu          sync.Mutex
+	startedAt   map[string]time.Duration // when a key began, of those in the window
+	expiryOrder []keyTime                // the same by time, so that what is over can be dropped
 }
 
-type begun struct {
+type keyTime struct {
 	key string
 	at  time.Duration
 }
 
 // NewPod returns a pod that drops repeats for the window and writes what runs into the ledger.
 func NewPod(number int, window time.Duration, ledger *Ledger) *Pod {
-	return &Pod{number: number, window: window, ledger: ledger, since: map[string]time.Duration{}}
+	return &Pod{number: number, window: window, ledger: ledger, startedAt: map[string]time.Duration{}}
 }
 
 // take reports whether the key is to run at the server now, and notes it if so.
-func (p *Pod) take(now time.Duration, key, server string) bool {
+func (p *Pod) claim(now time.Duration, key, server string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.order) > 0 && now-p.order[0].at >= p.window {
-		delete(p.since, p.order[0].key)
-		p.order = p.order[1:]
+	for len(p.expiryOrder) > 0 && now-p.expiryOrder[0].at >= p.window {
+		delete(p.startedAt, p.expiryOrder[0].key)
+		p.expiryOrder = p.expiryOrder[1:]
 	}
-	if _, repeat := p.since[key]; repeat {
+	if _, repeat := p.startedAt[key]; repeat {
 		return false
 	}
-	p.since[key] = now
-	p.order = append(p.order, begun{key, now})
-	p.ledger.note(Effect{Key: key, Pod: p.number, Server: server, At: now})
+	p.startedAt[key] = now
+	p.expiryOrder = append(p.expiryOrder, keyTime{key, now})
+	p.ledger.record(Execution{Key: key, Pod: p.number, Server: server, At: now})
 	return true
 }
 
@@ -95,40 +95,40 @@
 func (p *Pod) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	clear(p.since)
-	p.order = nil
+	clear(p.startedAt)
+	p.expiryOrder = nil
 }
 
-// keyMemory is the route keys that a server met lately.
-type keyMemory struct {
-	most   int
-	keeps  time.Duration
-	latest map[string]time.Duration
-	order  []begun
+// keyCache is the route keys that a server met lately.
+type keyCache struct {
+	size     int
+	ttl      time.Duration
+	lastSeen map[string]time.Duration
+	order    []keyTime
 }
 
-func newKeyMemory(most int, keeps time.Duration) *keyMemory {
-	return &keyMemory{most: most, keeps: keeps, latest: map[string]time.Duration{}}
+func newKeyCache(most int, keeps time.Duration) *keyCache {
+	return &keyCache{size: most, ttl: keeps, lastSeen: map[string]time.Duration{}}
 }
 
 // met reports whether the key was met within the time, and notes that it is met now.
-func (m *keyMemory) met(now time.Duration, key string) bool {
-	if key == "" || m.most <= 0 {
+func (m *keyCache) touch(now time.Duration, key string) bool {
+	if key == "" || m.size <= 0 {
 		return false
 	}
 	for len(m.order) > 0 {
 		first := m.order[0]
-		at := m.latest[first.key]
-		if at == first.at && now-first.at < m.keeps && len(m.latest) <= m.most {
+		at := m.lastSeen[first.key]
+		if at == first.at && now-first.at < m.ttl && len(m.lastSeen) <= m.size {
 			break
 		}
 		if at == first.at { // else it was met again since, and stands further back as well
-			delete(m.latest, first.key)
+			delete(m.lastSeen, first.key)
 		}
 		m.order = m.order[1:]
 	}
-	_, known := m.latest[key]
-	m.latest[key] = now
-	m.order = append(m.order, begun{key, now})
+	_, known := m.lastSeen[key]
+	m.lastSeen[key] = now
+	m.order = append(m.order, keyTime{key, now})
 	return known
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -18,60 +18,60 @@
 	Slots int     // requests in work at a time
 	Queue int     // and waiting for a slot; beyond that requests are turned away unseen
 
-	// When more than CrowdAt requests a core are held, each further one a core takes Crowd of the capacity, as more
+	// When more than CrowdingStart requests a core are held, each further one a core takes Crowd of the capacity, as more
 	// held work makes caches and schedulers less efficient.
-	Crowd   float64
-	CrowdAt float64
+	CrowdingPenalty float64
+	CrowdingStart   float64
 
-	// A server that starts has ColdFrom of its capacity, and all of it ColdFor later; in between it rises evenly.
-	ColdFrom float64
-	ColdFor  time.Duration
+	// A server that starts has ColdCapacityRatio of its capacity, and all of it WarmupTime later; in between it rises evenly.
+	ColdCapacityRatio float64
+	WarmupTime        time.Duration
 
-	// A server that met a route key within KeyFor does KeyGain less work for it. It remembers the KeyMost latest.
-	KeyGain float64
-	KeyFor  time.Duration
-	KeyMost int
+	// A server that met a route key within KeyCacheTTL does KeyCacheGain less work for it. It remembers the KeyCacheSize latest.
+	KeyCacheGain float64
+	KeyCacheTTL  time.Duration
+	KeyCacheSize int
 
-	// A cold server that is sent more than Topple times what it can do at that moment for ToppleFor falls over and stays
+	// A cold server that is sent more than Topple times what it can do at that moment for CollapseTime falls over and stays
 	// down. 0: it never does.
-	Topple    float64
-	ToppleFor time.Duration
+	CollapseOverload float64
+	CollapseTime     time.Duration
 
 	// A new connection costs this much work.
 	Handshake time.Duration
 
-	// Load reports are taken every ReportEvery, shown ReportLate later, and off by a normal error of this share.
-	ReportEvery time.Duration
-	ReportLate  time.Duration
-	ReportNoise float64
+	// LoadReport reports are taken every ReportInterval, shown ReportDelay later, and off by a normal error of this share.
+	ReportInterval time.Duration
+	ReportDelay    time.Duration
+	ReportNoise    float64
 }
 
 // Request is what a server is asked to do.
 type Request struct {
-	ID       uint64 // the caller's number for it; unique among those a server holds
-	Class    string
-	Key      string        // by which repeats are told; empty where the class has none
-	RouteKey string        // what it is about; may be empty
-	Work     time.Duration // on a core of speed 1
-	Wait     time.Duration // on others: it holds its slot, but no core
+	ID             uint64 // the caller's number for it; unique among those a server holds
+	Class          string
+	IdempotencyKey string        // by which repeats are told; empty where the class has none
+	RouteKey       string        // what it is about; may be empty
+	Work           time.Duration // on a core of speed 1
+	Wait           time.Duration // on others: it holds its slot, but no core
 }
 
-// Verdict is what becomes of an arrival at once.
-type Verdict int
+// ArrivalResult is what becomes of an arrival at once.
+type ArrivalResult int
 
 // The verdicts.
 const (
-	Accepted Verdict = iota
-	Full             // turned away unseen: the waiting room is full, or the server drains
-	Down             // nobody listens
+	Accepted    ArrivalResult = iota
+	Rejected                  // turned away unseen: the waiting room is full, or the server drains
+	Unreachable               // nobody listens
 )
 
-// Done is the end of a request.
-type Done struct {
-	ID      uint64
-	Took    time.Duration // since it arrived
-	Dropped bool          // it was a repeat, and had no effect
-	Failed  bool          // it had its effect and is answered with an error
+// Completion is the end of a request.
+type Completion struct {
+	ID           uint64
+	Latency      time.Duration // since it arrived
+	Deduplicated bool          // it was a repeat, and had no effect
+	Failed       bool          // it had its effect and is answered with an error
 }
 
 // Server is the model of one form server. Its cores are shared evenly among the requests that need one (processor
@@ -79,40 +79,40 @@
 //
 // Invariants: attained is the work that a request which needed a core all the time has got since the start; it grows
 // evenly for all that need one, so that running is ordered by the attained work at which each is done. A request is in
-// exactly one of waiting, onOthers and running. len(onOthers) + len(running) <= Slots.
+// exactly one of waiting, inExternalWait and running. len(inExternalWait) + len(running) <= Slots.
 type Server struct {
 	spec   Spec
 	pod    *Pod
 	name   string
 	random *rand.Rand
 
-	now      time.Duration
-	started  time.Duration
-	attained float64 // seconds of work
-	waiting  []*job
-	onOthers jobs // by the time at which the wait is over
-	running  jobs // by the attained work at which they are done
-	keys     *keyMemory
-	meter    meter
-
-	state    Faults
-	toppled  bool
-	overload []sent // work sent lately while cold
-	sentWork float64
+	now            time.Duration
+	started        time.Duration
+	attained       float64 // seconds of work
+	waiting        []*job
+	inExternalWait jobHeap // by the time at which the wait is over
+	onCores        jobHeap // by the attained work at which they are done
+	keys           *keyCache
+	meter          loadMeter
+
+	faults         Faults
+	collapsed      bool
+	recentArrivals []arrivedWork // work sent lately while cold
+	recentWork     float64
 }
 
 // job is a request in a server.
 type job struct {
 	Request
-	arrived time.Duration
-	at      float64 // seconds on the clock of the queue that it is in
-	order   uint64  // of its arrival, so that ties are broken the same way each time
-	dropped bool
-	fails   bool
+	arrived     time.Duration
+	at          float64 // seconds on the clock of the queue that it is in
+	order       uint64  // of its arrival, so that ties are broken the same way each time
+	isDuplicate bool
+	willFail    bool
 }
 
 // sent is work that came to a cold server.
-type sent struct {
+type arrivedWork struct {
 	at   time.Duration
 	work float64
 }
@@ -130,91 +130,91 @@
 // NewServer returns a server that starts at that time, cold, or long ago if warm. Its random numbers follow from the seed.
 func NewServer(name string, spec Spec, pod *Pod, seed uint64, now time.Duration, warm bool) *Server {
 	s := &Server{spec: spec, pod: pod, name: name, random: rand.New(rand.NewPCG(seed, 0)), now: now, started: now,
-		keys: newKeyMemory(spec.KeyMost, spec.KeyFor)}
+		keys: newKeyCache(spec.KeyCacheSize, spec.KeyCacheTTL)}
 	if warm {
-		s.started = now - spec.ColdFor
+		s.started = now - spec.WarmupTime
 	}
-	s.meter = newMeter(spec, now)
+	s.meter = newLoadMeter(spec, now)
 	return s
 }
 
-// Warmth is the share of its capacity that the server has at that time.
-func (s *Server) Warmth(at time.Duration) float64 {
+// CapacityRatio is the share of its capacity that the server has at that time.
+func (s *Server) CapacityRatio(at time.Duration) float64 {
 	age := at - s.started
-	if s.spec.ColdFor <= 0 || age >= s.spec.ColdFor {
+	if s.spec.WarmupTime <= 0 || age >= s.spec.WarmupTime {
 		return 1
 	}
-	return s.spec.ColdFrom + (1-s.spec.ColdFrom)*max(0, age.Seconds())/s.spec.ColdFor.Seconds()
+	return s.spec.ColdCapacityRatio + (1-s.spec.ColdCapacityRatio)*max(0, age.Seconds())/s.spec.WarmupTime.Seconds()
 }
 
-// Held counts the requests in the server.
-func (s *Server) Held() int { return len(s.waiting) + len(s.onOthers) + len(s.running) }
+// InFlight counts the requests in the server.
+func (s *Server) InFlight() int { return len(s.waiting) + len(s.inExternalWait) + len(s.onCores) }
 
-// Room is how many requests the server takes at a time, in work and waiting.
-func (s *Server) Room() int { return s.spec.Slots + s.spec.Queue }
+// MaxRequests is how many requests the server takes at a time, in work and waiting.
+func (s *Server) MaxRequests() int { return s.spec.Slots + s.spec.Queue }
 
 // Capacity is the work that the server can do in a second at that time, in seconds of work, when it is not crowded.
 func (s *Server) Capacity(at time.Duration) float64 {
-	if s.toppled || s.state.Killed || s.state.Paused {
+	if s.collapsed || s.faults.Killed || s.faults.Paused {
 		return 0
 	}
-	c := float64(s.spec.Cores) * s.spec.Speed * s.Warmth(at)
-	if s.state.Throttle > 0 {
-		c *= s.state.Throttle
+	c := float64(s.spec.Cores) * s.spec.Speed * s.CapacityRatio(at)
+	if s.faults.Throttle > 0 {
+		c *= s.faults.Throttle
 	}
 	return c
 }
 
 // crowding is the share of the capacity that the number of requests held leaves.
-func (s *Server) crowding() float64 {
-	over := float64(s.Held())/float64(s.spec.Cores) - s.spec.CrowdAt
-	if s.spec.Crowd == 0 || over <= 0 {
+func (s *Server) crowdingRatio() float64 {
+	over := float64(s.InFlight())/float64(s.spec.Cores) - s.spec.CrowdingStart
+	if s.spec.CrowdingPenalty == 0 || over <= 0 {
 		return 1
 	}
-	return 1 / (1 + s.spec.Crowd*over)
+	return 1 / (1 + s.spec.CrowdingPenalty*over)
 }
 
 // pace is the work that each running request gets in a second, if the server were warm.
-func (s *Server) pace() float64 {
-	n := float64(len(s.running))
-	if n == 0 || s.toppled || s.state.Killed || s.state.Paused || s.state.Hung {
+func (s *Server) workRate() float64 {
+	n := float64(len(s.onCores))
+	if n == 0 || s.collapsed || s.faults.Killed || s.faults.Paused || s.faults.Hung {
 		return 0
 	}
-	p := s.spec.Speed * min(1, float64(s.spec.Cores)/n) * s.crowding()
-	if s.state.Throttle > 0 {
-		p *= s.state.Throttle
+	p := s.spec.Speed * min(1, float64(s.spec.Cores)/n) * s.crowdingRatio()
+	if s.faults.Throttle > 0 {
+		p *= s.faults.Throttle
 	}
 	return p
 }
 
-// Next is the time of the server's next own event, if there is one. Nothing happens in the server before it, unless a
+// NextTimer is the time of the server's next own event, if there is one. Nothing happens in the server before it, unless a
 // request arrives or a fault changes.
-func (s *Server) Next() (at time.Duration, ok bool) {
+func (s *Server) NextTimer() (at time.Duration, ok bool) {
 	at = math.MaxInt64
-	if s.state.Hung || s.state.Killed || s.toppled || s.state.Paused {
+	if s.faults.Hung || s.faults.Killed || s.collapsed || s.faults.Paused {
 		return 0, false
 	}
-	if len(s.onOthers) > 0 {
-		at = fromSeconds(s.onOthers[0].at)
+	if len(s.inExternalWait) > 0 {
+		at = fromSeconds(s.inExternalWait[0].at)
 	}
-	if p := s.pace(); p > 0 {
-		at = min(at, s.reaches(s.running[0].at-s.attained, p))
+	if p := s.workRate(); p > 0 {
+		at = min(at, s.timeOfWork(s.onCores[0].at-s.attained, p))
 	}
 	return max(at, s.now), at != math.MaxInt64
 }
 
 // reaches is the time at which each running request has got so much more work at this pace. While the server warms up
 // its pace rises evenly, so that what it does is a quadratic of the time.
-func (s *Server) reaches(work, pace float64) time.Duration {
+func (s *Server) timeOfWork(work, pace float64) time.Duration {
 	if work <= 0 {
 		return s.now
 	}
-	w, need := s.Warmth(s.now), work/pace // need: seconds of a warm server
-	left := (s.spec.ColdFor - (s.now - s.started)).Seconds()
-	if left <= 0 || s.spec.ColdFor <= 0 {
+	w, need := s.CapacityRatio(s.now), work/pace // need: seconds of a warm server
+	left := (s.spec.WarmupTime - (s.now - s.started)).Seconds()
+	if left <= 0 || s.spec.WarmupTime <= 0 {
 		return s.now + ceilSeconds(need)
 	}
-	slope := (1 - s.spec.ColdFrom) / s.spec.ColdFor.Seconds()
+	slope := (1 - s.spec.ColdCapacityRatio) / s.spec.WarmupTime.Seconds()
 	if whileCold := w*left + slope*left*left/2; need > whileCold {
 		return s.now + ceilSeconds(left+need-whileCold)
 	}
@@ -225,176 +225,180 @@
 }
 
 // gains is the work that each running request gets from now to then at this pace.
-func (s *Server) gains(then time.Duration, pace float64) float64 {
+func (s *Server) workUntil(then time.Duration, pace float64) float64 {
 	span := (then - s.now).Seconds()
-	left := max(0, (s.spec.ColdFor - (s.now - s.started)).Seconds())
-	if s.spec.ColdFor <= 0 {
+	left := max(0, (s.spec.WarmupTime - (s.now - s.started)).Seconds())
+	if s.spec.WarmupTime <= 0 {
 		left = 0
 	}
 	cold := min(span, left)
-	w, slope := s.Warmth(s.now), 0.0
+	w, slope := s.CapacityRatio(s.now), 0.0
 	if left > 0 {
-		slope = (1 - s.spec.ColdFrom) / s.spec.ColdFor.Seconds()
+		slope = (1 - s.spec.ColdCapacityRatio) / s.spec.WarmupTime.Seconds()
 	}
 	return pace * (w*cold + slope*cold*cold/2 + (span - cold))
 }
 
 // Advance lets the server work until that time and returns what ended, in order.
-func (s *Server) Advance(to time.Duration) (ended []Done) {
+func (s *Server) Advance(to time.Duration) (ended []Completion) {
 	for {
-		at, ok := s.Next()
+		at, ok := s.NextTimer()
 		if !ok || at > to {
-			s.pass(to)
+			s.elapse(to)
 			return ended
 		}
-		s.pass(at)
-		ended = append(ended, s.events()...)
+		s.elapse(at)
+		ended = append(ended, s.runDue()...)
 	}
 }
 
 // pass lets time go by in which nothing begins or ends.
-func (s *Server) pass(to time.Duration) {
+func (s *Server) elapse(to time.Duration) {
 	if to <= s.now {
 		return
 	}
-	p := s.pace()
-	s.meter.pass(s.now, to, s.usage())
-	s.attained += s.gains(to, p)
+	p := s.workRate()
+	s.meter.addUsage(s.now, to, s.coreUtilization())
+	s.attained += s.workUntil(to, p)
 	s.now = to
 }
 
 // usage is the share of the cores in use.
-func (s *Server) usage() float64 { return min(1, float64(len(s.running))/float64(s.spec.Cores)) }
+func (s *Server) coreUtilization() float64 {
+	return min(1, float64(len(s.onCores))/float64(s.spec.Cores))
+}
 
 // tolerance is the work that rounding of times may leave undone, in seconds: two nanoseconds of a fast core.
-const tolerance = 1e-8
+const workTolerance = 1e-8
 
 // events carries out what is due now.
-func (s *Server) events() (ended []Done) {
-	for len(s.onOthers) > 0 && fromSeconds(s.onOthers[0].at) <= s.now {
-		j := heap.Pop(&s.onOthers).(*job)
+func (s *Server) runDue() (ended []Completion) {
+	for len(s.inExternalWait) > 0 && fromSeconds(s.inExternalWait[0].at) <= s.now {
+		j := heap.Pop(&s.inExternalWait).(*job)
 		j.at = s.attained + j.Work.Seconds()
-		heap.Push(&s.running, j)
+		heap.Push(&s.onCores, j)
 	}
-	for len(s.running) > 0 && s.running[0].at <= s.attained+tolerance {
-		j := heap.Pop(&s.running).(*job)
-		ended = append(ended, Done{ID: j.ID, Took: s.now - j.arrived, Dropped: j.dropped, Failed: j.fails})
-		s.meter.done(j.fails)
+	for len(s.onCores) > 0 && s.onCores[0].at <= s.attained+workTolerance {
+		j := heap.Pop(&s.onCores).(*job)
+		ended = append(ended, Completion{ID: j.ID, Latency: s.now - j.arrived, Deduplicated: j.isDuplicate, Failed: j.willFail})
+		s.meter.addCompletion(j.willFail)
 		if len(s.waiting) > 0 {
 			next := s.waiting[0]
 			s.waiting = s.waiting[1:]
-			s.begin(next)
+			s.startWork(next)
 		}
 	}
 	return ended
 }
 
 // Arrive brings a request. The server must have been advanced to that time.
-func (s *Server) Arrive(now time.Duration, r Request, order uint64) Verdict {
+func (s *Server) Arrive(now time.Duration, r Request, order uint64) ArrivalResult {
 	switch {
-	case s.state.Killed || s.toppled:
-		return Down
-	case s.state.Hung: // it takes what comes, and nobody ever hears what became of it: it may have run
-		if r.Key != "" {
-			s.pod.take(now, r.Key, s.name)
+	case s.faults.Killed || s.collapsed:
+		return Unreachable
+	case s.faults.Hung: // it takes what comes, and nobody ever hears what became of it: it may have run
+		if r.IdempotencyKey != "" {
+			s.pod.claim(now, r.IdempotencyKey, s.name)
 		}
 		return Accepted
-	case s.overdriven(now, r): // what is turned away pushes as well
-		s.topple()
-		return Down
-	case s.state.Draining, len(s.onOthers)+len(s.running) >= s.spec.Slots && len(s.waiting) >= s.spec.Queue:
-		return Full
+	case s.isOverloadedCold(now, r): // what is turned away pushes as well
+		s.collapse()
+		return Unreachable
+	case s.faults.Draining, len(s.inExternalWait)+len(s.onCores) >= s.spec.Slots && len(s.waiting) >= s.spec.Queue:
+		return Rejected
 	}
-	j := &job{Request: r, arrived: now, order: order, fails: s.random.Float64() < s.state.Errors}
+	j := &job{Request: r, arrived: now, order: order, willFail: s.random.Float64() < s.faults.Errors}
 	// The pod tells repeats when they come: one that waits long in a queue must not run because its key is forgotten by then.
-	j.dropped = r.Key != "" && !s.pod.take(now, r.Key, s.name)
-	if len(s.onOthers)+len(s.running) >= s.spec.Slots {
+	j.isDuplicate = r.IdempotencyKey != "" && !s.pod.claim(now, r.IdempotencyKey, s.name)
+	if len(s.inExternalWait)+len(s.onCores) >= s.spec.Slots {
 		s.waiting = append(s.waiting, j)
 		return Accepted
 	}
-	s.begin(j)
+	s.startWork(j)
 	return Accepted
 }
 
 // begin puts a request to work.
-func (s *Server) begin(j *job) {
-	if j.dropped {
+func (s *Server) startWork(j *job) {
+	if j.isDuplicate {
 		j.Work, j.Wait = 0, 0
-	} else if s.keys.met(s.now, j.RouteKey) {
-		j.Work = time.Duration(float64(j.Work) * (1 - s.spec.KeyGain))
+	} else if s.keys.touch(s.now, j.RouteKey) {
+		j.Work = time.Duration(float64(j.Work) * (1 - s.spec.KeyCacheGain))
 	}
 	if j.Wait > 0 {
 		j.at = (s.now + j.Wait).Seconds()
-		heap.Push(&s.onOthers, j)
+		heap.Push(&s.inExternalWait, j)
 		return
 	}
 	j.at = s.attained + j.Work.Seconds()
-	heap.Push(&s.running, j)
+	heap.Push(&s.onCores, j)
 }
 
 // overdriven counts what is sent to a cold server, and reports whether it was too much for too long.
-func (s *Server) overdriven(now time.Duration, r Request) bool {
-	if s.spec.Topple == 0 || s.Warmth(now) == 1 || s.state.Paused { // one that stands still is not sent too much for what it can do
+func (s *Server) isOverloadedCold(now time.Duration, r Request) bool {
+	if s.spec.CollapseOverload == 0 || s.CapacityRatio(now) == 1 || s.faults.Paused { // one that stands still is not sent too much for what it can do
 		return false
 	}
-	for len(s.overload) > 0 && now-s.overload[0].at >= s.spec.ToppleFor {
-		s.sentWork -= s.overload[0].work
-		s.overload = s.overload[1:]
+	for len(s.recentArrivals) > 0 && now-s.recentArrivals[0].at >= s.spec.CollapseTime {
+		s.recentWork -= s.recentArrivals[0].work
+		s.recentArrivals = s.recentArrivals[1:]
 	}
 	work := r.Work.Seconds()
-	s.overload, s.sentWork = append(s.overload, sent{now, work}), s.sentWork+work
-	return s.sentWork > s.spec.Topple*s.Capacity(now)*s.spec.ToppleFor.Seconds()
+	s.recentArrivals, s.recentWork = append(s.recentArrivals, arrivedWork{now, work}), s.recentWork+work
+	return s.recentWork > s.spec.CollapseOverload*s.Capacity(now)*s.spec.CollapseTime.Seconds()
 }
 
 // topple ends the server for good; what it held is lost.
-func (s *Server) topple() {
-	s.toppled = true
-	s.lose()
+func (s *Server) collapse() {
+	s.collapsed = true
+	s.dropAll()
 }
 
-func (s *Server) lose() {
-	s.waiting, s.onOthers, s.running, s.overload, s.sentWork = nil, nil, nil, nil, 0
+func (s *Server) dropAll() {
+	s.waiting, s.inExternalWait, s.onCores, s.recentArrivals, s.recentWork = nil, nil, nil, nil, 0
 }
 
-// Fault changes what is wrong with the server. What was due before is settled first and returned.
-func (s *Server) Fault(now time.Duration, change func(*Faults)) (ended []Done) {
+// ChangeFaults changes what is wrong with the server. What was due before is settled first and returned.
+func (s *Server) ChangeFaults(now time.Duration, change func(*Faults)) (ended []Completion) {
 	ended = s.Advance(now)
-	change(&s.state)
-	if s.state.Killed {
-		s.lose()
+	change(&s.faults)
+	if s.faults.Killed {
+		s.dropAll()
 	}
 	return ended
 }
 
 // Faults is what is wrong with the server.
-func (s *Server) Faults() Faults { return s.state }
+func (s *Server) Faults() Faults { return s.faults }
 
-// Toppled reports whether the server fell over.
-func (s *Server) Toppled() bool { return s.toppled }
+// Collapsed reports whether the server fell over.
+func (s *Server) Collapsed() bool { return s.collapsed }
 
 // Connect adds the work of a handshake, which delays all that run.
 func (s *Server) Connect(now time.Duration) {
-	if n := len(s.running); s.spec.Handshake > 0 && n > 0 {
+	if n := len(s.onCores); s.spec.Handshake > 0 && n > 0 {
 		s.attained -= s.spec.Handshake.Seconds() / float64(n)
 	}
 }
 
-// Report is the load that the server shows at that time.
-func (s *Server) Report(now time.Duration) Load { return s.meter.shown(now, s.random) }
+// LoadReport is the load that the server shows at that time.
+func (s *Server) LoadReport(now time.Duration) LoadReport {
+	return s.meter.visibleReport(now, s.random)
+}
 
 // jobs is a heap of requests by their time, then by their order.
-type jobs []*job
+type jobHeap []*job
 
-func (q jobs) Len() int { return len(q) }
-func (q jobs) Less(i, j int) bool {
+func (q jobHeap) Len() int { return len(q) }
+func (q jobHeap) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
 	return q[i].order < q[j].order
 }
-func (q jobs) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *jobs) Push(x any)   { *q = append(*q, x.(*job)) }
-func (q *jobs) Pop() any {
+func (q jobHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *jobHeap) Push(x any)   { *q = append(*q, x.(*job)) }
+func (q *jobHeap) Pop() any {
 	last := len(*q) - 1
 	j := (*q)[last]
 	(*q)[last] = nil
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -17,9 +17,9 @@
 }
 
 // run brings arrivals to a server, lets all end, and returns the ends by id and the verdicts.
-func run(s *Server, arrivals []arrival) (ends map[uint64]Done, verdicts map[uint64]Verdict) {
-	ends, verdicts = map[uint64]Done{}, map[uint64]Verdict{}
-	take := func(done []Done) {
+func run(s *Server, arrivals []arrival) (ends map[uint64]Completion, verdicts map[uint64]ArrivalResult) {
+	ends, verdicts = map[uint64]Completion{}, map[uint64]ArrivalResult{}
+	take := func(done []Completion) {
 		for _, d := range done {
 			ends[d.ID] = d
 		}
@@ -85,7 +85,7 @@
 		}
 		total := 0.0
 		for _, d := range ends {
-			total += d.Took.Seconds()
+			total += d.Latency.Seconds()
 		}
 		wait := total/float64(n) - 1/mu
 		want := erlangC(c.cores, rate/mu) / (float64(c.cores)*mu - rate)
@@ -106,7 +106,7 @@
 		ends, _ := run(s, poisson(n, load/0.05, work))
 		total := 0.0
 		for _, d := range ends {
-			total += d.Took.Seconds()
+			total += d.Latency.Seconds()
 		}
 		near(t, name, total/n, 0.05/(1-load), 0.05)
 	}
@@ -115,7 +115,7 @@
 // While a server warms up, what it does is the integral of its warmth: a request's end agrees with a sum over small
 // steps, whether it ends before or after the server is warm.
 func TestWarmUpCurve(t *testing.T) {
-	spec := Spec{Cores: 2, Speed: 1.7, Slots: 8, ColdFrom: 0.32, ColdFor: 8700 * time.Millisecond}
+	spec := Spec{Cores: 2, Speed: 1.7, Slots: 8, ColdCapacityRatio: 0.32, WarmupTime: 8700 * time.Millisecond}
 	for _, work := range []float64{0.5, 5, 20} {
 		for _, begin := range []time.Duration{0, 3 * time.Second, 9 * time.Second} {
 			s := NewServer("s", spec, newPod(), 1, 0, false)
@@ -123,22 +123,22 @@
 			const step = 1e-5
 			at, done := begin.Seconds(), 0.0
 			for done < work {
-				done += step * spec.Speed * s.Warmth(seconds(at))
+				done += step * spec.Speed * s.CapacityRatio(seconds(at))
 				at += step
 			}
-			near(t, fmt.Sprintf("%v of work from %v on", work, begin), ends[1].Took.Seconds(), at-begin.Seconds(), 1e-3)
+			near(t, fmt.Sprintf("%v of work from %v on", work, begin), ends[1].Latency.Seconds(), at-begin.Seconds(), 1e-3)
 		}
 	}
 	s := NewServer("s", spec, newPod(), 1, time.Second, false)
-	for at, want := range map[time.Duration]float64{time.Second: 0.32, time.Second + spec.ColdFor/2: 0.66, time.Second + spec.ColdFor: 1, time.Hour: 1} {
-		near(t, fmt.Sprint("warmth at ", at), s.Warmth(at), want, 1e-9)
+	for at, want := range map[time.Duration]float64{time.Second: 0.32, time.Second + spec.WarmupTime/2: 0.66, time.Second + spec.WarmupTime: 1, time.Hour: 1} {
+		near(t, fmt.Sprint("warmth at ", at), s.CapacityRatio(at), want, 1e-9)
 	}
 }
 
 // A pod drops a repeat up to the last millisecond of its window, at any of its servers; another pod runs it.
 func TestPodDropsRepeats(t *testing.T) {
 	spec := Spec{Cores: 1, Speed: 1, Slots: 8}
-	refund := func(id uint64) Request { return Request{ID: id, Key: "k", Work: 10 * time.Millisecond} }
+	refund := func(id uint64) Request { return Request{ID: id, IdempotencyKey: "k", Work: 10 * time.Millisecond} }
 	for _, c := range []struct {
 		after      time.Duration
 		samePod    bool
@@ -178,10 +178,10 @@
 func TestWindowCountsFromTheFirst(t *testing.T) {
 	ledger := NewLedger()
 	pod := NewPod(1, 2*time.Second, ledger)
-	if !pod.take(0, "k", "s") {
+	if !pod.claim(0, "k", "s") {
 		t.Error("the first does not run")
 	}
-	if pod.take(1500*time.Millisecond, "k", "s") || !pod.take(2500*time.Millisecond, "k", "s") {
+	if pod.claim(1500*time.Millisecond, "k", "s") || !pod.claim(2500*time.Millisecond, "k", "s") {
 		t.Error("a repeat moved the window")
 	}
 }
@@ -193,14 +193,14 @@
 		all = append(all, arrival{0, Request{ID: uint64(i), Work: time.Second}})
 	}
 	ends, verdicts := run(s, all)
-	for id, want := range []Verdict{Accepted, Accepted, Accepted, Full, Full} {
+	for id, want := range []ArrivalResult{Accepted, Accepted, Accepted, Rejected, Rejected} {
 		if verdicts[uint64(id)] != want {
 			t.Errorf("request %d: %v", id, verdicts[uint64(id)])
 		}
 	}
 	// Two share the core for 2 s, then the third has it alone.
 	for id, want := range []time.Duration{2 * time.Second, 2 * time.Second, 3 * time.Second} {
-		if got := ends[uint64(id)].Took; (got - want).Abs() > time.Microsecond {
+		if got := ends[uint64(id)].Latency; (got - want).Abs() > time.Microsecond {
 			t.Errorf("request %d took %v, want %v", id, got, want)
 		}
 	}
@@ -212,7 +212,7 @@
 	ends, _ := run(s, []arrival{{0, Request{ID: 1, Work: time.Second, Wait: 100 * time.Millisecond}},
 		{0, Request{ID: 2, Work: 200 * time.Millisecond}}})
 	for id, want := range map[uint64]time.Duration{1: 600 * time.Millisecond, 2: 100 * time.Millisecond} {
-		if got := ends[id].Took; (got - want).Abs() > time.Microsecond {
+		if got := ends[id].Latency; (got - want).Abs() > time.Microsecond {
 			t.Errorf("request %d took %v, want %v", id, got, want)
 		}
 	}
@@ -220,13 +220,13 @@
 
 func TestCrowdedServerIsSlower(t *testing.T) {
 	took := func(crowd float64) time.Duration {
-		s := warm(Spec{Cores: 1, Speed: 1, Slots: 8, Crowd: crowd, CrowdAt: 2})
+		s := warm(Spec{Cores: 1, Speed: 1, Slots: 8, CrowdingPenalty: crowd, CrowdingStart: 2})
 		var all []arrival
 		for i := range 4 {
 			all = append(all, arrival{0, Request{ID: uint64(i), Work: time.Second}})
 		}
 		ends, _ := run(s, all)
-		return ends[3].Took
+		return ends[3].Latency
 	}
 	if even, slow := took(0), took(0.25); even != 4*time.Second || slow != 6*time.Second { // 1 + 0.25 * 2 over
 		t.Errorf("%v, crowded %v", even, slow)
@@ -234,7 +234,7 @@
 }
 
 func TestKnownKeysAreCheaper(t *testing.T) {
-	spec := Spec{Cores: 1, Speed: 1, Slots: 8, KeyGain: 0.5, KeyFor: 5 * time.Second, KeyMost: 2}
+	spec := Spec{Cores: 1, Speed: 1, Slots: 8, KeyCacheGain: 0.5, KeyCacheTTL: 5 * time.Second, KeyCacheSize: 2}
 	for name, c := range map[string]struct {
 		keys []string // a second each
 		want time.Duration
@@ -251,7 +251,7 @@
 			all = append(all, arrival{time.Duration(i) * time.Second, Request{ID: uint64(i), RouteKey: k, Work: time.Second}})
 		}
 		ends, _ := run(warm(spec), all)
-		if got := ends[uint64(len(c.keys)-1)].Took; (got - c.want).Abs() > time.Microsecond {
+		if got := ends[uint64(len(c.keys)-1)].Latency; (got - c.want).Abs() > time.Microsecond {
 			t.Errorf("%s: the last took %v, want %v", name, got, c.want)
 		}
 	}
@@ -260,7 +260,7 @@
 // A cold server that is sent more than the multiple of what it can do, for the stated time, falls over and stays down; a
 // warm one does not.
 func TestColdServerTopples(t *testing.T) {
-	spec := Spec{Cores: 2, Speed: 1, Slots: 4, Queue: 1 << 20, ColdFrom: 0.32, ColdFor: 8700 * time.Millisecond, Topple: 3, ToppleFor: 3 * time.Second}
+	spec := Spec{Cores: 2, Speed: 1, Slots: 4, Queue: 1 << 20, ColdCapacityRatio: 0.32, WarmupTime: 8700 * time.Millisecond, CollapseOverload: 3, CollapseTime: 3 * time.Second}
 	for name, c := range map[string]struct {
 		warm   bool
 		rate   int // requests of 0.1 s of work a second; 3 times what it can do is 19 at first
@@ -272,8 +272,8 @@
 			all = append(all, arrival{seconds(float64(i) / float64(c.rate)), Request{ID: uint64(i), Work: 100 * time.Millisecond}})
 		}
 		_, verdicts := run(s, all)
-		if s.Toppled() != c.topple || (verdicts[uint64(8*c.rate-1)] == Down) != c.topple {
-			t.Errorf("%s: toppled %v, the last request: %v", name, s.Toppled(), verdicts[uint64(8*c.rate-1)])
+		if s.Collapsed() != c.topple || (verdicts[uint64(8*c.rate-1)] == Unreachable) != c.topple {
+			t.Errorf("%s: toppled %v, the last request: %v", name, s.Collapsed(), verdicts[uint64(8*c.rate-1)])
 		}
 	}
 }
@@ -283,62 +283,62 @@
 func TestFaults(t *testing.T) {
 	spec := Spec{Cores: 1, Speed: 1, Slots: 8}
 	one := func(at time.Duration, id uint64) arrival { return arrival{at, Request{ID: id, Work: time.Second}} }
-	between := func(from, to time.Duration, change, back func(*Faults)) (map[uint64]Done, *Server) {
-		s, ends := warm(spec), map[uint64]Done{}
-		note := func(done []Done) {
+	between := func(from, to time.Duration, change, back func(*Faults)) (map[uint64]Completion, *Server) {
+		s, ends := warm(spec), map[uint64]Completion{}
+		note := func(done []Completion) {
 			for _, d := range done {
 				ends[d.ID] = d
 			}
 		}
 		a := one(0, 1)
 		s.Arrive(0, a.Request, 1)
-		note(s.Fault(from, change))
+		note(s.ChangeFaults(from, change))
 		b := one(from, 2)
 		s.Arrive(from, b.Request, 2)
-		note(s.Fault(to, back))
+		note(s.ChangeFaults(to, back))
 		note(s.Advance(time.Hour))
 		return ends, s
 	}
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	ends, _ := between(ms(500), ms(800), func(f *Faults) { f.Paused = true }, func(f *Faults) { f.Paused = false })
-	if got := ends[1].Took; (got - ms(1800)).Abs() > time.Microsecond { // 0.5 alone, 0.3 paused, 1.0 shared
+	if got := ends[1].Latency; (got - ms(1800)).Abs() > time.Microsecond { // 0.5 alone, 0.3 paused, 1.0 shared
 		t.Errorf("paused: %v", got)
 	}
 	ends, _ = between(ms(500), ms(900), func(f *Faults) { f.Throttle = 0.5 }, func(f *Faults) { f.Throttle = 0 })
-	if got := ends[1].Took; (got - ms(1700)).Abs() > time.Microsecond { // 0.4 s at a quarter: 0.1 of 0.5 done; 0.8 shared
+	if got := ends[1].Latency; (got - ms(1700)).Abs() > time.Microsecond { // 0.4 s at a quarter: 0.1 of 0.5 done; 0.8 shared
 		t.Errorf("throttled: %v", got)
 	}
 	ends, s := between(ms(500), ms(800), func(f *Faults) { f.Hung = true }, func(f *Faults) { f.Hung = false })
-	if _, answered := ends[2]; answered || (ends[1].Took-ms(1300)).Abs() > time.Microsecond || s.Held() != 0 {
-		t.Errorf("hung: %v, %d held", ends, s.Held())
+	if _, answered := ends[2]; answered || (ends[1].Latency-ms(1300)).Abs() > time.Microsecond || s.InFlight() != 0 {
+		t.Errorf("hung: %v, %d held", ends, s.InFlight())
 	}
 	ends, s = between(ms(500), ms(800), func(f *Faults) { f.Killed = true }, func(*Faults) {})
-	if len(ends) != 0 || s.Held() != 0 {
-		t.Errorf("killed: %v, %d held", ends, s.Held())
+	if len(ends) != 0 || s.InFlight() != 0 {
+		t.Errorf("killed: %v, %d held", ends, s.InFlight())
 	}
 	ends, _ = between(ms(500), ms(800), func(f *Faults) { f.Errors = 1 }, func(f *Faults) { f.Errors = 0 })
 	if ends[1].Failed || !ends[2].Failed {
 		t.Errorf("errors: %v", ends)
 	}
 	s = warm(spec)
-	s.Fault(0, func(f *Faults) { f.Draining = true })
-	if v := s.Arrive(0, Request{ID: 1}, 1); v != Full {
+	s.ChangeFaults(0, func(f *Faults) { f.Draining = true })
+	if v := s.Arrive(0, Request{ID: 1}, 1); v != Rejected {
 		t.Errorf("draining: %v", v)
 	}
 }
 
 func TestReports(t *testing.T) {
-	s := warm(Spec{Cores: 2, Speed: 1, Slots: 8, ReportEvery: 100 * time.Millisecond, ReportLate: 50 * time.Millisecond})
+	s := warm(Spec{Cores: 2, Speed: 1, Slots: 8, ReportInterval: 100 * time.Millisecond, ReportDelay: 50 * time.Millisecond})
 	for i := range 10 { // one core in use, 10 requests a second
 		at := time.Duration(i) * 100 * time.Millisecond
 		s.Advance(at)
 		s.Arrive(at, Request{ID: uint64(i), Work: 100 * time.Millisecond}, uint64(i))
 	}
 	s.Advance(940 * time.Millisecond)
-	got := s.Report(940 * time.Millisecond) // of the interval that ended at 800 ms
-	near(t, "use", got.Util, 0.5, 1e-6)
-	near(t, "rate", got.Rate, 10, 1e-6)
-	if early := warm(Spec{Cores: 1, Speed: 1, Slots: 1, ReportEvery: time.Second}).Report(0); early != (Load{}) {
+	got := s.LoadReport(940 * time.Millisecond) // of the interval that ended at 800 ms
+	near(t, "use", got.Utilization, 0.5, 1e-6)
+	near(t, "rate", got.ServedRate, 10, 1e-6)
+	if early := warm(Spec{Cores: 1, Speed: 1, Slots: 1, ReportInterval: time.Second}).LoadReport(0); early != (LoadReport{}) {
 		t.Errorf("before the first: %+v", early)
 	}
 }
@@ -349,15 +349,15 @@
 func TestServerKeepsItsCount(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		spec := Spec{Cores: rapid.IntRange(1, 4).Draw(rt, "cores"), Speed: 1.5, Slots: rapid.IntRange(1, 5).Draw(rt, "slots"),
-			Queue: rapid.IntRange(0, 3).Draw(rt, "queue"), Crowd: 0.1, CrowdAt: 1, ColdFrom: 0.3, ColdFor: time.Second,
-			KeyGain: 0.4, KeyFor: time.Second, KeyMost: 3, Handshake: time.Millisecond}
+			Queue: rapid.IntRange(0, 3).Draw(rt, "queue"), CrowdingPenalty: 0.1, CrowdingStart: 1, ColdCapacityRatio: 0.3, WarmupTime: time.Second,
+			KeyCacheGain: 0.4, KeyCacheTTL: time.Second, KeyCacheSize: 3, Handshake: time.Millisecond}
 		s := NewServer("s", spec, newPod(), 5, 0, rapid.Bool().Draw(rt, "warm"))
 		var now time.Duration
 		var id uint64
 		owed, ended := map[uint64]bool{}, map[uint64]bool{}
-		note := func(done []Done) {
+		note := func(done []Completion) {
 			for _, d := range done {
-				if ended[d.ID] || !owed[d.ID] || d.Took < 0 {
+				if ended[d.ID] || !owed[d.ID] || d.Latency < 0 {
 					rt.Fatalf("request %d ended: %+v", d.ID, d)
 				}
 				ended[d.ID] = true
@@ -369,26 +369,26 @@
 			case 0, 1, 2:
 				id++
 				r := Request{ID: id, Work: time.Duration(rapid.IntRange(0, 300).Draw(rt, "work")) * time.Millisecond,
-					Wait: time.Duration(rapid.IntRange(0, 50).Draw(rt, "wait")) * time.Millisecond,
-					Key:  rapid.SampledFrom([]string{"", "x", "y"}).Draw(rt, "key")}
+					Wait:           time.Duration(rapid.IntRange(0, 50).Draw(rt, "wait")) * time.Millisecond,
+					IdempotencyKey: rapid.SampledFrom([]string{"", "x", "y"}).Draw(rt, "key")}
 				hung := s.Faults().Hung
 				if s.Arrive(now, r, id) == Accepted && !hung {
 					owed[id] = true
 				}
 			case 3:
-				note(s.Fault(now, func(f *Faults) { f.Paused = !f.Paused }))
+				note(s.ChangeFaults(now, func(f *Faults) { f.Paused = !f.Paused }))
 			case 4:
-				note(s.Fault(now, func(f *Faults) { f.Hung = !f.Hung }))
+				note(s.ChangeFaults(now, func(f *Faults) { f.Hung = !f.Hung }))
 			default:
 				now += time.Duration(rapid.IntRange(0, 400).Draw(rt, "pass")) * time.Millisecond
 				note(s.Advance(now))
 				s.Connect(now)
 			}
-			if len(s.onOthers)+len(s.running) > spec.Slots || len(s.waiting) > spec.Queue || s.Held() != len(owed) {
-				rt.Fatalf("%d in work, %d waiting, %d owed", len(s.onOthers)+len(s.running), len(s.waiting), len(owed))
+			if len(s.inExternalWait)+len(s.onCores) > spec.Slots || len(s.waiting) > spec.Queue || s.InFlight() != len(owed) {
+				rt.Fatalf("%d in work, %d waiting, %d owed", len(s.inExternalWait)+len(s.onCores), len(s.waiting), len(owed))
 			}
 		}
-		note(s.Fault(now, func(f *Faults) { *f = Faults{} }))
+		note(s.ChangeFaults(now, func(f *Faults) { *f = Faults{} }))
 		note(s.Advance(now + time.Hour))
 		if len(owed) != 0 {
 			rt.Fatalf("%d never ended", len(owed))
--- a/internal/harness/cluster/fleet.go
+++ b/internal/harness/cluster/fleet.go
@@ -226,10 +226,10 @@
 	if f.pods[s.Pod] == nil {
 		f.pods[s.Pod] = emulator.NewPod(s.Pod, window, f.Ledger)
 	}
-	spec := emulator.Spec{Cores: 2, Speed: 1, Slots: 12, Queue: 32, Crowd: 0.05, CrowdAt: 4, ColdFrom: 0.32, ColdFor: 8700 * time.Millisecond,
-		Topple: 3, ToppleFor: 3 * time.Second, ReportEvery: 100 * time.Millisecond, ReportLate: 20 * time.Millisecond}
+	spec := emulator.Spec{Cores: 2, Speed: 1, Slots: 12, Queue: 32, CrowdingPenalty: 0.05, CrowdingStart: 4, ColdCapacityRatio: 0.32, WarmupTime: 8700 * time.Millisecond,
+		CollapseOverload: 3, CollapseTime: 3 * time.Second, ReportInterval: 100 * time.Millisecond, ReportDelay: 20 * time.Millisecond}
 	model := emulator.NewServer(s.ID, spec, f.pods[s.Pod], f.options.Seed, time.Since(f.epoch), warm)
-	form, err := emulator.Listen(s.ID, model, slower(f.options.Slow), f.options.Seed, f.epoch, emulator.Listening{Addr: s.host.Addr(), IdleClose: 15 * time.Second, MaxConns: 800})
+	form, err := emulator.Listen(s.ID, model, slower(f.options.Slow), f.options.Seed, f.epoch, emulator.ListenOptions{Addr: s.host.Addr(), IdleTimeout: 15 * time.Second, MaxConns: 800})
 	f.must(err)
 	s.form, s.drained = form, time.Time{}
 	if f.Lines != nil {
@@ -257,7 +257,7 @@
 // Drain lets the list say that a server drains. It is up to the caller to let that be told.
 func (s *Server) Drain() {
 	s.entry.State, s.drained = "Terminating", time.Now()
-	s.form.Fault(func(x *emulator.Faults) { x.Draining = false }) // it goes on taking what comes, and counts it
+	s.form.ChangeFaults(func(x *emulator.Faults) { x.Draining = false }) // it goes on taking what comes, and counts it
 	s.fleet.Discovery.Set(s.entry)
 }
 
@@ -275,7 +275,7 @@
 	if s.form == nil {
 		return
 	}
-	if s.form.Toppled() {
+	if s.form.Collapsed() {
 		s.fleet.Broken("the cold server %s was pushed over", s.ID)
 	}
 	if late := s.form.LastArrival().Sub(s.drained); !s.drained.IsZero() && late > drainGrace {
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -52,11 +52,11 @@
 	span := func(from, to time.Duration) time.Duration { return time.Duration(between(float64(from), float64(to))) }
 	return emulator.Spec{
 		Cores: k.cores, Speed: between(k.speed[0], k.speed[1]), Slots: 6 * k.cores, Queue: 16 * k.cores,
-		Crowd: 0.05, CrowdAt: 4,
-		ColdFrom: 0.32, ColdFor: 8700 * time.Millisecond, Topple: 3, ToppleFor: 3 * time.Second,
-		KeyGain: between(0.33, 0.58), KeyFor: span(3900*time.Millisecond, 11*time.Second), KeyMost: 100 * k.cores,
-		Handshake:   time.Millisecond,
-		ReportEvery: span(44*time.Millisecond, 230*time.Millisecond), ReportLate: 50 * time.Millisecond, ReportNoise: 0.05,
+		CrowdingPenalty: 0.05, CrowdingStart: 4,
+		ColdCapacityRatio: 0.32, WarmupTime: 8700 * time.Millisecond, CollapseOverload: 3, CollapseTime: 3 * time.Second,
+		KeyCacheGain: between(0.33, 0.58), KeyCacheTTL: span(3900*time.Millisecond, 11*time.Second), KeyCacheSize: 100 * k.cores,
+		Handshake:      time.Millisecond,
+		ReportInterval: span(44*time.Millisecond, 230*time.Millisecond), ReportDelay: 50 * time.Millisecond, ReportNoise: 0.05,
 	}
 }
 
@@ -89,7 +89,7 @@
 		}
 		name := serverName(i)
 		model := emulator.NewServer(name, k.drawSpec(random), pod, random.Uint64(), 0, true)
-		s, err := emulator.Listen(name, model, classes, seed, epoch, emulator.Listening{IdleClose: idleClose, MaxConns: 400 * k.cores})
+		s, err := emulator.Listen(name, model, classes, seed, epoch, emulator.ListenOptions{IdleTimeout: idleClose, MaxConns: 400 * k.cores})
 		if err != nil {
 			f.Close()
 			return nil, err
--- a/internal/scenario/live.go
+++ b/internal/scenario/live.go
@@ -162,7 +162,7 @@
 	for _, s := range l.liveServers {
 		held := 0
 		if !s.isDead {
-			held = s.formServer.Held()
+			held = s.formServer.InFlight()
 		}
 		for len(s.inFlightSamples) < second {
 			s.inFlightSamples = append(s.inFlightSamples, 0)
@@ -182,7 +182,7 @@
 		}
 		room, arrived := 0, 0
 		if s.formServer != nil {
-			room, arrived = s.formServer.Room(), s.formServer.Arrived()
+			room, arrived = s.formServer.MaxRequests(), s.formServer.Arrived()
 		}
 		l.report.Servers = append(l.report.Servers, ServerReport{Name: s.id, Kind: s.kind.name, Arrived: arrived, Peak: s.peak, Capacity: room, InFlight: s.inFlightSamples, Collapsed: toppled})
 	}
--- a/internal/scenario/live_server.go
+++ b/internal/scenario/live_server.go
@@ -38,7 +38,7 @@
 		return s
 	}
 	srv, err := emulator.Listen(m.id, model, classes, 0, l.modelEpoch,
-		emulator.Listening{Addr: place.Addr(), IdleClose: idleClose, MaxConns: 400 * m.kind.cores})
+		emulator.ListenOptions{Addr: place.Addr(), IdleTimeout: idleClose, MaxConns: 400 * m.kind.cores})
 	if err != nil {
 		s.isDead = true
 		l.err = err
@@ -66,12 +66,12 @@
 	if s.isDead {
 		return
 	}
-	s.formServer.Fault(func(f *emulator.Faults) {
+	s.formServer.ChangeFaults(func(f *emulator.Faults) {
 		e.writeTo(f)
 		f.Hung = f.Hung || e.partitioned > 0 // on loopback nothing can be cut off; it says as little
 		f.Draining = s.state == balancer.Draining
 	})
-	s.formServer.SetWire(emulator.Wire{Reset: probabilityOfAny(e.reset), Spoil: probabilityOfAny(e.corrupt)})
+	s.formServer.SetConnFaults(emulator.ConnFaults{ResetRatio: probabilityOfAny(e.reset), CorruptRatio: probabilityOfAny(e.corrupt)})
 }
 
 // kill implements serverHost, and checks that no request came too long after the list said that the server drains.
@@ -87,7 +87,7 @@
 }
 
 // hasCollapsed implements serverHost.
-func (s *liveServer) hasCollapsed() bool { return !s.isDead && s.formServer.Toppled() }
+func (s *liveServer) hasCollapsed() bool { return !s.isDead && s.formServer.Collapsed() }
 
 // listChanged implements environment: it publishes the entries that have changed.
 func (l *liveRun) listChanged() {
--- a/internal/scenario/sim_server.go
+++ b/internal/scenario/sim_server.go
@@ -26,13 +26,13 @@
 
 // pendingAttempt is an attempt whose request a server holds.
 type pendingAttempt struct {
-	onDone  func(emulator.Done)
+	onDone  func(emulator.Completion)
 	onReset func() // the server has ended
 }
 
 // kill implements serverHost. The connections break in the order in which the requests came.
 func (s *simServer) kill() {
-	s.deliverEnded(s.model.Fault(s.sim.now, func(f *emulator.Faults) { f.Killed = true }))
+	s.deliverEnded(s.model.ChangeFaults(s.sim.now, func(f *emulator.Faults) { f.Killed = true }))
 	for _, id := range slices.Sorted(maps.Keys(s.pendingAttempts)) {
 		s.pendingAttempts[id].onReset()
 	}
@@ -45,14 +45,14 @@
 }
 
 // deliverEnded answers the attempts whose requests have ended, and schedules the model's next timer.
-func (s *simServer) deliverEnded(ended []emulator.Done) {
+func (s *simServer) deliverEnded(ended []emulator.Completion) {
 	for _, d := range ended {
 		if wait, ok := s.pendingAttempts[d.ID]; ok {
 			delete(s.pendingAttempts, d.ID)
 			wait.onDone(d)
 		}
 	}
-	if at, ok := s.model.Next(); ok && at != s.nextAdvance {
+	if at, ok := s.model.NextTimer(); ok && at != s.nextAdvance {
 		s.nextAdvance = at
 		s.sim.schedule(at, func() {
 			if s.nextAdvance == at {
@@ -64,10 +64,12 @@
 }
 
 // applyFaults implements serverHost.
-func (s *simServer) applyFaults(e faultSet) { s.deliverEnded(s.model.Fault(s.sim.now, e.writeTo)) }
+func (s *simServer) applyFaults(e faultSet) {
+	s.deliverEnded(s.model.ChangeFaults(s.sim.now, e.writeTo))
+}
 
 // hasCollapsed implements serverHost.
-func (s *simServer) hasCollapsed() bool { return s.model.Toppled() }
+func (s *simServer) hasCollapsed() bool { return s.model.Collapsed() }
 
 // asMember returns the server's entry in the endpoint list.
 func (s *simServer) asMember() engine.Member {
@@ -91,25 +93,25 @@
 	s.lastRequestID++
 	w.arrivals++
 	work, wait := classes[r.class].Draw(0, at.Call.ID)
-	verdict := s.model.Arrive(w.now, emulator.Request{ID: s.lastRequestID, Class: classes[r.class].Name, Key: r.idempotencyKey, RouteKey: r.route,
+	verdict := s.model.Arrive(w.now, emulator.Request{ID: s.lastRequestID, Class: classes[r.class].Name, IdempotencyKey: r.idempotencyKey, RouteKey: r.route,
 		Work: work, Wait: wait}, w.arrivals)
 	switch verdict {
-	case emulator.Down:
-		if s.model.Toppled() && !s.collapseReported {
+	case emulator.Unreachable:
+		if s.model.Collapsed() && !s.collapseReported {
 			s.collapseReported = true
 			w.addViolation("4", "the cold server %s was pushed over", s.id)
 		}
 		reply(balancer.ConnectFailed, balancer.NoReport)
 		return
-	case emulator.Full:
+	case emulator.Rejected:
 		reply(balancer.Rejected, s.loadReport())
 		return
 	}
-	s.peak = max(s.peak, s.model.Held())
+	s.peak = max(s.peak, s.model.InFlight())
 	if s.model.Faults().Hung { // nothing will ever be heard of it
 		return
 	}
-	s.pendingAttempts[s.lastRequestID] = pendingAttempt{onReset: func() { reply(balancer.Reset, balancer.NoReport) }, onDone: func(d emulator.Done) {
+	s.pendingAttempts[s.lastRequestID] = pendingAttempt{onReset: func() { reply(balancer.Reset, balancer.NoReport) }, onDone: func(d emulator.Completion) {
 		switch {
 		case s.faults.partitioned > 0: // the answer does not get out
 		case w.networkRandom.Float64() < probabilityOfAny(s.faults.reset):
@@ -128,8 +130,8 @@
 
 // loadReport returns the load report that goes with an answer.
 func (s *simServer) loadReport() balancer.Report {
-	l := s.model.Report(s.sim.now)
+	l := s.model.LoadReport(s.sim.now)
 	r := balancer.NoReport
-	r.Utilization, r.ServedRate, r.ErrorRate = l.Util, l.Rate, l.Errors
+	r.Utilization, r.ServedRate, r.ErrorRate = l.Utilization, l.ServedRate, l.ErrorRate
 	return r
 }
--- a/internal/scenario/simulation.go
+++ b/internal/scenario/simulation.go
@@ -169,7 +169,7 @@
 	}
 	for _, s := range w.simServers {
 		w.report.Servers = append(w.report.Servers, ServerReport{Name: s.id, Kind: s.kind.name, Arrived: int(s.lastRequestID), Served: s.served, Peak: s.peak,
-			Capacity: s.model.Room(), InFlight: s.inFlightSamples, Collapsed: s.model.Toppled()})
+			Capacity: s.model.MaxRequests(), InFlight: s.inFlightSamples, Collapsed: s.model.Collapsed()})
 	}
 	for _, a := range w.agents {
 		a.countOverloads()
@@ -184,7 +184,7 @@
 		for len(s.inFlightSamples) < second { // it was not there yet
 			s.inFlightSamples = append(s.inFlightSamples, 0)
 		}
-		s.inFlightSamples = append(s.inFlightSamples, s.model.Held())
+		s.inFlightSamples = append(s.inFlightSamples, s.model.InFlight())
 	}
 	if second < until {
 		w.scheduleAfter(time.Second, func() { w.sample(second+1, until) })
