--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -12,7 +12,7 @@
 	"appleledge/internal/besteffort"
 )
 
-// Entry is a server as the list has it, in the form of the platform's protocol.
+// Entry is a server of the endpoint list, in the platform's format.
 type Entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -24,11 +24,11 @@
 	StartedMS int64   `json:"started_ms"` // Unix time; 0 for long ago
 }
 
-// maxWatchTime is the longest that a watch may wait.
+// maxWatchTime is the longest that a watch waits.
 const maxWatchTime = time.Minute
 
-// Discovery is the server list on a loopback socket: the whole list, and watches for what is newer than a version. It can
-// be late, and out of reach.
+// Discovery serves the endpoint list on a loopback socket: the whole list, and watches for changes since a version. Its
+// updates can be delayed, and it can be made unavailable. It is safe for concurrent use.
 type Discovery struct {
 	Addr string // host and port
 
@@ -48,12 +48,13 @@
 	closed         bool
 }
 
+// versionedEntry is an entry and the version of its latest change.
 type versionedEntry struct {
 	Entry
 	version int64 // of its latest change
 }
 
-// maxGoneEntries is how many servers that are gone watches are still told of. Who watches from an older version gets the whole
+// maxGoneEntries is how many removed servers watches are still told of. A watch from an older version gets the whole
 // list.
 const maxGoneEntries = 1024
 
@@ -91,7 +92,7 @@
 	d.served.Wait()
 }
 
-// Set changes entries, all in one version, once the lag has passed.
+// Set changes entries, all in one version, after the lag.
 func (d *Discovery) Set(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,6 +110,7 @@
 	d.delayed[t] = struct{}{}
 }
 
+// apply puts entries into the list in a new version and wakes the watches; d.mu is held.
 func (d *Discovery) apply(entries []Entry) {
 	if d.closed {
 		return
@@ -131,20 +133,20 @@
 	d.wakeWatches()
 }
 
-// tell wakes the watches.
+// wakeWatches lets the watches look at the list again; d.mu is held.
 func (d *Discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// SetLag makes changes late from now on.
+// SetLag delays changes from now on.
 func (d *Discovery) SetLag(lag time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag = lag
 }
 
-// SetOut puts the discovery out of reach, or back: calls fail, and watches end.
+// SetOut makes the discovery unavailable, or available again. Meanwhile calls are answered with 503, and watches end.
 func (d *Discovery) SetOut(out bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -183,7 +185,7 @@
 	}
 }
 
-// list is the whole list, or what has changed since a version.
+// listSince returns the whole list, or what has changed since a version; d.mu is held.
 func (d *Discovery) listSince(since int64, whole bool) list {
 	l := list{Version: d.version, Full: whole, Servers: []Entry{}}
 	kept := d.order[:0]
@@ -201,6 +203,7 @@
 	return l
 }
 
+// writeList answers with a list.
 func writeList(w http.ResponseWriter, l list) {
 	w.Header().Set("Content-Type", "application/json")
 	besteffort.Ignore(json.NewEncoder(w).Encode(l)) // an error means that the caller has gone
--- a/internal/emulator/formserver.go
+++ b/internal/emulator/formserver.go
@@ -35,14 +35,14 @@
 	return between(c.Work), between(c.Wait)
 }
 
-// ConnFaults are the faults that show on the connections, beside those of the model.
+// ConnFaults are faults of connections, beside the model's Faults.
 type ConnFaults struct {
 	ResetRatio   float64 // share of requests after which the connection breaks, having run
 	CorruptRatio float64 // share of answers that are noise
 }
 
-// FormServer is a Server on a loopback socket. It speaks HTTP/1.1 as the platform's protocol has it: 200 with a load
-// report, 500, or 503 with X-Not-Processed for what it turns away unseen. A client that leaves stops nothing.
+// FormServer is a Server on a loopback socket, by the platform's HTTP/1.1 protocol: 200 with a load report, 500, or 503
+// with X-Not-Processed for a rejected request. A client that disconnects stops nothing. It is safe for concurrent use.
 type FormServer struct {
 	Name string
 	Addr string // host and port
@@ -61,22 +61,22 @@
 	pending        map[uint64]chan Completion // of requests that wait for their end
 	arrived        uint64
 	timer          *time.Timer // wakes the model
-	corruptedConns []net.Conn  // spoilt connections that stay open
+	corruptedConns []net.Conn  // connections with a corrupt answer that stay open
 	closed         bool
 	done           chan struct{} // closed with the server
 }
 
-// ListenOptions are the limits of a form server's connections.
+// ListenOptions are the address and the connection limits of a form server.
 type ListenOptions struct {
 	Addr        string        // host and port; empty: a free one
 	IdleTimeout time.Duration // a connection idle for so long is closed
 	MaxConns    int           // open at a time; further ones are closed at once. 0: no limit
 }
 
-// addrInUseRetryTime is for how long an address may still be that of an earlier life.
+// addrInUseRetryTime is how long Listen retries while the address belongs to an earlier process or server.
 const addrInUseRetryTime = 2 * time.Second
 
-// hour is when timers that nothing is due for are set to.
+// idleTimerInterval is what the timer is set to while nothing is due.
 const idleTimerInterval = time.Hour
 
 // Listen starts a form server on a loopback address. Times of the model count from the epoch.
@@ -112,7 +112,7 @@
 	f.advance()
 }
 
-// advance brings the model to now, delivers what has ended, and sets the timer for what comes next.
+// advance brings the model to now, delivers completions and sets the timer; f.mu is held.
 func (f *FormServer) advance() {
 	now := f.now()
 	f.deliver(f.model.Advance(now))
@@ -124,6 +124,7 @@
 	}
 }
 
+// deliver passes completions to the requests that wait for them; f.mu is held.
 func (f *FormServer) deliver(ended []Completion) {
 	for _, d := range ended {
 		if wait := f.pending[d.ID]; wait != nil {
@@ -133,7 +134,7 @@
 	}
 }
 
-// ChangeFaults changes what is wrong with the server. What a kill loses is never answered: its connections break.
+// ChangeFaults changes the server's faults. The connections of requests that a kill drops break without an answer.
 func (f *FormServer) ChangeFaults(change func(*Faults)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,21 +163,21 @@
 	return f.lastArrival
 }
 
-// Arrived counts the requests that came whole.
+// Arrived returns how many complete requests have arrived.
 func (f *FormServer) Arrived() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return int(f.arrived)
 }
 
-// Collapsed reports whether the server fell over.
+// Collapsed reports whether the server was overloaded while warming up and is down for good.
 func (f *FormServer) Collapsed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.model.Collapsed()
 }
 
-// MaxRequests is how many requests the server takes at a time.
+// MaxRequests returns how many requests the server holds at most, in slots and in its queue.
 func (f *FormServer) MaxRequests() int { return f.model.MaxRequests() }
 
 // Close ends the server as a killed process ends: its connections break.
@@ -219,7 +220,7 @@
 	return verdict, end
 }
 
-// maxBodyBytes is the longest body that a server takes, in bytes.
+// maxBodyBytes is the longest request body that a server accepts.
 const maxBodyBytes = 64 << 10
 
 // ServeHTTP serves a request.
@@ -259,7 +260,7 @@
 // answer answers what has run, with the faults of the wire.
 func (f *FormServer) answer(w http.ResponseWriter, id string, done Completion) {
 	f.mu.Lock()
-	reset, spoil := f.random.Float64() < f.connFaults.ResetRatio, f.random.Float64() < f.connFaults.CorruptRatio
+	reset, corrupt := f.random.Float64() < f.connFaults.ResetRatio, f.random.Float64() < f.connFaults.CorruptRatio
 	f.mu.Unlock()
 	switch {
 	case reset:
@@ -269,7 +270,7 @@
 			}
 			besteffort.Close(c)
 		}
-	case spoil:
+	case corrupt:
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil { // left open: it is of no further use
 			besteffort.IgnoreResult(io.WriteString(c, "\x16\x03\x01 this is no answer"))
 			f.leaveOpen(c)
@@ -285,10 +286,10 @@
 	}
 }
 
-// maxCorruptedConns is how many spoilt connections stay open; then the oldest is closed.
+// maxCorruptedConns is how many connections with a corrupt answer stay open; beyond it the oldest is closed.
 const maxCorruptedConns = 64
 
-// leaveOpen keeps a connection open that is of no further use.
+// leaveOpen keeps a connection with a corrupt answer open.
 func (f *FormServer) leaveOpen(c net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -318,7 +319,7 @@
 	f.advance()
 }
 
-// limited is a listener that closes connections over a limit at once, as a full table does.
+// limitedListener closes connections beyond a limit at once, as a full connection table does.
 type limitedListener struct {
 	net.Listener
 	maxConns int
@@ -348,7 +349,7 @@
 	}
 }
 
-// counted is a connection that gives its place back once.
+// countedConn gives its place in a limitedListener back when it is closed first.
 type countedConn struct {
 	net.Conn
 	l    *limitedListener
--- a/internal/emulator/meter.go
+++ b/internal/emulator/meter.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// LoadReport is a load report: the share of the cores in use, requests and errors a second.
+// LoadReport is the utilization of the cores from 0 to 1, and served requests and errors a second.
 type LoadReport struct {
 	Utilization, ServedRate, ErrorRate float64
 }
 
-// meter takes load reports at intervals and shows the latest that is old enough.
+// loadMeter takes a load report at each interval and shows the latest one that is older than the delay.
 type loadMeter struct {
 	interval, delay   time.Duration
 	noise             float64
@@ -20,16 +20,18 @@
 	samples           []loadSample  // not shown yet, oldest first, and the one shown before them
 }
 
+// loadSample is a load report and when it was taken.
 type loadSample struct {
 	at   time.Duration
 	load LoadReport
 }
 
+// newLoadMeter returns a meter whose first interval begins now.
 func newLoadMeter(spec Spec, now time.Duration) loadMeter {
 	return loadMeter{interval: spec.ReportInterval, delay: spec.ReportDelay, noise: spec.ReportNoise, intervalEnd: now + spec.ReportInterval}
 }
 
-// pass counts a span of even use.
+// addUsage adds a period of constant usage.
 func (m *loadMeter) addUsage(from, to time.Duration, usage float64) {
 	if m.interval <= 0 {
 		return
@@ -43,6 +45,7 @@
 	m.busySeconds += usage * (to - from).Seconds()
 }
 
+// sample takes the load report of the interval that ends.
 func (m *loadMeter) sample() {
 	span := m.interval.Seconds()
 	m.samples = append(m.samples, loadSample{m.intervalEnd, LoadReport{Utilization: min(1, m.busySeconds/span), ServedRate: float64(m.completed) / span,
@@ -53,6 +56,7 @@
 	}
 }
 
+// addCompletion counts a completed request.
 func (m *loadMeter) addCompletion(failed bool) {
 	m.completed++
 	if failed {
@@ -60,7 +64,7 @@
 	}
 }
 
-// shown is the latest report that is old enough, with its error.
+// visibleReport returns the latest report that is old enough, with its random error.
 func (m *loadMeter) visibleReport(now time.Duration, random *rand.Rand) (l LoadReport) {
 	for _, t := range m.samples {
 		if now-t.at >= m.delay {
--- a/internal/emulator/pod.go
+++ b/internal/emulator/pod.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Execution is one execution of a request that carries a key: what the ledger holds.
+// Execution is one execution of a request with an idempotency key.
 type Execution struct {
 	Key    string
 	Pod    int
@@ -13,8 +13,8 @@
 	At     time.Duration
 }
 
-// Ledger is the witness against duplicates: every execution of a keyed request in the whole fleet, in order. It is safe
-// for concurrent use, as servers on sockets share it.
+// Ledger records every execution of a request with an idempotency key in the whole fleet, in order, so that duplicates
+// show. It is safe for concurrent use.
 type Ledger struct {
 	mu         sync.Mutex
 	executions []Execution
@@ -24,6 +24,7 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{countByKey: map[string]int{}} }
 
+// record adds an execution.
 func (l *Ledger) record(e Execution) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,14 +32,14 @@
 	l.countByKey[e.Key]++
 }
 
-// Effects returns a copy of all that ran.
+// Effects returns a copy of all executions.
 func (l *Ledger) Effects() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Execution(nil), l.executions...)
 }
 
-// Repeated returns the keys that ran more than once, with their executions.
+// Repeated returns the keys that were executed more than once, with their executions.
 func (l *Ledger) Repeated() map[string][]Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,9 +52,8 @@
 	return out
 }
 
-// Pod is a set of form servers that drop repeats among themselves: a key that began less than the window ago, at any of
-// them, does not run again. The window counts from the first, and is not prolonged by repeats. It is safe for concurrent
-// use.
+// Pod is a set of form servers that share their memory of idempotency keys: a key that began at any of them within the
+// window isn't executed again. Repeats don't prolong the window. It is safe for concurrent use.
 type Pod struct {
 	number int
 	window time.Duration
@@ -64,17 +64,18 @@
 	expiryOrder []keyTime                // the same by time, so that what is over can be dropped
 }
 
+// keyTime is a key and when it was seen.
 type keyTime struct {
 	key string
 	at  time.Duration
 }
 
-// NewPod returns a pod that drops repeats for the window and writes what runs into the ledger.
+// NewPod returns a pod that drops repeats within the window and records executions in the ledger.
 func NewPod(number int, window time.Duration, ledger *Ledger) *Pod {
 	return &Pod{number: number, window: window, ledger: ledger, startedAt: map[string]time.Duration{}}
 }
 
-// take reports whether the key is to run at the server now, and notes it if so.
+// claim reports whether the key is to be executed at the server now, and records the execution if so.
 func (p *Pod) claim(now time.Duration, key, server string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +92,7 @@
 	return true
 }
 
-// Forget is a loss of power in the whole pod: what it was sent is known no more.
+// Forget clears the pod's memory, as a power loss in the whole pod does.
 func (p *Pod) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +100,7 @@
 	p.expiryOrder = nil
 }
 
-// keyCache is the route keys that a server met lately.
+// keyCache is the route keys that a server has seen lately.
 type keyCache struct {
 	size     int
 	ttl      time.Duration
@@ -107,11 +108,12 @@
 	order    []keyTime
 }
 
-func newKeyCache(most int, keeps time.Duration) *keyCache {
-	return &keyCache{size: most, ttl: keeps, lastSeen: map[string]time.Duration{}}
+// newKeyCache returns a cache of size keys, each kept for the ttl.
+func newKeyCache(size int, ttl time.Duration) *keyCache {
+	return &keyCache{size: size, ttl: ttl, lastSeen: map[string]time.Duration{}}
 }
 
-// met reports whether the key was met within the time, and notes that it is met now.
+// touch reports whether the key is cached, and caches it from now on.
 func (m *keyCache) touch(now time.Duration, key string) bool {
 	if key == "" || m.size <= 0 {
 		return false
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -1,6 +1,6 @@
-// Package emulator is a stand-in for the fleet: form servers as a deterministic model, with queues, cold starts, faults
-// and a ledger of what ran. The model does no I/O and reads no clock: arrivals go in with the time, ends come out, so
-// that the same model runs on real sockets and in simulated time.
+// Package emulator emulates a fleet: form servers as a deterministic model with queues, warm-up and faults, their endpoint
+// list, and a ledger of executions. The model (Server) does no I/O, reads no clock and isn't safe for concurrent use:
+// arrivals go in with the time, completions come out, so that it runs in simulated time and, as FormServer, on sockets.
 package emulator
 
 import (
@@ -16,70 +16,71 @@
 	Cores int
 	Speed float64 // of a core: work done in a second, in seconds of work
 	Slots int     // requests in work at a time
-	Queue int     // and waiting for a slot; beyond that requests are turned away unseen
+	Queue int     // requests waiting for a slot; beyond that they are rejected
 
-	// When more than CrowdingStart requests a core are held, each further one a core takes Crowd of the capacity, as more
-	// held work makes caches and schedulers less efficient.
+	// With more than CrowdingStart requests a core, each further one a core takes CrowdingPenalty of the capacity, as
+	// more work in progress makes caches and schedulers less efficient.
 	CrowdingPenalty float64
 	CrowdingStart   float64
 
-	// A server that starts has ColdCapacityRatio of its capacity, and all of it WarmupTime later; in between it rises evenly.
+	// A server that starts has ColdCapacityRatio of its capacity, which rises linearly to all of it within WarmupTime.
 	ColdCapacityRatio float64
 	WarmupTime        time.Duration
 
-	// A server that met a route key within KeyCacheTTL does KeyCacheGain less work for it. It remembers the KeyCacheSize latest.
+	// A route key that was seen within KeyCacheTTL takes KeyCacheGain less of its work. The KeyCacheSize latest are cached.
 	KeyCacheGain float64
 	KeyCacheTTL  time.Duration
 	KeyCacheSize int
 
-	// A cold server that is sent more than Topple times what it can do at that moment for CollapseTime falls over and stays
-	// down. 0: it never does.
+	// A server that is warming up collapses and stays down if the work that arrives within CollapseTime is more than
+	// CollapseOverload times what it can do at that moment. 0: it never does.
 	CollapseOverload float64
 	CollapseTime     time.Duration
 
 	// A new connection costs this much work.
 	Handshake time.Duration
 
-	// LoadReport reports are taken every ReportInterval, shown ReportDelay later, and off by a normal error of this share.
+	// Load reports are taken every ReportInterval and visible ReportDelay later, with a normally distributed error whose
+	// standard deviation is this share of the value.
 	ReportInterval time.Duration
 	ReportDelay    time.Duration
 	ReportNoise    float64
 }
 
-// Request is what a server is asked to do.
+// Request is a request as the model sees it.
 type Request struct {
 	ID             uint64 // the caller's number for it; unique among those a server holds
 	Class          string
-	IdempotencyKey string        // by which repeats are told; empty where the class has none
-	RouteKey       string        // what it is about; may be empty
+	IdempotencyKey string        // empty if the class has none
+	RouteKey       string        // may be empty
 	Work           time.Duration // on a core of speed 1
-	Wait           time.Duration // on others: it holds its slot, but no core
+	Wait           time.Duration // on other systems: it holds its slot, but no core
 }
 
-// ArrivalResult is what becomes of an arrival at once.
+// ArrivalResult is what happens to a request when it arrives.
 type ArrivalResult int
 
 // The verdicts.
 const (
 	Accepted    ArrivalResult = iota
-	Rejected                  // turned away unseen: the waiting room is full, or the server drains
-	Unreachable               // nobody listens
+	Rejected                  // not executed: the queue is full, or the server drains
+	Unreachable               // the connection fails
 )
 
 // Completion is the end of a request.
 type Completion struct {
 	ID           uint64
 	Latency      time.Duration // since it arrived
-	Deduplicated bool          // it was a repeat, and had no effect
-	Failed       bool          // it had its effect and is answered with an error
+	Deduplicated bool          // a duplicate, not executed
+	Failed       bool          // executed, and answered with an error
 }
 
 // Server is the model of one form server. Its cores are shared evenly among the requests that need one (processor
 // sharing), at most one core each.
 //
 // Invariants: attained is the work that a request which needed a core all the time has got since the start; it grows
-// evenly for all that need one, so that running is ordered by the attained work at which each is done. A request is in
-// exactly one of waiting, inExternalWait and running. len(inExternalWait) + len(running) <= Slots.
+// evenly for all that need one, so that onCores is ordered by the attained work at which each is done. A request is in
+// exactly one of waiting, inExternalWait and onCores. len(inExternalWait) + len(onCores) <= Slots.
 type Server struct {
 	spec   Spec
 	pod    *Pod
@@ -111,19 +112,19 @@
 	willFail    bool
 }
 
-// sent is work that came to a cold server.
+// arrivedWork is the work of a request that arrived while the server warmed up.
 type arrivedWork struct {
 	at   time.Duration
 	work float64
 }
 
-// Faults are what a script does to a server.
+// Faults are what a scenario makes go wrong with a server.
 type Faults struct {
-	Paused   bool    // does nothing, and goes on where it was
-	Hung     bool    // accepts and never answers; what it held before goes on when the hang ends
+	Paused   bool    // stops, and later goes on where it was
+	Hung     bool    // accepts requests and never answers them; earlier ones go on after the hang
 	Throttle float64 // share of its capacity that is left; 0: all of it
-	Errors   float64 // share of requests that are answered with an error at once, having run
-	Draining bool    // turns new requests away
+	Errors   float64 // share of requests that are executed and answered with an error
+	Draining bool    // rejects new requests
 	Killed   bool
 }
 
@@ -138,7 +139,7 @@
 	return s
 }
 
-// CapacityRatio is the share of its capacity that the server has at that time.
+// CapacityRatio returns the share of its capacity that the server has at that time: less than 1 while it warms up.
 func (s *Server) CapacityRatio(at time.Duration) float64 {
 	age := at - s.started
 	if s.spec.WarmupTime <= 0 || age >= s.spec.WarmupTime {
@@ -150,10 +151,10 @@
 // InFlight counts the requests in the server.
 func (s *Server) InFlight() int { return len(s.waiting) + len(s.inExternalWait) + len(s.onCores) }
 
-// MaxRequests is how many requests the server takes at a time, in work and waiting.
+// MaxRequests returns how many requests the server holds at most, in slots and in its queue.
 func (s *Server) MaxRequests() int { return s.spec.Slots + s.spec.Queue }
 
-// Capacity is the work that the server can do in a second at that time, in seconds of work, when it is not crowded.
+// Capacity returns the work that the server can do in a second at that time, in seconds of work, without crowding.
 func (s *Server) Capacity(at time.Duration) float64 {
 	if s.collapsed || s.faults.Killed || s.faults.Paused {
 		return 0
@@ -165,7 +166,7 @@
 	return c
 }
 
-// crowding is the share of the capacity that the number of requests held leaves.
+// crowdingRatio returns the share of the capacity that is left with the present number of requests.
 func (s *Server) crowdingRatio() float64 {
 	over := float64(s.InFlight())/float64(s.spec.Cores) - s.spec.CrowdingStart
 	if s.spec.CrowdingPenalty == 0 || over <= 0 {
@@ -174,7 +175,7 @@
 	return 1 / (1 + s.spec.CrowdingPenalty*over)
 }
 
-// pace is the work that each running request gets in a second, if the server were warm.
+// workRate returns the work in a second that each request on the cores would get if the server were warm.
 func (s *Server) workRate() float64 {
 	n := float64(len(s.onCores))
 	if n == 0 || s.collapsed || s.faults.Killed || s.faults.Paused || s.faults.Hung {
@@ -187,8 +188,8 @@
 	return p
 }
 
-// NextTimer is the time of the server's next own event, if there is one. Nothing happens in the server before it, unless a
-// request arrives or a fault changes.
+// NextTimer returns when the server's next own event is due; ok is false if there is none. Nothing happens before it
+// unless a request arrives or a fault changes.
 func (s *Server) NextTimer() (at time.Duration, ok bool) {
 	at = math.MaxInt64
 	if s.faults.Hung || s.faults.Killed || s.collapsed || s.faults.Paused {
@@ -203,8 +204,8 @@
 	return max(at, s.now), at != math.MaxInt64
 }
 
-// reaches is the time at which each running request has got so much more work at this pace. While the server warms up
-// its pace rises evenly, so that what it does is a quadratic of the time.
+// timeOfWork returns when each request on the cores will have got so much more work at the rate. While the server warms
+// up its rate rises linearly, so that the work is a quadratic function of time.
 func (s *Server) timeOfWork(work, pace float64) time.Duration {
 	if work <= 0 {
 		return s.now
@@ -224,7 +225,7 @@
 	return s.now + ceilSeconds((math.Sqrt(w*w+2*slope*need)-w)/slope)
 }
 
-// gains is the work that each running request gets from now to then at this pace.
+// workUntil returns the work that each request on the cores gets from now to then at the rate.
 func (s *Server) workUntil(then time.Duration, pace float64) float64 {
 	span := (then - s.now).Seconds()
 	left := max(0, (s.spec.WarmupTime - (s.now - s.started)).Seconds())
@@ -252,7 +253,7 @@
 	}
 }
 
-// pass lets time go by in which nothing begins or ends.
+// elapse moves the time on to a point before which nothing begins or ends.
 func (s *Server) elapse(to time.Duration) {
 	if to <= s.now {
 		return
@@ -263,15 +264,15 @@
 	s.now = to
 }
 
-// usage is the share of the cores in use.
+// coreUtilization returns the share of the cores in use.
 func (s *Server) coreUtilization() float64 {
 	return min(1, float64(len(s.onCores))/float64(s.spec.Cores))
 }
 
-// tolerance is the work that rounding of times may leave undone, in seconds: two nanoseconds of a fast core.
+// workTolerance is the work, in seconds, that rounding of times may leave undone: two nanoseconds of a fast core.
 const workTolerance = 1e-8
 
-// events carries out what is due now.
+// runDue carries out what is due now and returns the completed requests.
 func (s *Server) runDue() (ended []Completion) {
 	for len(s.inExternalWait) > 0 && fromSeconds(s.inExternalWait[0].at) <= s.now {
 		j := heap.Pop(&s.inExternalWait).(*job)
@@ -291,17 +292,18 @@
 	return ended
 }
 
-// Arrive brings a request. The server must have been advanced to that time.
+// Arrive gives the server a request. It must have been advanced to that time. order is the number of the arrival, which
+// breaks ties.
 func (s *Server) Arrive(now time.Duration, r Request, order uint64) ArrivalResult {
 	switch {
 	case s.faults.Killed || s.collapsed:
 		return Unreachable
-	case s.faults.Hung: // it takes what comes, and nobody ever hears what became of it: it may have run
+	case s.faults.Hung: // never answered, but the request may have run
 		if r.IdempotencyKey != "" {
 			s.pod.claim(now, r.IdempotencyKey, s.name)
 		}
 		return Accepted
-	case s.isOverloadedCold(now, r): // what is turned away pushes as well
+	case s.isOverloadedCold(now, r): // rejected requests count as well
 		s.collapse()
 		return Unreachable
 	case s.faults.Draining, len(s.inExternalWait)+len(s.onCores) >= s.spec.Slots && len(s.waiting) >= s.spec.Queue:
@@ -318,7 +320,7 @@
 	return Accepted
 }
 
-// begin puts a request to work.
+// startWork gives a request a slot.
 func (s *Server) startWork(j *job) {
 	if j.isDuplicate {
 		j.Work, j.Wait = 0, 0
@@ -334,7 +336,8 @@
 	heap.Push(&s.onCores, j)
 }
 
-// overdriven counts what is sent to a cold server, and reports whether it was too much for too long.
+// isOverloadedCold counts the work that arrives while the server warms up, and reports whether it was too much for too
+// long.
 func (s *Server) isOverloadedCold(now time.Duration, r Request) bool {
 	if s.spec.CollapseOverload == 0 || s.CapacityRatio(now) == 1 || s.faults.Paused { // one that stands still is not sent too much for what it can do
 		return false
@@ -348,17 +351,18 @@
 	return s.recentWork > s.spec.CollapseOverload*s.Capacity(now)*s.spec.CollapseTime.Seconds()
 }
 
-// topple ends the server for good; what it held is lost.
+// collapse takes the server down for good and drops its requests.
 func (s *Server) collapse() {
 	s.collapsed = true
 	s.dropAll()
 }
 
+// dropAll drops all requests.
 func (s *Server) dropAll() {
 	s.waiting, s.inExternalWait, s.onCores, s.recentArrivals, s.recentWork = nil, nil, nil, nil, 0
 }
 
-// ChangeFaults changes what is wrong with the server. What was due before is settled first and returned.
+// ChangeFaults changes the server's faults, and first returns what was completed until now.
 func (s *Server) ChangeFaults(now time.Duration, change func(*Faults)) (ended []Completion) {
 	ended = s.Advance(now)
 	change(&s.faults)
@@ -368,25 +372,25 @@
 	return ended
 }
 
-// Faults is what is wrong with the server.
+// Faults returns the server's faults.
 func (s *Server) Faults() Faults { return s.faults }
 
-// Collapsed reports whether the server fell over.
+// Collapsed reports whether the server was overloaded while warming up and is down for good.
 func (s *Server) Collapsed() bool { return s.collapsed }
 
-// Connect adds the work of a handshake, which delays all that run.
+// Connect adds the work of a handshake, which delays all requests on the cores.
 func (s *Server) Connect(now time.Duration) {
 	if n := len(s.onCores); s.spec.Handshake > 0 && n > 0 {
 		s.attained -= s.spec.Handshake.Seconds() / float64(n)
 	}
 }
 
-// LoadReport is the load that the server shows at that time.
+// LoadReport returns the load report that is visible at that time.
 func (s *Server) LoadReport(now time.Duration) LoadReport {
 	return s.meter.visibleReport(now, s.random)
 }
 
-// jobs is a heap of requests by their time, then by their order.
+// jobHeap is a heap of requests by time, then by order of arrival.
 type jobHeap []*job
 
 func (q jobHeap) Len() int { return len(q) }
@@ -406,6 +410,7 @@
 	return j
 }
 
+// fromSeconds converts seconds, rounded to the nearest nanosecond.
 func fromSeconds(s float64) time.Duration { return time.Duration(math.Round(s * 1e9)) }
 
 // ceilSeconds rounds up, so that what is due then is done then.
