--- a/internal/cli/join.go
+++ b/internal/cli/join.go
@@ -14,7 +14,7 @@
 
 // joins is what the section [join] switches on: a function, as only the platform's configuration names the classes. Its
 // errors name the file and the line.
-func joins(f settings.File) func([]balancer.Class) (agent.CoalescingOptions, error) {
+func coalescingOptions(f settings.File) func([]balancer.Class) (agent.CoalescingOptions, error) {
 	set := f.Join
 	if set == nil {
 		return nil
--- a/internal/cli/join_test.go
+++ b/internal/cli/join_test.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		with, err := joins(f)(classes)
+		with, err := coalescingOptions(f)(classes)
 		if want != "" {
 			if err == nil || !strings.HasPrefix(err.Error(), "own.toml:3: join.classes: \""+want+"\" is no class that may be repeated") {
 				t.Errorf("%s: %v", name, err)
@@ -31,7 +31,7 @@
 			t.Errorf("%+v, %v", with, err)
 		}
 	}
-	if joins(settings.File{}) != nil {
+	if coalescingOptions(settings.File{}) != nil {
 		t.Error("without the section something is joined")
 	}
 }
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -21,8 +21,8 @@
 	"appleledge/internal/settings"
 )
 
-// heapPart is how much of the memory limit the runtime may fill; sockets and files count too.
-const heapPart = 0.6
+// heapRatio is how much of the memory limit the runtime may fill; sockets and files count too.
+const heapRatio = 0.6
 
 // Extras says what the settings switch on. An error is a section that the command can't carry out.
 type Extras func(settings.File) (agent.Features, error)
@@ -56,9 +56,9 @@
 }
 
 func run(name string, args []string, extras Extras) error {
-	hangups := make(chan os.Signal, 1) // one that waits is enough: the files are read after it
-	signal.Notify(hangups, syscall.SIGHUP)
-	path, err := parse(name, args, os.Stderr)
+	reloadSignals := make(chan os.Signal, 1) // one that waits is enough: the files are read after it
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	path, err := parseFlags(name, args, os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -67,54 +67,54 @@
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("agent", cfg.Name)
-	own, err := load(path)
+	set, err := loadSettings(path)
 	if err != nil {
 		return err
 	}
-	with, err := extras(own)
+	features, err := extras(set)
 	if err != nil {
 		return err
 	}
-	with.Coalescing = joins(own)
-	if own.Telemetry != nil {
-		with.DownstreamServers = append(with.DownstreamServers, telemetryFront(own))
+	features.Coalescing = coalescingOptions(set)
+	if set.Telemetry != nil {
+		features.DownstreamServers = append(features.DownstreamServers, telemetryServer(set))
 	}
-	if s := own.Figures; s != nil {
-		with.StatsLogInterval = time.Duration(s.Every)
+	if s := set.Figures; s != nil {
+		features.StatsLogInterval = time.Duration(s.Every)
 	}
-	if s := own.Storm; s != nil {
-		with.Admission = &agent.AdmissionOptions{MaxRemembered: s.Remember, LogInterval: time.Duration(s.LogEvery)}
+	if s := set.Storm; s != nil {
+		features.Admission = &agent.AdmissionOptions{MaxRemembered: s.Remember, LogInterval: time.Duration(s.LogEvery)}
 	}
-	if s := own.Affinity; s != nil {
-		with.Affinity = &agent.AffinityOptions{Dir: s.Dir, Sync: s.Sync, MaxBindings: s.Most, LateRetryPeriod: time.Duration(s.Tail), CommitTimeout: time.Duration(s.Budget)}
+	if s := set.Affinity; s != nil {
+		features.Affinity = &agent.AffinityOptions{Dir: s.Dir, Sync: s.Sync, MaxBindings: s.Most, LateRetryPeriod: time.Duration(s.Tail), CommitTimeout: time.Duration(s.Budget)}
 	}
-	if s := own.Peers; s != nil {
-		with.Gossip = &agent.GossipOptions{Listen: s.Listen, Members: s.Members, KeyFile: s.KeyFile, ProbeInterval: time.Duration(s.Period), PeerPollTime: time.Duration(s.AskFor)}
+	if s := set.Peers; s != nil {
+		features.Gossip = &agent.GossipOptions{Listen: s.Listen, Members: s.Members, KeyFile: s.KeyFile, ProbeInterval: time.Duration(s.Period), PeerPollTime: time.Duration(s.AskFor)}
 	}
-	if s := own.Overload; s != nil {
-		with.Overload = &agent.OverloadOptions{MaxRemembered: s.Remember, LogInterval: time.Duration(s.LogEvery)}
+	if s := set.Overload; s != nil {
+		features.Overload = &agent.OverloadOptions{MaxRemembered: s.Remember, LogInterval: time.Duration(s.LogEvery)}
 	}
-	if s := own.Recovery; s != nil {
-		with.Recovery = &agent.RecoveryOptions{Dir: s.Dir, BootIDFile: s.RunFile, WriteInterval: time.Duration(s.Every), FirstListTimeout: time.Duration(s.ListWait),
+	if s := set.Recovery; s != nil {
+		features.Recovery = &agent.RecoveryOptions{Dir: s.Dir, BootIDFile: s.RunFile, WriteInterval: time.Duration(s.Every), FirstListTimeout: time.Duration(s.ListWait),
 			LogInterval: time.Duration(s.LogEvery)}
 	}
-	if s := own.Generations; s != nil {
-		with.Generations = &agent.GenerationOptions{Socket: s.Socket, StateFile: s.State}
+	if s := set.Generations; s != nil {
+		features.Generations = &agent.GenerationOptions{Socket: s.Socket, StateFile: s.State}
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
-	with.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapPart * float64(cfg.MemoryMB<<20))) }
-	with.SetMemoryShare(1)
+	features.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapRatio * float64(cfg.MemoryMB<<20))) }
+	features.SetMemoryShare(1)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	reloads := agent.Reloads{Signals: hangups, Load: func() (agent.Config, error) {
-		recheck(path, own, log)
+	reloads := agent.Reloads{Signals: reloadSignals, Load: func() (agent.Config, error) {
+		logSettingsChange(path, set, log)
 		return agent.ReloadConfig(os.Getenv)
 	}}
-	return agent.Run(ctx, cfg, reloads, log, with)
+	return agent.Run(ctx, cfg, reloads, log, features)
 }
 
 // parse reads the flags.
-func parse(name string, args []string, out io.Writer) (settingsPath string, err error) {
+func parseFlags(name string, args []string, out io.Writer) (settingsPath string, err error) {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(out)
 	flags.Usage = func() {
@@ -133,7 +133,7 @@
 }
 
 // load reads the settings; with no file all is off.
-func load(path string) (settings.File, error) {
+func loadSettings(path string) (settings.File, error) {
 	if path == "" {
 		return settings.File{}, nil
 	}
@@ -141,8 +141,8 @@
 }
 
 // recheck reads the settings again on a signal and says what becomes of them. The agent goes on with what it has.
-func recheck(path string, old settings.File, log *slog.Logger) {
-	fresh, err := load(path)
+func logSettingsChange(path string, old settings.File, log *slog.Logger) {
+	fresh, err := loadSettings(path)
 	switch {
 	case err != nil:
 		log.Error("settings not reloaded, keeping the old ones", "error", err)
--- a/internal/cli/program_test.go
+++ b/internal/cli/program_test.go
@@ -13,16 +13,16 @@
 
 func TestFlags(t *testing.T) {
 	var out bytes.Buffer
-	if path, err := parse("appleledge", []string{"-settings", "f.toml"}, &out); err != nil || path != "f.toml" {
+	if path, err := parseFlags("appleledge", []string{"-settings", "f.toml"}, &out); err != nil || path != "f.toml" {
 		t.Errorf("%q, %v", path, err)
 	}
-	if path, err := parse("appleledge", nil, &out); err != nil || path != "" {
+	if path, err := parseFlags("appleledge", nil, &out); err != nil || path != "" {
 		t.Errorf("%q, %v", path, err)
 	}
-	if _, err := parse("appleledge", []string{"-h"}, &out); !errors.Is(err, flag.ErrHelp) || !strings.Contains(out.String(), "PROXY_CONFIG") {
+	if _, err := parseFlags("appleledge", []string{"-h"}, &out); !errors.Is(err, flag.ErrHelp) || !strings.Contains(out.String(), "PROXY_CONFIG") {
 		t.Errorf("%v: %s", err, out.String())
 	}
-	if _, err := parse("appleledge", []string{"f.toml"}, &out); err == nil {
+	if _, err := parseFlags("appleledge", []string{"f.toml"}, &out); err == nil {
 		t.Error("a word that is no flag is no error")
 	}
 }
@@ -37,7 +37,7 @@
 		}
 	}
 	write("[external_processor]\nlisten = \"127.0.0.1:1\"\n")
-	old, err := load(file)
+	old, err := loadSettings(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	} {
 		write(text)
 		var out bytes.Buffer
-		recheck(file, old, slog.New(slog.NewTextHandler(&out, nil)))
+		logSettingsChange(file, old, slog.New(slog.NewTextHandler(&out, nil)))
 		if got := out.String(); want == "" && got != "" || !strings.Contains(got, want) {
 			t.Errorf("%q: logged %q, want %q", text, got, want)
 		}
--- a/internal/cli/telemetry.go
+++ b/internal/cli/telemetry.go
@@ -13,8 +13,8 @@
 	"appleledge/internal/telemetry"
 )
 
-// telemetryFront is what the section [telemetry] switches on.
-func telemetryFront(f settings.File) agent.DownstreamServer {
+// telemetryServer is what the section [telemetry] switches on.
+func telemetryServer(f settings.File) agent.DownstreamServer {
 	return agent.DownstreamServer{Name: "telemetry", Descriptors: telemetry.MaxDescriptors, Open: func(c agent.Core) (func(context.Context) error, error) {
 		l, err := net.Listen("tcp", f.Telemetry.Listen)
 		taken := errors.Is(err, syscall.EADDRINUSE) && c.HasSibling() // by the process that this one replaces
@@ -34,8 +34,8 @@
 	}}
 }
 
-// takenPause is between two tries to listen where another process still does.
-const takenPause = 100 * time.Millisecond
+// listenRetryInterval is between two tries to listen where another process still does.
+const listenRetryInterval = 100 * time.Millisecond
 
 // listenLater listens as soon as that can be had; nil when the context ends before.
 func listenLater(ctx context.Context, addr string) net.Listener {
@@ -45,7 +45,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(takenPause):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 	return nil
--- a/internal/latency/window_test.go
+++ b/internal/latency/window_test.go
@@ -24,7 +24,7 @@
 				fresh, past, began = nil, fresh, now
 			}
 			w.Record(now, took)
-			fresh = append(fresh, min(max(took, unit), most))
+			fresh = append(fresh, min(max(took, resolution), most))
 		}
 		all := slices.Sorted(slices.Values(slices.Concat(fresh, past)))
 		if w.Count() != int64(len(all)) {
@@ -32,7 +32,7 @@
 		}
 		for _, q := range []float64{0.1, 0.5, 0.9, 1} {
 			want := all[max(0, int(q*float64(len(all))+0.5)-1)]
-			if got := w.Quantile(q); math.Abs(float64(got-want)) > 0.01*float64(want)+float64(unit) {
+			if got := w.Quantile(q); math.Abs(float64(got-want)) > 0.01*float64(want)+float64(resolution) {
 				t.Fatalf("quantile %v is %v, want %v of %v", q, got, want, all)
 			}
 		}
--- a/internal/logstats/figures.go
+++ b/internal/logstats/figures.go
@@ -18,8 +18,8 @@
 
 // Bounds on what is read: a line, and how many steps there may be.
 const (
-	longestLine = 64 << 10
-	mostRows    = 24 * 3600
+	maxLineBytes = 64 << 10
+	maxRows      = 24 * 3600
 )
 
 // Sum holds the sums by time.
@@ -39,9 +39,9 @@
 // Read adds a log.
 func (s *Sum) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for number := 1; lines.Scan(); number++ {
-		if err := s.line(lines.Text()); err != nil {
+		if err := s.addLine(lines.Text()); err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 	}
@@ -49,7 +49,7 @@
 }
 
 // line adds one line of a log, which slog's text handler has written.
-func (s *Sum) line(text string) error {
+func (s *Sum) addLine(text string) error {
 	_, text, found := strings.Cut(text, "time=")
 	if !found || !strings.Contains(text, " msg="+Message+" ") {
 		return nil
@@ -62,8 +62,8 @@
 	key := at.UnixNano() / int64(s.step)
 	row := s.Rows[key]
 	if row == nil {
-		if len(s.Rows) == mostRows {
-			return fmt.Errorf("the logs have over %d steps; take longer ones", mostRows)
+		if len(s.Rows) == maxRows {
+			return fmt.Errorf("the logs have over %d steps; take longer ones", maxRows)
 		}
 		row = map[string]float64{}
 		s.Rows[key] = row
--- a/internal/logstats/figures_test.go
+++ b/internal/logstats/figures_test.go
@@ -47,7 +47,7 @@
 	if err == nil || !strings.Contains(err.Error(), "line 2: \"soon\" is no time") {
 		t.Errorf("%v", err)
 	}
-	for s.step = time.Nanosecond; len(s.Rows) < mostRows; {
+	for s.step = time.Nanosecond; len(s.Rows) < maxRows; {
 		s.Rows[int64(len(s.Rows)+1)] = nil
 	}
 	if err := s.Read(strings.NewReader(one)); err == nil || !strings.Contains(err.Error(), "longer") {
