--- a/internal/cli/program.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the agent's commands share: flags, signals, limits of the process, and the reading of the
-// configuration and the settings. A command says what it holds beside what the platform wants.
+// Package cli is what the agent's commands have in common: flags, signals, limits of the process, and reading the platform's
+// configuration and the agent's settings. What a command supports beyond that it says by its Extras.
 package cli
 
 import (
@@ -21,10 +21,11 @@
 	"appleledge/internal/settings"
 )
 
-// heapRatio is how much of the memory limit the runtime may fill; sockets and files count too.
+// heapRatio is the part of the memory limit that is the Go runtime's limit; sockets and files need the rest.
 const heapRatio = 0.6
 
-// Extras says what the settings switch on. An error is a section that the command can't carry out.
+// Extras returns the features that the settings switch on in a command. An error means that a section asks for what the
+// command does not support, or is invalid; the command then does not start.
 type Extras func(settings.File) (agent.Features, error)
 
 const usage = `%[1]s is a client-side load balancer agent. It takes HTTP/1.1 requests where PROXY_LISTEN says and sends
@@ -47,7 +48,7 @@
 
 `
 
-// Main runs a command until it is told to end, and ends the process with 1 if it could not start or failed.
+// Main runs a command until a signal ends it. It exits the process with status 1 if the command could not start or failed.
 func Main(name string, extras Extras) {
 	if err := run(name, os.Args[1:], extras); err != nil && !errors.Is(err, flag.ErrHelp) {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -55,8 +56,9 @@
 	}
 }
 
+// run reads flags, configuration and settings, sets the limits of the process and runs the agent until SIGTERM.
 func run(name string, args []string, extras Extras) error {
-	reloadSignals := make(chan os.Signal, 1) // one that waits is enough: the files are read after it
+	reloadSignals := make(chan os.Signal, 1) // one pending signal is enough: the files are read after it
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	path, err := parseFlags(name, args, os.Stderr)
 	if err != nil {
@@ -75,6 +77,21 @@
 	if err != nil {
 		return err
 	}
+	addFeatures(&features, set)
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
+	features.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapRatio * float64(cfg.MemoryMB<<20))) }
+	features.SetMemoryShare(1)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	reloads := agent.Reloads{Signals: reloadSignals, Load: func() (agent.Config, error) {
+		logSettingsChange(path, set, log)
+		return agent.ReloadConfig(os.Getenv)
+	}}
+	return agent.Run(ctx, cfg, reloads, log, features)
+}
+
+// addFeatures adds what the sections switch on in every command: all but those that Extras handles.
+func addFeatures(features *agent.Features, set settings.File) {
 	features.Coalescing = coalescingOptions(set)
 	if set.Telemetry != nil {
 		features.DownstreamServers = append(features.DownstreamServers, telemetryServer(set))
@@ -101,19 +118,9 @@
 	if s := set.Generations; s != nil {
 		features.Generations = &agent.GenerationOptions{Socket: s.Socket, StateFile: s.State}
 	}
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
-	features.SetMemoryShare = func(part float64) { debug.SetMemoryLimit(int64(part * heapRatio * float64(cfg.MemoryMB<<20))) }
-	features.SetMemoryShare(1)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	reloads := agent.Reloads{Signals: reloadSignals, Load: func() (agent.Config, error) {
-		logSettingsChange(path, set, log)
-		return agent.ReloadConfig(os.Getenv)
-	}}
-	return agent.Run(ctx, cfg, reloads, log, features)
 }
 
-// parse reads the flags.
+// parseFlags parses the arguments; usage and errors go to out.
 func parseFlags(name string, args []string, out io.Writer) (settingsPath string, err error) {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(out)
@@ -132,7 +139,7 @@
 	return settingsPath, nil
 }
 
-// load reads the settings; with no file all is off.
+// loadSettings reads the settings; without a path all sections are off.
 func loadSettings(path string) (settings.File, error) {
 	if path == "" {
 		return settings.File{}, nil
@@ -140,7 +147,8 @@
 	return settings.Load(path)
 }
 
-// recheck reads the settings again on a signal and says what becomes of them. The agent goes on with what it has.
+// logSettingsChange reads the settings again on SIGHUP and logs an error in them, or that a change waits for the next start.
+// The agent keeps the settings that it has.
 func logSettingsChange(path string, old settings.File, log *slog.Logger) {
 	fresh, err := loadSettings(path)
 	switch {
--- a/internal/cli/join.go
+++ b/internal/cli/coalescing.go
@@ -12,8 +12,8 @@
 	"appleledge/internal/settings"
 )
 
-// joins is what the section [join] switches on: a function, as only the platform's configuration names the classes. Its
-// errors name the file and the line.
+// coalescingOptions returns what the section [join] switches on; nil without the section. It is a function of the classes,
+// which only the platform's configuration names. Its errors name the settings file and the line.
 func coalescingOptions(f settings.File) func([]balancer.Class) (agent.CoalescingOptions, error) {
 	set := f.Join
 	if set == nil {
--- a/internal/cli/membership.go
+++ b/internal/cli/membership.go
@@ -13,8 +13,8 @@
 	"appleledge/internal/simwire"
 )
 
-// Membership is what the section [membership] switches on, for a command that may hold further kinds of sources: others
-// makes one of a name that this package does not know.
+// Membership returns what the section [membership] switches on. others makes a source of a name that this package does not
+// know, for commands with further kinds of sources; its error is returned.
 func Membership(f settings.File, others func(name string) (agent.Source, error)) (with agent.Features, err error) {
 	m := f.Membership
 	if m == nil {
--- a/internal/cli/telemetry.go
+++ b/internal/cli/telemetry.go
@@ -13,7 +13,8 @@
 	"appleledge/internal/telemetry"
 )
 
-// telemetryServer is what the section [telemetry] switches on.
+// telemetryServer returns the downstream server of the section [telemetry], which must be set. During a hot restart the
+// other process may still have the address; it then listens as soon as that is free.
 func telemetryServer(f settings.File) agent.DownstreamServer {
 	return agent.DownstreamServer{Name: "telemetry", Descriptors: telemetry.MaxDescriptors, Open: func(c agent.Core) (func(context.Context) error, error) {
 		l, err := net.Listen("tcp", f.Telemetry.Listen)
@@ -34,10 +35,10 @@
 	}}
 }
 
-// listenRetryInterval is between two tries to listen where another process still does.
+// listenRetryInterval is the time between two attempts to listen while another process has the address.
 const listenRetryInterval = 100 * time.Millisecond
 
-// listenLater listens as soon as that can be had; nil when the context ends before.
+// listenLater listens as soon as the address is free. It blocks until then, and returns nil if the context ends first.
 func listenLater(ctx context.Context, addr string) net.Listener {
 	for ctx.Err() == nil {
 		if l, err := net.Listen("tcp", addr); err == nil {
--- a/internal/latency/window.go
+++ b/internal/latency/window.go
@@ -1,4 +1,5 @@
-// Package latency keeps how long things took of late, in bounded memory. It reads no clock.
+// Package latency keeps recent latencies in bounded memory and returns their quantiles. It reads no clock: the caller passes
+// the time.
 package latency
 
 import (
@@ -8,25 +9,25 @@
 )
 
 const (
-	resolution        = 100 * time.Microsecond // of the histograms
-	significantDigits = 2                      // of their figures
+	resolution        = 100 * time.Microsecond // the unit of the histograms' values
+	significantDigits = 2                      // decimal, of these values
 )
 
-// Window keeps the times of the last turn to two turns, in HDR histograms: one that counts and the one before it. A figure
-// is off by 1% or 0.1 ms, whichever is more. It is not safe for concurrent use.
+// Window keeps the latencies of the last one to two rotation intervals, in two HDR histograms. A value is exact to 1% or
+// 0.1 ms, whichever is more. It is not safe for concurrent use.
 type Window struct {
-	rotationInterval time.Duration // after which the one that counts becomes the one before
-	maxPerHistogram  int64         // or when it holds so many; 0: no bound
-	maxValue         int64         // the longest, in units; what is longer counts as that
-	rotatedAt        time.Duration
+	rotationInterval time.Duration // after which current becomes previous
+	maxPerHistogram  int64         // latencies in current after which it becomes previous at once; 0: no limit
+	maxValue         int64         // in units of resolution; a longer latency counts as that
+	rotatedAt        time.Duration // on the caller's clock
 	current          *hdrhistogram.Histogram
 	previous         *hdrhistogram.Histogram
-	merged           *hdrhistogram.Histogram // to read from
-	isMerged         bool                    // both is up to date
+	merged           *hdrhistogram.Histogram // current and previous together, to read from
+	isMerged         bool                    // merged is up to date
 }
 
-// New returns an empty window of times up to most, above 0. It turns after that time, or with so many times, if full is
-// above 0.
+// New returns an empty window of latencies up to maxDuration, above 0; longer ones count as that. It rotates after
+// rotationInterval and, if maxPerHistogram is above 0, after so many latencies.
 func New(maxDuration, rotationInterval time.Duration, maxPerHistogram int) *Window {
 	w := &Window{rotationInterval: rotationInterval, maxPerHistogram: int64(maxPerHistogram), maxValue: max(2, int64(maxDuration/resolution))}
 	w.current, w.previous, w.merged = w.newHistogram(), w.newHistogram(), w.newHistogram()
@@ -37,7 +38,7 @@
 	return hdrhistogram.New(1, w.maxValue, significantDigits)
 }
 
-// Record notes that something took so long, at that time.
+// Record adds a latency, observed at the time now on the caller's clock.
 func (w *Window) Record(now, took time.Duration) {
 	if now-w.rotatedAt >= w.rotationInterval || w.maxPerHistogram > 0 && w.current.TotalCount() >= w.maxPerHistogram {
 		w.current, w.previous, w.rotatedAt = w.previous, w.current, now
@@ -45,10 +46,11 @@
 	}
 	w.isMerged = false
 	if err := w.current.RecordValue(min(max(int64(took/resolution), 1), w.maxValue)); err != nil {
-		return // only what is out of the range is an error, and that was brought into it
+		return // can't happen: only a value out of range is an error, and it was clamped
 	}
 }
 
+// mergedHistogram returns all kept latencies, merged at the first read after a Record.
 func (w *Window) mergedHistogram() *hdrhistogram.Histogram {
 	if !w.isMerged {
 		w.merged.Reset()
@@ -59,10 +61,10 @@
 	return w.merged
 }
 
-// Count is how many times are kept.
+// Count returns the number of kept latencies.
 func (w *Window) Count() int64 { return w.current.TotalCount() + w.previous.TotalCount() }
 
-// Quantile is the time at a share q of the kept ones in their order, by the nearest rank; 0 without any.
+// Quantile returns the q-quantile of the kept latencies, q from 0 to 1, by the nearest rank; 0 if there are none.
 func (w *Window) Quantile(q float64) time.Duration {
 	if w.Count() == 0 {
 		return 0
--- a/internal/logstats/figures.go
+++ b/internal/logstats/logstats.go
@@ -1,4 +1,4 @@
-// Package logstats adds up what agents have counted, from their logs.
+// Package logstats adds up the statistics that agents write to their logs (section [figures] of the settings).
 package logstats
 
 import (
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// Message is that of the lines in which agents log their figures.
+// Message is the message of the log lines with an agent's statistics. Tools and old logs have it: it must not change.
 const Message = "figures"
 
-// Bounds on what is read: a line, and how many steps there may be.
+// Bounds on what is read: the bytes of a line, and the number of time steps.
 const (
 	maxLineBytes = 64 << 10
 	maxRows      = 24 * 3600
 )
 
-// Sum holds the sums by time.
+// Sum is the statistics of all logs that were read, added up by time step. It is not safe for concurrent use.
 type Sum struct {
-	Rows map[int64]map[string]float64 // by the number of the step since 1970, and by name
+	Rows map[int64]map[string]float64 // by the number of the step since 1970 (UTC), and by the attribute's key
 	step time.Duration
 }
 
-// New returns an empty sum in steps of that time.
+// New returns an empty sum with steps of that length, which must be above 0.
 func New(step time.Duration) (*Sum, error) {
 	if step <= 0 {
 		return nil, fmt.Errorf("a step of %v must be above 0", step)
@@ -36,7 +36,7 @@
 	return &Sum{Rows: map[int64]map[string]float64{}, step: step}, nil
 }
 
-// Read adds a log.
+// Read adds a log. Lines that are not statistics are skipped. An error names the line; what precedes it was added.
 func (s *Sum) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
@@ -48,7 +48,7 @@
 	return lines.Err()
 }
 
-// line adds one line of a log, which slog's text handler has written.
+// addLine adds one line of a log in the format of slog's text handler.
 func (s *Sum) addLine(text string) error {
 	_, text, found := strings.Cut(text, "time=")
 	if !found || !strings.Contains(text, " msg="+Message+" ") {
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// Write writes a row for each figure and a column for each time, from the first on.
+// Write writes a table with a row for each attribute and a column for each time step with data. Its error says that there are
+// no data; errors of w are ignored.
 func (s *Sum) Write(w io.Writer) error {
 	if len(s.Rows) == 0 {
 		return errors.New("no line of figures in these logs; agents write them whose settings have a section [figures]")
