--- a/internal/platformconfig/platformconfig.go
+++ b/internal/platformconfig/platformconfig.go
@@ -64,7 +64,7 @@
 	previous.Previous = nil
 	s.rules = requesthead.Rules{Classes: classes, Tenants: s.rules.Tenants, MaxAttempts: site.Balancer.MaxAttempts, Version: previous.Version + 1,
 		Previous: &previous, PreviousUntil: now + previousVersionGrace}
-	needRestart = s.current.Differs(site)
+	needRestart = s.current.Differences(site)
 	s.current.Balancer.Classes, s.current.Balancer.MaxAttempts = site.Balancer.Classes, site.Balancer.MaxAttempts
 	s.current.Balancer.AllowHedging = site.Balancer.AllowHedging
 	return balancer.ClassUpdate{Classes: classes, MaxAttempts: site.Balancer.MaxAttempts, AllowHedging: site.Balancer.AllowHedging}, needRestart, nil
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -38,24 +38,24 @@
 }
 
 // lists is how many numbered lists there are at a time.
-const lists = 16
+const maxLists = 16
 
 // Decoder reads messages.
 type Decoder struct {
-	in        *bufio.Reader
-	long      []byte
-	line      int
-	inTurn    bool
-	parser    fastjson.Parser
-	rows      [lists][]balancer.Server
-	instances map[string][]string // each one's report fields
-	names     map[string]string   // ids that come again and again, to keep one copy
-	bad       error               // the first fault in the line at hand
+	in            *bufio.Reader
+	longLine      []byte
+	line          int
+	inBatch       bool
+	parser        fastjson.Parser
+	serverLists   [maxLists][]balancer.Server
+	reportFields  map[string][]string // each one's report fields
+	internedNames map[string]string   // ids that come again and again, to keep one copy
+	firstFault    error               // the first fault in the line at hand
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), instances: map[string][]string{}, names: map[string]string{}}
+	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), reportFields: map[string][]string{}, internedNames: map[string]string{}}
 }
 
 // Line is the number of the line that the latest message ended on.
@@ -64,8 +64,8 @@
 // Next returns the next message, or io.EOF at the end of the input. Other errors name the line and the fault.
 func (d *Decoder) Next() (Message, error) {
 	for {
-		text, err := d.read()
-		if errors.Is(err, io.EOF) && d.inTurn {
+		text, err := d.readLine()
+		if errors.Is(err, io.EOF) && d.inBatch {
 			return Message{}, fmt.Errorf("line %d: the input ends without YourTurn", d.line)
 		}
 		if err != nil {
@@ -74,7 +74,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		m, skip, err := d.decode(text)
+		m, skip, err := d.decodeLine(text)
 		if err != nil {
 			return Message{}, fmt.Errorf("line %d: %w", d.line, err)
 		}
@@ -85,28 +85,28 @@
 }
 
 // read returns the next line without its end, however long it is.
-func (d *Decoder) read() ([]byte, error) {
-	d.long = d.long[:0]
+func (d *Decoder) readLine() ([]byte, error) {
+	d.longLine = d.longLine[:0]
 	for {
 		part, err := d.in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			d.long = append(d.long, part...)
+			d.longLine = append(d.longLine, part...)
 			continue
 		}
-		if err != nil && (err != io.EOF || len(part)+len(d.long) == 0) {
+		if err != nil && (err != io.EOF || len(part)+len(d.longLine) == 0) {
 			return nil, err
 		}
 		d.line++
-		if len(d.long) > 0 {
-			part = append(d.long, part...)
-			d.long = part
+		if len(d.longLine) > 0 {
+			part = append(d.longLine, part...)
+			d.longLine = part
 		}
 		return bytes.TrimSpace(part), nil
 	}
 }
 
 // decode decodes one line; skip says that it holds no message of its own.
-func (d *Decoder) decode(text []byte) (m Message, skip bool, err error) {
+func (d *Decoder) decodeLine(text []byte) (m Message, skip bool, err error) {
 	v, err := d.parser.ParseBytes(text)
 	if err != nil {
 		return m, false, fmt.Errorf("broken JSON: %w", err)
@@ -114,71 +114,71 @@
 	if v.Type() != fastjson.TypeObject {
 		return m, false, errors.New("not an object")
 	}
-	d.bad = nil
+	d.firstFault = nil
 	kind := d.bytes(v, "type")
 	switch string(kind) {
 	case "Turn":
-		if d.inTurn {
+		if d.inBatch {
 			return m, false, errors.New("a Turn inside a Turn: YourTurn is missing")
 		}
-		d.inTurn = true
-		return Message{Kind: BatchStart, Now: d.time(v, "WallNs")}, false, d.bad
+		d.inBatch = true
+		return Message{Kind: BatchStart, Now: d.time(v, "WallNs")}, false, d.firstFault
 	case "YourTurn":
-		if !d.inTurn {
+		if !d.inBatch {
 			return m, false, errors.New("YourTurn without a Turn")
 		}
-		d.inTurn = false
+		d.inBatch = false
 		return Message{Kind: BatchEnd}, false, nil
 	}
-	if !d.inTurn {
+	if !d.inBatch {
 		return m, false, fmt.Errorf("%q outside a Turn", kind)
 	}
 	if string(kind) == "Census" {
-		d.census(v)
-		return m, true, d.bad
+		d.storeList(v)
+		return m, true, d.firstFault
 	}
-	m.Instance = d.name(v, "I")
+	m.Instance = d.internedString(v, "I")
 	switch string(kind) {
 	case "Launch":
 		m.Kind, m.Seed = InstanceStarted, d.uint(v, "Seed")
-		m.Settings = d.launch(m.Instance, v.Get("BootInfo"))
-		return m, false, d.bad
+		m.Settings = d.decodeSettings(m.Instance, v.Get("BootInfo"))
+		return m, false, d.firstFault
 	case "Killed":
 		m.Kind = InstanceKilled
 	default:
 		m.Kind = InstanceEvent
 	}
-	fields, ok := d.instances[m.Instance]
+	fields, ok := d.reportFields[m.Instance]
 	if !ok {
 		return m, false, fmt.Errorf("instance %q was never launched", m.Instance)
 	}
 	if m.Kind == InstanceEvent {
-		m.Event = d.event(string(kind), v, fields)
+		m.Event = d.decodeEvent(string(kind), v, fields)
 	} else {
-		delete(d.instances, m.Instance)
+		delete(d.reportFields, m.Instance)
 	}
-	return m, false, d.bad
+	return m, false, d.firstFault
 }
 
-func (d *Decoder) event(kind string, v *fastjson.Value, fields []string) balancer.Event {
+func (d *Decoder) decodeEvent(kind string, v *fastjson.Value, fields []string) balancer.Event {
 	switch kind {
 	case "Members":
-		return d.members(v)
+		return d.decodeServerList(v)
 	case "Inbound":
-		return balancer.Request{ID: d.str(v, "Tid"), Class: d.int(v, "Category"), Tenant: d.int(v, "Billing"),
-			Key: d.str(v, "Resource"), Deadline: d.time(v, "ExpiresNs"), IsClientRetry: d.flag(v, "Repeat")}
+		return balancer.Request{ID: d.string(v, "Tid"), Class: d.int(v, "Category"), Tenant: d.int(v, "Billing"),
+			Key: d.string(v, "Resource"), Deadline: d.time(v, "ExpiresNs"), IsClientRetry: d.bool(v, "Repeat")}
 	case "Answer":
-		return balancer.Outcome{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo"), Server: d.name(v, "Backend"),
-			Result: d.result(v), Latency: d.time(v, "LagNs"), RequestClosed: d.flag(v, "Last"), Report: d.report(v, fields)}
+		return balancer.Outcome{Request: d.string(v, "Tid"), Attempt: d.int(v, "RoundNo"), Server: d.internedString(v, "Backend"),
+			Result: d.decodeResult(v), Latency: d.time(v, "LagNs"), RequestClosed: d.bool(v, "Last"), Report: d.decodeReport(v, fields)}
 	case "Established":
-		return balancer.ResponseStarted{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo")}
+		return balancer.ResponseStarted{Request: d.string(v, "Tid"), Attempt: d.int(v, "RoundNo")}
 	case "Dropped":
-		return balancer.ClientDisconnected{Request: d.str(v, "Tid")}
+		return balancer.ClientDisconnected{Request: d.string(v, "Tid")}
 	case "Health":
-		return balancer.HealthCheckResult{Server: d.name(v, "Backend"), Result: d.result(v), Latency: d.time(v, "LagNs"),
-			Report: d.report(v, fields)}
+		return balancer.HealthCheckResult{Server: d.internedString(v, "Backend"), Result: d.decodeResult(v), Latency: d.time(v, "LagNs"),
+			Report: d.decodeReport(v, fields)}
 	case "Message":
-		data, err := base64.StdEncoding.DecodeString(d.str(v, "Blob"))
+		data, err := base64.StdEncoding.DecodeString(d.string(v, "Blob"))
 		if err != nil {
 			d.fault("Blob is not base64: %v", err)
 		}
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (d *Decoder) members(v *fastjson.Value) balancer.Event {
+func (d *Decoder) decodeServerList(v *fastjson.Value) balancer.Event {
 	form := string(d.bytes(v, "Form"))
 	switch form {
 	case "unavailable":
@@ -200,24 +200,24 @@
 		d.fault("unknown Form %q", form)
 	}
 	n := d.int(v, "Buffer")
-	if n < 0 || n >= lists || d.rows[n] == nil {
+	if n < 0 || n >= maxLists || d.serverLists[n] == nil {
 		d.fault("unknown list number %d", n)
 		return nil
 	}
-	return balancer.ServerList{Full: form != "update", Servers: d.rows[n]}
+	return balancer.ServerList{Full: form != "update", Servers: d.serverLists[n]}
 }
 
 // census keeps a numbered list. Each gets rows of its own, since events decoded before may still refer to the
 // rows that had the number.
-func (d *Decoder) census(v *fastjson.Value) {
+func (d *Decoder) storeList(v *fastjson.Value) {
 	n := d.int(v, "Buffer")
-	if n < 0 || n >= lists {
-		d.fault("list number %d is not from 0 to %d", n, lists-1)
+	if n < 0 || n >= maxLists {
+		d.fault("list number %d is not from 0 to %d", n, maxLists-1)
 		return
 	}
 	rows := []balancer.Server{}
 	for _, e := range d.array(v, "RowsIn") {
-		s := balancer.Server{ID: d.name(e, "Backend"), Zone: d.int(e, "RegionPart"), Cell: d.int(e, "Pack"),
+		s := balancer.Server{ID: d.internedString(e, "Backend"), Zone: d.int(e, "RegionPart"), Cell: d.int(e, "Pack"),
 			Weight: d.float(e, "Units"), Started: d.time(e, "CameUpNs")}
 		switch mode := string(d.bytes(e, "Mode")); mode {
 		case "ready":
@@ -231,22 +231,22 @@
 		}
 		rows = append(rows, s)
 	}
-	d.rows[n] = rows
+	d.serverLists[n] = rows
 }
 
-var results = map[int]balancer.Result{10: balancer.OK, 20: balancer.Failed, 30: balancer.Rejected, 40: balancer.TimedOut,
+var resultCodes = map[int]balancer.Result{10: balancer.OK, 20: balancer.Failed, 30: balancer.Rejected, 40: balancer.TimedOut,
 	50: balancer.ConnectFailed, 60: balancer.Reset, 70: balancer.Cancelled, 80: balancer.NotSent}
 
-func (d *Decoder) result(v *fastjson.Value) balancer.Result {
+func (d *Decoder) decodeResult(v *fastjson.Value) balancer.Result {
 	n := d.int(v, "Result")
-	r, ok := results[n]
+	r, ok := resultCodes[n]
 	if !ok {
 		d.fault("unknown Result %d", n)
 	}
 	return r
 }
 
-func (d *Decoder) report(v *fastjson.Value, fields []string) balancer.Report {
+func (d *Decoder) decodeReport(v *fastjson.Value, fields []string) balancer.Report {
 	r := balancer.NoReport
 	for i, e := range d.array(v, "Usage") {
 		x, err := e.Float64()
@@ -256,13 +256,13 @@
 		if i >= len(fields) {
 			break
 		}
-		SetFigure(&r, fields[i], x)
+		SetReportField(&r, fields[i], x)
 	}
 	return r
 }
 
-// SetFigure sets the figure of a load report that goes by that name; names that are not known are passed over.
-func SetFigure(r *balancer.Report, name string, x float64) {
+// SetReportField sets the figure of a load report that goes by that name; names that are not known are passed over.
+func SetReportField(r *balancer.Report, name string, x float64) {
 	switch name {
 	case "util":
 		r.Utilization = x
@@ -278,8 +278,8 @@
 }
 
 func (d *Decoder) fault(format string, args ...any) {
-	if d.bad == nil {
-		d.bad = fmt.Errorf(format, args...)
+	if d.firstFault == nil {
+		d.firstFault = fmt.Errorf(format, args...)
 	}
 }
 
@@ -323,7 +323,7 @@
 	return field(d, v, key, (*fastjson.Value).Float64)
 }
 
-func (d *Decoder) flag(v *fastjson.Value, key string) bool {
+func (d *Decoder) bool(v *fastjson.Value, key string) bool {
 	return field(d, v, key, (*fastjson.Value).Bool)
 }
 
@@ -331,20 +331,20 @@
 	return field(d, v, key, (*fastjson.Value).Array)
 }
 
-func (d *Decoder) str(v *fastjson.Value, key string) string { return string(d.bytes(v, key)) }
+func (d *Decoder) string(v *fastjson.Value, key string) string { return string(d.bytes(v, key)) }
 
 // name is str for the ids of servers and instances, of which there are few.
-func (d *Decoder) name(v *fastjson.Value, key string) string {
+func (d *Decoder) internedString(v *fastjson.Value, key string) string {
 	text := d.bytes(v, key)
-	s, ok := d.names[string(text)]
+	s, ok := d.internedNames[string(text)]
 	if !ok {
 		s = string(text)
-		d.names[s] = s
+		d.internedNames[s] = s
 	}
 	return s
 }
 
-func (d *Decoder) launch(instance string, v *fastjson.Value) balancer.Settings {
+func (d *Decoder) decodeSettings(instance string, v *fastjson.Value) balancer.Settings {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		d.fault("Launch without BootInfo")
 		return balancer.Settings{}
@@ -353,6 +353,6 @@
 	if err != nil {
 		d.fault("BootInfo: %v", err)
 	}
-	d.instances[instance] = site.ReportFields
+	d.reportFields[instance] = site.ReportFields
 	return site.Balancer
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -38,9 +38,9 @@
 	return site, err
 }
 
-// Differs names what another instance's settings have otherwise, beside classes, the number of attempts and whether two may be
+// Differences names what another instance's settings have otherwise, beside classes, the number of attempts and whether two may be
 // out at a time.
-func (s Site) Differs(other Site) (names []string) {
+func (s Site) Differences(other Site) (names []string) {
 	s.Balancer.Classes, s.Balancer.MaxAttempts, s.Balancer.AllowHedging = other.Balancer.Classes, other.Balancer.MaxAttempts, other.Balancer.AllowHedging
 	for _, part := range []struct {
 		name     string
@@ -98,8 +98,8 @@
 }
 
 var (
-	effects = []string{balancer.Idempotent: "repeatable", balancer.IdempotentByKey: "by_key", balancer.NonIdempotent: "once"}
-	groups  = []string{balancer.DedupFleet: "all", balancer.DedupZone: "zone", balancer.DedupCell: "cell"}
+	effectNames     = []string{balancer.Idempotent: "repeatable", balancer.IdempotentByKey: "by_key", balancer.NonIdempotent: "once"}
+	dedupScopeNames = []string{balancer.DedupFleet: "all", balancer.DedupZone: "zone", balancer.DedupCell: "cell"}
 )
 
 func (b *bootInfo) settings() (balancer.Settings, error) {
@@ -127,7 +127,7 @@
 		s.MaxRetryAfter = time.Duration(b.Ceilings.MaxRetryAfterNs)
 	}
 	for _, c := range b.Classes {
-		effect, group := slices.Index(effects, c.Effect), slices.Index(groups, c.Group)
+		effect, group := slices.Index(effectNames, c.Effect), slices.Index(dedupScopeNames, c.Group)
 		if effect < 0 {
 			return s, fmt.Errorf("class %q has the unknown Effect %q", c.Name, c.Effect)
 		}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -209,9 +209,9 @@
 // BenchmarkDecode and BenchmarkDecodeStandard compare this decoder with encoding/json on the commonest line.
 func BenchmarkDecode(b *testing.B) {
 	d := NewDecoder(strings.NewReader(""))
-	d.inTurn, d.instances["agent_1"] = true, []string{"util", "qps"}
+	d.inBatch, d.reportFields["agent_1"] = true, []string{"util", "qps"}
 	for b.Loop() {
-		if _, _, err := d.decode([]byte(answer)); err != nil {
+		if _, _, err := d.decodeLine([]byte(answer)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/upstream/http1/loadreport.go
+++ b/internal/upstream/http1/loadreport.go
@@ -39,7 +39,7 @@
 		}
 		for _, f := range fields {
 			if f == name {
-				simwire.SetFigure(&r, name, x)
+				simwire.SetReportField(&r, name, x)
 			}
 		}
 	}
