--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,4 +1,8 @@
-// Package simwire reads the simulator's lines and prints the replies. It decides nothing.
+// Package simwire is the codec of the simulator's protocol: JSON lines in, events of package balancer out, and the reverse
+// for actions. It makes no decisions. Names on the wire are older than those of the code and must not change; they are
+// mapped here alone, and docs/glossary.md has both.
+//
+// decode.go reads messages, fields.go their fields, settings.go the settings of an instance; encode.go writes replies.
 package simwire
 
 import (
@@ -15,19 +19,19 @@
 	"appleledge/internal/balancer"
 )
 
-// Kind says what a Message is.
+// Kind is the kind of a Message.
 type Kind int
 
 // The kinds of messages.
 const (
 	BatchStart      Kind = iota // a batch begins at Now
-	BatchEnd                    // a batch ends; the reply is due
+	BatchEnd                    // a batch ends; the simulator waits for the reply
 	InstanceStarted             // an instance begins, with Settings and Seed
-	InstanceKilled              // an instance is gone
-	InstanceEvent               // an instance has an event
+	InstanceKilled              // an instance ended
+	InstanceEvent               // an instance gets Event
 )
 
-// Message is one decoded line.
+// Message is one decoded line. Now is set for BatchStart, Instance for the kinds that begin with it.
 type Message struct {
 	Kind     Kind
 	Now      time.Duration
@@ -37,10 +41,10 @@
 	Event    balancer.Event
 }
 
-// lists is how many numbered lists there are at a time.
+// maxLists is the number of numbered endpoint lists that the protocol has.
 const maxLists = 16
 
-// Decoder reads messages.
+// Decoder reads messages. It is not safe for concurrent use.
 type Decoder struct {
 	in            *bufio.Reader
 	longLine      []byte
@@ -48,9 +52,9 @@
 	inBatch       bool
 	parser        fastjson.Parser
 	serverLists   [maxLists][]balancer.Server
-	reportFields  map[string][]string // each one's report fields
-	internedNames map[string]string   // ids that come again and again, to keep one copy
-	firstFault    error               // the first fault in the line at hand
+	reportFields  map[string][]string // names of each running instance's load report fields
+	internedNames map[string]string   // one copy of each server and instance id
+	firstFault    error               // the first in the line that is being decoded
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -58,10 +62,10 @@
 	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), reportFields: map[string][]string{}, internedNames: map[string]string{}}
 }
 
-// Line is the number of the line that the latest message ended on.
+// Line returns the number, from 1, of the line that was read last.
 func (d *Decoder) Line() int { return d.line }
 
-// Next returns the next message, or io.EOF at the end of the input. Other errors name the line and the fault.
+// Next returns the next message, or io.EOF at the end of the input. Any other error of a message names its line.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		text, err := d.readLine()
@@ -84,7 +88,7 @@
 	}
 }
 
-// read returns the next line without its end, however long it is.
+// readLine returns the next line of any length, without its end. The bytes are valid until the next call.
 func (d *Decoder) readLine() ([]byte, error) {
 	d.longLine = d.longLine[:0]
 	for {
@@ -105,7 +109,7 @@
 	}
 }
 
-// decode decodes one line; skip says that it holds no message of its own.
+// decodeLine decodes one line; skip means that it is only a numbered list, which later messages refer to.
 func (d *Decoder) decodeLine(text []byte) (m Message, skip bool, err error) {
 	v, err := d.parser.ParseBytes(text)
 	if err != nil {
@@ -207,8 +211,8 @@
 	return balancer.ServerList{Full: form != "update", Servers: d.serverLists[n]}
 }
 
-// census keeps a numbered list. Each gets rows of its own, since events decoded before may still refer to the
-// rows that had the number.
+// storeList stores a numbered endpoint list. It allocates each, since events decoded before may still refer to the list
+// that had the number.
 func (d *Decoder) storeList(v *fastjson.Value) {
 	n := d.int(v, "Buffer")
 	if n < 0 || n >= maxLists {
@@ -261,7 +265,7 @@
 	return r
 }
 
-// SetReportField sets the figure of a load report that goes by that name; names that are not known are passed over.
+// SetReportField sets the value of a load report that has that name on the wire. Unknown names are ignored.
 func SetReportField(r *balancer.Report, name string, x float64) {
 	switch name {
 	case "util":
@@ -277,73 +281,6 @@
 	}
 }
 
-func (d *Decoder) fault(format string, args ...any) {
-	if d.firstFault == nil {
-		d.firstFault = fmt.Errorf(format, args...)
-	}
-}
-
-// get returns a field, or nil when it is absent or null.
-func (d *Decoder) get(v *fastjson.Value, key string) *fastjson.Value {
-	f := v.Get(key)
-	if f == nil || f.Type() == fastjson.TypeNull {
-		return nil
-	}
-	return f
-}
-
-// field converts a field of v; an absent one is the zero value.
-func field[T any](d *Decoder, v *fastjson.Value, key string, convert func(*fastjson.Value) (T, error)) (t T) {
-	if f := d.get(v, key); f != nil {
-		var err error
-		if t, err = convert(f); err != nil {
-			d.fault("%s: %v", key, err)
-		}
-	}
-	return t
-}
-
-func (d *Decoder) bytes(v *fastjson.Value, key string) []byte {
-	return field(d, v, key, (*fastjson.Value).StringBytes)
-}
-
-func (d *Decoder) int(v *fastjson.Value, key string) int {
-	return field(d, v, key, (*fastjson.Value).Int)
-}
-
-func (d *Decoder) uint(v *fastjson.Value, key string) uint64 {
-	return field(d, v, key, (*fastjson.Value).Uint64)
-}
-
-func (d *Decoder) time(v *fastjson.Value, key string) time.Duration {
-	return time.Duration(field(d, v, key, (*fastjson.Value).Int64))
-}
-
-func (d *Decoder) float(v *fastjson.Value, key string) float64 {
-	return field(d, v, key, (*fastjson.Value).Float64)
-}
-
-func (d *Decoder) bool(v *fastjson.Value, key string) bool {
-	return field(d, v, key, (*fastjson.Value).Bool)
-}
-
-func (d *Decoder) array(v *fastjson.Value, key string) []*fastjson.Value {
-	return field(d, v, key, (*fastjson.Value).Array)
-}
-
-func (d *Decoder) string(v *fastjson.Value, key string) string { return string(d.bytes(v, key)) }
-
-// name is str for the ids of servers and instances, of which there are few.
-func (d *Decoder) internedString(v *fastjson.Value, key string) string {
-	text := d.bytes(v, key)
-	s, ok := d.internedNames[string(text)]
-	if !ok {
-		s = string(text)
-		d.internedNames[s] = s
-	}
-	return s
-}
-
 func (d *Decoder) decodeSettings(instance string, v *fastjson.Value) balancer.Settings {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		d.fault("Launch without BootInfo")
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,7 +8,7 @@
 	"appleledge/internal/balancer"
 )
 
-// AppendAction appends the line of an instance's action.
+// AppendAction appends the line for an instance's action to out. Times are in nanoseconds.
 func AppendAction(out []byte, instance string, a balancer.Action) []byte {
 	switch a.Kind {
 	case balancer.Send:
@@ -41,15 +41,17 @@
 	return append(out, "}\n"...)
 }
 
-// AppendYield appends the line that ends a reply.
+// AppendYield appends the line that ends a reply to out.
 func AppendYield(out []byte) []byte { return append(out, `{"type":"Yield"}`+"\n"...) }
 
+// appendStart appends the fields that every action has.
 func appendStart(out []byte, kind, instance string) []byte {
 	out = append(out, `{"type":"`...)
 	out = append(out, kind...)
 	return appendString(out, `","I":`, instance)
 }
 
+// appendRequest appends the fields of an action that concerns a request.
 func appendRequest(out []byte, kind, instance string, a balancer.Action) []byte {
 	return appendString(appendStart(out, kind, instance), `,"Tid":`, a.Request)
 }
@@ -58,7 +60,7 @@
 	return strconv.AppendUint(append(out, key...), n, 10)
 }
 
-// str appends a string. Ids are plain text; anything else goes the long way round.
+// appendString appends a key and a string: printable ASCII, as ids are, as it is, anything else by encoding/json.
 func appendString(out []byte, key, s string) []byte {
 	out = append(out, key...)
 	for i := 0; i < len(s); i++ {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -10,19 +10,19 @@
 	"appleledge/internal/balancer"
 )
 
-// Site is what the settings of an instance tell of its deployment, to the module and to the agent round it.
+// Site is the settings of an instance, for the balancer and for the agent around it.
 type Site struct {
 	Balancer              balancer.Settings
-	ReportFields          []string      // the figures of a load report, in order
-	Tenants               []string      // names, in the order of the module's numbers
-	Zones                 []string      // the same
-	ConnectTimeout        time.Duration // a connection that is not up by then has failed
-	ConnectionIdleTimeout time.Duration // servers close connections that stand idle for so long
-	MaxInFlight           int           // requests that may be open at a time; 0: no limit
-	MaxRetryAfter         time.Duration // the longest come-back time that clients heed
+	ReportFields          []string      // names of the values of a load report, in order
+	Tenants               []string      // names, indexed by the balancer's tenant numbers
+	Zones                 []string      // names, indexed by the balancer's zone numbers
+	ConnectTimeout        time.Duration // of a connection to a server
+	ConnectionIdleTimeout time.Duration // idle time after which servers close a connection
+	MaxInFlight           int           // requests in flight at once; 0: no limit
+	MaxRetryAfter         time.Duration // longest Retry-After that clients respect
 }
 
-// DecodeSettings reads the settings object of an instance.
+// DecodeSettings decodes the JSON settings object of an instance. Unknown keys are ignored.
 func DecodeSettings(data []byte) (Site, error) {
 	var boot bootInfo
 	if err := json.Unmarshal(data, &boot); err != nil {
@@ -38,8 +38,8 @@
 	return site, err
 }
 
-// Differences names what another instance's settings have otherwise, beside classes, the number of attempts and whether two may be
-// out at a time.
+// Differences names the settings in which other differs, except those that may change at run time: the classes, the number of
+// attempts and whether requests may be hedged.
 func (s Site) Differences(other Site) (names []string) {
 	s.Balancer.Classes, s.Balancer.MaxAttempts, s.Balancer.AllowHedging = other.Balancer.Classes, other.Balancer.MaxAttempts, other.Balancer.AllowHedging
 	for _, part := range []struct {
@@ -62,7 +62,8 @@
 	return names
 }
 
-// bootInfo is the start-up object of an instance, as far as there is a use for it.
+// bootInfo is the settings object of an instance, as far as it is used. Its fields are the keys on the wire and appear in
+// the decoder's errors: they must not be renamed.
 type bootInfo struct {
 	Balancers int
 	Classes   []struct {
@@ -102,6 +103,7 @@
 	dedupScopeNames = []string{balancer.DedupFleet: "all", balancer.DedupZone: "zone", balancer.DedupCell: "cell"}
 )
 
+// settings converts the object to the balancer's settings.
 func (b *bootInfo) settings() (balancer.Settings, error) {
 	s := balancer.Settings{
 		Balancers:              b.Balancers,
