--- a/internal/cli/telemetry.go
+++ b/internal/cli/telemetry.go
@@ -13,8 +13,9 @@
 	"appleledge/internal/telemetry"
 )
 
-// telemetryFront is what the section [telemetry] switches on.
-func telemetryFront(f settings.File) agent.DownstreamServer {
+// telemetryServer returns the downstream server of the section [telemetry], which must be set. During a hot restart the
+// other process may still have the address; it then listens as soon as that is free.
+func telemetryServer(f settings.File) agent.DownstreamServer {
 	return agent.DownstreamServer{Name: "telemetry", Descriptors: telemetry.MaxDescriptors, Open: func(c agent.Core) (func(context.Context) error, error) {
 		l, err := net.Listen("tcp", f.Telemetry.Listen)
 		taken := errors.Is(err, syscall.EADDRINUSE) && c.HasSibling() // by the process that this one replaces
@@ -34,10 +35,10 @@
 	}}
 }
 
-// takenPause is between two tries to listen where another process still does.
-const takenPause = 100 * time.Millisecond
+// listenRetryInterval is the time between two attempts to listen while another process has the address.
+const listenRetryInterval = 100 * time.Millisecond
 
-// listenLater listens as soon as that can be had; nil when the context ends before.
+// listenLater listens as soon as the address is free. It blocks until then, and returns nil if the context ends first.
 func listenLater(ctx context.Context, addr string) net.Listener {
 	for ctx.Err() == nil {
 		if l, err := net.Listen("tcp", addr); err == nil {
@@ -45,7 +46,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(takenPause):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 	return nil
