--- a/cmd/extprocproxy/main.go
+++ b/cmd/extprocproxy/main.go
@@ -55,7 +55,7 @@
 	}
 	defer besteffort.Close(conn)
 	proxy := extprocproxy.New(extprocv3.NewExternalProcessorClient(conn))
-	proxy.Tries = *tries
+	proxy.MaxAttempts = *tries
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	srv := &http.Server{Addr: *listen, Handler: proxy, ReadHeaderTimeout: 5 * time.Second}
--- a/internal/agenttest/testbed.go
+++ b/internal/agenttest/agenttest.go
@@ -101,10 +101,10 @@
 // Backend reads requests whole and lets a script answer. The script returns false to close the connection.
 type Backend struct {
 	net.Listener
-	mu    sync.Mutex
-	seen  []*http.Request
-	bodys []string
-	conns int
+	mu       sync.Mutex
+	requests []*http.Request
+	bodies   []string
+	conns    int
 }
 
 // NewBackend starts a backend that ends with the test. The script is given the number of the request, from 1.
@@ -141,8 +141,8 @@
 			return
 		}
 		b.mu.Lock()
-		b.seen, b.bodys = append(b.seen, r), append(b.bodys, string(body))
-		n := len(b.seen)
+		b.requests, b.bodies = append(b.requests, r), append(b.bodies, string(body))
+		n := len(b.requests)
 		b.mu.Unlock()
 		if !script(c, r, n) {
 			return
@@ -154,14 +154,14 @@
 func (b *Backend) Request(n int) (*http.Request, string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen[n], b.bodys[n]
+	return b.requests[n], b.bodies[n]
 }
 
 // Requests counts the requests that came whole.
 func (b *Backend) Requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.seen)
+	return len(b.requests)
 }
 
 // Connections counts the connections that came.
@@ -209,13 +209,13 @@
 // Discovery answers calls with what the test has set last, and watches when that is newer.
 type Discovery struct {
 	net.Listener
-	mu      sync.Mutex
-	version int
-	text    string // for watches
-	whole   string
-	mute    bool // be Silent, as in an outage
-	wholes  int  // Calls for the whole list
-	watches int
+	mu        sync.Mutex
+	version   int
+	update    string // for watches
+	fullList  string
+	isSilent  bool // be Silent, as in an outage
+	fullCalls int  // Calls for the whole list
+	watches   int
 }
 
 // NewDiscovery starts a discovery that ends with the test.
@@ -233,9 +233,9 @@
 func (d *Discovery) Set(version int, full bool, entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.version, d.text = version, ListText(version, full, entries...)
+	d.version, d.update = version, ListText(version, full, entries...)
 	if full {
-		d.whole = d.text
+		d.fullList = d.update
 	}
 }
 
@@ -243,14 +243,14 @@
 func (d *Discovery) Silence(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.mute = on
+	d.isSilent = on
 }
 
 // Calls counts the calls for the whole list and the watches.
 func (d *Discovery) Calls() (wholes, watches int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.wholes, d.watches
+	return d.fullCalls, d.watches
 }
 
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -259,14 +259,14 @@
 	if watch := err == nil; watch {
 		d.watches++
 	} else {
-		d.wholes++
+		d.fullCalls++
 	}
 	d.mu.Unlock()
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for r.Context().Err() == nil {
 		d.mu.Lock()
-		mute, version, text, whole := d.mute, d.version, d.text, d.whole
+		mute, version, text, whole := d.isSilent, d.version, d.update, d.fullList
 		d.mu.Unlock()
 		switch {
 		case mute:
--- a/internal/downstream/extproc/faults_test.go
+++ b/internal/downstream/extproc/faults_test.go
@@ -90,10 +90,10 @@
 	r := newRig(t, options{})
 	r.engine.Post(engine.EndpointUpdate{Full: true, Members: members})
 	proxy := extprocproxy.New(r.client())
-	proxy.TryTimeout = 250 * time.Millisecond
+	proxy.AttemptTimeout = 250 * time.Millisecond
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(1, 2))
-	proxy.Abandon = func() bool { mu.Lock(); defer mu.Unlock(); return random.IntN(8) == 0 }
+	proxy.AbortsStream = func() bool { mu.Lock(); defer mu.Unlock(); return random.IntN(8) == 0 }
 	front := httptest.NewServer(proxy)
 	defer front.Close()
 
--- a/internal/extprocproxy/proxy.go
+++ b/internal/extprocproxy/proxy.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	maxBody      = 64 << 10
-	attributes   = "envoy.filters.http.ext_proc"
-	codeDetails  = "response.code_details"
-	dialTimeout  = time.Second
-	keptPerHost  = 64
-	tellTimeout  = 2 * time.Second // for the processor to take how a try ended
-	mostPatience = time.Minute
+	maxBodyBytes        = 64 << 10
+	attributes          = "envoy.filters.http.ext_proc"
+	codeDetails         = "response.code_details"
+	dialTimeout         = time.Second
+	maxIdleConnsPerHost = 64
+	reportTimeout       = 2 * time.Second // for the processor to take how a try ended
+	maxClientTimeout    = time.Minute
 )
 
 // Names that the proxy and the processor have in common. They are written out here once more, and not taken from the
@@ -43,51 +43,51 @@
 // Proxy forwards what it is sent to the endpoints that the processor chooses.
 type Proxy struct {
 	Processor extprocv3.ExternalProcessorClient
-	// Tries is how often a request is tried at most; each try is a stream of its own. The processor is asked for each,
+	// MaxAttempts is how often a request is tried at most; each try is a stream of its own. The processor is asked for each,
 	// and has the last word: a proxy that stops on its own before it has answered can only say that the request failed.
-	Tries     int
-	Transport http.RoundTripper // to the endpoints
-	// TryTimeout is after how long a try is given up, with no word to the processor but the end of the stream; 0: with
+	MaxAttempts int
+	Transport   http.RoundTripper // to the endpoints
+	// AttemptTimeout is after how long a try is given up, with no word to the processor but the end of the stream; 0: with
 	// the request itself.
-	TryTimeout time.Duration
+	AttemptTimeout time.Duration
 	// Abandon, if set, is asked for each try that is on its way whether its stream breaks without a word.
-	Abandon func() bool
+	AbortsStream func() bool
 }
 
 // New returns a proxy that asks the processor.
 func New(processor extprocv3.ExternalProcessorClient) *Proxy {
-	return &Proxy{Processor: processor, Tries: 10, Transport: &http.Transport{
+	return &Proxy{Processor: processor, MaxAttempts: 10, Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: keptPerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     5 * time.Second, // well below the time after which servers close
 		DisableCompression:  true,
 	}}
 }
 
 // result is how one try ended.
-type result struct {
-	final  bool // the client gets it; else another try may be made
-	status int
-	header http.Header
-	body   []byte
+type attemptResult struct {
+	isFinal bool // the client gets it; else another try may be made
+	status  int
+	header  http.Header
+	body    []byte
 }
 
 // ServeHTTP gives a request its answer.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "the body is too long or not whole", http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), patience(r.Header))
+	ctx, cancel := context.WithTimeout(r.Context(), clientTimeout(r.Header))
 	defer cancel()
-	for try := 1; try <= p.Tries; try++ {
-		res, err := p.try(ctx, r, body, try)
+	for try := 1; try <= p.MaxAttempts; try++ {
+		res, err := p.sendAttempt(ctx, r, body, try)
 		if err != nil { // the processor is out of reach: nothing more may be sent on one's own
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
-		if res.final {
+		if res.isFinal {
 			for _, name := range []string{"Content-Type", "Retry-After"} {
 				if v := res.header.Get(name); v != "" {
 					w.Header().Set(name, v)
@@ -103,46 +103,46 @@
 }
 
 // patience reads how long the client waits.
-func patience(h http.Header) time.Duration {
+func clientTimeout(h http.Header) time.Duration {
 	text, unit := h.Get("X-Timeout"), time.Millisecond
 	if n, err := strconv.ParseFloat(strings.TrimSuffix(text, "m"), 64); err == nil && n > 0 {
-		return min(time.Duration(n*float64(unit)), mostPatience)
+		return min(time.Duration(n*float64(unit)), maxClientTimeout)
 	}
-	return mostPatience // the processor judges what is malformed
+	return maxClientTimeout // the processor judges what is malformed
 }
 
 // try makes one try on a stream of its own.
-func (p *Proxy) try(ctx context.Context, r *http.Request, body []byte, try int) (result, error) {
+func (p *Proxy) sendAttempt(ctx context.Context, r *http.Request, body []byte, try int) (attemptResult, error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := p.Processor.Process(streamCtx)
 	if err != nil {
-		return result{}, fmt.Errorf("asking the processor: %w", err)
+		return attemptResult{}, fmt.Errorf("asking the processor: %w", err)
 	}
 	resp, err := exchange(stream, &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{
 		RequestHeaders: requestHeaders(r, len(body), try)}})
 	if err != nil {
-		return result{}, fmt.Errorf("asking the processor: %w", err)
+		return attemptResult{}, fmt.Errorf("asking the processor: %w", err)
 	}
 	if now := resp.GetImmediateResponse(); now != nil {
-		return immediate(now), nil
+		return immediateResult(now), nil
 	}
-	choice, err := readChoice(resp)
+	choice, err := parseDecision(resp)
 	if err != nil {
-		return result{}, err
+		return attemptResult{}, err
 	}
 	tryCtx := ctx
-	if p.TryTimeout > 0 {
+	if p.AttemptTimeout > 0 {
 		var end context.CancelFunc
-		tryCtx, end = context.WithTimeout(ctx, p.TryTimeout)
+		tryCtx, end = context.WithTimeout(ctx, p.AttemptTimeout)
 		defer end()
 	}
 	res, told := p.forward(tryCtx, r, body, choice)
-	if tryCtx.Err() != nil && !res.final || p.Abandon != nil && p.Abandon() {
+	if tryCtx.Err() != nil && !res.isFinal || p.AbortsStream != nil && p.AbortsStream() {
 		return res, nil // the stream breaks as this returns
 	}
-	if err := tell(stream, told); err != nil && !res.final { // without its word there is no further try
-		return result{}, fmt.Errorf("telling the processor: %w", err)
+	if err := reportOutcome(stream, told); err != nil && !res.isFinal { // without its word there is no further try
+		return attemptResult{}, fmt.Errorf("telling the processor: %w", err)
 	}
 	return res, nil
 }
@@ -156,7 +156,7 @@
 }
 
 // tell says how the try ended and ends the stream in order.
-func tell(stream extprocv3.ExternalProcessor_ProcessClient, req *extprocv3.ProcessingRequest) error {
+func reportOutcome(stream extprocv3.ExternalProcessor_ProcessClient, req *extprocv3.ProcessingRequest) error {
 	done := make(chan error, 1)
 	go func() {
 		_, err := exchange(stream, req)
@@ -165,7 +165,7 @@
 		}
 		done <- err
 	}()
-	limit := time.NewTimer(tellTimeout)
+	limit := time.NewTimer(reportTimeout)
 	defer limit.Stop()
 	select {
 	case err := <-done:
@@ -182,51 +182,51 @@
 }
 
 // choice is the processor's decision.
-type choice struct {
-	endpoint string
-	useBy    time.Time
-	set      map[string]string // headers for the request
+type decision struct {
+	endpoint   string
+	validUntil time.Time
+	headers    map[string]string // headers for the request
 }
 
-func readChoice(resp *extprocv3.ProcessingResponse) (choice, error) {
-	c := choice{set: map[string]string{}}
+func parseDecision(resp *extprocv3.ProcessingResponse) (decision, error) {
+	c := decision{headers: map[string]string{}}
 	for _, h := range resp.GetRequestHeaders().GetResponse().GetHeaderMutation().GetSetHeaders() {
-		c.set[h.GetHeader().GetKey()] = string(h.GetHeader().GetRawValue())
+		c.headers[h.GetHeader().GetKey()] = string(h.GetHeader().GetRawValue())
 	}
-	c.endpoint = c.set[DestinationHeader]
-	valid, err := strconv.Atoi(strings.TrimSuffix(c.set[ValidHeader], "m"))
+	c.endpoint = c.headers[DestinationHeader]
+	valid, err := strconv.Atoi(strings.TrimSuffix(c.headers[ValidHeader], "m"))
 	if c.endpoint == "" || err != nil {
 		return c, fmt.Errorf("the processor's answer names no endpoint: %.200v", resp)
 	}
-	c.useBy = time.Now().Add(time.Duration(valid) * time.Millisecond)
+	c.validUntil = time.Now().Add(time.Duration(valid) * time.Millisecond)
 	return c, nil
 }
 
 // forward makes the attempt and says how it ended, to the client and to the processor.
-func (p *Proxy) forward(ctx context.Context, r *http.Request, body []byte, c choice) (result, *extprocv3.ProcessingRequest) {
-	if time.Now().After(c.useBy) {
-		return result{}, localReply("no_healthy_upstream")
+func (p *Proxy) forward(ctx context.Context, r *http.Request, body []byte, c decision) (attemptResult, *extprocv3.ProcessingRequest) {
+	if time.Now().After(c.validUntil) {
+		return attemptResult{}, localReply("no_healthy_upstream")
 	}
 	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+c.endpoint+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
-		return result{}, localReply("no_healthy_upstream")
+		return attemptResult{}, localReply("no_healthy_upstream")
 	}
 	out.Host, out.Header = r.Host, r.Header.Clone()
 	out.GetBody = nil // the transport must not send it again by itself
 	if len(body) == 0 && r.Method != http.MethodGet {
 		out.Close = true // on a new connection there is nothing that it would send again for
 	}
-	for name, value := range c.set {
+	for name, value := range c.headers {
 		out.Header.Set(name, value)
 	}
 	resp, err := p.Transport.RoundTrip(out)
 	if err != nil {
-		return result{}, localReply(details(err))
+		return attemptResult{}, localReply(codeDetailsOf(err))
 	}
 	defer besteffort.Close(resp.Body)
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
-	if err != nil || len(text) > maxBody {
-		return result{}, localReply("upstream_reset_after_response_started{connection_termination}")
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
+	if err != nil || len(text) > maxBodyBytes {
+		return attemptResult{}, localReply("upstream_reset_after_response_started{connection_termination}")
 	}
 	header := []*corev3.HeaderValue{{Key: ":status", RawValue: []byte(strconv.Itoa(resp.StatusCode))},
 		{Key: ServedHeader, RawValue: []byte(c.endpoint)}}
@@ -235,12 +235,12 @@
 			header = append(header, &corev3.HeaderValue{Key: strings.ToLower(name), RawValue: []byte(v)})
 		}
 	}
-	return result{final: resp.StatusCode == http.StatusOK, status: resp.StatusCode, header: resp.Header, body: text},
+	return attemptResult{isFinal: resp.StatusCode == http.StatusOK, status: resp.StatusCode, header: resp.Header, body: text},
 		responseHeaders(header, nil)
 }
 
 // details names the reason of a failed attempt as Envoy does.
-func details(err error) string {
+func codeDetailsOf(err error) string {
 	if op, ok := errors.AsType[*net.OpError](err); ok && op.Op == "dial" {
 		if op.Timeout() {
 			return "upstream_reset_before_response_started{connection_timeout}"
@@ -283,8 +283,8 @@
 	return &extprocv3.HttpHeaders{Headers: &corev3.HeaderMap{Headers: header}, EndOfStream: body == 0}
 }
 
-func immediate(now *extprocv3.ImmediateResponse) result {
-	res := result{final: true, status: int(now.GetStatus().GetCode()), header: http.Header{}, body: now.GetBody()}
+func immediateResult(now *extprocv3.ImmediateResponse) attemptResult {
+	res := attemptResult{isFinal: true, status: int(now.GetStatus().GetCode()), header: http.Header{}, body: now.GetBody()}
 	for _, h := range now.GetHeaders().GetSetHeaders() {
 		res.header.Set(h.GetHeader().GetKey(), string(h.GetHeader().GetRawValue()))
 	}
