--- a/internal/agenttest/agenttest.go
+++ b/internal/agenttest/agenttest.go
@@ -1,4 +1,5 @@
-// Package agenttest holds the stand-ins that tests share: backends and discovery on loopback sockets.
+// Package agenttest holds the test doubles that tests share: backends and an endpoint list on loopback sockets, settings
+// and configurations, and a log that can be read while it is written. What a test starts here ends with the test.
 package agenttest
 
 import (
@@ -18,10 +19,10 @@
 	"appleledge/internal/membership"
 )
 
-// Patience is how long a test waits for what must come; machines are noisy.
+// Patience is how long a test waits for what must happen. It is long, as other work may hold the machine up.
 const Patience = 20 * time.Second
 
-// SettingsText is the settings object of the platform, with a class of each effect.
+// SettingsText is the platform's settings object, with one class of each effect.
 const SettingsText = `{"Balancers":2,"Me":0,"TickNs":5000000,"WeightKind":"Silent","Discovery":"automatic",
  "Ceilings":{"ConnIdleNs":15000000000,"ConnectTimeoutNs":5000000000,"MaxRetryAfterNs":1000000000,"MostHeld":1000,"MostTries":5,"ParallelTries":true,"RetryAfter":false},
  "Classes":[{"AimNs":600000000,"DeadlineNs":2000000000,"Effect":"repeatable","Group":"all","Name":"form-check","Worth":2},
@@ -31,16 +32,16 @@
  "Tenants":[{"Name":"glasgow-airport","Portion":0.5},{"Name":"lerwick-port","Portion":0.5}],"OverShareWorth":0.1,
  "Zones":["edinburgh-dc"]}`
 
-// ConfigText is a configuration file of the platform.
+// ConfigText returns the platform's configuration file; known is the JSON value of its list of known servers.
 func ConfigText(discovery, known string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","Listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, discovery, known, SettingsText)
 }
 
-// NoEnv is an environment with nothing set.
+// NoEnv is an empty environment.
 func NoEnv(string) string { return "" }
 
-// Listen opens a port of the loopback that closes with the test.
+// Listen listens on a free loopback port until the test ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +52,8 @@
 	return l
 }
 
-// Refusing is an address at which nothing listens, and which is the test's own until it ends: what the test starts may listen there.
+// Refusing returns a loopback address at which nothing listens. It is reserved until the test ends: what the test starts may
+// listen there.
 func Refusing(t testing.TB) string {
 	t.Helper()
 	h, err := loopback.Hold()
@@ -62,7 +64,7 @@
 	return h.Addr()
 }
 
-// Eventually waits until ok holds.
+// Eventually polls ok until it returns true, and fails the test after Patience. It must be called from the test's goroutine.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -73,16 +75,16 @@
 	t.Fatalf("waited %v in vain: %s", Patience, what)
 }
 
-// Sink keeps what a source of members says.
+// Sink records the updates of a membership source. It is safe for concurrent use.
 type Sink struct {
 	Updates chan membership.Update
-	Losses  chan error // the first one that nobody has read yet
+	Losses  chan error // the first one that isn't read yet
 }
 
-// NewSink returns a sink that holds up to a hundred updates; what comes then is lost, as a test that fails must end.
+// NewSink returns a sink that holds up to 100 updates and drops later ones, so that a failing test ends.
 func NewSink() Sink { return Sink{make(chan membership.Update, 100), make(chan error, 1)} }
 
-// Update keeps an update, where there is room.
+// Update records an update, or drops it if the channel is full.
 func (s Sink) Update(u membership.Update) {
 	select {
 	case s.Updates <- u:
@@ -90,7 +92,7 @@
 	}
 }
 
-// Disconnected keeps the reason, unless an earlier one is there.
+// Disconnected records the reason, unless an earlier one isn't read yet.
 func (s Sink) Disconnected(err error) {
 	select {
 	case s.Losses <- err:
@@ -98,7 +100,7 @@
 	}
 }
 
-// Backend reads requests whole and lets a script answer. The script returns false to close the connection.
+// Backend reads complete requests and lets a script answer them. The script returns false to close the connection.
 type Backend struct {
 	net.Listener
 	mu       sync.Mutex
@@ -107,7 +109,8 @@
 	conns    int
 }
 
-// NewBackend starts a backend that ends with the test. The script is given the number of the request, from 1.
+// NewBackend starts a backend that ends with the test. The script gets the number of the request, from 1; each connection
+// calls it from a goroutine of its own.
 func NewBackend(t testing.TB, script func(c net.Conn, r *http.Request, n int) bool) *Backend {
 	b := &Backend{Listener: Listen(t)}
 	var all sync.WaitGroup
@@ -128,6 +131,7 @@
 	return b
 }
 
+// serve answers the requests of one connection.
 func (b *Backend) serve(c net.Conn, script func(c net.Conn, r *http.Request, n int) bool) {
 	defer besteffort.Close(c)
 	in := bufio.NewReader(c)
@@ -150,28 +154,28 @@
 	}
 }
 
-// Request is the n-th request that came, from 0, and its body.
+// Request returns the n-th request, from 0, and its body. It panics if there are fewer.
 func (b *Backend) Request(n int) (*http.Request, string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.requests[n], b.bodies[n]
 }
 
-// Requests counts the requests that came whole.
+// Requests returns the number of complete requests.
 func (b *Backend) Requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.requests)
 }
 
-// Connections counts the connections that came.
+// Connections returns the number of connections accepted.
 func (b *Backend) Connections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.conns
 }
 
-// Says is a script that always gives the same answer.
+// Says returns a script that always writes the same text.
 func Says(text string) func(net.Conn, *http.Request, int) bool {
 	return func(c net.Conn, _ *http.Request, _ int) bool {
 		_, err := io.WriteString(c, text)
@@ -179,7 +183,7 @@
 	}
 }
 
-// Silent is a script that takes a request and never answers.
+// Silent is a script that reads a request and never answers.
 func Silent(c net.Conn, _ *http.Request, _ int) bool {
 	besteffort.IgnoreResult(io.Copy(io.Discard, c))
 	return false
@@ -188,13 +192,13 @@
 // Served is an answer with a load report.
 const Served = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: util=0.5,qps=10,eps=0\r\n\r\nfine"
 
-// EntryText is a list entry in discovery's form.
+// EntryText returns an entry of the endpoint list as JSON; started is in milliseconds of Unix time.
 func EntryText(id, addr, state string, started int64) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"edinburgh-dc","kind":"twin-core","cell":1,"state":%q,"weight":1,"started_ms":%d}`,
 		id, addr, state, started)
 }
 
-// ListText is a list or a change of it in discovery's form.
+// ListText returns a list, or a change of it, as JSON.
 func ListText(version int, full bool, entries ...string) string {
 	text := "["
 	for i, e := range entries {
@@ -206,12 +210,12 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":%s]}`, version, full, text)
 }
 
-// Discovery answers calls with what the test has set last, and watches when that is newer.
+// Discovery serves the endpoint list that the test set last, and answers watches when it is newer than theirs.
 type Discovery struct {
 	net.Listener
 	mu        sync.Mutex
 	version   int
-	update    string // for watches
+	update    string // answers watches
 	fullList  string
 	isSilent  bool // be Silent, as in an outage
 	fullCalls int  // Calls for the whole list
@@ -229,7 +233,7 @@
 	return d
 }
 
-// Set states a list; what is not full is a change, and calls for the whole list go on to get the last full one.
+// Set sets the list, or a change of it if full is false; calls for the whole list still get the last full one.
 func (d *Discovery) Set(version int, full bool, entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -239,20 +243,21 @@
 	}
 }
 
-// Silence makes it say nothing, as in an outage, or speak again.
+// Silence makes the discovery hold all answers back, as in an outage, or answer again.
 func (d *Discovery) Silence(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.isSilent = on
 }
 
-// Calls counts the calls for the whole list and the watches.
+// Calls returns the numbers of calls for the whole list and of watches.
 func (d *Discovery) Calls() (wholes, watches int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fullCalls, d.watches
 }
 
+// ServeHTTP answers a call or a watch.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	d.mu.Lock()
@@ -284,26 +289,27 @@
 	}
 }
 
-// LockedBuffer is a log that tests read while it is written.
+// LockedBuffer is a buffer that is safe for concurrent use, for logs that a test reads while they are written.
 type LockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-// String is what was written so far.
+// String returns what has been written.
 func (b *LockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
 }
 
+// Write appends p.
 func (b *LockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
-// Count says how often the text is in it.
+// Count returns how often the text occurs.
 func (b *LockedBuffer) Count(text string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/extprocproxy/proxy.go
+++ b/internal/extprocproxy/proxy.go
@@ -1,6 +1,6 @@
 // Package extprocproxy is a small HTTP/1.1 proxy that asks an external processor where each request goes, as Envoy with
-// its ext_proc filter would. It stands in for a real proxy in tests, and lets operators try the processor
-// (cmd/extprocproxy). It is not meant for service.
+// its ext_proc filter does. It is a test double for a real proxy, and lets operators try the processor (cmd/extprocproxy).
+// It isn't meant for production.
 package extprocproxy
 
 import (
@@ -28,33 +28,33 @@
 	codeDetails         = "response.code_details"
 	dialTimeout         = time.Second
 	maxIdleConnsPerHost = 64
-	reportTimeout       = 2 * time.Second // for the processor to take how a try ended
+	reportTimeout       = 2 * time.Second // for the processor to accept the outcome of an attempt
 	maxClientTimeout    = time.Minute
 )
 
-// Names that the proxy and the processor have in common. They are written out here once more, and not taken from the
-// processor: one that is wrong there must show.
+// Header names that proxy and processor share. They are repeated here on purpose: with the processor's own constants a
+// wrong name would go unnoticed.
 const (
 	DestinationHeader = "x-gateway-destination-endpoint"
 	ServedHeader      = "x-gateway-destination-endpoint-served"
 	ValidHeader       = "x-appleledge-decision-valid"
 )
 
-// Proxy forwards what it is sent to the endpoints that the processor chooses.
+// Proxy forwards requests to the endpoints that the processor chooses. It is safe for concurrent use once its fields are set.
 type Proxy struct {
 	Processor extprocv3.ExternalProcessorClient
-	// MaxAttempts is how often a request is tried at most; each try is a stream of its own. The processor is asked for each,
-	// and has the last word: a proxy that stops on its own before it has answered can only say that the request failed.
+	// MaxAttempts is the most attempts a request may take; each is a stream of its own, on which the processor decides. A proxy
+	// that stops before the processor ends the request can only answer that it failed.
 	MaxAttempts int
 	Transport   http.RoundTripper // to the endpoints
-	// AttemptTimeout is after how long a try is given up, with no word to the processor but the end of the stream; 0: with
-	// the request itself.
+	// AttemptTimeout is after how long an attempt is given up; the processor learns it by the end of the stream only. 0: at the
+	// deadline of the request.
 	AttemptTimeout time.Duration
-	// Abandon, if set, is asked for each try that is on its way whether its stream breaks without a word.
+	// AbortsStream, if set, is called after an attempt; if it returns true the stream breaks without an outcome.
 	AbortsStream func() bool
 }
 
-// New returns a proxy that asks the processor.
+// New returns a proxy with at most 10 attempts a request.
 func New(processor extprocv3.ExternalProcessorClient) *Proxy {
 	return &Proxy{Processor: processor, MaxAttempts: 10, Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -64,15 +64,15 @@
 	}}
 }
 
-// result is how one try ended.
+// attemptResult is how one attempt ended.
 type attemptResult struct {
-	isFinal bool // the client gets it; else another try may be made
+	isFinal bool // the client gets it; else another attempt may be made
 	status  int
 	header  http.Header
 	body    []byte
 }
 
-// ServeHTTP gives a request its answer.
+// ServeHTTP answers a request. It answers 502 if the processor fails or all attempts are used up.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -83,7 +83,7 @@
 	defer cancel()
 	for try := 1; try <= p.MaxAttempts; try++ {
 		res, err := p.sendAttempt(ctx, r, body, try)
-		if err != nil { // the processor is out of reach: nothing more may be sent on one's own
+		if err != nil { // the processor is out of reach: no attempt without its decision
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
@@ -102,7 +102,7 @@
 	http.Error(w, "tried too often", http.StatusBadGateway)
 }
 
-// patience reads how long the client waits.
+// clientTimeout returns how long the client waits, by X-Timeout.
 func clientTimeout(h http.Header) time.Duration {
 	text, unit := h.Get("X-Timeout"), time.Millisecond
 	if n, err := strconv.ParseFloat(strings.TrimSuffix(text, "m"), 64); err == nil && n > 0 {
@@ -111,7 +111,7 @@
 	return maxClientTimeout // the processor judges what is malformed
 }
 
-// try makes one try on a stream of its own.
+// sendAttempt makes one attempt on a stream of its own.
 func (p *Proxy) sendAttempt(ctx context.Context, r *http.Request, body []byte, try int) (attemptResult, error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -141,13 +141,13 @@
 	if tryCtx.Err() != nil && !res.isFinal || p.AbortsStream != nil && p.AbortsStream() {
 		return res, nil // the stream breaks as this returns
 	}
-	if err := reportOutcome(stream, told); err != nil && !res.isFinal { // without its word there is no further try
+	if err := reportOutcome(stream, told); err != nil && !res.isFinal { // no further attempt without its agreement
 		return attemptResult{}, fmt.Errorf("telling the processor: %w", err)
 	}
 	return res, nil
 }
 
-// exchange sends a message and waits for the answer that it is owed.
+// exchange sends a message and waits for its answer.
 func exchange(stream extprocv3.ExternalProcessor_ProcessClient, req *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
 	if err := stream.Send(req); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
@@ -155,7 +155,7 @@
 	return stream.Recv() // after io.EOF of the send it has the reason
 }
 
-// tell says how the try ended and ends the stream in order.
+// reportOutcome sends the outcome of the attempt and closes the stream.
 func reportOutcome(stream extprocv3.ExternalProcessor_ProcessClient, req *extprocv3.ProcessingRequest) error {
 	done := make(chan error, 1)
 	go func() {
@@ -181,13 +181,14 @@
 	return nil
 }
 
-// choice is the processor's decision.
+// decision is the processor's decision: where to send the request, until when, and with which headers.
 type decision struct {
 	endpoint   string
 	validUntil time.Time
 	headers    map[string]string // headers for the request
 }
 
+// parseDecision reads the decision from the processor's answer.
 func parseDecision(resp *extprocv3.ProcessingResponse) (decision, error) {
 	c := decision{headers: map[string]string{}}
 	for _, h := range resp.GetRequestHeaders().GetResponse().GetHeaderMutation().GetSetHeaders() {
@@ -202,7 +203,7 @@
 	return c, nil
 }
 
-// forward makes the attempt and says how it ended, to the client and to the processor.
+// forward sends the attempt to the endpoint and returns its result for the client and its outcome for the processor.
 func (p *Proxy) forward(ctx context.Context, r *http.Request, body []byte, c decision) (attemptResult, *extprocv3.ProcessingRequest) {
 	if time.Now().After(c.validUntil) {
 		return attemptResult{}, localReply("no_healthy_upstream")
@@ -239,7 +240,7 @@
 		responseHeaders(header, nil)
 }
 
-// details names the reason of a failed attempt as Envoy does.
+// codeDetailsOf returns the response code details that Envoy gives for the error.
 func codeDetailsOf(err error) string {
 	if op, ok := errors.AsType[*net.OpError](err); ok && op.Op == "dial" {
 		if op.Timeout() {
@@ -253,18 +254,20 @@
 	return "upstream_reset_before_response_started{connection_termination}"
 }
 
-// localReply tells of a response that the proxy made itself.
+// localReply returns the outcome of a response that the proxy made itself.
 func localReply(details string) *extprocv3.ProcessingRequest {
 	return responseHeaders([]*corev3.HeaderValue{{Key: ":status", RawValue: []byte("503")}},
 		map[string]*structpb.Struct{attributes: {Fields: map[string]*structpb.Value{
 			codeDetails: structpb.NewStringValue(details)}}})
 }
 
+// responseHeaders returns the message for the headers of a response.
 func responseHeaders(header []*corev3.HeaderValue, attrs map[string]*structpb.Struct) *extprocv3.ProcessingRequest {
 	return &extprocv3.ProcessingRequest{Attributes: attrs, Request: &extprocv3.ProcessingRequest_ResponseHeaders{
 		ResponseHeaders: &extprocv3.HttpHeaders{Headers: &corev3.HeaderMap{Headers: header}}}}
 }
 
+// requestHeaders returns the message for the headers of an attempt; body is the length of the request's body in bytes.
 func requestHeaders(r *http.Request, body, try int) *extprocv3.HttpHeaders {
 	header := []*corev3.HeaderValue{
 		{Key: ":method", RawValue: []byte(r.Method)}, {Key: ":path", RawValue: []byte(r.URL.RequestURI())},
@@ -283,6 +286,7 @@
 	return &extprocv3.HttpHeaders{Headers: &corev3.HeaderMap{Headers: header}, EndOfStream: body == 0}
 }
 
+// immediateResult returns the answer that the processor gives itself.
 func immediateResult(now *extprocv3.ImmediateResponse) attemptResult {
 	res := attemptResult{isFinal: true, status: int(now.GetStatus().GetCode()), header: http.Header{}, body: now.GetBody()}
 	for _, h := range now.GetHeaders().GetSetHeaders() {
