--- a/cmd/appleledgectl/affinity.go
+++ b/cmd/appleledgectl/affinity.go
@@ -24,32 +24,32 @@
 		Short: "Look into the folder that keeps where refunds went",
 		Long:  "Looks into the folder that the section [affinity] of an agent's settings names. No agent has to run, and one that does is not disturbed.",
 	}
-	cmd.PersistentFlags().StringVar(&c.dir, "dir", "", "the `folder`")
+	cmd.PersistentFlags().StringVar(&c.affinityDir, "dir", "", "the `folder`")
 	besteffort.Ignore(cmd.MarkPersistentFlagRequired("dir"))
 	cmd.AddCommand(
-		c.inspecting("stat", "Say what the files hold", 0, c.stat),
-		c.inspecting("check", "Check each record; exits with 1 where any is damaged", 0, c.checkFiles),
-		c.inspecting("export", "Write all records as lines of JSON", 0, c.export),
-		c.inspecting("lookup KEY", "Say where a repeat key (Idempotency-Key) went", 1, c.lookup),
-		c.compact())
+		c.inspectCommand("stat", "Say what the files hold", 0, c.printStats),
+		c.inspectCommand("check", "Check each record; exits with 1 where any is damaged", 0, c.checkFiles),
+		c.inspectCommand("export", "Write all records as lines of JSON", 0, c.export),
+		c.inspectCommand("lookup KEY", "Say where a repeat key (Idempotency-Key) went", 1, c.lookup),
+		c.compactCommand())
 	return cmd
 }
 
 // inspecting is a command on the files of a folder.
-func (c *console) inspecting(use, short string, args int, do func(dir string, files []bindinglog.FileReport, args []string) error) *cobra.Command {
+func (c *console) inspectCommand(use, short string, args int, do func(dir string, files []bindinglog.FileReport, args []string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(_ *cobra.Command, args []string) error {
-		files, err := bindinglog.Inspect(atomicfile.OS{}, c.dir)
+		files, err := bindinglog.Inspect(atomicfile.OS{}, c.affinityDir)
 		if err != nil {
 			return err
 		}
-		return do(c.dir, files, args)
+		return do(c.affinityDir, files, args)
 	}}
 }
 
-// kindNames are the kinds of records.
-var kindNames = map[affinity.RecordKind]string{affinity.RecordBound: "began", affinity.RecordUnbound: "never ran", affinity.RecordServed: "served", affinity.RecordFailed: "failed"}
+// recordKindNames are the kinds of records.
+var recordKindNames = map[affinity.RecordKind]string{affinity.RecordBound: "began", affinity.RecordUnbound: "never ran", affinity.RecordServed: "served", affinity.RecordFailed: "failed"}
 
-func (c *console) stat(_ string, files []bindinglog.FileReport, _ []string) error {
+func (c *console) printStats(_ string, files []bindinglog.FileReport, _ []string) error {
 	if c.json {
 		return c.writeJSON(files)
 	}
@@ -57,7 +57,7 @@
 	for _, f := range files {
 		kinds := map[string]int{}
 		for _, r := range f.Records {
-			kinds[kindNames[r.Kind]]++
+			kinds[recordKindNames[r.Kind]]++
 		}
 		fmt.Fprintf(w, "%s\t%d bytes\t%d began\t%d never ran\t%d served\t%d damaged\t%s\n", f.Name, f.Bytes, kinds["began"], kinds["never ran"], kinds["served"], f.Corrupt, f.Problem)
 	}
@@ -78,7 +78,7 @@
 }
 
 // line is a record as it is exported.
-type line struct {
+type exportedRecord struct {
 	File string  `json:"file"`
 	Boot string  `json:"boot"`
 	Key  string  `json:"key"` // hashed
@@ -88,15 +88,15 @@
 	Zone int32   `json:"zone"`
 }
 
-func lineOf(f bindinglog.FileReport, r affinity.Record) line {
-	return line{f.Name, f.BootID, fmt.Sprintf("%016x%016x", r.Key[0], r.Key[1]), kindNames[r.Kind], r.At.Seconds(), r.Pod, r.Zone}
+func newExportedRecord(f bindinglog.FileReport, r affinity.Record) exportedRecord {
+	return exportedRecord{f.Name, f.BootID, fmt.Sprintf("%016x%016x", r.Key[0], r.Key[1]), recordKindNames[r.Kind], r.At.Seconds(), r.Pod, r.Zone}
 }
 
 func (c *console) export(_ string, files []bindinglog.FileReport, _ []string) error {
 	e := json.NewEncoder(c.out)
 	for _, f := range files {
 		for _, r := range f.Records {
-			if err := e.Encode(lineOf(f, r)); err != nil {
+			if err := e.Encode(newExportedRecord(f, r)); err != nil {
 				return err
 			}
 		}
@@ -118,7 +118,7 @@
 		for _, r := range f.Records {
 			if r.Key == key {
 				found = true
-				if err := e.Encode(lineOf(f, r)); err != nil {
+				if err := e.Encode(newExportedRecord(f, r)); err != nil {
 					return err
 				}
 			}
@@ -130,9 +130,9 @@
 	return nil
 }
 
-func (c *console) compact() *cobra.Command {
+func (c *console) compactCommand() *cobra.Command {
 	var lasts time.Duration
-	cmd := c.inspecting("compact", "Remove files of which nothing is of use any more", 0, func(dir string, files []bindinglog.FileReport, _ []string) error {
+	cmd := c.inspectCommand("compact", "Remove files of which nothing is of use any more", 0, func(dir string, files []bindinglog.FileReport, _ []string) error {
 		boot, now, err := bindinglog.BootTime()
 		if err != nil {
 			return err
--- a/cmd/appleledgectl/commands.go
+++ b/cmd/appleledgectl/commands.go
@@ -21,7 +21,7 @@
 	"appleledge/internal/plan/show"
 )
 
-func (c *console) validate() *cobra.Command {
+func (c *console) validateCommand() *cobra.Command {
 	return c.withVars(&cobra.Command{
 		Use:   "validate DIR",
 		Short: "Check a folder's files",
@@ -30,7 +30,7 @@
 		Example: "  appleledgectl validate fleet/",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			config, err := c.read(args[0])
+			config, err := c.readConfigDir(args[0])
 			if err != nil {
 				return err
 			}
@@ -49,7 +49,7 @@
 	})
 }
 
-func (c *console) plan() *cobra.Command {
+func (c *console) planCommand() *cobra.Command {
 	var out string
 	var detailed bool
 	var taken float64
@@ -61,7 +61,7 @@
 		Example: "  appleledgectl plan fleet/ -o change.plan\n  appleledgectl plan fleet/ --var canary=20 --detailed-exitcode",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			config, err := c.read(args[0])
+			config, err := c.readConfigDir(args[0])
 			if err != nil {
 				return err
 			}
@@ -105,7 +105,7 @@
 	return show.Plan(c.out, p)
 }
 
-func (c *console) show() *cobra.Command {
+func (c *console) showCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show [FILE]",
 		Short: "Show a plan, or the configuration in force",
@@ -140,7 +140,7 @@
 	return p, nil
 }
 
-func (c *console) apply() *cobra.Command {
+func (c *console) applyCommand() *cobra.Command {
 	var approved, force bool
 	var why string
 	cmd := &cobra.Command{
@@ -165,7 +165,7 @@
 				}
 			}
 			var done admin.ChangeResult
-			if err := c.call(cmd, http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: c.by, Reason: why, Force: force}, &done); err != nil {
+			if err := c.call(cmd, http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: c.operator, Reason: why, Force: force}, &done); err != nil {
 				return err
 			}
 			return c.showApplied(done, "appleledgectl status says what the watch makes of it.")
@@ -179,7 +179,7 @@
 
 // approve shows a plan and asks, with the lock in hand.
 func (c *console) approve(cmd *cobra.Command, p *plan.Plan) error {
-	lock := admin.LockRequest{Holder: c.by, Duration: "5m"}
+	lock := admin.LockRequest{Holder: c.operator, Duration: "5m"}
 	if err := c.call(cmd, http.MethodPost, admin.PathLock, lock, &admin.Lock{}); err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 	if err := show.Plan(c.out, p); err != nil {
 		return err
 	}
-	ok, err := c.yes("\nApply this?")
+	ok, err := c.confirm("\nApply this?")
 	if err == nil && !ok {
 		err = errors.New("nothing was applied")
 	}
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func (c *console) rollback() *cobra.Command {
+func (c *console) rollbackCommand() *cobra.Command {
 	var why string
 	cmd := &cobra.Command{
 		Use:   "rollback",
@@ -214,7 +214,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var done admin.ChangeResult
-			if err := c.call(cmd, http.MethodPost, admin.PathRollback, admin.RollbackRequest{Actor: c.by, Reason: why}, &done); err != nil {
+			if err := c.call(cmd, http.MethodPost, admin.PathRollback, admin.RollbackRequest{Actor: c.operator, Reason: why}, &done); err != nil {
 				return err
 			}
 			return c.showApplied(done, "")
@@ -224,7 +224,7 @@
 	return cmd
 }
 
-func (c *console) status() *cobra.Command {
+func (c *console) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
 		Short: "Say what is in force, and whether it is watched",
@@ -279,7 +279,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func (c *console) history() *cobra.Command {
+func (c *console) historyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
 		Short: "Say what became of changes, the newest last",
@@ -301,18 +301,18 @@
 	}
 }
 
-func (c *console) diff() *cobra.Command {
+func (c *console) diffCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "diff A B",
 		Short: "Say what differs between two configurations",
 		Long:  "Says what differs between two configurations: folders, plans (where they lead to), or what show has written. Exits with 2 where they differ.",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			a, err := c.configOf(args[0])
+			a, err := c.loadConfig(args[0])
 			if err != nil {
 				return err
 			}
-			b, err := c.configOf(args[1])
+			b, err := c.loadConfig(args[1])
 			if err != nil {
 				return err
 			}
@@ -331,7 +331,7 @@
 	return c.withVars(cmd)
 }
 
-func (c *console) lock() *cobra.Command {
+func (c *console) lockCommand() *cobra.Command {
 	var release bool
 	var lasts time.Duration
 	cmd := &cobra.Command{
@@ -339,7 +339,7 @@
 		Short: "Keep others from changing the configuration",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			q := admin.LockRequest{Holder: c.by, Duration: lasts.String()}
+			q := admin.LockRequest{Holder: c.operator, Duration: lasts.String()}
 			if release {
 				return c.call(cmd, http.MethodDelete, admin.PathLock, q, &struct{}{})
 			}
--- a/cmd/appleledgectl/console.go
+++ b/cmd/appleledgectl/console.go
@@ -29,14 +29,14 @@
 	in       io.Reader
 	out, err io.Writer
 
-	socket string
-	json   bool
-	by     string
-	vars   []string
-	dir    string // of ties
+	socket      string
+	json        bool
+	operator    string
+	vars        []string
+	affinityDir string // of ties
 }
 
-const about = `appleledgectl changes the configuration of a fleet at an appleledge agent, by plans:
+const usage = `appleledgectl changes the configuration of a fleet at an appleledge agent, by plans:
 
     appleledgectl validate fleet/                # are the files right?
     appleledgectl plan fleet/ -o change.plan     # what would they change, and what would that do now?
@@ -49,21 +49,21 @@
 
 Exit codes: 0 all went well, 1 an error, 2 there are changes (plan --detailed-exitcode, diff).`
 
-// socketVariable names the agent's socket where no flag does.
-const socketVariable = "APPLELEDGE_SOCKET"
+// socketEnv names the agent's socket where no flag does.
+const socketEnv = "APPLELEDGE_SOCKET"
 
 func (c *console) root() *cobra.Command {
-	root := &cobra.Command{Use: "appleledgectl", Short: "Plan and apply configurations of a fleet", Long: about, SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "appleledgectl", Short: "Plan and apply configurations of a fleet", Long: usage, SilenceUsage: true, SilenceErrors: true}
 	f := root.PersistentFlags()
-	f.StringVar(&c.socket, "socket", os.Getenv(socketVariable), "the agent's operators' socket (default $"+socketVariable+")")
+	f.StringVar(&c.socket, "socket", os.Getenv(socketEnv), "the agent's operators' socket (default $"+socketEnv+")")
 	f.BoolVar(&c.json, "json", false, "write JSON")
-	f.StringVar(&c.by, "by", whoami(), "who is asking, for the history and the lock")
-	root.AddCommand(c.validate(), c.plan(), c.show(), c.apply(), c.rollback(), c.status(), c.history(), c.diff(), c.lock(), c.affinityCommands(), c.figures(), c.fleet())
+	f.StringVar(&c.operator, "by", currentUser(), "who is asking, for the history and the lock")
+	root.AddCommand(c.validateCommand(), c.planCommand(), c.showCommand(), c.applyCommand(), c.rollbackCommand(), c.statusCommand(), c.historyCommand(), c.diffCommand(), c.lockCommand(), c.affinityCommands(), c.figuresCommand(), c.fleetCommand())
 	return root
 }
 
 // whoami is the name of the user, as far as it is known.
-func whoami() string {
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
@@ -73,7 +73,7 @@
 // client is the agent's.
 func (c *console) client() (*admin.Client, error) {
 	if c.socket == "" {
-		return nil, fmt.Errorf("no agent is named; say --socket PATH or set %s", socketVariable)
+		return nil, fmt.Errorf("no agent is named; say --socket PATH or set %s", socketEnv)
 	}
 	return admin.NewClient(c.socket), nil
 }
@@ -101,7 +101,7 @@
 }
 
 // read reads a folder as one configuration. Names of classes, tenants and zones are the agent's business.
-func (c *console) read(dir string) (*fleetconfig.Config, error) {
+func (c *console) readConfigDir(dir string) (*fleetconfig.Config, error) {
 	values := map[string]string{}
 	for _, v := range c.vars {
 		name, value, ok := strings.Cut(v, "=")
@@ -143,14 +143,14 @@
 	return hcl.NewDiagnosticTextWriter(c.err, bad.Files, 100, !color.NoColor).WriteDiagnostics(bad.Diagnostics) == nil
 }
 
-// configOf is a folder's configuration, or that of a plan or a file with its JSON.
-func (c *console) configOf(path string) (*fleetconfig.Config, error) {
+// loadConfig is a folder's configuration, or that of a plan or a file with its JSON.
+func (c *console) loadConfig(path string) (*fleetconfig.Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.IsDir() {
-		return c.read(path)
+		return c.readConfigDir(path)
 	}
 	data, err := readFile(path)
 	if err != nil {
@@ -186,7 +186,7 @@
 }
 
 // yes asks on a terminal whether to go on. Anywhere else the answer is no.
-func (c *console) yes(question string) (bool, error) {
+func (c *console) confirm(question string) (bool, error) {
 	f, ok := c.in.(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) {
 		return false, errors.New("there is no terminal to ask on; say --auto-approve if the plan has been read")
--- a/cmd/appleledgectl/figures.go
+++ b/cmd/appleledgectl/figures.go
@@ -12,7 +12,7 @@
 )
 
 // figures adds up what agents have logged.
-func (c *console) figures() *cobra.Command {
+func (c *console) figuresCommand() *cobra.Command {
 	step := time.Second
 	cmd := &cobra.Command{
 		Use:   "figures LOG...",
@@ -28,7 +28,7 @@
 				return fmt.Errorf("--step: %w", err)
 			}
 			for _, path := range args {
-				if err := addFile(sum, path); err != nil {
+				if err := addLogFile(sum, path); err != nil {
 					return err
 				}
 			}
@@ -42,7 +42,7 @@
 	return cmd
 }
 
-func addFile(sum *logstats.Sum, path string) error {
+func addLogFile(sum *logstats.Sum, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
--- a/cmd/appleledgectl/fleet.go
+++ b/cmd/appleledgectl/fleet.go
@@ -19,14 +19,14 @@
 	"appleledge/internal/operator"
 )
 
-// agentVariable names the agent's operators' address where no flag does.
-const agentVariable = "APPLELEDGE_AGENT"
+// agentEnv names the agent's operators' address where no flag does.
+const agentEnv = "APPLELEDGE_AGENT"
 
-const mostView = 4 << 20 // bytes of an agent's answer
+const maxFleetViewBytes = 4 << 20 // bytes of an agent's answer
 
 // fleet shows the fleet as one agent sees it.
-func (c *console) fleet() *cobra.Command {
-	agent := os.Getenv(agentVariable)
+func (c *console) fleetCommand() *cobra.Command {
+	agent := os.Getenv(agentEnv)
 	cmd := &cobra.Command{
 		Use:   "fleet",
 		Short: "Show the fleet as an agent sees it: who lives, how service returns, what is asked and refused",
@@ -37,23 +37,23 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if agent == "" {
-				return fmt.Errorf("no agent is named: --agent HOST:PORT, or %s", agentVariable)
+				return fmt.Errorf("no agent is named: --agent HOST:PORT, or %s", agentEnv)
 			}
-			f, err := askFleet(cmd.Context(), agent)
+			f, err := fetchFleetView(cmd.Context(), agent)
 			if err != nil {
 				return err
 			}
 			if c.json {
 				return c.writeJSON(f)
 			}
-			return writeFleet(c.out, f)
+			return writeFleetView(c.out, f)
 		},
 	}
-	cmd.Flags().StringVar(&agent, "agent", agent, "the agent's operators' `address` (default $"+agentVariable+")")
+	cmd.Flags().StringVar(&agent, "agent", agent, "the agent's operators' `address` (default $"+agentEnv+")")
 	return cmd
 }
 
-func askFleet(ctx context.Context, agent string) (f operator.FleetView, err error) {
+func fetchFleetView(ctx context.Context, agent string) (f operator.FleetView, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+agent+"/ops/fleet", nil)
@@ -68,7 +68,7 @@
 	if resp.StatusCode == http.StatusNotFound {
 		return f, fmt.Errorf("the agent at %s has no view of a fleet: neither [recovery] nor [peers] is in its settings", agent)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostView))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxFleetViewBytes))
 	if err != nil {
 		return f, err
 	}
@@ -78,8 +78,8 @@
 	return f, json.Unmarshal(text, &f)
 }
 
-// writeFleet writes the view as text.
-func writeFleet(out io.Writer, f operator.FleetView) error {
+// writeFleetView writes the view as text.
+func writeFleetView(out io.Writer, f operator.FleetView) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "agent\t%s\n", f.Agent)
 	if r := f.Recovery; r != nil {
@@ -116,7 +116,7 @@
 	if o := f.Overload; o != nil {
 		fmt.Fprintf(w, "servers can do\t%v a second, and are %v busy\n", o.Capacity, o.Utilization)
 		fmt.Fprintf(w, "the fleet\tis asked %v a second, lets in %v (limit %s), serves %v in time and %v late or not; %v further attempts\n", o.OfferedRate, o.AdmittedRate,
-			limit(o.Limit), o.ServedInTimeRate, o.LateOrFailedRate, o.RetryRate)
+			formatLimit(o.Limit), o.ServedInTimeRate, o.LateOrFailedRate, o.RetryRate)
 		for _, class := range slices.Sorted(maps.Keys(o.Classes)) {
 			k := o.Classes[class]
 			fmt.Fprintf(w, "\t%s: %v first tries and %v repeats a second, let in with chance %v; refused here %d and %d\n", class, k.FirstAttemptRate, k.RetryRate, k.AdmissionProbability,
@@ -131,7 +131,7 @@
 }
 
 // limit is a limit in words.
-func limit(x float64) string {
+func formatLimit(x float64) string {
 	if x == 0 {
 		return "none"
 	}
--- a/cmd/appleledgectl/golden_test.go
+++ b/cmd/appleledgectl/golden_test.go
@@ -53,12 +53,12 @@
 			besteffort.IgnoreResult(w.Write(golden.Read(t, "operator/"+name+".json")))
 		}))
 		defer agent.Close()
-		f, err := askFleet(t.Context(), strings.TrimPrefix(agent.URL, "http://"))
+		f, err := fetchFleetView(t.Context(), strings.TrimPrefix(agent.URL, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var text, again bytes.Buffer
-		if err := writeFleet(&text, f); err != nil {
+		if err := writeFleetView(&text, f); err != nil {
 			t.Fatal(err)
 		}
 		golden.Equal(t, "appleledgectl/"+name+".txt", text.Bytes())
@@ -75,7 +75,7 @@
 	for _, status := range []int{http.StatusNotFound, http.StatusServiceUnavailable} {
 		agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "the agent is ending", status) }))
 		address := strings.TrimPrefix(agent.URL, "http://")
-		_, err := askFleet(t.Context(), address)
+		_, err := fetchFleetView(t.Context(), address)
 		agent.Close()
 		fmt.Fprintln(&b, strings.ReplaceAll(fmt.Sprint(err), address, "ADDRESS"))
 	}
--- a/cmd/appleledgectl/golden_texts_test.go
+++ b/cmd/appleledgectl/golden_texts_test.go
@@ -12,7 +12,7 @@
 func TestGoldenTexts(t *testing.T) {
 	var out []byte
 	for _, kind := range []affinity.RecordKind{affinity.RecordBound, affinity.RecordUnbound, affinity.RecordServed, affinity.RecordFailed} {
-		out = fmt.Appendf(out, "kind %d %s\n", kind, kindNames[kind])
+		out = fmt.Appendf(out, "kind %d %s\n", kind, recordKindNames[kind])
 	}
 	golden.Equal(t, "texts/appleledgectl.txt", out)
 }
--- a/cmd/scenario/main.go
+++ b/cmd/scenario/main.go
@@ -46,19 +46,19 @@
 	}
 	switch args[0] {
 	case "quickstart":
-		return quickstart(ctx, args[1:])
+		return runQuickstart(ctx, args[1:])
 	case "run":
-		return play(ctx, args[1:])
+		return runScripts(ctx, args[1:])
 	case "check":
-		return check(args[1:])
+		return checkScripts(args[1:])
 	case "compare":
-		return compare(args[1:])
+		return compareReports(args[1:])
 	}
 	return fmt.Errorf("%q is no command; see scenario -h", args[0])
 }
 
 // check reads scripts.
-func check(files []string) error {
+func checkScripts(files []string) error {
 	if len(files) == 0 {
 		return errors.New("check needs the scripts to read")
 	}
@@ -74,7 +74,7 @@
 }
 
 // compare sets two reports side by side.
-func compare(args []string) error {
+func compareReports(args []string) error {
 	flags := flag.NewFlagSet("scenario compare", flag.ContinueOnError)
 	tolerance := flags.Float64("tolerance", 0.02, "`share` by which five seconds have to differ to be shown")
 	if err := flags.Parse(args); err != nil {
@@ -96,7 +96,7 @@
 }
 
 // play plays scripts.
-func play(ctx context.Context, args []string) error {
+func runScripts(ctx context.Context, args []string) error {
 	flags := flag.NewFlagSet("scenario run", flag.ContinueOnError)
 	simulated := flags.Bool("simulated", false, "in simulated time, and not on sockets")
 	program := flags.String("agent", "bin/appleledge", "the agent's `program`")
@@ -133,10 +133,10 @@
 			}
 		}
 		held = held && d.Passed()
-		if err := write(*page, func(f *os.File) error { return d.HTML(f, flags.Arg(i)) }); err != nil {
+		if err := writeFile(*page, func(f *os.File) error { return d.HTML(f, flags.Arg(i)) }); err != nil {
 			return err
 		}
-		if err := write(*data, func(f *os.File) error { return d.JSON(f) }); err != nil {
+		if err := writeFile(*data, func(f *os.File) error { return d.JSON(f) }); err != nil {
 			return err
 		}
 		if *brief {
@@ -156,7 +156,7 @@
 }
 
 // write fills a file, if there is to be one.
-func write(path string, fill func(*os.File) error) error {
+func writeFile(path string, fill func(*os.File) error) error {
 	if path == "" {
 		return nil
 	}
@@ -168,9 +168,9 @@
 }
 
 // quickstart runs a small installation.
-func quickstart(ctx context.Context, args []string) error {
+func runQuickstart(ctx context.Context, args []string) error {
 	flags := flag.NewFlagSet("scenario quickstart", flag.ContinueOnError)
-	q := scenario.Quickstart{Out: os.Stdout, IsTerminal: terminal(os.Stdout)}
+	q := scenario.Quickstart{Out: os.Stdout, IsTerminal: isTerminal(os.Stdout)}
 	flags.IntVar(&q.Servers, "servers", 12, "`number` of form servers")
 	flags.Float64Var(&q.Rate, "rate", 150, "requests a `second`")
 	flags.DurationVar(&q.Duration, "for", 20*time.Second, "how `long` clients send")
@@ -189,7 +189,7 @@
 }
 
 // terminal reports whether a file is one that a person looks at.
-func terminal(f *os.File) bool {
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
