--- a/cmd/appleledgectl/affinity.go
+++ b/cmd/appleledgectl/affinity.go
@@ -35,7 +35,7 @@
 	return cmd
 }
 
-// inspecting is a command on the files of a folder.
+// inspectCommand returns a command that reads the binding logs of a directory and needs no agent.
 func (c *console) inspectCommand(use, short string, args int, do func(dir string, files []bindinglog.FileReport, args []string) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(_ *cobra.Command, args []string) error {
 		files, err := bindinglog.Inspect(atomicfile.OS{}, c.affinityDir)
@@ -49,6 +49,7 @@
 // recordKindNames are the kinds of records.
 var recordKindNames = map[affinity.RecordKind]string{affinity.RecordBound: "began", affinity.RecordUnbound: "never ran", affinity.RecordServed: "served", affinity.RecordFailed: "failed"}
 
+// printStats prints the number of records of each kind, by file.
 func (c *console) printStats(_ string, files []bindinglog.FileReport, _ []string) error {
 	if c.json {
 		return c.writeJSON(files)
@@ -64,6 +65,7 @@
 	return w.Flush()
 }
 
+// checkFiles returns an error that names the files with damaged records.
 func (c *console) checkFiles(dir string, files []bindinglog.FileReport, _ []string) error {
 	var wrong []error
 	for _, f := range files {
@@ -77,7 +79,7 @@
 	return errors.Join(wrong...)
 }
 
-// line is a record as it is exported.
+// exportedRecord is the JSON form of a record.
 type exportedRecord struct {
 	File string  `json:"file"`
 	Boot string  `json:"boot"`
@@ -88,10 +90,12 @@
 	Zone int32   `json:"zone"`
 }
 
+// newExportedRecord returns the JSON form of a record.
 func newExportedRecord(f bindinglog.FileReport, r affinity.Record) exportedRecord {
 	return exportedRecord{f.Name, f.BootID, fmt.Sprintf("%016x%016x", r.Key[0], r.Key[1]), recordKindNames[r.Kind], r.At.Seconds(), r.Pod, r.Zone}
 }
 
+// export writes all records, one JSON object a line.
 func (c *console) export(_ string, files []bindinglog.FileReport, _ []string) error {
 	e := json.NewEncoder(c.out)
 	for _, f := range files {
@@ -104,6 +108,7 @@
 	return nil
 }
 
+// lookup prints the records of one key.
 func (c *console) lookup(dir string, files []bindinglog.FileReport, args []string) error {
 	if _, err := os.Stat(filepath.Join(dir, "secret")); err != nil {
 		return fmt.Errorf("the secret by which keys are hashed: %w", err) // one is not made by a look
@@ -130,6 +135,7 @@
 	return nil
 }
 
+// compactCommand returns the command that removes binding logs without any record that is still needed.
 func (c *console) compactCommand() *cobra.Command {
 	var lasts time.Duration
 	cmd := c.inspectCommand("compact", "Remove files of which nothing is of use any more", 0, func(dir string, files []bindinglog.FileReport, _ []string) error {
--- a/cmd/appleledgectl/commands.go
+++ b/cmd/appleledgectl/commands.go
@@ -21,6 +21,7 @@
 	"appleledge/internal/plan/show"
 )
 
+// validateCommand returns the command that checks configuration files.
 func (c *console) validateCommand() *cobra.Command {
 	return c.withVars(&cobra.Command{
 		Use:   "validate DIR",
@@ -49,6 +50,7 @@
 	})
 }
 
+// planCommand returns the command that makes a plan.
 func (c *console) planCommand() *cobra.Command {
 	var out string
 	var detailed bool
@@ -89,7 +91,7 @@
 	return c.withVars(cmd)
 }
 
-// savePlan keeps a plan for apply. Who reviews it may read it; nobody else may write it.
+// savePlan writes a plan to a file that everybody may read and only the user may write.
 func savePlan(path string, p *plan.Plan) error {
 	data, err := json.MarshalIndent(p, "", " ")
 	if err != nil {
@@ -98,6 +100,7 @@
 	return os.WriteFile(path, append(data, '\n'), 0o644)
 }
 
+// showPlan prints a plan.
 func (c *console) showPlan(p *plan.Plan) error {
 	if c.json {
 		return c.writeJSON(p)
@@ -105,6 +108,7 @@
 	return show.Plan(c.out, p)
 }
 
+// showCommand returns the command that prints a saved plan.
 func (c *console) showCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show [FILE]",
@@ -128,6 +132,7 @@
 	}
 }
 
+// loadPlan reads a saved plan.
 func loadPlan(path string) (*plan.Plan, error) {
 	data, err := readFile(path)
 	if err != nil {
@@ -140,6 +145,7 @@
 	return p, nil
 }
 
+// applyCommand returns the command that applies a plan.
 func (c *console) applyCommand() *cobra.Command {
 	var approved, force bool
 	var why string
@@ -194,6 +200,7 @@
 	return err
 }
 
+// showApplied prints the result of a change.
 func (c *console) showApplied(a admin.ChangeResult, more string) error {
 	if c.json {
 		return c.writeJSON(a)
@@ -205,6 +212,7 @@
 	return nil
 }
 
+// rollbackCommand returns the command that goes back to the generation before.
 func (c *console) rollbackCommand() *cobra.Command {
 	var why string
 	cmd := &cobra.Command{
@@ -224,6 +232,7 @@
 	return cmd
 }
 
+// statusCommand returns the command that prints what is in force.
 func (c *console) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
@@ -242,6 +251,7 @@
 	}
 }
 
+// writeStatus prints an agent's status.
 func (c *console) writeStatus(s admin.Status) error {
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "agent\t%s\n", s.Agent)
@@ -279,6 +289,7 @@
 	return strings.Join(parts, ", ")
 }
 
+// historyCommand returns the command that prints what became of changes.
 func (c *console) historyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
@@ -301,6 +312,7 @@
 	}
 }
 
+// diffCommand returns the command that compares two configurations.
 func (c *console) diffCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "diff A B",
@@ -331,6 +343,7 @@
 	return c.withVars(cmd)
 }
 
+// lockCommand returns the command that takes the lock on changes, or releases it.
 func (c *console) lockCommand() *cobra.Command {
 	var release bool
 	var lasts time.Duration
--- a/cmd/appleledgectl/console.go
+++ b/cmd/appleledgectl/console.go
@@ -33,7 +33,7 @@
 	json        bool
 	operator    string
 	vars        []string
-	affinityDir string // of ties
+	affinityDir string // of the binding logs
 }
 
 const usage = `appleledgectl changes the configuration of a fleet at an appleledge agent, by plans:
@@ -52,6 +52,7 @@
 // socketEnv names the agent's socket where no flag does.
 const socketEnv = "APPLELEDGE_SOCKET"
 
+// root returns the command with all its subcommands.
 func (c *console) root() *cobra.Command {
 	root := &cobra.Command{Use: "appleledgectl", Short: "Plan and apply configurations of a fleet", Long: usage, SilenceUsage: true, SilenceErrors: true}
 	f := root.PersistentFlags()
@@ -62,7 +63,7 @@
 	return root
 }
 
-// whoami is the name of the user, as far as it is known.
+// currentUser returns the name of the user, as far as it is known.
 func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -100,7 +101,7 @@
 	return cmd
 }
 
-// read reads a folder as one configuration. Names of classes, tenants and zones are the agent's business.
+// readConfigDir reads a directory as one configuration. The agent checks names of classes, tenants and zones.
 func (c *console) readConfigDir(dir string) (*fleetconfig.Config, error) {
 	values := map[string]string{}
 	for _, v := range c.vars {
@@ -185,7 +186,7 @@
 	return data, err
 }
 
-// yes asks on a terminal whether to go on. Anywhere else the answer is no.
+// confirm asks on a terminal whether to go on. Without a terminal the answer is no.
 func (c *console) confirm(question string) (bool, error) {
 	f, ok := c.in.(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) {
--- a/cmd/appleledgectl/figures.go
+++ b/cmd/appleledgectl/figures.go
@@ -11,7 +11,7 @@
 	"appleledge/internal/logstats"
 )
 
-// figures adds up what agents have logged.
+// figuresCommand returns the command that adds up what agents have logged.
 func (c *console) figuresCommand() *cobra.Command {
 	step := time.Second
 	cmd := &cobra.Command{
@@ -42,6 +42,7 @@
 	return cmd
 }
 
+// addLogFile adds the log at path to the sum.
 func addLogFile(sum *logstats.Sum, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/appleledgectl/fleet.go
+++ b/cmd/appleledgectl/fleet.go
@@ -24,7 +24,7 @@
 
 const maxFleetViewBytes = 4 << 20 // bytes of an agent's answer
 
-// fleet shows the fleet as one agent sees it.
+// fleetCommand returns the command that prints the fleet as one agent sees it.
 func (c *console) fleetCommand() *cobra.Command {
 	agent := os.Getenv(agentEnv)
 	cmd := &cobra.Command{
@@ -53,6 +53,7 @@
 	return cmd
 }
 
+// fetchFleetView gets an agent's view of the fleet from its operators' address.
 func fetchFleetView(ctx context.Context, agent string) (f operator.FleetView, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
@@ -130,7 +131,7 @@
 	return w.Flush()
 }
 
-// limit is a limit in words.
+// formatLimit returns a limit as text.
 func formatLimit(x float64) string {
 	if x == 0 {
 		return "none"
--- a/cmd/scenario/main.go
+++ b/cmd/scenario/main.go
@@ -57,7 +57,7 @@
 	return fmt.Errorf("%q is no command; see scenario -h", args[0])
 }
 
-// check reads scripts.
+// checkScripts reads scripts and returns an error for those that are wrong.
 func checkScripts(files []string) error {
 	if len(files) == 0 {
 		return errors.New("check needs the scripts to read")
@@ -73,7 +73,7 @@
 	return errors.Join(wrong...)
 }
 
-// compare sets two reports side by side.
+// compareReports prints the differences of two reports.
 func compareReports(args []string) error {
 	flags := flag.NewFlagSet("scenario compare", flag.ContinueOnError)
 	tolerance := flags.Float64("tolerance", 0.02, "`share` by which five seconds have to differ to be shown")
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// play plays scripts.
+// runScripts runs scripts, one after another, and prints their reports.
 func runScripts(ctx context.Context, args []string) error {
 	flags := flag.NewFlagSet("scenario run", flag.ContinueOnError)
 	simulated := flags.Bool("simulated", false, "in simulated time, and not on sockets")
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// write fills a file, if there is to be one.
+// writeFile creates a file and fills it; an empty path does nothing.
 func writeFile(path string, fill func(*os.File) error) error {
 	if path == "" {
 		return nil
@@ -167,7 +167,7 @@
 	return errors.Join(fill(f), f.Close())
 }
 
-// quickstart runs a small installation.
+// runQuickstart runs a small fleet with an agent and clients.
 func runQuickstart(ctx context.Context, args []string) error {
 	flags := flag.NewFlagSet("scenario quickstart", flag.ContinueOnError)
 	q := scenario.Quickstart{Out: os.Stdout, IsTerminal: isTerminal(os.Stdout)}
@@ -188,7 +188,7 @@
 	return err
 }
 
-// terminal reports whether a file is one that a person looks at.
+// isTerminal reports whether a file is a character device, such as a terminal.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
