--- a/cmd/appleledgectl/commands.go
+++ b/cmd/appleledgectl/commands.go
@@ -21,7 +21,8 @@
 	"appleledge/internal/plan/show"
 )
 
-func (c *console) validate() *cobra.Command {
+// validateCommand returns the command that checks configuration files.
+func (c *console) validateCommand() *cobra.Command {
 	return c.withVars(&cobra.Command{
 		Use:   "validate DIR",
 		Short: "Check a folder's files",
@@ -30,7 +31,7 @@
 		Example: "  appleledgectl validate fleet/",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			config, err := c.read(args[0])
+			config, err := c.readConfigDir(args[0])
 			if err != nil {
 				return err
 			}
@@ -49,7 +50,8 @@
 	})
 }
 
-func (c *console) plan() *cobra.Command {
+// planCommand returns the command that makes a plan.
+func (c *console) planCommand() *cobra.Command {
 	var out string
 	var detailed bool
 	var taken float64
@@ -61,7 +63,7 @@
 		Example: "  appleledgectl plan fleet/ -o change.plan\n  appleledgectl plan fleet/ --var canary=20 --detailed-exitcode",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			config, err := c.read(args[0])
+			config, err := c.readConfigDir(args[0])
 			if err != nil {
 				return err
 			}
@@ -89,7 +91,7 @@
 	return c.withVars(cmd)
 }
 
-// savePlan keeps a plan for apply. Who reviews it may read it; nobody else may write it.
+// savePlan writes a plan to a file that everybody may read and only the user may write.
 func savePlan(path string, p *plan.Plan) error {
 	data, err := json.MarshalIndent(p, "", " ")
 	if err != nil {
@@ -98,6 +100,7 @@
 	return os.WriteFile(path, append(data, '\n'), 0o644)
 }
 
+// showPlan prints a plan.
 func (c *console) showPlan(p *plan.Plan) error {
 	if c.json {
 		return c.writeJSON(p)
@@ -105,7 +108,8 @@
 	return show.Plan(c.out, p)
 }
 
-func (c *console) show() *cobra.Command {
+// showCommand returns the command that prints a saved plan.
+func (c *console) showCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show [FILE]",
 		Short: "Show a plan, or the configuration in force",
@@ -128,6 +132,7 @@
 	}
 }
 
+// loadPlan reads a saved plan.
 func loadPlan(path string) (*plan.Plan, error) {
 	data, err := readFile(path)
 	if err != nil {
@@ -140,7 +145,8 @@
 	return p, nil
 }
 
-func (c *console) apply() *cobra.Command {
+// applyCommand returns the command that applies a plan.
+func (c *console) applyCommand() *cobra.Command {
 	var approved, force bool
 	var why string
 	cmd := &cobra.Command{
@@ -165,7 +171,7 @@
 				}
 			}
 			var done admin.ChangeResult
-			if err := c.call(cmd, http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: c.by, Reason: why, Force: force}, &done); err != nil {
+			if err := c.call(cmd, http.MethodPost, admin.PathApply, admin.ApplyRequest{Plan: p, Actor: c.operator, Reason: why, Force: force}, &done); err != nil {
 				return err
 			}
 			return c.showApplied(done, "appleledgectl status says what the watch makes of it.")
@@ -179,7 +185,7 @@
 
 // approve shows a plan and asks, with the lock in hand.
 func (c *console) approve(cmd *cobra.Command, p *plan.Plan) error {
-	lock := admin.LockRequest{Holder: c.by, Duration: "5m"}
+	lock := admin.LockRequest{Holder: c.operator, Duration: "5m"}
 	if err := c.call(cmd, http.MethodPost, admin.PathLock, lock, &admin.Lock{}); err != nil {
 		return err
 	}
@@ -187,13 +193,14 @@
 	if err := show.Plan(c.out, p); err != nil {
 		return err
 	}
-	ok, err := c.yes("\nApply this?")
+	ok, err := c.confirm("\nApply this?")
 	if err == nil && !ok {
 		err = errors.New("nothing was applied")
 	}
 	return err
 }
 
+// showApplied prints the result of a change.
 func (c *console) showApplied(a admin.ChangeResult, more string) error {
 	if c.json {
 		return c.writeJSON(a)
@@ -205,7 +212,8 @@
 	return nil
 }
 
-func (c *console) rollback() *cobra.Command {
+// rollbackCommand returns the command that goes back to the generation before.
+func (c *console) rollbackCommand() *cobra.Command {
 	var why string
 	cmd := &cobra.Command{
 		Use:   "rollback",
@@ -214,7 +222,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var done admin.ChangeResult
-			if err := c.call(cmd, http.MethodPost, admin.PathRollback, admin.RollbackRequest{Actor: c.by, Reason: why}, &done); err != nil {
+			if err := c.call(cmd, http.MethodPost, admin.PathRollback, admin.RollbackRequest{Actor: c.operator, Reason: why}, &done); err != nil {
 				return err
 			}
 			return c.showApplied(done, "")
@@ -224,7 +232,8 @@
 	return cmd
 }
 
-func (c *console) status() *cobra.Command {
+// statusCommand returns the command that prints what is in force.
+func (c *console) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
 		Short: "Say what is in force, and whether it is watched",
@@ -242,6 +251,7 @@
 	}
 }
 
+// writeStatus prints an agent's status.
 func (c *console) writeStatus(s admin.Status) error {
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "agent\t%s\n", s.Agent)
@@ -279,7 +289,8 @@
 	return strings.Join(parts, ", ")
 }
 
-func (c *console) history() *cobra.Command {
+// historyCommand returns the command that prints what became of changes.
+func (c *console) historyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
 		Short: "Say what became of changes, the newest last",
@@ -301,18 +312,19 @@
 	}
 }
 
-func (c *console) diff() *cobra.Command {
+// diffCommand returns the command that compares two configurations.
+func (c *console) diffCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "diff A B",
 		Short: "Say what differs between two configurations",
 		Long:  "Says what differs between two configurations: folders, plans (where they lead to), or what show has written. Exits with 2 where they differ.",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			a, err := c.configOf(args[0])
+			a, err := c.loadConfig(args[0])
 			if err != nil {
 				return err
 			}
-			b, err := c.configOf(args[1])
+			b, err := c.loadConfig(args[1])
 			if err != nil {
 				return err
 			}
@@ -331,7 +343,8 @@
 	return c.withVars(cmd)
 }
 
-func (c *console) lock() *cobra.Command {
+// lockCommand returns the command that takes the lock on changes, or releases it.
+func (c *console) lockCommand() *cobra.Command {
 	var release bool
 	var lasts time.Duration
 	cmd := &cobra.Command{
@@ -339,7 +352,7 @@
 		Short: "Keep others from changing the configuration",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			q := admin.LockRequest{Holder: c.by, Duration: lasts.String()}
+			q := admin.LockRequest{Holder: c.operator, Duration: lasts.String()}
 			if release {
 				return c.call(cmd, http.MethodDelete, admin.PathLock, q, &struct{}{})
 			}
