--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -313,7 +313,7 @@
 }
 
 // expireOverdue takes requests out of the count of those in flight that have not ended within their latency objective. In an outage
-// nothing ends: counted on, the requests that hang would fill the limit and keep out the one that finds the fleet back.
+// nothing ends: requests that hang would fill the limit and keep out the request that would detect the fleet's return.
 func (c *Controller) expireOverdue(now time.Duration) {
 	expired := 0
 	for expired < len(c.permits) {
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -68,7 +68,7 @@
 }
 
 // cutLimit cuts the limit where many answers are slow, or hardly any comes. A few requests that hang, on servers that do not answer, are no
-// reason: the fleet that answers is not the fuller for them.
+// reason: they are no sign of load on the servers that answer.
 func (c *Controller) cutLimit(now time.Duration) {
 	samples := c.fastSamples + c.slowSamples + c.lostSamples
 	if samples < max(1, min(int(c.limit), minSamples)) || now-c.samplesSince < minCutInterval {
--- a/internal/agent/affinity.go
+++ b/internal/agent/affinity.go
@@ -112,15 +112,15 @@
 }
 
 // logCorrupt logs records that could not be read.
-func (t *affinityLog) logCorrupt(found bindinglog.ReadResult) {
+func (l *affinityLog) logCorrupt(found bindinglog.ReadResult) {
 	if found.Corrupt > 0 {
-		t.logger.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Corrupt, "kept_as", found.Quarantined)
+		l.logger.Error("some ties could not be read: repeats of those requests are taken for new ones", "records", found.Corrupt, "kept_as", found.Quarantined)
 	}
 }
 
 // Append queues a record to be stored. It implements engine's log of bindings and does not block.
-func (t *affinityLog) Append(r affinity.Record) engine.BindingCommit {
-	return commit{t.log.Append(r), t.commitTimeout}
+func (l *affinityLog) Append(r affinity.Record) engine.BindingCommit {
+	return commit{l.log.Append(r), l.commitTimeout}
 }
 
 type commit struct {
@@ -132,41 +132,41 @@
 func (c commit) Wait() bool { return c.Commit.Wait(c.timeout) }
 
 // run writes queued records until the engine has ended, and removes expired ones.
-func (t *affinityLog) run(ended <-chan struct{}) {
+func (l *affinityLog) run(ended <-chan struct{}) {
 	remove := time.NewTicker(expiryInterval)
 	defer remove.Stop()
 	logged := time.Time{}
 	trouble := func(err error) {
 		if err != nil && time.Since(logged) > affinityErrorLogInterval {
 			logged = time.Now()
-			t.logger.Error("ties can't be kept: a restart now would forget where refunds under way have gone", "error", err)
+			l.logger.Error("ties can't be kept: a restart now would forget where refunds under way have gone", "error", err)
 		}
 	}
 	for {
 		select {
 		case <-ended:
-			trouble(errors.Join(t.log.Flush(), t.log.Close()))
+			trouble(errors.Join(l.log.Flush(), l.log.Close()))
 			return
-		case <-t.log.FlushNeeded():
-			trouble(t.log.Flush())
+		case <-l.log.FlushNeeded():
+			trouble(l.log.Flush())
 		case <-remove.C:
-			trouble(t.log.RemoveExpired())
+			trouble(l.log.RemoveExpired())
 		}
 	}
 }
 
 // readSiblings reads the bindings that other processes of the agent store: one drains while the other serves.
-func (t *affinityLog) readSiblings(ctx context.Context) {
+func (l *affinityLog) readSiblings(ctx context.Context) {
 	failed := false
 	callEvery(ctx, siblingReadInterval, func() {
-		found, err := t.log.ReadNew()
+		found, err := l.log.ReadNew()
 		if err != nil && !failed {
-			t.logger.Error("ties of other processes can't be read", "error", err)
+			l.logger.Error("ties of other processes can't be read", "error", err)
 		}
 		failed = err != nil
-		t.logCorrupt(found)
+		l.logCorrupt(found)
 		if len(found.Records) > 0 {
-			t.core.Post(engine.BindingsRestored{Records: found.Records})
+			l.core.Post(engine.BindingsRestored{Records: found.Records})
 		}
 	})
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent puts a real agent together: the engine round the decision module, its downstream servers, upstream
+// Package agent puts a real agent together: the engine round the balancer, its downstream servers, upstream
 // transport, endpoint discovery and optional features, as the platform's configuration and the agent's own settings say.
 //
 // Run opens all parts in a fixed order (see assembly.open), connects them to the engine, and only then starts their
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// openEngine builds the decision module, the connection pool and the engine round them.
+// openEngine builds the balancer, the connection pool and the engine round them.
 func (a *assembly) openEngine() error {
 	policy, err := balancer.New(a.cfg.Site.Balancer, a.cfg.Seed)
 	if err != nil {
--- a/internal/agent/coalescing.go
+++ b/internal/agent/coalescing.go
@@ -56,11 +56,11 @@
 }
 
 // downstreamOptions returns what the downstream server needs to know of coalescing; nil where it is off.
-func (j *coalescing) downstreamOptions() *http1.Coalescing {
-	if j == nil {
+func (c *coalescing) downstreamOptions() *http1.Coalescing {
+	if c == nil {
 		return nil
 	}
-	return &j.downstream
+	return &c.downstream
 }
 
 // logCoalescing logs the requests that were coalesced since the last line, if there are any.
--- a/internal/agent/fleetview.go
+++ b/internal/agent/fleetview.go
@@ -81,16 +81,16 @@
 }
 
 // persistence returns, as text, since when the present knowledge is on disk, or why it is not.
-func (k *snapshotStore) persistence() string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *snapshotStore) persistence() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch {
-	case k.disabledReason != "":
-		return "nothing: " + k.disabledReason
-	case k.writeError != nil:
-		return "not what is known now: " + k.writeError.Error()
-	case k.writtenAt.IsZero():
+	case s.disabledReason != "":
+		return "nothing: " + s.disabledReason
+	case s.writeError != nil:
+		return "not what is known now: " + s.writeError.Error()
+	case s.writtenAt.IsZero():
 		return "nothing yet"
 	}
-	return "written " + time.Since(k.writtenAt).Round(time.Millisecond).String() + " ago"
+	return "written " + time.Since(s.writtenAt).Round(time.Millisecond).String() + " ago"
 }
--- a/internal/agent/hotrestart.go
+++ b/internal/agent/hotrestart.go
@@ -73,55 +73,55 @@
 }
 
 // DenylistSnapshot implements hotrestart.Host.
-func (u *restartHost) DenylistSnapshot(ctx context.Context) (st denylist.Snapshot, err error) {
-	err = u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
-		st = s.Snapshot(func(t time.Duration) int64 { return u.clock.At(t).UnixMilli() })
+func (h *restartHost) DenylistSnapshot(ctx context.Context) (st denylist.Snapshot, err error) {
+	err = h.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
+		st = s.Snapshot(func(t time.Duration) int64 { return h.clock.At(t).UnixMilli() })
 		return nil
 	})
 	return st, err
 }
 
 // ApplyCommand implements hotrestart.Host. The other process may know of a server that this one has not been told of yet.
-func (u *restartHost) ApplyCommand(ctx context.Context, o hotrestart.DenylistCommand) error {
-	if err := u.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
-		s.Restore(denylist.Snapshot{KnownIDs: []string{o.Server}}, u.clock.FromUnix)
+func (h *restartHost) ApplyCommand(ctx context.Context, o hotrestart.DenylistCommand) error {
+	if err := h.core.WithDenylist(ctx, func(_ time.Duration, s *denylist.Set) error {
+		s.Restore(denylist.Snapshot{KnownIDs: []string{o.Server}}, h.clock.FromUnix)
 		return nil
 	}); err != nil {
 		return err
 	}
-	err := setDenied(ctx, u.core, o.Server, o.Deny)
-	if err == nil && u.snapshots != nil {
-		u.snapshots.writeAndLog(ctx)
+	err := setDenied(ctx, h.core, o.Server, o.Deny)
+	if err == nil && h.snapshots != nil {
+		h.snapshots.writeAndLog(ctx)
 	}
 	return err
 }
 
 // SetLimitShare implements hotrestart.Host.
-func (u *restartHost) SetLimitShare(part float64) {
-	u.pool.SetMaxConnections(int(part * float64(u.toBackends)))
-	u.clients.SetLimit(int(part * float64(u.fromClients)))
-	u.largeBodies.SetBudgetRatio(part)
-	if u.setMemoryShare != nil {
-		u.setMemoryShare(part)
+func (h *restartHost) SetLimitShare(part float64) {
+	h.pool.SetMaxConnections(int(part * float64(h.toBackends)))
+	h.clients.SetLimit(int(part * float64(h.fromClients)))
+	h.largeBodies.SetBudgetRatio(part)
+	if h.setMemoryShare != nil {
+		h.setMemoryShare(part)
 	}
 }
 
 // onDrain tells the other processes that this one drains, and reports whether one of them serves.
-func (u *restartHost) onDrain() bool {
-	u.link.AnnouncePhase(context.Background(), hotrestart.Draining)
-	return u.link.HasSuccessor()
+func (h *restartHost) onDrain() bool {
+	h.link.AnnouncePhase(context.Background(), hotrestart.Draining)
+	return h.link.HasSuccessor()
 }
 
 // becomeReady waits until the process could serve all that comes, and takes new connections from then on.
-func (u *restartHost) becomeReady(ctx context.Context, d *platform.Discovery, log *slog.Logger) {
+func (h *restartHost) becomeReady(ctx context.Context, d *platform.Discovery, log *slog.Logger) {
 	began := time.Now()
-	for ctx.Err() == nil && (!u.core.Ready() || !d.HasAnswered() && !u.link.IsAlone() && time.Since(began) <= discoveryTimeout) {
+	for ctx.Err() == nil && (!h.core.Ready() || !d.HasAnswered() && !h.link.IsAlone() && time.Since(began) <= discoveryTimeout) {
 		time.Sleep(readyPoll)
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	u.link.AnnouncePhase(ctx, hotrestart.Serving)
-	u.serving.Store(true)
-	log.Info("ready to serve", "discovery heard", d.HasAnswered(), "alone", u.link.IsAlone(), "after", time.Since(began).Round(time.Millisecond))
+	h.link.AnnouncePhase(ctx, hotrestart.Serving)
+	h.serving.Store(true)
+	log.Info("ready to serve", "discovery heard", d.HasAnswered(), "alone", h.link.IsAlone(), "after", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/agent/overload.go
+++ b/internal/agent/overload.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"time"
 
+	"appleledge/internal/admission"
 	"appleledge/internal/engine"
 	"appleledge/internal/fleet/gossip"
 	"appleledge/internal/fleet/overload"
@@ -118,4 +119,10 @@
 	})
 }
 
-var _ engine.OverloadHandler = (*overload.AdmissionController)(nil)
+// The engine finds Retune by a type assertion: without it the controller would keep the old classes unnoticed.
+var (
+	_ engine.OverloadHandler = (*overload.AdmissionController)(nil)
+	_ interface {
+		Retune(classes []admission.Class)
+	} = (*overload.AdmissionController)(nil)
+)
--- a/internal/agent/recovery.go
+++ b/internal/agent/recovery.go
@@ -23,36 +23,36 @@
 }
 
 // openRecovery starts the recovery by how far the snapshot is trusted, and connects it to the engine, before that runs.
-func (k *snapshotStore) openRecovery(core *engine.Engine, clk engine.Clock, cfg Config, behind recovery.Admitter, heard func() bool, askFor time.Duration) {
-	k.core = core
+func (s *snapshotStore) openRecovery(core *engine.Engine, clk engine.Clock, cfg Config, next recovery.Admitter, listIsCurrent func() bool, peerPollTime time.Duration) {
+	s.core = core
 	site := cfg.Site.Balancer
 	o := recovery.Options{Agents: site.Balancers, Self: site.Index, ColdCapacityRatio: site.SlowStartInitialRatio, WarmupTime: site.SlowStartDuration, ColdOverloadFactor: site.WarmingOverloadRatio,
-		MaxRetryAfter: site.MaxRetryAfter, PeerPollTime: askFor, Seed: cfg.Seed}
+		MaxRetryAfter: site.MaxRetryAfter, PeerPollTime: peerPollTime, Seed: cfg.Seed}
 	for _, c := range site.Classes {
 		o.Classes = append(o.Classes, recovery.Class{Name: c.Name, Priority: c.Priority, LatencyObjective: c.LatencyObjective, Idempotent: c.Effect == balancer.Idempotent})
 	}
-	r := recovery.New(o, behind)
-	before := k.previous.RecoveryBaseline(k.classNames(site.Classes))
-	switch k.trust {
+	r := recovery.New(o, next)
+	baseline := s.previous.RecoveryBaseline(s.classNames(site.Classes))
+	switch s.trust {
 	case ondisk.TrustNames:
-		r.Start(clk.Now(), before, "the machine has started anew")
+		r.Start(clk.Now(), baseline, "the machine has started anew")
 	case ondisk.TrustEverything: // the servers have run on, as the machine has
-		r.Resume(before)
+		r.Resume(baseline)
 	default:
 		r.Start(clk.Now(), recovery.Baseline{}, "nothing is known from before")
 	}
-	core.SetRecovery(r, heard, func() {
+	core.SetRecovery(r, listIsCurrent, func() {
 		select {
-		case k.wake <- struct{}{}:
+		case s.wake <- struct{}{}:
 		default:
 		}
 	})
-	if k.trust != ondisk.TrustEverything { // whatever is on the disk: it may be a backup's, or of before the last that was sent
-		core.FailUnknownRepeatsUntil(clk.Now() + k.repeatWindow)
+	if s.trust != ondisk.TrustEverything { // whatever is on the disk: it may be a backup's, or of before the last that was sent
+		core.FailUnknownRepeatsUntil(clk.Now() + s.repeatWindow)
 	}
 }
 
-func (k *snapshotStore) classNames(classes []balancer.Class) (names []string) {
+func (s *snapshotStore) classNames(classes []balancer.Class) (names []string) {
 	for _, c := range classes {
 		names = append(names, c.Name)
 	}
@@ -60,17 +60,17 @@
 }
 
 // logRecovery logs each change of the phase, and the status at each interval until full service has returned.
-func (k *snapshotStore) logRecovery(ctx context.Context, clk engine.Clock) {
+func (s *snapshotStore) logRecovery(ctx context.Context, clk engine.Clock) {
 	last, logged := recovery.Status{}, time.Duration(0)
 	callEvery(ctx, recoveryLogPoll, func() {
-		st := k.core.Stats().Recovery
+		st := s.core.Stats().Recovery
 		if st == nil {
 			return
 		}
 		now := clk.Now()
-		if st.Phase != last.Phase || st.Phase != recovery.FullService && now-logged >= k.options.LogInterval {
+		if st.Phase != last.Phase || st.Phase != recovery.FullService && now-logged >= s.options.LogInterval {
 			logged = now
-			k.log.Info("recovery", "phase", st.Phase.String(), "why", st.Reason, "let_in", twoDigits(st.AdmissionRate), "warm", twoDigits(st.WarmCapacityRatio),
+			s.log.Info("recovery", "phase", st.Phase.String(), "why", st.Reason, "let_in", twoDigits(st.AdmissionRate), "warm", twoDigits(st.WarmCapacityRatio),
 				"servers", st.Servers, "answered", st.RespondingServers, "trials", st.Counts.Trials, "in_vain", st.Counts.FailedTrials)
 		}
 		last = *st
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -46,28 +46,28 @@
 
 // follow reads the configuration again at each signal and puts it in force. A file that can't be used changes nothing: the
 // agent goes on with what it has.
-func (r Reloads) follow(ctx context.Context, to *reloader) {
+func (r Reloads) follow(ctx context.Context, reloader *reloader) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.Signals:
 		}
-		if to.reloadKeys != nil {
-			if err := to.reloadKeys(); err != nil {
-				to.log.Error("the keys of [peers] are not reloaded, keeping the old ones", "error", err)
+		if reloader.reloadKeys != nil {
+			if err := reloader.reloadKeys(); err != nil {
+				reloader.log.Error("the keys of [peers] are not reloaded, keeping the old ones", "error", err)
 			}
 		}
-		fresh, err := r.Load()
+		config, err := r.Load()
 		if err == nil {
-			err = to.apply(fresh)
+			err = reloader.apply(config)
 		}
 		if err != nil {
-			to.counts.rejected.Add(1)
-			to.log.Error("configuration not reloaded, keeping the old one", "error", err)
+			reloader.counts.rejected.Add(1)
+			reloader.log.Error("configuration not reloaded, keeping the old one", "error", err)
 			continue
 		}
-		to.counts.applied.Add(1)
+		reloader.counts.applied.Add(1)
 	}
 }
 
@@ -76,25 +76,25 @@
 	if err := c.statedKeys.checkStates(r.statedKeys); err != nil {
 		return err
 	}
-	tell, later, err := r.settings.Update(r.clock.Now(), c.Site)
+	update, later, err := r.settings.Update(r.clock.Now(), c.Site)
 	if err != nil {
 		return err
 	}
 	r.statedKeys = c.statedKeys
 	rules := r.settings.RequestRules()
-	r.core.SetClassNames(tell.Classes)
-	changed, misfit := r.classUsers.update(engine.SettingsChanged{ClassUpdate: tell, Version: rules.Version})
+	r.core.SetClassNames(update.Classes)
+	changed, misfit := r.classUsers.update(engine.SettingsChanged{ClassUpdate: update, Version: rules.Version})
 	r.core.Post(changed)
 	r.rules.Replace(rules)
 	r.discovery.SetAddress(c.Discovery)
 	var names []string
-	for _, class := range tell.Classes {
+	for _, class := range update.Classes {
 		if !class.Retired {
 			names = append(names, class.Name)
 		}
 	}
 	r.log.Info("configuration reloaded", "discovery", c.Discovery, "settings", rules.Version, "classes", strings.Join(names, " "),
-		"attempts", tell.MaxAttempts)
+		"attempts", update.MaxAttempts)
 	if misfit != nil {
 		r.log.Warn("a setting of the agent's own does not fit the classes any more", "error", misfit)
 	}
--- a/internal/agent/snapshots.go
+++ b/internal/agent/snapshots.go
@@ -129,13 +129,13 @@
 	return x.FS
 }
 
-func (k *snapshotStore) reader() (ondisk.Reader, error) {
-	run, err := k.options.bootID()
+func (s *snapshotStore) reader() (ondisk.Reader, error) {
+	run, err := s.options.bootID()
 	if err != nil {
 		return ondisk.Reader{}, err
 	}
 	_, since, err := bindinglog.BootTime()
-	return ondisk.Reader{Agent: k.agent, BootID: run, SinceBoot: since}, err
+	return ondisk.Reader{Agent: s.agent, BootID: run, SinceBoot: since}, err
 }
 
 // bootID returns the name of the machine's present boot.
@@ -145,66 +145,66 @@
 }
 
 // startupList returns the endpoint list to start with: that of the snapshot, or the platform's if that is newer.
-func (k *snapshotStore) startupList(platform listing.List) listing.List {
-	if k == nil || k.trust == ondisk.TrustNothing || len(k.previous.Servers) == 0 || platform.Version > k.previous.ListVersion {
+func (s *snapshotStore) startupList(platform listing.List) listing.List {
+	if s == nil || s.trust == ondisk.TrustNothing || len(s.previous.Servers) == 0 || platform.Version > s.previous.ListVersion {
 		return platform
 	}
-	return k.previous.EndpointList(k.trust)
+	return s.previous.EndpointList(s.trust)
 }
 
 // firstListTimeout returns how long the first list is awaited before the startup list is used; 0: the default.
-func (k *snapshotStore) firstListTimeout() time.Duration {
-	if k == nil {
+func (s *snapshotStore) firstListTimeout() time.Duration {
+	if s == nil {
 		return 0
 	}
-	return max(k.options.FirstListTimeout, time.Millisecond)
+	return max(s.options.FirstListTimeout, time.Millisecond)
 }
 
 // previousDenylist returns the denylist of the snapshot.
-func (k *snapshotStore) previousDenylist() (st denylist.Snapshot) {
-	if k != nil {
-		st = k.previous.Denylist
+func (s *snapshotStore) previousDenylist() (st denylist.Snapshot) {
+	if s != nil {
+		st = s.previous.Denylist
 	}
 	return st
 }
 
 // run writes snapshots until the context ends, and one more then.
-func (k *snapshotStore) run(ctx context.Context) {
-	defer k.close()
-	tick := time.NewTicker(k.options.WriteInterval)
+func (s *snapshotStore) run(ctx context.Context) {
+	defer s.close()
+	tick := time.NewTicker(s.options.WriteInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			k.writeAndLog(context.WithoutCancel(ctx))
+			s.writeAndLog(context.WithoutCancel(ctx))
 			return
 		case <-tick.C:
-		case <-k.wake:
+		case <-s.wake:
 			select {
 			case <-ctx.Done():
 			case <-time.After(urgentWriteDelay):
 			}
 		}
-		k.writeAndLog(ctx)
+		s.writeAndLog(ctx)
 	}
 }
 
 // writeAndLog writes a snapshot if anything has changed, and logs an error at most once in writeErrorLogInterval.
-func (k *snapshotStore) writeAndLog(ctx context.Context) {
-	err := k.write(ctx)
-	k.mu.Lock()
-	if k.writeError = err; errors.Is(err, errOtherWriter) {
-		k.writeError = nil
+func (s *snapshotStore) writeAndLog(ctx context.Context) {
+	err := s.write(ctx)
+	s.mu.Lock()
+	if s.writeError = err; errors.Is(err, errOtherWriter) {
+		s.writeError = nil
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	if err == nil || errors.Is(err, errOtherWriter) || ctx.Err() != nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if time.Since(k.loggedAt) > writeErrorLogInterval {
-		k.loggedAt = time.Now()
-		k.log.Error("what the agent knows can't be kept: after a loss of power it would begin with what was kept before", "error", err)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if time.Since(s.loggedAt) > writeErrorLogInterval {
+		s.loggedAt = time.Now()
+		s.log.Error("what the agent knows can't be kept: after a loss of power it would begin with what was kept before", "error", err)
 	}
 }
 
@@ -212,62 +212,62 @@
 var errOtherWriter = errors.New("another process of the agent writes")
 
 // write writes a snapshot. When it returns without an error, the snapshot is durable.
-func (k *snapshotStore) write(ctx context.Context) error {
-	if k.disabledReason != "" {
-		return errors.New(k.disabledReason)
+func (s *snapshotStore) write(ctx context.Context) error {
+	if s.disabledReason != "" {
+		return errors.New(s.disabledReason)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.release == nil {
-		release, err := atomicfile.Lock(k.file.Path)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.release == nil {
+		release, err := atomicfile.Lock(s.file.Path)
 		if errors.Is(err, atomicfile.ErrLocked) {
 			return errOtherWriter
 		}
 		if err != nil {
 			return err
 		}
-		k.release = release
+		s.release = release
 	}
-	d, ok, err := k.document(ctx)
+	d, ok, err := s.document(ctx)
 	if err != nil || !ok {
 		return err
 	}
-	if d.HasSameContent(k.lastWritten) && time.Since(k.writtenAt) < maxSnapshotAge {
+	if d.HasSameContent(s.lastWritten) && time.Since(s.writtenAt) < maxSnapshotAge {
 		return nil
 	}
-	d.WriteCount = max(k.lastWritten.WriteCount, k.previous.WriteCount) + 1
+	d.WriteCount = max(s.lastWritten.WriteCount, s.previous.WriteCount) + 1
 	text, err := d.Encode()
 	if err != nil {
 		return err
 	}
-	if err := k.file.Save(text); err != nil {
+	if err := s.file.Save(text); err != nil {
 		return err
 	}
-	k.lastWritten, k.writtenAt = d, time.Now()
+	s.lastWritten, s.writtenAt = d, time.Now()
 	return nil
 }
 
 // document returns the content of a snapshot; ok is false before the agent has received any endpoint.
-func (k *snapshotStore) document(ctx context.Context) (d ondisk.Document, ok bool, err error) {
-	known, err := k.core.Snapshot(ctx)
+func (s *snapshotStore) document(ctx context.Context) (d ondisk.Document, ok bool, err error) {
+	known, err := s.core.Snapshot(ctx)
 	if err != nil || len(known.Members) == 0 && len(known.Denylist.DeniedSince) == 0 {
 		return d, false, err
 	}
-	now, err := k.reader()
+	now, err := s.reader()
 	if err != nil {
 		return d, false, err
 	}
 	d = ondisk.Document{Agent: now.Agent, BootID: now.BootID, SinceBoot: now.SinceBoot.Milliseconds(), Capacity: map[string]float64{},
 		ClassRates: map[string]float64{}, Utilization: twoDigits(known.Recovery.Utilization), Denylist: known.Denylist}
 	for _, m := range known.Members {
-		d.Servers = append(d.Servers, k.decoder.Encode(m))
+		d.Servers = append(d.Servers, s.decoder.Encode(m))
 	}
 	for _, s := range known.Recovery.Servers {
 		if s.Capacity > 0 {
 			d.Capacity[s.ID] = twoDigits(s.Capacity)
 		}
 	}
-	names := k.core.Counters().Classes
+	names := s.core.Counters().Classes
 	for class, rate := range known.Recovery.ClassRates {
 		if class < len(names) && rate > 0 {
 			d.ClassRates[names[class]] = twoDigits(rate)
@@ -282,11 +282,11 @@
 	return math.Round(x*scale) / scale
 }
 
-func (k *snapshotStore) close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.release != nil {
-		besteffort.Ignore(k.release())
-		k.release = nil
+func (s *snapshotStore) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.release != nil {
+		besteffort.Ignore(s.release())
+		s.release = nil
 	}
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -3,7 +3,10 @@
 // nothing. A Balancer does no I/O and reads no clock: events with a time go in (events.go), actions come out
 // (actions.go).
 //
-// A request passes the rules in this order. Each stands in one function:
+// The rules, each in one function. Some decide on a request, in this order; subset, outlier ejection and
+// polling backoff decide on servers and the list, as events come. Both meet in place (subset.go): a server
+// can be drawn only if it is in the subset, ready and not ejected. finish (requests.go) with mayReject
+// (retry.go) says whether a request without a server is rejected or failed.
 //
 //	rule             function            inputs (units)                                yields to
 //	list drop        addRequest          ServerList.DropRatio (0..1)                   nothing
@@ -258,7 +261,7 @@
 	ShedRatio            float64 // ratio of requests of mean priority that is rejected
 	SubsetSize           int     // servers of the subset
 	WarmingUp            int     // listed servers in slow start
-	Ejected              int     // servers that outlier detection has ejected
+	Ejected              int     // servers that are ejected, also while ejections are suspended
 	PeakServedRate       float64 // highest rate of answers to this balancer of late, per second
 }
 
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -10,8 +10,10 @@
 
 // The endpoint list: its updates, and the backoff before it is asked for again.
 const (
-	pollsPerHorizon         = 5  // balancers that may ask for the list in the same horizon
-	maxPollBackoffDoublings = 4  // doublings of the wait before the list is asked for again
+	pollsPerHorizon         = 5 // balancers that may ask for the list in the same horizon
+	maxPollBackoffDoublings = 4 // doublings of the wait before the list is asked for again
+	// A balancer counts as notified of what was listed after four MaxPollIntervals, and waits for less.
+	maxBackoffPollIntervals = 2.5
 	maxIncrementalChanges   = 16 // added or removed servers that are handled one by one; more are merged
 )
 
@@ -40,9 +42,8 @@
 	wait := min(spread*math.Exp2(float64(b.endpoints.failedPolls)),
 		max(math.Exp2(maxPollBackoffDoublings), 2*spread))
 	wait *= float64(b.horizon)
-	// After four times MaxPollInterval a balancer is held to know what was listed.
 	if b.endpoints.failedPolls++; b.settings.MaxPollInterval > 0 {
-		wait = min(wait, 2.5*float64(b.settings.MaxPollInterval))
+		wait = min(wait, maxBackoffPollIntervals*float64(b.settings.MaxPollInterval))
 	}
 	b.setTimer(subscribeToken, time.Duration(wait*(0.5+b.rng.Float64())/2))
 }
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -11,9 +11,10 @@
 // retryBudget counts the retries and hedges that may be made now, from 0 to maxRetryBudget.
 type retryBudget struct{ tokens float64 }
 
-// maySend is the one place that says what may be sent where; every send passes it. An attempt that may have
-// run is repeated only where the class allows it: for an idempotency key within its scope, and a tick before
-// its window ends, since the server may see the repeat that much later.
+// maySend is the one rule for what may be sent where. Every send passes it, except a first attempt to a
+// server of a pool, where it always holds: pools hold only ready servers (mayRepeatOn). An attempt that may
+// have run is repeated only where the class allows it: for an idempotency key within its scope, and a tick
+// before its window ends, since the server may see the repeat that much later.
 func (b *Balancer) maySend(r *request, s *server) bool {
 	if s.State != Ready || !b.mayAttempt(r) || !r.isAllowed(s) {
 		return false
--- a/internal/denylist/denylist.go
+++ b/internal/denylist/denylist.go
@@ -1,4 +1,4 @@
-// Package denylist holds the servers that an operator has ejected by hand, whatever the endpoint list and health checks say of
+// Package denylist holds the servers that an operator has denied, whatever the endpoint list and health checks say of
 // them.
 //
 // The engine asks a Set for every server that it is about to give to the balancer, and tells it what each endpoint list names.
--- a/internal/downstream/http1/answers.go
+++ b/internal/downstream/http1/answers.go
@@ -17,7 +17,7 @@
 var statuses = [...]int{engine.Served: http.StatusOK, engine.Rejected: http.StatusServiceUnavailable,
 	engine.Failed: http.StatusBadGateway, engine.Conflict: http.StatusConflict}
 
-// refuse rejects a request that the engine has not seen. If a part of its body is unread, the connection is closed.
+// reject rejects a request that the engine has not seen. If a part of its body is unread, the connection is closed.
 func (s *Server) reject(w http.ResponseWriter, c *engine.Call, unread bool) {
 	s.Engine.CountRejected(c)
 	if unread {
@@ -69,7 +69,7 @@
 	besteffort.IgnoreResult(io.WriteString(w, "ready\n"))
 }
 
-// write writes an answer, or its first part. A write error means that the client has left, which net/http handles.
+// writeHeadAndBody writes an answer, or its first part. A write error means that the client has left, which net/http handles.
 func writeHeadAndBody(w http.ResponseWriter, a engine.Answer) {
 	h := w.Header()
 	var resp http1.Response
--- a/internal/downstream/http1/drain.go
+++ b/internal/downstream/http1/drain.go
@@ -17,7 +17,7 @@
 // closingPeriod is how long answers close their connections before idle connections are closed, as a close may cross a request.
 const closingPeriod = 300 * time.Millisecond
 
-// look is the time between two checks of a condition during a drain.
+// drainPoll is the time between two checks of a condition during a drain.
 const drainPoll = 10 * time.Millisecond
 
 // drain ends the server in the order in which clients stop sending. They stop to connect first, and go on using open
@@ -26,9 +26,9 @@
 // more request. drain reports whether no client is connected any more.
 func (s *Server) drain(ctx context.Context, wait time.Duration) bool {
 	s.draining.Store(true)
-	succeeded := s.OnDrain != nil && s.OnDrain()
-	s.Log.Info("draining", "succeeded", succeeded)
-	if succeeded {
+	hasSuccessor := s.OnDrain != nil && s.OnDrain()
+	s.Log.Info("draining", "succeeded", hasSuccessor) // by another process of the agent
+	if hasSuccessor {
 		wait = handoverKeepTime
 		s.closing.Store(true)
 	}
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -9,10 +9,10 @@
 	"appleledge/internal/fleet/recovery"
 )
 
-// AdmissionController decides which calls are let in to the balancer. Its methods are called on the engine's goroutine and must
+// AdmissionController decides which calls are admitted to the balancer. Its methods are called on the engine's goroutine and must
 // not block.
 type AdmissionController interface {
-	// Arrive lets a call in, with a permit, or rejects it with nil, which promises that trying again is harmless.
+	// Arrive admits a call with a permit, or rejects it with nil, which promises that a retry is harmless.
 	Arrive(now time.Duration, r admission.Request) (*admission.Permit, admission.Rejection)
 	// Done is called once for each permit, with how its call ended.
 	Done(now time.Duration, p *admission.Permit, end admission.Outcome)
@@ -23,7 +23,8 @@
 // classRetuner is an AdmissionController that takes the classes, by number, when they change.
 type classRetuner interface{ Retune([]admission.Class) }
 
-// The engine looks for Retune at run time: a controller without it would keep the old classes unnoticed.
+// The engine looks for Retune at run time: a controller without it would keep the old classes unnoticed. Package agent asserts
+// the same of the fleet's controller, which this package does not import.
 var (
 	_ classRetuner = (*admission.Controller)(nil)
 	_ classRetuner = (*recovery.Controller)(nil)
--- a/internal/engine/answers.go
+++ b/internal/engine/answers.go
@@ -12,15 +12,16 @@
 	Answer(Answer)
 }
 
-// AnswerKind says how a call ended.
+// AnswerKind says how a call ended. Of a rejection the engine keeps no reason: the counters of the rule that has rejected it
+// (balancer.ReasonNames, admission, recovery, overload, generation, coalescing) tell.
 type AnswerKind int
 
 // The kinds of final answers.
 const (
 	Served   AnswerKind = iota // Payload is what a server made for it
-	Rejected                   // nothing ran: trying again is harmless
+	Rejected                   // a retry is harmless: nothing ran, or the call is idempotent
 	Failed                     // it may have run: no promise about its effect
-	Conflict                   // another call is open under the same id; this one was never looked at
+	Conflict                   // duplicate id: another call is in flight under it, or has ended a short time ago
 )
 
 // Answer is the final answer to a call.
@@ -28,8 +29,8 @@
 	Kind       AnswerKind
 	Payload    any           // of a Served one, from the transport
 	Private    bool          // of a Served one: it was made for this client alone
-	RetryAfter time.Duration // when to come back; 0 where nothing is said
-	Limit      int           // of a Rejected one: so many are admitted at a time; 0 where nothing is said
+	RetryAfter time.Duration // after which the client may retry; 0: not stated
+	Limit      int           // of a Rejected one: the limit of requests in flight that it met; 0: not stated
 }
 
 // Discarder is a payload that holds a resource until it is used or discarded.
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -13,13 +13,13 @@
 //
 // # Lifecycle of a call
 //
-//  1. Arrive: a downstream server hands a Call over. A second call under the id of an open one is answered Conflict. A call of
+//  1. Arrive: a downstream server hands a Call over. A second call under the id of a call in flight is answered Conflict. A call of
 //     an ExternalCaller may be a further attempt of an open call, which it then resumes (external.go).
 //  2. The call hooks look at it, in their order. Each may answer it or take it over.
-//  3. Admission lets it in or rejects it, then the balancer decides: send, reject or fail.
+//  3. Admission admits or rejects it, then the balancer decides: send, reject or fail.
 //  4. Send: the engine makes an Attempt, tells the attempt hooks, and starts the Transport, or hands it to the ExternalCaller.
 //  5. The attempt ends with one Outcome. A served one is the final answer; else the balancer may decide on a retry.
-//  6. The final answer: Served, Rejected (nothing ran: trying again is harmless), Failed (it may have run) or Conflict. Once a
+//  6. The final answer: Served, Rejected (a retry is harmless), Failed (it may have run) or Conflict. Once a
 //     call has its answer and no attempt in flight it is forgotten.
 //
 // ClientLeft ends a call without an answer; ForceAnswer answers it at once, when the process ends.
@@ -33,7 +33,7 @@
 //	file           extension          endpoint list  call  attempt  timers
 //	generation.go  generationOverlay  1 drains       4     -        3       configuration generations
 //	denylist.go    denylistOverlay    2 drains       -     -        -       servers that operators deny
-//	gossip.go      gossipOverlay      3 drains       -     -        2       servers that other agents call draining or faulty
+//	gossip.go      gossipOverlay      3 drains       -     -        2       servers that other agents observe to be draining or faulty
 //	affinity.go    affinityBinder     4 reads        2     3        -       sticky bindings of idempotency keys
 //	endpoints.go   serverPoolUpdater  5 reads        -     -        -       connections to the servers
 //	recovery.go    recoveryOverlay    6 start times  1     1        -       ramp after an outage
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -181,10 +181,10 @@
 	}
 }
 
-// decide tells the balancer of an event and carries out what it decides.
+// decide hands an event to the balancer and carries out the actions.
 func (e *Engine) decide(ev balancer.Event) { e.perform(e.balancer.Handle(e.clock.Now(), ev)) }
 
-// perform carries out the balancer's actions. It has no use for Cancel, Probe and Tell so far.
+// perform carries out the balancer's actions. Cancel, HealthCheck and Broadcast, which the balancer never uses, are ignored.
 func (e *Engine) perform(actions []balancer.Action) {
 	for _, a := range actions {
 		switch a.Kind {
--- a/internal/engine/gossip.go
+++ b/internal/engine/gossip.go
@@ -12,11 +12,11 @@
 	"appleledge/internal/fleet/gossip"
 )
 
-// gossipCheckInterval is how often is looked whether an observation of other agents has expired.
+// gossipCheckInterval is the time between two checks whether an observation of other agents has expired.
 const gossipCheckInterval = 250 * time.Millisecond
 
-// gossipOverlay calls servers draining that other agents observe to drain or to be faulty, and tells other agents what this
-// one's list says.
+// gossipOverlay marks servers as draining that other agents observe to be draining or faulty, and reports to the other agents
+// what this one's list says.
 type gossipOverlay struct {
 	engine      *Engine
 	exclusions  *corroborate.Exclusions
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -71,7 +71,7 @@
 // EndpointCounts says what an engine's endpoint list holds.
 type EndpointCounts struct {
 	Listed  int // servers of the list
-	Avoided int // of which the agent keeps away now: denied by operators, or ejected by the balancer
+	Avoided int // of which operators have denied or the balancer has ejected; exclusions by gossip and drains of a configuration don't count
 }
 
 // EndpointCounts counts the servers of the list. It waits for the engine, and is for one that has a denylist.
--- a/internal/fleet/gossip/dissemination.go
+++ b/internal/fleet/gossip/dissemination.go
@@ -52,7 +52,8 @@
 }
 
 // queueUpdate sends an update with the next messages. It replaces an earlier one of the same member, except that suspicions of different
-// reporters stand beside each other; over maxUpdates the one that was sent most goes.
+// reporters stand beside each other; over maxUpdates the first of the queue is dropped.
+// addUpdates sorts the queue by transmissions, the fewest first.
 func (c *Core) queueUpdate(u MemberUpdate) {
 	replaced := slices.IndexFunc(c.updates, func(b broadcast[MemberUpdate]) bool {
 		return b.item.Member == u.Member &&
--- a/internal/fleet/overload/controller.go
+++ b/internal/fleet/overload/controller.go
@@ -42,9 +42,9 @@
 	busyUtilization = 0.35            // of the servers, from which the fleet is busy
 	busyTime        = 2 * time.Second // since the last sign of it, for which it still is
 
-	busyInterval   = 100 * time.Millisecond // between two payloads in a busy fleet,
-	urgentInterval = 40 * time.Millisecond  // when something urgent is known,
-	calmInterval   = time.Second            // and else
+	busyInterval   = 100 * time.Millisecond // between two payloads in a busy fleet
+	urgentInterval = 40 * time.Millisecond  // between two payloads when something urgent is known; the caller polls every 50 ms
+	calmInterval   = time.Second            // between two payloads otherwise
 	busyReceivers  = 2
 	calmReceivers  = 1
 )
@@ -52,8 +52,8 @@
 // AdmissionController is one agent's part in the fleet's load shedding. It admits by the fleet's plan, for a part of the requests that grows
 // with trust in the view, and otherwise by the agent's local controller. It is not safe for concurrent use.
 //
-// Invariants: a request that may have run is never rejected on the fleet's account; the local controller hears of every request, so that it
-// decides as if it were alone once it has to.
+// Invariants: a request that may have run is never rejected on the fleet's account; the local controller is asked for every request that reaches Arrive,
+// so that it can decide as if it were alone. Requests that a recovery before it rejects do not reach it.
 type AdmissionController struct {
 	options           Options
 	rng               *rand.Rand
--- a/internal/fleet/overload/gain.go
+++ b/internal/fleet/overload/gain.go
@@ -14,14 +14,14 @@
 
 // How the limit is corrected. Rates are a second, of the logarithm of the gain.
 const (
-	utilizationGainRate = 0.4 // for the whole of the utilization that servers lack or have too much
-	latenessGainRate    = 0.4 // for all answers over maxLateRatio
-	maxLateRatio        = 0.1 // of the fleet's answers
-	lateMatters         = 0.5 // utilization from which late answers count: with less of it they are of before
-	minOwnInTimeRatio   = 0.8 // of the own requests, for the gain to rise
-	minGain             = 0.5
-	maxGain             = 8
-	gainReturnRate      = 0.1 // of the way back to 1, while nothing is rejected
+	utilizationGainRate       = 0.4 // for the whole of the utilization that servers lack or have too much
+	latenessGainRate          = 0.4 // for all answers over maxLateRatio
+	maxLateRatio              = 0.1 // of the fleet's answers
+	minUtilizationForLateness = 0.5 // from which late answers count: below it they were sent before the overload ended
+	minOwnInTimeRatio         = 0.8 // of the own requests, for the gain to rise
+	minGain                   = 0.5
+	maxGain                   = 8
+	gainReturnRate            = 0.1 // of the way back to 1, while nothing is rejected
 )
 
 // targetUtilization returns how busy servers are to be, where such a part of the answers is late.
@@ -40,7 +40,7 @@
 		return
 	}
 	lateRatio := demand.lateRatio()
-	lateWeight := min(max((utilization-lateMatters)/(lateTargetUtilization-lateMatters), 0), 1)
+	lateWeight := min(max((utilization-minUtilizationForLateness)/(lateTargetUtilization-minUtilizationForLateness), 0), 1)
 	rate := utilizationGainRate*(targetUtilization(lateRatio)-utilization) - latenessGainRate*lateWeight*max(0, lateRatio-maxLateRatio)
 	isConfirmed := now-d.ownEndedAt < ownAnswersDecay && d.ownInTime >= minOwnInTimeRatio*(d.ownInTime+d.ownLate)
 	if rate > 0 && !isConfirmed {
--- a/internal/fleet/overload/plan.go
+++ b/internal/fleet/overload/plan.go
@@ -7,8 +7,8 @@
 
 // The rate that the fleet may admit.
 const (
-	// By how much of itself the limit is lower for all of the utilization that servers have too much. It acts at once: what agents say of
-	// their arrivals comes later than what servers say of their utilization.
+	// pushbackFactor is a proportional gain: the relative cut of the limit per unit of utilization over the target. It acts at once, as
+	// utilization is known sooner than the arrivals that agents report.
 	pushbackFactor = 1.1
 	minAdmitRatio  = 0.4         // of the limit, that is admitted whatever waits at the servers
 	queueDrainTime = time.Second // in which the requests that wait at servers are to be worked off
--- a/internal/fleet/recovery/phases.go
+++ b/internal/fleet/recovery/phases.go
@@ -33,9 +33,9 @@
 
 // When a recovery is over.
 const (
-	noRejectionTime    = 1500 * time.Millisecond // for which no request was rejected,
-	mostlyWarmRatio    = 0.9                     // with that part of the capacity there, or a gain over 1
-	fullyWarmRatio     = 0.99                    // or that part of the capacity there, whatever is rejected
+	noRejectionTime    = 1500 * time.Millisecond // without a rejection, after which it may be over
+	mostlyWarmRatio    = 0.9                     // ratio of warm capacity from which it is over then; a gain over 1 counts the same
+	fullyWarmRatio     = 0.99                    // ratio of warm capacity from which it is over whatever is rejected
 	phaseCheckInterval = 250 * time.Millisecond
 )
 
--- a/internal/fleet/recovery/ramp.go
+++ b/internal/fleet/recovery/ramp.go
@@ -63,7 +63,7 @@
 }
 
 // takeToken takes a token for a request, of its class or of one with a lower priority. An agent with few requests seldom has a whole token
-// when one comes, and many such agents together must still be fair: a token that isn't there is lent by chance, the rarer the more are owed.
+// when one comes, and many such agents together must still be fair: with less than one token a request is admitted with a probability that falls with the debt.
 func (r *Controller) takeToken(now time.Duration, a admission.Request) bool {
 	r.refillTokens(now)
 	tokens := r.ramp.tokens
--- a/internal/fleet/recovery/servers.go
+++ b/internal/fleet/recovery/servers.go
@@ -25,10 +25,10 @@
 	mayRunSince  time.Duration // since when it may have run without a break; see AllowsRetryIn
 	brokenAt     time.Duration // when a connection last broke or couldn't be had; 0: never
 
-	isListed       bool          // the confirmed list has named it since this agent started, or since the outage
+	isListed       bool          // named by a confirmed list, or by any list with a start time, since this agent started or since the outage
 	listedStart    time.Duration // as the list says; 0: long ago, or not known
 	effectiveStart time.Duration // the list's, or else the first answer; 0: not known
-	isStartMasked  bool          // the balancer is told of no start
+	isStartMasked  bool          // the start is hidden from the balancer, which takes the server as warm
 
 	firstAnswerAt  time.Duration // in this recovery; 0: none
 	peerReportedAt time.Duration // when another agent reported that it responds; 0: none did
--- a/internal/generation/doc.go
+++ b/internal/generation/doc.go
@@ -6,7 +6,7 @@
 //	                    │                     ├─ harm found ─▶ rolled back, and its hash blocked
 //	                    └─Unstage             └─ Rollback ───▶ rolled back by an operator
 //
-// Compile prepares a configuration beside the engine, as it may take hundreds of milliseconds. Switch puts it in force at one
+// Compile prepares a configuration in another goroutine than the engine's, as it may take hundreds of milliseconds. Switch puts it in force at one
 // instant: a request that arrives before it ends under the old generation, one that arrives after it belongs to the new one. The
 // drains of a change may come into force in steps (rollout.go). From the switch on a statistical test compares the requests that
 // the change concerns with those of before and with those that it does not concern (harmwatch.go), and rolls the change back by
--- a/internal/generation/harmwatch.go
+++ b/internal/generation/harmwatch.go
@@ -52,7 +52,7 @@
 	byClass             []stratum // all pairs of a class together
 }
 
-// stratum is the state of the test for one group of requests. Requests are changed if the change concerns them.
+// stratum is the state of the test for one group of requests, as in a stratified statistical test. Requests are changed if the change concerns them.
 type stratum struct {
 	changed, unchanged OutcomeCounts // since the last test
 	expectedRejects    float64       // how many of the changed ones the new limits may reject
--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -44,7 +44,7 @@
 	idleRing      Conn // anchor of the ring of idle connections; the one that is idle for longest follows it
 }
 
-// Backend is one incarnation of a backend under one address: a restart or another address makes a new one.
+// Backend is one incarnation of a backend under one address: a restart or another address makes a new Backend.
 // All its fields but id, addr and started are guarded by the pool's lock.
 type Backend struct {
 	id, addr  string
@@ -201,8 +201,11 @@
 	return p.maxConnections
 }
 
+// maxBackendShareDivisor: one backend may have a quarter of the connections.
+const maxBackendShareDivisor = 4
+
 // perBackendLimit returns how many connections one backend may have, so that a silent one can't use up all.
-func perBackendLimit(most int) int { return max(1, most/4) }
+func perBackendLimit(maxConnections int) int { return max(1, maxConnections/maxBackendShareDivisor) }
 
 // Backend returns the present incarnation of a backend, or nil.
 func (p *Pool) Backend(id string) *Backend {
