--- a/internal/upstream/connpool/pool.go
+++ b/internal/upstream/connpool/pool.go
@@ -14,10 +14,7 @@
 	"sync"
 	"time"
 
-	"appleledge/internal/balancer"
 	"appleledge/internal/besteffort"
-	"appleledge/internal/engine"
-	"appleledge/internal/sockstate"
 )
 
 // Pool holds the connections to the backends of the endpoint list. It is safe for concurrent use.
@@ -44,16 +41,6 @@
 	idleRing      Conn // anchor of the ring of idle connections; the one that is idle for longest follows it
 }
 
-// Backend is one incarnation of a backend under one address: a restart or another address makes a new Backend.
-// All its fields but id, addr and started are guarded by the pool's lock.
-type Backend struct {
-	id, addr  string
-	started   time.Duration
-	isReady   bool // accepts new requests
-	connCount int  // open or being dialed
-	idle      []*Conn
-}
-
 // Conn is a connection to a backend. The attempt that got it owns it until it calls Release.
 type Conn struct {
 	net.Conn
@@ -96,73 +83,6 @@
 	return p
 }
 
-// Update applies an endpoint list, or a change of it, and returns how many backends accept requests. The cost of a change
-// grows with the members that it names. Idle connections to backends that accept none any more are closed.
-func (p *Pool) Update(full bool, members []engine.Member) (ready int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, m := range members {
-		p.updateBackend(m)
-	}
-	if full {
-		named := make(map[string]bool, len(members))
-		for _, m := range members {
-			named[m.ID] = true
-		}
-		for id, b := range p.backends {
-			if !named[id] {
-				p.removeBackend(b)
-			}
-		}
-	}
-	return p.readyBackends
-}
-
-// updateBackend applies what the list says of one backend.
-func (p *Pool) updateBackend(m engine.Member) {
-	b := p.backends[m.ID]
-	if b != nil && (m.State == balancer.Removed || b.addr != m.Addr || b.started != m.Started) {
-		p.removeBackend(b)
-		b = nil
-	}
-	if m.State == balancer.Removed {
-		return
-	}
-	if b == nil {
-		b = &Backend{id: m.ID, addr: m.Addr, started: m.Started}
-		p.backends[m.ID] = b
-		p.byAddr[b.addr] = append(p.byAddr[b.addr], b)
-	}
-	p.setReady(b, m.State == balancer.Ready)
-}
-
-// setReady changes whether a backend accepts requests, and closes its idle connections if not.
-func (p *Pool) setReady(b *Backend, ready bool) {
-	if ready == b.isReady {
-		return
-	}
-	if b.isReady = ready; ready {
-		p.readyBackends++
-		return
-	}
-	p.readyBackends--
-	for _, c := range b.idle {
-		p.removeIdle(c)
-		p.closeConn(c)
-	}
-	b.idle = nil
-}
-
-// removeBackend forgets a backend: it gets nothing new, and its connections close when they are released.
-func (p *Pool) removeBackend(b *Backend) {
-	p.setReady(b, false)
-	delete(p.backends, b.id)
-	p.byAddr[b.addr] = slices.DeleteFunc(p.byAddr[b.addr], func(x *Backend) bool { return x == b })
-	if len(p.byAddr[b.addr]) == 0 {
-		delete(p.byAddr, b.addr)
-	}
-}
-
 // addIdle puts a connection at the end of the ring of idle connections.
 func (p *Pool) addIdle(c *Conn) {
 	last := p.idleRing.prev
@@ -207,19 +127,6 @@
 // perBackendLimit returns how many connections one backend may have, so that a silent one can't use up all.
 func perBackendLimit(maxConnections int) int { return max(1, maxConnections/maxBackendShareDivisor) }
 
-// Backend returns the present incarnation of a backend, or nil.
-func (p *Pool) Backend(id string) *Backend {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.backends[id]
-}
-
-// IsIncarnation implements engine.Incarnation.
-func (*Backend) IsIncarnation() {}
-
-// Incarnation is Backend for the engine.
-func (p *Pool) Incarnation(id string) engine.Incarnation { return p.Backend(id) }
-
 // Stats are the present numbers of a pool, and counters since it was made.
 type Stats struct {
 	Open, Idle   int    // connections, and the idle ones among them
@@ -238,29 +145,9 @@
 	return c
 }
 
-// IDsAt returns the ids of the backends at an address. There may be several while one replaces another.
-func (p *Pool) IDsAt(addr string) (ids []string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, b := range p.byAddr[addr] {
-		ids = append(ids, b.id)
-	}
-	return ids
-}
-
-// Addr returns host and port of this incarnation of the backend.
-func (b *Backend) Addr() string { return b.addr }
-
 // AllowBytes lets the peer send n more bytes.
 func (c *Conn) AllowBytes(n int64) { c.responseLimit.N, c.hasResponse = n, true }
 
-// AcceptsRequests reports whether this incarnation of the backend accepts new requests.
-func (p *Pool) AcceptsRequests(b *Backend) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return b != nil && b.isReady
-}
-
 // Get returns a connection to the backend: the idle one that was used last, or a new one. It blocks while it dials. Besides
 // ErrNotReady and ErrPoolExhausted it returns the error of the dial.
 func (p *Pool) Get(ctx context.Context, b *Backend) (*Conn, error) {
@@ -352,42 +239,6 @@
 	p.addIdle(c)
 }
 
-// sweepBatchSize is how many connections Sweep checks while it holds the lock: each check is a system call.
-const sweepBatchSize = 32
-
-// Sweep closes idle connections that can't be reused. It visits those that are idle when it begins, and holds the lock for
-// sweepBatchSize of them at a time.
-func (p *Pool) Sweep() {
-	var from time.Time
-	for range 1 + p.limit()/sweepBatchSize {
-		if from = p.sweepBatch(from); from.IsZero() {
-			return
-		}
-	}
-}
-
-// sweepBatch checks connections that are idle since a time or later, the earliest first, and returns the time from which to
-// go on; zero when all were checked.
-func (p *Pool) sweepBatch(from time.Time) (next time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c := p.idleRing.next
-	for c != &p.idleRing && c.idleSince.Before(from) {
-		c = c.next
-	}
-	for left := sweepBatchSize; c != &p.idleRing; left-- {
-		if left == 0 {
-			return c.idleSince
-		}
-		following := c.next
-		if time.Since(c.idleSince) >= p.maxIdleTime || !c.isIdleAndOpen() {
-			p.closeIdle(c)
-		}
-		c = following
-	}
-	return time.Time{}
-}
-
 // Close closes all connections, also those in use. Get fails from then on.
 func (p *Pool) Close() {
 	p.mu.Lock()
@@ -400,7 +251,3 @@
 		besteffort.Close(c)
 	}
 }
-
-// isIdleAndOpen reports whether a connection is open and has no unread bytes. A connection that the backend has closed shows
-// here, before a request is sent on it.
-func (c *Conn) isIdleAndOpen() bool { return sockstate.Peek(c.Conn) == sockstate.Idle }
