--- a/internal/downstream/extproc/message.go
+++ b/internal/downstream/extproc/message.go
@@ -23,32 +23,32 @@
 
 // Names of the endpoint picker protocol.
 const (
-	DestinationHeader = "x-gateway-destination-endpoint"        // in the request, and in metadata: the choice
-	ServedHeader      = "x-gateway-destination-endpoint-served" // in metadata or the response: who served
-	SubsetKey         = "x-gateway-destination-endpoint-subset" // in the hint: the endpoints to choose among
-	MetadataSpace     = "envoy.lb"
-	SubsetSpace       = "envoy.lb.subset_hint"
+	DestinationHeader   = "x-gateway-destination-endpoint"        // in the request, and in metadata: the choice
+	ServedHeader        = "x-gateway-destination-endpoint-served" // in metadata or the response: who served
+	SubsetHintKey       = "x-gateway-destination-endpoint-subset" // in the hint: the endpoints to choose among
+	MetadataNamespace   = "envoy.lb"
+	SubsetHintNamespace = "envoy.lb.subset_hint"
 )
 
 // Names of our own, in the request that goes on.
 const (
-	// ValidHeader says for how long a decision may be used, counted from when it was made, in the form of X-Timeout.
-	ValidHeader = "x-appleledge-decision-valid"
+	// ValidForHeader says for how long a decision may be used, counted from when it was made, in the form of X-Timeout.
+	ValidForHeader = "x-appleledge-decision-valid"
 	// UseByHeader says the same as a point of time, Unix time in milliseconds, for proxies on the agent's machine.
 	UseByHeader = "x-appleledge-decision-use-by"
 )
 
 const (
-	envoyTimeout       = "X-Envoy-Expected-Rq-Timeout-Ms"
-	envoyAttempt       = "X-Envoy-Attempt-Count"
-	detailsAttr        = "response.code_details"
-	loadHeader         = "X-Server-Load"
-	notProcessedHeader = "X-Not-Processed"
-	mostRead           = 12 // values that a usual head has of those that are read
-	usualHeaders       = 8  // and headers
-
-	mostTries     = 1000 // as a proxy may count its tries
-	longestLogged = 100  // bytes of a peer's text in a log line
+	envoyTimeoutHeader   = "X-Envoy-Expected-Rq-Timeout-Ms"
+	envoyAttemptHeader   = "X-Envoy-Attempt-Count"
+	codeDetailsAttribute = "response.code_details"
+	loadHeader           = "X-Server-Load"
+	notProcessedHeader   = "X-Not-Processed"
+	typicalValueCount    = 12 // values that a usual head has of those that are read
+	typicalHeaderCount   = 8  // and headers
+
+	maxAttemptCount = 1000 // as a proxy may count its tries
+	maxLoggedBytes  = 100  // bytes of a peer's text in a log line
 )
 
 func badRequest(format string, args ...any) error {
@@ -56,13 +56,13 @@
 }
 
 // accept reads and checks the head of a request, as strictly as direct mode does.
-func (s *Server) accept(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) (*engine.Call, error) {
+func (s *Server) parseRequest(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) (*engine.Call, error) {
 	began := s.Clock.Now()
-	head, err := requestHead(h)
+	head, err := parseRequestHead(h)
 	if err != nil {
 		return nil, err
 	}
-	try, err := tryCount(head.Header)
+	try, err := attemptCount(head.Header)
 	if err != nil {
 		return nil, err
 	}
@@ -76,21 +76,21 @@
 		return nil, err
 	}
 	if there {
-		call.Candidates = s.known(hint)
+		call.Candidates = s.listedIDs(hint)
 	}
 	return call, nil
 }
 
 // known returns the ids of the hinted endpoints that the list names, sorted; it is never nil.
-func (s *Server) known(hint []string) []string {
+func (s *Server) listedIDs(hint []string) []string {
 	ids := []string{}
 	for _, addr := range hint {
 		at := s.Pool.IDsAt(addr)
 		if len(at) == 0 {
 			s.Counts.unknownHints.Add(1)
-			s.once.hint.Do(func() {
+			s.logOnce.hint.Do(func() {
 				s.Log.Warn("a subset hint holds an endpoint that the list does not name; further ones are not logged",
-					"endpoint", clip(addr))
+					"endpoint", truncate(addr))
 			})
 		}
 		ids = append(ids, at...)
@@ -99,11 +99,11 @@
 	return slices.Compact(ids)
 }
 
-// readNames are the headers that are read of requests and responses, by the names that HTTP/2 gives them, with net/http's.
+// canonicalNames are the headers that are read of requests and responses, by the names that HTTP/2 gives them, with net/http's.
 // All others are passed over: most of a head concerns others.
-var readNames = func() map[string]string {
+var canonicalNames = func() map[string]string {
 	names := map[string]string{}
-	for _, name := range slices.Concat([]string{"Content-Length", "Transfer-Encoding", envoyTimeout, envoyAttempt, loadHeader,
+	for _, name := range slices.Concat([]string{"Content-Length", "Transfer-Encoding", envoyTimeoutHeader, envoyAttemptHeader, loadHeader,
 		notProcessedHeader, ServedHeader}, requesthead.CheckedHeaders, requesthead.RoutingHeaders) {
 		names[strings.ToLower(name)] = http.CanonicalHeaderKey(name)
 	}
@@ -111,14 +111,14 @@
 }()
 
 // head is a head as far as it is read.
-type head struct {
+type parsedHead struct {
 	method, path, status []string
 	http.Header
 }
 
-// readHead reads a header map.
-func readHead(m *corev3.HeaderMap) (out head) {
-	values := make([]string, 0, mostRead)
+// parseHead reads a header map.
+func parseHead(m *corev3.HeaderMap) (out parsedHead) {
+	values := make([]string, 0, typicalValueCount)
 	add := func(to []string, value string) []string {
 		if to != nil {
 			return append(to, value)
@@ -139,14 +139,14 @@
 		case ":status":
 			out.status = add(out.status, value)
 		default:
-			name, wanted := readNames[key]
+			name, wanted := canonicalNames[key]
 			if !wanted { // HTTP/2 allows no capitals in names, but a proxy need not mind
-				if name, wanted = readNames[strings.ToLower(key)]; !wanted {
+				if name, wanted = canonicalNames[strings.ToLower(key)]; !wanted {
 					continue
 				}
 			}
 			if out.Header == nil {
-				out.Header = make(http.Header, usualHeaders)
+				out.Header = make(http.Header, typicalHeaderCount)
 			}
 			out.Header[name] = add(out.Header[name], value)
 		}
@@ -155,7 +155,7 @@
 }
 
 // one returns the value of a header that may be there once at most.
-func one(values []string, name string) (value string, there bool, err error) {
+func singleValue(values []string, name string) (value string, there bool, err error) {
 	switch len(values) {
 	case 0:
 		return "", false, nil
@@ -165,14 +165,14 @@
 	return "", true, badRequest("%s is there more than once", name)
 }
 
-// requestHead reads the head of a request.
-func requestHead(m *extprocv3.HttpHeaders) (requesthead.Head, error) {
-	h := readHead(m.GetHeaders())
-	method, _, err := one(h.method, ":method")
+// parseRequestHead reads the head of a request.
+func parseRequestHead(m *extprocv3.HttpHeaders) (requesthead.Head, error) {
+	h := parseHead(m.GetHeaders())
+	method, _, err := singleValue(h.method, ":method")
 	if err != nil {
 		return requesthead.Head{}, err
 	}
-	path, _, err := one(h.path, ":path")
+	path, _, err := singleValue(h.path, ":path")
 	if err != nil {
 		return requesthead.Head{}, err
 	}
@@ -182,7 +182,7 @@
 		return requesthead.Head{}, err
 	}
 	if _, stated := h.Header[requesthead.TimeoutHeader]; !stated {
-		ms, there, err := one(h.Header[envoyTimeout], envoyTimeout)
+		ms, there, err := singleValue(h.Header[envoyTimeoutHeader], envoyTimeoutHeader)
 		if err != nil {
 			return requesthead.Head{}, err
 		}
@@ -198,7 +198,7 @@
 	if len(h["Transfer-Encoding"]) > 0 {
 		return -1, true, nil
 	}
-	text, there, err := one(h["Content-Length"], "Content-Length")
+	text, there, err := singleValue(h["Content-Length"], "Content-Length")
 	switch {
 	case err != nil:
 		return 0, false, err
@@ -212,65 +212,65 @@
 	return int64(n), false, nil
 }
 
-// tryCount reads which of the proxy's own tries this is; 0 where it does not say.
-func tryCount(h http.Header) (int, error) {
-	text, there, err := one(h[envoyAttempt], envoyAttempt)
+// attemptCount reads which of the proxy's own tries this is; 0 where it does not say.
+func attemptCount(h http.Header) (int, error) {
+	text, there, err := singleValue(h[envoyAttemptHeader], envoyAttemptHeader)
 	if err != nil || !there {
 		return 0, err
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 1 || n > mostTries {
-		return 0, badRequest("%s is no count of tries", envoyAttempt)
+	if err != nil || n < 1 || n > maxAttemptCount {
+		return 0, badRequest("%s is no count of tries", envoyAttemptHeader)
 	}
 	return n, nil
 }
 
 // subsetHint reads the endpoints to choose among: a list of texts, or one text with commas.
-func subsetHint(req *extprocv3.ProcessingRequest, most int) (addrs []string, there bool, err error) {
-	value, there := req.GetMetadataContext().GetFilterMetadata()[SubsetSpace].GetFields()[SubsetKey]
+func subsetHint(req *extprocv3.ProcessingRequest, maxEndpoints int) (addrs []string, there bool, err error) {
+	value, there := req.GetMetadataContext().GetFilterMetadata()[SubsetHintNamespace].GetFields()[SubsetHintKey]
 	if !there {
 		return nil, false, nil
 	}
 	switch kind := value.GetKind().(type) {
 	case *structpb.Value_StringValue:
-		addrs = split(kind.StringValue, most)
+		addrs = splitAddresses(kind.StringValue, maxEndpoints)
 	case *structpb.Value_ListValue:
 		for _, v := range kind.ListValue.GetValues() {
 			text, ok := v.GetKind().(*structpb.Value_StringValue)
 			if !ok {
 				return nil, true, badRequest("the subset hint holds what is no endpoint")
 			}
-			addrs = append(addrs, split(text.StringValue, most)...)
-			if len(addrs) > most {
+			addrs = append(addrs, splitAddresses(text.StringValue, maxEndpoints)...)
+			if len(addrs) > maxEndpoints {
 				break
 			}
 		}
 	default:
 		return nil, true, badRequest("the subset hint is no list of endpoints")
 	}
-	if len(addrs) > most {
-		return nil, true, badRequest("the subset hint holds over %d endpoints", most)
+	if len(addrs) > maxEndpoints {
+		return nil, true, badRequest("the subset hint holds over %d endpoints", maxEndpoints)
 	}
 	return addrs, true, nil
 }
 
 // split cuts a text at its commas, into a few more than most parts at the most.
-func split(text string, most int) (out []string) {
+func splitAddresses(text string, maxEndpoints int) (out []string) {
 	for part := range strings.SplitSeq(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
 			out = append(out, part)
 		}
-		if len(out) > most {
+		if len(out) > maxEndpoints {
 			break
 		}
 	}
 	return out
 }
 
-// responseHead reads the head of a response; a status that can't be read is 0.
-func responseHead(m *extprocv3.HttpHeaders) (http.Header, int) {
-	h := readHead(m.GetHeaders())
-	text, _, err := one(h.status, ":status")
+// parseResponseHead reads the head of a response; a status that can't be read is 0.
+func parseResponseHead(m *extprocv3.HttpHeaders) (http.Header, int) {
+	h := parseHead(m.GetHeaders())
+	text, _, err := singleValue(h.status, ":status")
 	if err != nil || len(text) != 3 {
 		return h.Header, 0
 	}
@@ -283,26 +283,26 @@
 
 // servedBy returns the endpoint that served, where the proxy tells.
 func servedBy(req *extprocv3.ProcessingRequest, h http.Header) string {
-	fields := req.GetMetadataContext().GetFilterMetadata()[MetadataSpace].GetFields()
+	fields := req.GetMetadataContext().GetFilterMetadata()[MetadataNamespace].GetFields()
 	if served := fields[ServedHeader].GetStringValue(); served != "" {
 		return served
 	}
 	return h.Get(ServedHeader)
 }
 
-// neverSent are the reasons in Envoy's response code details with which no byte of a request has left the proxy.
+// notSentReasons are the reasons in Envoy's response code details with which no byte of a request has left the proxy.
 // (envoy/docs/root/configuration/http/http_conn_man/response_code_details.rst)
-var neverSent = []string{"remote_connection_failure", "local_connection_failure", "connection_timeout"}
+var notSentReasons = []string{"remote_connection_failure", "local_connection_failure", "connection_timeout"}
 
-// localReply reads how the proxy itself ended the try, where its attributes tell. A reason that is not known may mean
+// localReplyResult reads how the proxy itself ended the try, where its attributes tell. A reason that is not known may mean
 // anything, so that the request may have run.
-func localReply(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) (result balancer.Result, own bool) {
+func localReplyResult(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) (result balancer.Result, own bool) {
 	details := codeDetails(req, h)
 	switch {
 	case strings.HasPrefix(details, "upstream_reset_before_response_started{"),
 		strings.HasPrefix(details, "upstream_reset_after_response_started{"):
 		_, reason, _ := strings.Cut(details, "{")
-		for _, never := range neverSent {
+		for _, never := range notSentReasons {
 			if strings.HasPrefix(reason, never) && strings.Contains(details, "_before_") {
 				return balancer.ConnectFailed, true
 			}
@@ -320,7 +320,7 @@
 func codeDetails(req *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) string {
 	for _, attrs := range []map[string]*structpb.Struct{req.GetAttributes(), h.GetAttributes()} { //nolint:staticcheck // deprecated in the protocol, and still read from a peer that sends it there
 		for _, group := range attrs {
-			if v, ok := group.GetFields()[detailsAttr]; ok {
+			if v, ok := group.GetFields()[codeDetailsAttribute]; ok {
 				return v.GetStringValue()
 			}
 		}
@@ -329,44 +329,44 @@
 }
 
 // choice is a decision as a proxy is told it.
-type choice struct {
-	addr     string
-	metadata *structpb.Struct
-	valid    time.Duration // how long it may be used
-	useBy    time.Time
-	left     time.Duration // what is left of the client's patience
-	override bool          // ask for the ends of responses
+type routingDecision struct {
+	addr          string
+	metadata      *structpb.Struct
+	validFor      time.Duration // how long it may be used
+	useBy         time.Time
+	timeout       time.Duration // what is left of the client's patience
+	overridesMode bool          // ask for the ends of responses
 }
 
 // endpoints holds the dynamic metadata of the endpoints that were chosen lately: a few objects a decision less. They are
 // shared, and never changed.
-type endpoints struct {
-	mu  sync.Mutex
-	all map[string]*structpb.Struct
+type metadataCache struct {
+	mu        sync.Mutex
+	byAddress map[string]*structpb.Struct
 }
 
-const mostEndpoints = 4096 // held; then all are dropped
+const maxCachedEndpoints = 4096 // held; then all are dropped
 
-func (e *endpoints) of(addr string) *structpb.Struct {
+func (e *metadataCache) get(addr string) *structpb.Struct {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if m := e.all[addr]; m != nil {
+	if m := e.byAddress[addr]; m != nil {
 		return m
 	}
-	if e.all == nil || len(e.all) >= mostEndpoints {
-		e.all = map[string]*structpb.Struct{}
+	if e.byAddress == nil || len(e.byAddress) >= maxCachedEndpoints {
+		e.byAddress = map[string]*structpb.Struct{}
 	}
 	m := &structpb.Struct{Fields: map[string]*structpb.Value{
-		MetadataSpace: structpb.NewStructValue(&structpb.Struct{Fields: map[string]*structpb.Value{
+		MetadataNamespace: structpb.NewStructValue(&structpb.Struct{Fields: map[string]*structpb.Value{
 			DestinationHeader: structpb.NewStringValue(addr),
 		}}),
 	}}
-	e.all[addr] = m
+	e.byAddress[addr] = m
 	return m
 }
 
-// sendEnds asks a proxy for the ends of responses.
-var sendEnds = &filterv3.ProcessingMode{ResponseHeaderMode: filterv3.ProcessingMode_SEND,
+// responseEndMode asks a proxy for the ends of responses.
+var responseEndMode = &filterv3.ProcessingMode{ResponseHeaderMode: filterv3.ProcessingMode_SEND,
 	ResponseTrailerMode: filterv3.ProcessingMode_SEND}
 
 // decisionParts are the messages of a decision in one piece of memory.
@@ -381,13 +381,13 @@
 	set      [4]*corev3.HeaderValueOption
 }
 
-func decision(c choice) *extprocv3.ProcessingResponse {
+func decisionResponse(c routingDecision) *extprocv3.ProcessingResponse {
 	p := &decisionParts{}
 	for i, h := range [...]struct{ name, value string }{
 		{DestinationHeader, c.addr},
-		{ValidHeader, milliseconds(c.valid)},
+		{ValidForHeader, milliseconds(c.validFor)},
 		{UseByHeader, strconv.FormatInt(c.useBy.UnixMilli(), 10)},
-		{timeoutName, milliseconds(c.left)},
+		{timeoutHeaderName, milliseconds(c.timeout)},
 	} {
 		p.values[i].Key, p.values[i].RawValue = h.name, []byte(h.value)
 		p.options[i].Header, p.options[i].AppendAction = &p.values[i], corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD
@@ -398,16 +398,16 @@
 	p.headers.Response = &p.common
 	p.kind.RequestHeaders = &p.headers
 	p.response.Response, p.response.DynamicMetadata = &p.kind, c.metadata
-	if c.override { // a proxy that does not allow it goes on as it was
-		p.response.ModeOverride = sendEnds
+	if c.overridesMode { // a proxy that does not allow it goes on as it was
+		p.response.ModeOverride = responseEndMode
 	}
 	return &p.response
 }
 
-// timeoutName is the header that tells a server how long the client waits.
-var timeoutName = strings.ToLower(requesthead.TimeoutHeader)
+// timeoutHeaderName is the header that tells a server how long the client waits.
+var timeoutHeaderName = strings.ToLower(requesthead.TimeoutHeader)
 
-func set(name, value string) *corev3.HeaderValueOption {
+func overwriteHeader(name, value string) *corev3.HeaderValueOption {
 	return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: name, RawValue: []byte(value)},
 		AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD}
 }
@@ -424,10 +424,10 @@
 	engine.Failed: "failed: it may have run", engine.Conflict: "another request is open under this id"}
 
 // immediate is a final answer that the agent gives in place of a backend.
-func immediate(a engine.Answer) *extprocv3.ProcessingResponse {
+func immediateAnswer(a engine.Answer) *extprocv3.ProcessingResponse {
 	var headers []*corev3.HeaderValueOption
 	for _, header := range requesthead.RetryAfterHeaders(a) {
-		headers = append(headers, set(strings.ToLower(header[0]), header[1]))
+		headers = append(headers, overwriteHeader(strings.ToLower(header[0]), header[1]))
 	}
 	return immediateResponse(answerStatuses[a.Kind], answerTexts[a.Kind], headers)
 }
@@ -451,8 +451,8 @@
 		}}}
 }
 
-// goOn lets a response's headers go on unchanged.
-var goOn = &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
+// continueResponseHeaders lets a response's headers go on unchanged.
+var continueResponseHeaders = &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
 	ResponseHeaders: &extprocv3.HeadersResponse{}}}
 
 // continueBody lets a part of a body go on unchanged. In full duplex the processor owes the proxy what it was sent.
@@ -480,9 +480,9 @@
 }
 
 // clip is a peer's text, short enough for a log line.
-func clip(text string) string {
-	if len(text) > longestLogged {
-		return text[:longestLogged] + "..."
+func truncate(text string) string {
+	if len(text) > maxLoggedBytes {
+		return text[:maxLoggedBytes] + "..."
 	}
 	return text
 }
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -36,17 +36,17 @@
 )
 
 const (
-	sendTimeout     = 2 * time.Second // for a message that the proxy does not take
-	duplexPart      = 8               // one of so many streams may have bodies that come back: they hold most memory
-	connectTimeout  = 3 * time.Second // for the HTTP/2 preface of a new connection
-	idleConnection  = time.Minute     // a connection with no stream is closed, so that idle ones don't keep out others
-	maxHeaderList   = 16 << 10        // of a stream's own HTTP/2 headers
-	window          = 64 << 10        // what a proxy may send on a stream ahead of its being read; gRPC takes no less
-	connWindow      = 1 << 20         // and on all of a connection; what is not read waits on the streams
-	lingerTime      = 5 * time.Second
-	drainMost       = 50 * time.Millisecond // past the longest time that a client waits, as the platform's own front
-	processorMethod = extprocv3.ExternalProcessor_Process_FullMethodName
-	countsEvery     = time.Minute
+	sendTimeout        = 2 * time.Second // for a message that the proxy does not take
+	duplexShareDivisor = 8               // one of so many streams may have bodies that come back: they hold most memory
+	connectTimeout     = 3 * time.Second // for the HTTP/2 preface of a new connection
+	maxConnectionIdle  = time.Minute     // a connection with no stream is closed, so that idle ones don't keep out others
+	maxHeaderList      = 16 << 10        // of a stream's own HTTP/2 headers
+	streamWindow       = 64 << 10        // what a proxy may send on a stream ahead of its being read; gRPC takes no less
+	connWindow         = 1 << 20         // and on all of a connection; what is not read waits on the streams
+	defaultLinger      = 5 * time.Second
+	drainMargin        = 50 * time.Millisecond // past the longest time that a client waits, as the platform's own front
+	processorMethod    = extprocv3.ExternalProcessor_Process_FullMethodName
+	countsInterval     = time.Minute
 )
 
 // Options are what a Server is made of. All must be set.
@@ -65,23 +65,23 @@
 type Server struct {
 	extprocv3.UnimplementedExternalProcessorServer
 	Options
-	Counts  Counts
-	streams atomic.Int64 // open
-	held    atomic.Int64 // calls that the engine holds
-	duplex  atomic.Int64 // streams with bodies that come back
-	once    onces
+	Counts        Counts
+	openStreams   atomic.Int64 // open
+	inFlight      atomic.Int64 // calls that the engine holds
+	duplexStreams atomic.Int64 // streams with bodies that come back
+	logOnce       logOnces
 
-	metadata endpoints
+	metadata metadataCache
 	linger   time.Duration // a stream may stay open for so long after its request's time is over
 }
 
 // onces are log lines that come once, however often their cause does: a rude peer must not flood the log.
-type onces struct{ report, hint, served, unknown sync.Once }
+type logOnces struct{ report, hint, served, unknown sync.Once }
 
 // New returns a server. The engine remembers ended requests from then on, so that it must not run yet.
 func New(o Options) *Server {
 	o.Engine.SetOutcomeCache(o.Settings.RememberMost, time.Duration(o.Settings.Remember))
-	return &Server{Options: o, linger: lingerTime}
+	return &Server{Options: o, linger: defaultLinger}
 }
 
 // Serve answers streams until the context ends, and then goes on with the open ones until they end or the longest time
@@ -91,7 +91,7 @@
 	failed := make(chan error, 1)
 	go func() { failed <- srv.Serve(netutil.LimitListener(l, s.Settings.MaxConnections)) }()
 	s.Log.Info("external processor listening", "addr", l.Addr().String())
-	counts := time.NewTicker(countsEvery)
+	counts := time.NewTicker(countsInterval)
 	defer counts.Stop()
 	var last Snapshot
 	for {
@@ -125,12 +125,12 @@
 func (s *Server) drain(srv *grpc.Server) {
 	ended := make(chan struct{})
 	go func() { srv.GracefulStop(); close(ended) }()
-	limit := time.NewTimer(platformconfig.LameDuckDuration(s.MaxDeadline()) + drainMost)
+	limit := time.NewTimer(platformconfig.LameDuckDuration(s.MaxDeadline()) + drainMargin)
 	defer limit.Stop()
 	select {
 	case <-ended:
 	case <-limit.C:
-		s.Log.Warn("external processor drained, but some streams were still open", "streams", s.streams.Load())
+		s.Log.Warn("external processor drained, but some streams were still open", "streams", s.openStreams.Load())
 		srv.Stop()
 		<-ended
 	}
@@ -142,13 +142,13 @@
 		grpc.ConnectionTimeout(connectTimeout),
 		grpc.MaxConcurrentStreams(uint32(set.MaxStreams)),
 		grpc.MaxRecvMsgSize(set.MaxMessage),
-		grpc.StaticStreamWindowSize(window), // a window that grows with the line would be memory without a bound
+		grpc.StaticStreamWindowSize(streamWindow), // a window that grows with the line would be memory without a bound
 		grpc.StaticConnWindowSize(connWindow),
 		grpc.MaxHeaderListSize(maxHeaderList),
 		grpc.WaitForHandlers(true),
 		grpc.InTapHandle(s.admit),
 		grpc.KeepaliveParams(keepalive.ServerParameters{
-			MaxConnectionIdle: idleConnection,
+			MaxConnectionIdle: maxConnectionIdle,
 			Time:              time.Duration(set.KeepaliveTime),
 			Timeout:           time.Duration(set.KeepaliveWait),
 		}),
@@ -184,16 +184,16 @@
 
 // breakable is the context of a stream that the server can break: gRPC ends a stream's own context only with the stream,
 // so that a proxy which sends nothing, or takes nothing, could hold it for ever.
-type breakable struct {
+type cancellableContext struct {
 	context.Context
-	cut context.CancelFunc
+	cancel context.CancelFunc
 }
 
-type breakableKey struct{}
+type cancellableContextKey struct{}
 
 // Value finds the breakable context below those that gRPC puts round it.
-func (b *breakable) Value(key any) any {
-	if key == (breakableKey{}) {
+func (b *cancellableContext) Value(key any) any {
+	if key == (cancellableContextKey{}) {
 		return b
 	}
 	return b.Context.Value(key)
@@ -202,11 +202,11 @@
 // admit is asked about each stream before a goroutine is spent on it: it turns away what is too many, and makes the others
 // breakable.
 func (s *Server) admit(ctx context.Context, info *tap.Info) (context.Context, error) {
-	if s.streams.Load() >= int64(s.Settings.MaxOpen) && info.FullMethodName == processorMethod {
+	if s.openStreams.Load() >= int64(s.Settings.MaxOpen) && info.FullMethodName == processorMethod {
 		return nil, s.tooMany()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	return &breakable{ctx, cancel}, nil
+	return &cancellableContext{ctx, cancel}, nil
 }
 
 func (s *Server) tooMany() error {
@@ -215,13 +215,13 @@
 }
 
 // place takes one of the places for streams, if there is one.
-func (s *Server) place() bool {
+func (s *Server) acquireStreamSlot() bool {
 	for {
-		n := s.streams.Load()
+		n := s.openStreams.Load()
 		if n >= int64(s.Settings.MaxOpen) {
 			return false
 		}
-		if s.streams.CompareAndSwap(n, n+1) {
+		if s.openStreams.CompareAndSwap(n, n+1) {
 			return true
 		}
 	}
@@ -229,26 +229,26 @@
 
 // Process handles one stream.
 func (s *Server) Process(g extprocv3.ExternalProcessor_ProcessServer) error {
-	if !s.place() { // several may have been admitted to the last place
+	if !s.acquireStreamSlot() { // several may have been admitted to the last place
 		return s.tooMany()
 	}
-	defer s.streams.Add(-1)
-	b, ok := g.Context().Value(breakableKey{}).(*breakable)
+	defer s.openStreams.Add(-1)
+	b, ok := g.Context().Value(cancellableContextKey{}).(*cancellableContext)
 	if !ok {
 		return status.Error(codes.Internal, "the stream can't be broken")
 	}
-	st := &stream{s: s, ctx: g.Context(), told: make(chan verdict, mostTold)}
-	st.expiry = time.AfterFunc(time.Duration(s.Settings.FirstMessage), b.cut)
+	st := &stream{server: s, ctx: g.Context(), verdicts: make(chan verdict, maxVerdicts)}
+	st.expiry = time.AfterFunc(time.Duration(s.Settings.FirstMessage), b.cancel)
 	defer st.expiry.Stop()
 	err := st.run(g)
-	st.end(err)
-	if st.mayDuplex {
-		s.duplex.Add(-1)
+	st.close(err)
+	if st.hasDuplexSlot {
+		s.duplexStreams.Add(-1)
 	}
 	switch {
-	case st.call != nil && !st.handed.Load() && !st.ended: // the proxy must not go on as if it had been told
+	case st.call != nil && !st.isHandedOver.Load() && !st.isSettled: // the proxy must not go on as if it had been told
 		return status.Error(codes.Unavailable, "the stream ended before the decision")
-	case err == nil || errors.Is(err, errClean):
+	case err == nil || errors.Is(err, errStreamClosed):
 		return nil
 	}
 	return err
